--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of the coordinator. Its types, events and actions: `src/interface.rs`.
+//! Every decision of the coordinator. Its types, events and actions: `src/interface/`.
 //!
 //! Each batch of events is applied, then every open query is advanced in order of arrival: admit, send,
 //! retry, answer or give up. The operators' rules are checked in one place each: `dispatch`, `finish`. The
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -245,7 +245,7 @@
     let longest = texts.iter().flat_map(|t| t.lines()).map(|l| l.chars().count()).max().unwrap_or(0);
     assert!(longest <= 110, "a line of {longest} characters");
     let first = include_str!("../src/policy/mod.rs").lines().next();
-    assert!(first.is_some_and(|l| l.contains("src/interface.rs")));
+    assert!(first.is_some_and(|l| l.contains("src/interface/")));
 }
 
 #[test]
