--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,45 +1,47 @@
-//! Actions, which a policy has its coordinator carry out.
+//! Actions, which a coordinator carries out for its policy.
 
 use super::{AttemptNo, Nanos, PartId, QueryId, ReplicaId};
 
-/// What a policy has its coordinator do, in order.
+/// An action that a coordinator carries out for its policy; actions are executed in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt at a part.
     Send {
-        /// The part.
+        /// Part that the attempt is made at.
         part: PartId,
-        /// The replica it goes to.
+        /// Replica that the attempt is sent to.
         replica: ReplicaId,
-        /// The time-out of this attempt.
+        /// Timeout of the attempt.
         timeout: Nanos,
-        /// Unless its writing has started by then it must not be sent: it would repeat a part too late.
+        /// Time after which writing the attempt must not start: the repeat would no longer be
+        /// dropped by the replica.
         not_after: Nanos,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The part.
+        /// Part that the attempt was made at.
         part: PartId,
-        /// The number of the attempt.
+        /// Ordinal of the attempt.
         attempt: AttemptNo,
     },
-    /// Answer from the parts received; the answer from a first step brings the parts of the follow-up step.
+    /// Answer from the parts received. An answer from the first step brings the parts of the
+    /// follow-up step.
     Answer {
-        /// The query.
+        /// Query to answer.
         query: QueryId,
-        /// The answer is complete.
+        /// Whether the answer is complete.
         complete: bool,
     },
     /// Reject a query: the client may safely retry it.
     Reject {
-        /// The query.
+        /// Query to reject.
         query: QueryId,
-        /// The `Retry-After`, where clients get one.
+        /// Value of `Retry-After`, where clients get one.
         retry_after: Option<Nanos>,
     },
     /// Fail a query: it may have run.
     Fail(QueryId),
-    /// Report [`Event::TimerFired`] at this time.
+    /// Report [`Event::TimerFired`](super::Event::TimerFired) at this time.
     SetTimer(Nanos),
     /// Close the idle connections to a replica.
     CloseIdle(ReplicaId),
--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -2,48 +2,49 @@
 
 use super::Nanos;
 
-/// What happens when a part runs more than once.
+/// Consequence of running a part more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be retried freely.
+    /// None: the part may be retried freely.
     Idempotent,
-    /// Replicas drop repeats for this time after the first attempt that may have run.
+    /// None within this time after the first attempt that may have run: replicas drop repeats.
     Deduplicated(Nanos),
-    /// Harm: it is not retried unless no earlier attempt can have run.
+    /// Harm: the part is retried only if no earlier attempt can have run.
     NonIdempotent,
 }
 
-/// A class of queries, and what its clients expect.
+/// A class of queries, with the expectations of its clients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Its name, by which it is found again after a change of settings.
+    /// Name, which identifies the class across changes of the settings.
     pub name: String,
-    /// It is in the settings in force; others remain for the queries that began with them.
+    /// Whether the class is in the current settings; a removed class stays for queries that
+    /// started under it.
     pub active: bool,
-    /// An answer within this time earns the full weight.
+    /// Time within which an answer earns the full weight.
     pub latency_objective: Nanos,
-    /// The objective grows by this multiple of the query's expected work.
+    /// Multiple of a query's expected work by which its latency objective is extended.
     pub objective_stretch: f64,
-    /// How long a client waits over all its attempts.
+    /// Time that a client waits for the final answer, over all attempts.
     pub deadline: Nanos,
-    /// What happens when a part runs more than once.
+    /// Consequence of running a part more than once.
     pub effect: Effect,
-    /// The weight of a complete answer, against those of other classes.
+    /// Weight of a complete answer, relative to those of other classes.
     pub priority_weight: f64,
-    /// The share of that weight which an answer after the objective still earns.
+    /// Share of the weight that an answer after the latency objective still earns, 0 to 1.
     pub late_weight: f64,
-    /// The share of the first step's weight that makes an answer complete.
+    /// Share of the first step's weight that makes an answer complete, 0 to 1.
     pub required_share: f64,
-    /// The least share of the weight that an answer may be given from.
+    /// Least share of the weight that an answer may be given from, 0 to 1.
     pub min_share: f64,
-    /// How many parts the follow-up step has; 0 where there is none.
+    /// Number of parts in the follow-up step; 0 where there is none.
     pub follow_up_parts: u32,
-    /// The most attempts at a part; at least one is made.
+    /// Maximum number of attempts at a part; at least one is made.
     pub max_attempts: u32,
 }
 
 impl Class {
-    /// An answer may lack parts.
+    /// Returns whether an answer may lack parts.
     #[must_use]
     pub fn allows_partial(&self) -> bool {
         self.min_share < self.required_share
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -2,40 +2,40 @@
 
 use super::{CellId, Nanos, ReplicaId, ZoneId};
 
-/// The state of a replica in the endpoint list.
+/// State of a replica in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts work.
+    /// The replica accepts work.
     Ready,
-    /// It completes what it has and accepts nothing new.
+    /// The replica completes the work that it has and accepts none.
     Draining,
-    /// It is gone.
+    /// The replica has left the fleet.
     Removed,
 }
 
-/// A replica in the endpoint list.
+/// Entry of the endpoint list: one replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// Identifier of the replica.
     pub replica: ReplicaId,
-    /// Its zone.
+    /// Availability zone of the replica.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the replica.
     pub cell: CellId,
-    /// Its state.
+    /// State of the replica.
     pub state: EndpointState,
-    /// When it last started; 0: long ago.
+    /// Time of the last start; 0 if it is long past.
     pub started_at: Nanos,
 }
 
-/// What an endpoint list covers.
+/// Scope of an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Changes to the list.
+    /// Changes to the previous list.
     Delta,
     /// The full list.
     Full,
-    /// The full list, as this instance last had it.
+    /// The full list as this instance had last received it.
     Cached,
     /// Nothing: a poll failed, or the subscription broke.
     Failed,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -5,69 +5,71 @@
     Settings, ShardId, TenantId,
 };
 
-/// What a coordinator reports to its policy.
+/// An event that a coordinator reports to its policy.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// An endpoint list was received, or a poll for it failed.
     Endpoints {
-        /// What it covers.
+        /// Scope of the list.
         kind: EndpointListKind,
-        /// Its replicas.
+        /// Replicas in the list.
         endpoints: Vec<Endpoint>,
     },
-    /// The shards of a replica, where its cell does not determine them; precedes the list that names it.
+    /// The shards of a replica, where its cell does not determine them; precedes the list that
+    /// names the replica.
     Placement {
         /// The replica.
         replica: ReplicaId,
-        /// The shards it holds.
+        /// Shards that the replica holds.
         shards: Vec<ShardId>,
     },
     /// A query was received; its parts follow in the same batch.
     Query {
-        /// Its id.
+        /// Identifier of the query.
         query: QueryId,
-        /// The number that its parts have in common with it.
+        /// Identifier that the query shares with its parts.
         group: GroupId,
-        /// Its class.
+        /// Class of the query.
         class: ClassId,
-        /// Its tenant.
+        /// Tenant of the client.
         tenant: TenantId,
-        /// The expected work of all its parts, where the client stated it.
+        /// Expected work of all parts, where the client stated it.
         expected_work: Option<Nanos>,
-        /// The time until the client abandons this attempt.
+        /// Time until the client abandons the query.
         time_left: Nanos,
     },
-    /// A part of a query was received: of its first step or, after the first answer, of its follow-up step.
+    /// A part of a query was received: of its first step or, after the first answer, of its
+    /// follow-up step.
     Part {
-        /// Its id.
+        /// Identifier of the part.
         part: PartId,
-        /// The number that it has in common with its query.
+        /// Identifier that the part shares with its query.
         group: GroupId,
-        /// Its shard.
+        /// Shard that has the answer.
         shard: ShardId,
-        /// Its share of its step's weight.
+        /// Share of its step's weight, 0 to 1.
         weight: f64,
     },
     /// An attempt ended.
     Outcome {
-        /// The part.
+        /// Part that the attempt was made at.
         part: PartId,
-        /// The number of the attempt.
+        /// Ordinal of the attempt.
         attempt: AttemptNo,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// How long ago it was sent.
+        /// Time since the attempt was sent.
         elapsed: Nanos,
     },
-    /// The client of a query has disconnected, or its time is over.
+    /// The client of a query disconnected, or its deadline passed.
     Abandoned(QueryId),
-    /// The settings have changed. Open queries keep their class, whose settings stay as they were.
+    /// The settings changed. Open queries keep their class with the settings it had.
     Settings {
-        /// The settings in force from now on.
+        /// Settings in force from now on.
         settings: Box<Settings>,
-        /// For each class, the former one whose statistics it continues.
+        /// For each class, the former class whose statistics it continues.
         class_mapping: Vec<ClassId>,
     },
-    /// The timer of [`Action::SetTimer`] fired.
+    /// The timer of [`Action::SetTimer`](super::Action::SetTimer) fired.
     TimerFired,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -9,24 +9,24 @@
 }
 
 ids! {
-    /// A query, as the coordinator names it.
+    /// Identifier of a query, assigned by the coordinator.
     QueryId(u64);
-    /// One part of a query; queries and parts share one space of ids.
+    /// Identifier of one part of a query; queries and parts share one space of identifiers.
     PartId(u64);
-    /// The number that parts have in common with their query.
+    /// Identifier that a query shares with its parts.
     GroupId(u32);
-    /// A shard, from 0.
+    /// Index of a shard, from 0.
     ShardId(u32);
-    /// An index into [`Settings::classes`].
+    /// Index into [`Settings::classes`](super::Settings::classes).
     ClassId(u16);
-    /// An index into [`Settings::tenants`].
+    /// Index into [`Settings::tenants`](super::Settings::tenants).
     TenantId(u32);
-    /// An availability zone: replicas of one zone fail together.
+    /// Identifier of an availability zone: replicas of one zone fail together.
     ZoneId(u16);
-    /// A cell of replicas; see [`Settings::cells`].
+    /// Index of a cell of replicas; see [`Settings::cells`](super::Settings::cells).
     CellId(u16);
-    /// A replica: four bytes of address and two of port, opaque to the policy.
+    /// Identifier of a replica: four bytes of address and two of port, opaque to the policy.
     ReplicaId([u8; 6]);
-    /// The number of an attempt at a part, from 0.
+    /// Ordinal of an attempt among those at its part, from 0.
     AttemptNo(u16);
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,4 +1,5 @@
-//! The interface between a coordinator and its policy: settings, events and actions. Plain data, no decisions.
+//! Interface between a coordinator and its policy: settings, events and actions. Plain data, no
+//! decisions.
 //!
 //! All times are [`Nanos`] of the caller's clock.
 
--- a/src/interface/reduction.rs
+++ b/src/interface/reduction.rs
@@ -1,15 +1,18 @@
-//! What a level of reduced service takes away.
+//! Reductions of service under graceful degradation.
 
-/// What a level of reduced service cuts back; the default cuts nothing.
+/// Reductions of service in force; the default reduces nothing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceReduction {
-    /// The share of each class's queries that is admitted, by [`ClassId`]; a class without one has no limit.
+    /// Share of each class's queries that is admitted, 0 to 1, by [`ClassId`](super::ClassId);
+    /// a class without an entry is not limited.
     pub admitted_shares: Vec<f64>,
-    /// Late parts of sampled queries are cancelled like others.
+    /// Whether late parts of sampled queries are cancelled like those of other queries.
     pub skip_late_samples: bool,
-    /// Where parts may be missing an answer is given after this share of the objective, from the floor on.
+    /// Share of the latency objective after which a query that allows partial answers is
+    /// answered, given its minimum share.
     pub answer_after: f64,
-    /// The shortest `Retry-After` is half of the longest; this factor brings it that many times nearer to it.
+    /// Factor, at least 1, by which the shortest `Retry-After`, half of the longest, moves closer
+    /// to the longest.
     pub retry_after_factor: f64,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,107 +1,112 @@
-//! The settings of a coordinator.
+//! Settings of a coordinator.
 
 use super::{Class, ClassId, Nanos, ServiceReduction};
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its quota in queries a second over all coordinators, if there is one.
+    /// Quota over all coordinators, in queries per second, if there is one.
     pub quota: Option<f64>,
 }
 
-/// The budget for retries and hedged requests: attempts beyond each part's first.
+/// Budget for retries and hedged requests: attempts beyond each part's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// How many are free in any window.
+    /// Number of attempts that are free in any window.
     pub free: f64,
-    /// How many each query or part received in the window adds.
+    /// Number of attempts that each query or part received in the window adds.
     pub ratio: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: Nanos,
 }
 
-/// How much load a replica that has just started may get.
+/// Limit of the load that a replica may receive after its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartRule {
-    /// It is overloaded when it is sent this multiple of its capacity,
+    /// Multiple of its capacity that overloads the replica, if sustained for the window.
     pub overload_factor: f64,
-    /// for this long.
+    /// Length of the window.
     pub overload_window: Nanos,
-    /// Its capacity at the start, as a share of that when warm.
+    /// Capacity at the start, as a share of the capacity when warm.
     pub initial_capacity: f64,
-    /// It has its full capacity after this time.
+    /// Time after the start at which the replica has its full capacity.
     pub warm_up: Nanos,
 }
 
 impl SlowStartRule {
-    /// The capacity of a replica that started so long ago, as a share of its capacity when warm.
+    /// Returns the capacity of a replica that started `age` ago, as a share of its capacity when
+    /// warm.
     #[must_use]
     pub fn capacity(&self, age: Nanos) -> f64 {
-        let warmth = (age as f64 / self.warm_up.max(1) as f64).min(1.0);
-        self.initial_capacity + (1.0 - self.initial_capacity) * warmth
+        let warm_up_progress = (age as f64 / self.warm_up.max(1) as f64).min(1.0);
+        self.initial_capacity + (1.0 - self.initial_capacity) * warm_up_progress
     }
 }
 
-/// The settings of an instance.
+/// Settings of a coordinator.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Settings {
-    /// How many coordinators share the replicas, this one included.
+    /// Number of coordinators that share the replicas, this one included.
     pub coordinators: u32,
-    /// The shortest time between two batches.
+    /// Shortest time between two batches.
     pub tick: Nanos,
-    /// The classes of queries, by [`ClassId`].
+    /// Classes of queries, by [`ClassId`].
     pub classes: Vec<Class>,
-    /// The tenants, by [`TenantId`].
+    /// Tenants, by [`TenantId`](super::TenantId).
     pub tenants: Vec<Tenant>,
-    /// The weight of a query beyond its tenant's quota, as a share of its class's.
+    /// Weight of a query beyond its tenant's quota, as a share of its class's.
     pub over_quota_weight: f64,
-    /// The number of shards.
+    /// Number of shards.
     pub shards: u32,
-    /// The number of cells: shard `s` is held by cells `(s + n) % cells`, `n` below `cells_per_shard`.
+    /// Number of cells: shard `s` is held by cells `(s + n) % cells`, `n` below
+    /// `cells_per_shard`.
     pub cells: u32,
-    /// The number of cells that hold a shard.
+    /// Number of cells that hold a shard.
     pub cells_per_shard: u32,
-    /// The most parts that one call carries.
+    /// Maximum number of parts in one call.
     pub max_batch: u32,
-    /// The work of a call beside that of its parts.
+    /// Work of a call in addition to that of its parts.
     pub call_overhead: Nanos,
-    /// The endpoint list comes only when polled; an instance that does not poll for this long counts as notified.
-    /// `None`: it comes on its own.
+    /// Longest interval between polls for the endpoint list; an instance that does not poll for
+    /// this long counts as notified. `None` if the list is pushed.
     pub max_poll_interval: Option<Nanos>,
-    /// The retry budget, if there is one.
+    /// Retry budget, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// The slow-start rule, if there is one.
+    /// Slow-start rule, if there is one.
     pub slow_start: Option<SlowStartRule>,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub cancellation: bool,
-    /// Two attempts at a part may be in flight at once.
+    /// Whether two attempts at a part may be in flight at once.
     pub hedging: bool,
-    /// The longest `Retry-After` that a rejected client follows; `None` where clients get none.
+    /// Longest `Retry-After` that a rejected client follows; `None` if clients get none.
     pub max_retry_after: Option<Nanos>,
-    /// What the level of reduced service in force cuts back.
+    /// Reductions of service in force.
     pub reduction: ServiceReduction,
 }
 
 impl Settings {
-    /// A class by its number, which the settings must have.
+    /// Returns a class by its index.
+    ///
+    /// # Panics
+    /// If there is no such class.
     #[must_use]
     pub fn class(&self, id: ClassId) -> &Class {
         &self.classes[usize::from(id.0)]
     }
 
-    /// The shortest latency objective of an active class; a tick where no class is active.
+    /// Returns the shortest latency objective of an active class, or a tick if no class is active.
     #[must_use]
     pub fn min_latency_objective(&self) -> Nanos {
         self.active_classes().map(|class| class.latency_objective).min().unwrap_or(self.tick)
     }
 
-    /// The highest priority weight of an active class; 0 where no class is active.
+    /// Returns the highest priority weight of an active class, or 0 if no class is active.
     #[must_use]
     pub fn max_priority_weight(&self) -> f64 {
         self.active_classes().map(|class| class.priority_weight).fold(0.0, f64::max)
     }
 
-    /// The time of so many ticks.
+    /// Returns the duration of `count` ticks.
     #[must_use]
     pub fn ticks(&self, count: u64) -> Nanos {
         count * self.tick
