--- a/src/policy/fleet/mod.rs
+++ b/src/policy/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What the answers of all replicas together tell: how long they take, and how connections fare.
+//! Statistics over the answers of all replicas: response times and the use of connections.
 
 use crate::interface::{ClassId, Nanos, Settings};
 use crate::stats::Ewma;
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Takes new settings: each class goes on with the work of the class it is mapped to, if that was observed.
+    /// Applies new settings: each class continues the work of the class that it is mapped to, if
+    /// that was observed.
     pub fn apply_settings(&mut self, settings: &Settings, mapping: &[ClassId]) {
         let inherited = |from: &ClassId| self.work.get(usize::from(from.0)).copied().filter(|w| w.observed);
         let classes = settings.classes.iter().zip(mapping);
