--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -112,7 +112,7 @@
     });
 }
 
-/// A part as its server's page gives it.
+/// Returns a part with the response of a server's page.
 fn serve(part: &PartRequest, body: &[u8]) -> ServedPart {
     let context = part.context.as_ref().expect("a context");
     let request = context.get::<PageRequest>().expect("a page request");
@@ -123,7 +123,8 @@
     }
 }
 
-/// From a request's bytes to its answer's, the servers' pages of 500 included: what a query costs the worker.
+/// Measures a query from the bytes of its request to those of its answer, with the servers' pages
+/// of 500.
 #[divan::bench(args = ["limit=500", "limit=500&f=html", "limit=500&crs=EPSG:3857", "limit=500&properties=volts"])]
 fn answer_of_500(bencher: Bencher, query: &str) {
     let edge =
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -1,4 +1,6 @@
-//! A blocking HTTP/1.1 client: one connection, one request at a time.
+//! Blocking HTTP/1.1 client with one persistent connection and one request at a time.
+//!
+//! Owns the connection and its retry after an idle close; leaves redirects, cookies and TLS out.
 
 mod connection;
 mod message;
@@ -11,50 +13,50 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a response is waited for unless a caller sets another time.
+/// Default response timeout of a client.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a request got no response.
+/// Reason why a request got no response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The connection failed, ended early or timed out.
+    /// Failed, prematurely closed or timed-out connection.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The head of the response is malformed.
+    /// Malformed head of a response.
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    /// The size of a chunk is no hexadecimal number.
+    /// Chunk size that is not a hexadecimal number.
     #[error("a chunk's size")]
     ChunkSize,
-    /// `Content-Length` is no number.
+    /// `Content-Length` that is not a number.
     #[error("a length")]
     ContentLength,
 }
 
 impl ClientError {
-    /// Whether the server has closed the connection, as it may at any time on one that stood idle.
+    /// Returns whether the server closed the connection, as it may do at any time with an idle one.
     fn is_closed_connection(&self) -> bool {
         let ClientError::Io(error) = self else { return false };
         matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset | ErrorKind::UnexpectedEof)
     }
 }
 
-/// A client of one server, with a persistent connection.
+/// Client of one server, with a persistent connection.
 pub struct Client {
     address: SocketAddr,
     connection: Option<Connection>,
-    /// How long a response is waited for.
+    /// Response timeout.
     pub timeout: Duration,
 }
 
 impl Client {
-    /// A client of this server; it connects at its first request.
+    /// Creates a client of a server; the connection is opened by the first request.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Client { address, connection: None, timeout: DEFAULT_TIMEOUT }
     }
 
-    /// GET.
+    /// Sends a GET request and returns the response.
     ///
     /// # Errors
     /// See [`Client::send`].
@@ -62,7 +64,7 @@
         self.get_with(target, &[])
     }
 
-    /// GET with further headers.
+    /// Sends a GET request with additional headers and returns the response.
     ///
     /// # Errors
     /// See [`Client::send`].
@@ -70,12 +72,12 @@
         self.send(&Request::new("GET", target, headers))
     }
 
-    /// Sends a request and reads its response. If a persistent connection turns out to be closed it is sent again, once, on
-    /// a new one.
+    /// Sends a request and returns its response. A request that meets a closed persistent
+    /// connection is resent once on a new one.
     ///
     /// # Errors
-    /// If the server can't be reached, ends the connection before the end of the response, takes longer than the
-    /// time-out, or sends a malformed response.
+    /// Returns an error if the server can't be reached, closes the connection before the end of the
+    /// response, exceeds the timeout, or sends a malformed response.
     pub fn send(&mut self, request: &Request<'_>) -> Result<Response, ClientError> {
         let reused = self.connection.is_some();
         let result = match self.send_once(request) {
--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server: responses are read and decoded from it.
+//! Connection of a client: writes requests, and reads and decodes responses.
 
 use super::{ClientError, Response};
 use flate2::read::GzDecoder;
@@ -7,23 +7,23 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes that one read from the socket takes at most.
+/// Maximum number of bytes of one read from the socket.
 const READ_SIZE: usize = 16 * 1024;
-/// Headers that a response has at most.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
-/// The line end of HTTP/1.1.
+/// Line end of HTTP/1.1.
 const CRLF: &[u8] = b"\r\n";
 
-/// A connection and what was read from it beyond the last response.
+/// Open connection with the bytes that were read beyond the last response.
 pub(super) struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-/// A response as it was read.
+/// Response with the state of the connection after it.
 pub(super) struct ReadResponse {
     pub(super) response: Response,
-    /// Whether the connection ends with it.
+    /// Whether the server closes the connection after this response.
     pub(super) closes: bool,
 }
 
@@ -45,13 +45,13 @@
         Ok(Connection { stream, buffer: Vec::new() })
     }
 
-    /// Writes the bytes of a request; its response is waited for so long.
+    /// Writes a serialized request and sets the timeout of its response.
     pub(super) fn write(&mut self, request: &[u8], timeout: Duration) -> io::Result<()> {
         self.stream.set_read_timeout(Some(timeout))?;
         self.stream.write_all(request)
     }
 
-    /// Reads the next response; that of HEAD has a head only.
+    /// Reads the next response; `head_only` marks the response to a HEAD request.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
         let mut closes = head.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
--- a/testkit/src/client/message.rs
+++ b/testkit/src/client/message.rs
@@ -1,47 +1,47 @@
-//! Requests and responses.
+//! HTTP requests and responses as plain data; their transfer is left to the connection.
 
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A header of a request.
+/// Header of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Header<'a> {
-    /// Its name.
+    /// Name of the header.
     pub name: &'a str,
-    /// Its value.
+    /// Value of the header.
     pub value: &'a str,
 }
 
 impl<'a> Header<'a> {
-    /// A header of this name and value.
+    /// Creates a header.
     #[must_use]
     pub const fn new(name: &'a str, value: &'a str) -> Self {
         Header { name, value }
     }
 }
 
-/// A request.
+/// HTTP request.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Its path and query.
+    /// Path and query of the request.
     pub target: &'a str,
-    /// Headers beside `Host` and `Content-Length`.
+    /// Headers except `Host` and `Content-Length`, which the client sets.
     pub headers: &'a [Header<'a>],
-    /// Its body; none if it is empty.
+    /// Body; an empty one is not sent.
     pub body: &'a [u8],
 }
 
 impl<'a> Request<'a> {
-    /// A request without a body.
+    /// Creates a request without a body.
     #[must_use]
     pub const fn new(method: &'a str, target: &'a str, headers: &'a [Header<'a>]) -> Self {
         Request { method, target, headers, body: &[] }
     }
 
-    /// The bytes that are sent.
+    /// Serializes the request for a server.
     pub(super) fn to_bytes(self, host: SocketAddr) -> Vec<u8> {
         let Request { method, target, headers, body } = self;
         let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
@@ -56,46 +56,46 @@
     }
 }
 
-/// A response.
+/// HTTP response.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its status code.
+    /// Status code.
     pub status: u16,
-    /// Its headers, by their names in lower case.
+    /// Header values by lower-case name.
     pub headers: BTreeMap<String, String>,
-    /// Its body, decompressed.
+    /// Body, decompressed.
     pub body: Vec<u8>,
-    /// Bytes of the body as it was transferred.
+    /// Length of the body as transferred, in bytes.
     pub encoded_length: usize,
 }
 
 impl Response {
-    /// Its body as JSON; null if it is none.
+    /// Parses the body as JSON; returns null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Json {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// Its body as text.
+    /// Returns the body as text; invalid UTF-8 is replaced.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// A header's value; empty if there is none of this name, which is in lower case.
+    /// Returns the value of a header by its lower-case name; empty if the header is absent.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The ids of its features, in order.
+    /// Returns the ids of the features in the body, in order.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
         let json = self.json();
         json["features"].as_array().map(|list| list.iter().map(feature_id).collect()).unwrap_or_default()
     }
 
-    /// The target (path and query) of its link with this relation.
+    /// Returns the target (path and query) of the first link with this relation.
     #[must_use]
     pub fn link(&self, relation: &str) -> Option<String> {
         let json = self.json();
@@ -105,7 +105,7 @@
     }
 }
 
-/// A feature's id as text.
+/// Returns the id of a feature as text.
 #[must_use]
 pub fn feature_id(feature: &Json) -> String {
     match &feature["id"] {
@@ -114,7 +114,7 @@
     }
 }
 
-/// The path and query of a URL; a path is returned as it is.
+/// Returns the path and query of a URL; a path without a scheme is returned unchanged.
 #[must_use]
 pub fn target_of(href: &str) -> String {
     match href.split_once("://") {
--- a/testkit/src/conformance.rs
+++ b/testkit/src/conformance.rs
@@ -1,8 +1,8 @@
-//! A conformance suite: what the abstract test suites of OGC API - Features (Parts 1, 2, 3, 5) and CQL2 require, checked from
-//! outside, each check under the identifier of what it checks.
+//! Conformance suite: the requirements of the abstract test suites of OGC API - Features (Parts 1,
+//! 2, 3, 5) and CQL2, checked from outside, each under its identifier.
 //!
-//! The features that a filter must match are worked out here from the features themselves, by plain comparisons: nothing of
-//! the program is used for it.
+//! The features that a filter must match are computed here from the features themselves by plain
+//! comparisons, without any code of the program.
 
 mod check;
 mod core;
@@ -21,7 +21,7 @@
 
 use check::Check;
 
-/// All checks, in the order in which they are run.
+/// Returns all checks in the order in which they run.
 fn all_checks() -> impl Iterator<Item = &'static Check> {
     let parts = [
         core::CHECKS,
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -1,37 +1,38 @@
-//! Checks and what they come to.
+//! Checks, their outcomes and the assertions that they share.
 
 use super::Suite;
 use crate::client::ClientError;
 use serde::Serialize;
 use serde_json::Value as Json;
 
-/// What a check came to.
+/// Outcome of a check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", content = "why", rename_all = "snake_case")]
 pub enum Outcome {
-    /// The requirement holds.
+    /// Requirement that holds.
     Pass,
-    /// It does not, and this is what was seen.
+    /// Requirement that does not hold, with the observed behaviour.
     Fail(String),
-    /// There is nothing to check, for this reason.
+    /// Requirement that does not apply, with the reason.
     NotApplicable(String),
 }
 
-/// A check that was run.
+/// Result of a check.
 #[derive(Debug, Clone, Serialize)]
 pub struct CheckResult {
-    /// The identifier of the requirement or abstract test.
+    /// Identifier of the requirement or abstract test.
     pub id: &'static str,
-    /// What it came to.
+    /// Outcome of the check.
     #[serde(flatten)]
     pub outcome: Outcome,
 }
 
-/// A check of one requirement.
+/// Check of one requirement.
 pub(super) struct Check {
-    /// The identifier of the requirement or abstract test.
+    /// Identifier of the requirement or abstract test.
     pub(super) id: &'static str,
-    /// The end of the conformance class that a service must claim for it to apply; empty: it always applies.
+    /// Suffix of the conformance class that a service must claim for the check to apply; empty if
+    /// it always applies.
     pub(super) class: &'static str,
     pub(super) run: fn(&mut Suite) -> Verdict,
 }
@@ -42,15 +43,15 @@
     }
 }
 
-/// The end of a check.
+/// Result of the body of a check.
 pub(super) type Verdict = Result<(), Stop>;
 
-/// A check ends before its end.
+/// Reason why a check stops early.
 #[derive(Debug)]
 pub(super) enum Stop {
-    /// The requirement does not hold.
+    /// Requirement that does not hold.
     Failed(String),
-    /// There is nothing to check.
+    /// Requirement that does not apply.
     NotApplicable(String),
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// Requires the same ids; the reason counts what differs.
+/// Requires the same ids; the reason counts the missing and the excess ones.
 pub(super) fn require_same(what: &str, found: &[String], expected: &[String]) -> Verdict {
     require(found == expected, || {
         let missing = expected.iter().filter(|id| !found.contains(id)).count();
@@ -103,7 +104,7 @@
     })
 }
 
-/// Whether each id is there once.
+/// Returns whether no id occurs twice.
 pub(super) fn all_unique(ids: &[String]) -> bool {
     let mut unique: Vec<&String> = ids.iter().collect();
     unique.sort();
@@ -111,7 +112,7 @@
     unique.len() == ids.len()
 }
 
-/// The features of a collection document.
+/// Returns the features of a feature collection document.
 pub(super) fn features_of(json: &Json) -> Vec<Json> {
     json["features"].as_array().cloned().unwrap_or_default()
 }
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -7,10 +7,10 @@
 use super::Suite;
 use serde_json::Value as Json;
 
-/// The class of the checks here and of those of the items.
+/// Class of the checks of this module and of the items.
 pub(super) const CORE: &str = "ogcapi-features-1/1.0/conf/core";
 const CORE_URI: &str = "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core";
-/// What a collection says of itself and what the list of collections says of it.
+/// Properties that a collection must have in common with its entry in the list of collections.
 const COLLECTION_PROPERTIES: [&str; 6] = ["id", "title", "description", "extent", "itemType", "crs"];
 
 pub(super) const CHECKS: &[Check] = &[
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -10,30 +10,35 @@
 
 const CRS: &str = "ogcapi-features-2/1.0/conf/crs";
 const CRS84: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
-/// Latitude and longitude, in this order.
+/// Reference system with latitude before longitude.
 const WGS84: &str = "http://www.opengis.net/def/crs/EPSG/0/4326";
 const WEB_MERCATOR: &str = "http://www.opengis.net/def/crs/EPSG/0/3857";
 const EPSG_PREFIX: &str = "http://www.opengis.net/def/crs/EPSG/0/";
 const UNKNOWN: &str = "http://www.opengis.net/def/crs/EPSG/0/1";
 
-/// Features whose coordinates are checked at most.
+/// Maximum number of features whose coordinates are checked.
 const CHECKED_FEATURES: usize = 50;
-/// How far coordinates may differ, relative to their size.
+/// Tolerance of coordinates, relative to their magnitude.
 const RELATIVE_TOLERANCE: f64 = 1e-6;
 
-/// The radius of Web Mercator's sphere, in metres (EPSG 7030, semi-major axis).
+/// Radius of the sphere of Web Mercator, in metres (EPSG 7030, semi-major axis).
 const EARTH_RADIUS_METRES: f64 = 6_378_137.0;
-/// EPSG codes of UTM zones are these and the zone's number.
+/// EPSG code of a northern UTM zone less the number of the zone.
 const UTM_NORTH_CODE: u32 = 32_600;
+/// EPSG code of a southern UTM zone less the number of the zone.
 const UTM_SOUTH_CODE: u32 = 32_700;
+/// Width of a UTM zone, in degrees of longitude.
 const UTM_ZONE_DEGREES: f64 = 6.0;
 const UTM_FALSE_EASTING_METRES: f64 = 500_000.0;
+/// Scale factor of UTM on the central meridian.
 const UTM_SCALE: f64 = 0.9996;
-/// Metres of a degree of longitude at the equator, and of latitude there.
+/// Length of a degree of longitude at the equator, in metres.
 const METRES_PER_LONGITUDE: f64 = 111_320.0;
+/// Length of a degree of latitude at the equator, in metres.
 const METRES_PER_LATITUDE: f64 = 110_574.0;
-/// How far the plain estimate of UTM coordinates may be off, in metres.
+/// Tolerance of the estimated UTM easting, in metres.
 const UTM_EASTING_TOLERANCE: f64 = 3_000.0;
+/// Tolerance of the estimated UTM northing, in metres.
 const UTM_NORTHING_TOLERANCE: f64 = 30_000.0;
 
 pub(super) const CHECKS: &[Check] = &[
@@ -108,7 +113,7 @@
     }),
 ];
 
-/// The reference systems that the collection lists.
+/// Returns the reference systems that the collection lists.
 fn listed_systems(suite: &mut Suite) -> Result<Vec<String>, Stop> {
     let collection = suite.get_collection()?;
     let systems = collection["crs"].as_array().ok_or("crs is no list")?;
@@ -134,7 +139,7 @@
     near(found.x, expected.x) && near(found.y, expected.y)
 }
 
-/// The spherical Mercator projection of EPSG 3857.
+/// Projects a point by the spherical Mercator projection of EPSG 3857.
 fn web_mercator(Point { x, y }: Point) -> Point {
     Point {
         x: x.to_radians() * EARTH_RADIUS_METRES,
@@ -142,7 +147,8 @@
     }
 }
 
-/// Requires the first features to lie where this projection of longitude and latitude has them.
+/// Requires the coordinates of the first features to agree with this projection of longitude and
+/// latitude.
 fn require_projection(suite: &mut Suite, uri: &str, project: fn(Point) -> Point) -> Verdict {
     let projected = features_of(&suite.get_items(&format!("limit={CHECKED_FEATURES}&crs={uri}"))?);
     let originals = features_of(&suite.get_items(&format!("limit={CHECKED_FEATURES}"))?);
@@ -157,26 +163,26 @@
     })
 }
 
-/// The location of the feature with this id.
+/// Returns the location of the feature with this id.
 fn find_point(features: &[Json], id: &str) -> Option<Point> {
     point_of(features.iter().find(|feature| feature_id(feature) == id)?)
 }
 
-/// A zone of the Universal Transverse Mercator grid.
+/// Zone of the Universal Transverse Mercator grid.
 struct UtmZone {
     number: u32,
     uri: String,
 }
 
 impl UtmZone {
-    /// The zone that a point lies in.
+    /// Returns the zone that contains a point.
     fn of(Point { x, y }: Point) -> UtmZone {
         let number = ((x + 180.0) / UTM_ZONE_DEGREES).floor() as u32 + 1;
         let code = if y >= 0.0 { UTM_NORTH_CODE } else { UTM_SOUTH_CODE } + number;
         UtmZone { number, uri: format!("{EPSG_PREFIX}{code}") }
     }
 
-    /// A plain estimate of a point's easting and northing, in metres.
+    /// Estimates the easting and northing of a point, in metres.
     fn estimate(&self, Point { x, y }: Point) -> Point {
         let meridian = f64::from(self.number) * UTM_ZONE_DEGREES - 183.0;
         let east = (x - meridian) * METRES_PER_LONGITUDE * y.to_radians().cos() * UTM_SCALE;
--- a/testkit/src/conformance/documents.rs
+++ b/testkit/src/conformance/documents.rs
@@ -1,23 +1,23 @@
-//! What checks read from the documents of a service: links, the API definition, and errors.
+//! Access to the documents of a service: links, the API definition, and errors.
 
 use super::check::{require, Stop, Verdict};
 use super::Suite;
 use crate::client::Response;
 use serde_json::Value as Json;
 
-/// The target of a document's link with this relation.
+/// Returns the target of the document's link with this relation.
 pub(super) fn link_of(document: &Json, relation: &str) -> Option<String> {
     let links = document["links"].as_array()?;
     links.iter().find(|link| link["rel"] == relation)?["href"].as_str().map(str::to_owned)
 }
 
-/// Requires links with all these relations.
+/// Requires links with all of these relations.
 pub(super) fn require_links(document: &Json, what: &str, relations: &[&str]) -> Verdict {
     let missing: Vec<_> = relations.iter().filter(|relation| link_of(document, relation).is_none()).collect();
     require(missing.is_empty(), || format!("{what}: no link {missing:?}"))
 }
 
-/// Requires a relation and a media type of every link.
+/// Requires every link to have a relation and a media type.
 pub(super) fn require_typed_links(document: &Json, what: &str) -> Verdict {
     let mut links = document["links"].as_array().into_iter().flatten();
     require(links.all(|link| link["rel"].is_string() && link["type"].is_string()), || {
@@ -25,24 +25,24 @@
     })
 }
 
-/// Requires an error of this status.
+/// Requires a response with this status.
 pub(super) fn require_status(response: &Response, status: u16) -> Verdict {
     require(response.status == status, || format!("status {} in place of {status}", response.status))
 }
 
-/// The service's API definition.
+/// Returns the API definition of the service.
 pub(super) fn api_definition(suite: &mut Suite) -> Result<Json, Stop> {
     Ok(get_api_definition(suite)?.json())
 }
 
-/// The response with the service's API definition.
+/// Requests the API definition and returns the response.
 pub(super) fn get_api_definition(suite: &mut Suite) -> Result<Response, Stop> {
     let landing = suite.get_json("/")?;
     let href = link_of(&landing, "service-desc").ok_or("no link service-desc")?;
     suite.follow(&href)
 }
 
-/// The definition of a parameter of the items.
+/// Returns the definition of a parameter of the items.
 pub(super) fn parameter(suite: &mut Suite, name: &str) -> Result<Json, Stop> {
     let api = api_definition(suite)?;
     let parameters = api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"].as_array();
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -1,5 +1,5 @@
-//! Part 1: HTTP, GeoJSON, HTML and OpenAPI 3.0; and caching, compression and problem details (RFC 9457), which no class
-//! requires.
+//! Part 1: HTTP, GeoJSON, HTML and OpenAPI 3.0; and caching, compression and problem details (RFC
+//! 9457), which no class requires.
 
 use super::check::{require, Check, Stop, Verdict};
 use super::core::CORE;
@@ -11,14 +11,14 @@
 const GEO_JSON: &str = "ogcapi-features-1/1.0/conf/geojson";
 const HTML: &str = "ogcapi-features-1/1.0/conf/html";
 const OPEN_API: &str = "ogcapi-features-1/1.0/conf/oas30";
-/// The class of checks that always apply.
+/// Class of the checks that always apply.
 const ANY: &str = "";
 
-/// The geometries of GeoJSON (RFC 7946).
+/// Geometry types of GeoJSON (RFC 7946).
 const GEOMETRY_TYPES: [&str; 7] =
     ["Point", "MultiPoint", "LineString", "MultiLineString", "Polygon", "MultiPolygon", "GeometryCollection"];
 
-/// The paths that an API definition must have.
+/// Paths that an API definition must have.
 const API_PATHS: [&str; 6] = [
     "/",
     "/conformance",
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -1,5 +1,5 @@
-//! The classes of CQL2 beyond the basic ones: further comparisons, functions on text, space, time and arrays, and arithmetic;
-//! and searches by POST.
+//! The classes of CQL2 beyond the basic ones: further comparisons, functions on text, space, time
+//! and arrays, and arithmetic; and searches by POST.
 
 use super::check::{require, require_same, Check, Stop, Verdict};
 use super::filters::{number_is, quoted, require_matches};
@@ -18,16 +18,16 @@
 const ARRAY: &str = "conf/array-functions";
 const PROPERTY: &str = "conf/property-property";
 const ARITHMETIC: &str = "conf/arithmetic";
-/// The class of checks that always apply.
+/// Class of the checks that always apply.
 const ANY: &str = "";
 
-/// Width of a span of numbers that ends at the median.
+/// Width of the range of numbers that ends at the median.
 const SPAN: f64 = 20.0;
-/// Characters of a text that a pattern begins with.
+/// Number of characters of a text that a pattern starts with.
 const PATTERN_LENGTH: usize = 3;
-/// Points on each edge of the area of a search, which has four.
+/// Number of points on each of the four edges of the searched polygon.
 const POINTS_PER_EDGE: u32 = 2_500;
-/// Features that the search wants at most.
+/// Limit of the search.
 const SEARCH_LIMIT: usize = 500;
 
 pub(super) const CHECKS: &[Check] = &[
@@ -186,7 +186,7 @@
     })
 }
 
-/// A search for numbers above the median in a drawn area of ten thousand points.
+/// Checks a search for numbers above the median in a polygon of ten thousand points.
 fn search_by_post_is_right(suite: &mut Suite) -> Verdict {
     let Sample { name, value: median } = suite.median()?;
     let bbox = suite.middle_box()?;
@@ -218,7 +218,7 @@
     require_same("an area of 10,000 points", &found, &expected)
 }
 
-/// A box as a closed ring whose edges have many points.
+/// Returns a box as a closed ring with many points on each edge.
 fn ring_of(bbox: BoundingBox) -> Vec<[f64; 2]> {
     let BoundingBox { west, south, east, north } = bbox;
     let between =
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -15,14 +15,14 @@
 const CQL2_JSON: &str = "conf/cql2-json";
 const BASIC_CQL2: &str = "conf/basic-cql2";
 
-/// The relation of links to queryables.
+/// Relation of links to queryables.
 const QUERYABLES_RELATION: &str = "http://www.opengis.net/def/rel/ogc/1.0/queryables";
-/// Latitude and longitude, in this order.
+/// Reference system with latitude before longitude.
 const WGS84: &str = "http://www.opengis.net/def/crs/EPSG/0/4326";
-/// Filters that are none, percent-encoded.
+/// Invalid filters, percent-encoded.
 const INVALID_FILTERS: [&str; 6] = ["((", "a%20=", "=1", "NOT", "a%20LIKE", "S_INTERSECTS(a)"];
 
-/// A comparison of CQL2 and what it means for numbers.
+/// Comparison operator of CQL2 and its meaning for numbers.
 struct Comparison {
     operator: &'static str,
     holds: fn(f64, f64) -> bool,
@@ -176,17 +176,17 @@
     })
 }
 
-/// Whether a feature has a number of this name for which this holds.
+/// Returns whether a feature has a number of this name that satisfies the predicate.
 pub(super) fn number_is(feature: &Json, name: &str, holds: impl Fn(f64) -> bool) -> bool {
     number_of(feature, name).is_some_and(holds)
 }
 
-/// A text as it stands between the quotes of a CQL2 literal.
+/// Escapes a text for a CQL2 literal.
 pub(super) fn quoted(text: &str) -> String {
     text.replace('\'', "''")
 }
 
-/// Requires a CQL2 text filter to match the features for which this holds, and no others.
+/// Requires a CQL2 text filter to match exactly the features that satisfy the predicate.
 pub(super) fn require_matches(suite: &mut Suite, filter: &str, matches: impl Fn(&Json) -> bool) -> Verdict {
     let found = suite.get_filtered(filter, "cql2-text")?;
     require_same(filter, &found, &suite.expected_ids(matches))
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -8,7 +8,7 @@
 use crate::client::feature_id;
 use serde_json::Value as Json;
 
-/// Parameters with values that are invalid.
+/// Parameters with invalid values.
 const INVALID_PARAMETERS: [&str; 5] =
     ["limit=0", "limit=many", "bbox=1,2,3", "bbox=a,b,c,d", "datetime=soon"];
 
@@ -139,7 +139,7 @@
     json["features"].as_array().map_or(0, Vec::len)
 }
 
-/// The pages of another size must have the same features as those that the suite was opened with.
+/// Requires pages of another size to have the features that the suite was opened with.
 fn next_links_are_complete(suite: &mut Suite) -> Verdict {
     let features = suite.get_all(&format!("{}?limit=97", suite.items_path()))?;
     let mut ids: Vec<String> = features.iter().map(feature_id).collect();
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -1,26 +1,26 @@
-//! Values of the service's features that checks are made with.
+//! Sample values of the service's features, from which checks build their queries.
 
 use super::check::Stop;
 use super::Suite;
 use serde_json::Value as Json;
 
-/// Points that a box in the middle of all needs at least.
+/// Minimum number of points for a sample box.
 const MIN_POINTS: usize = 10;
 
-/// A point in longitude and latitude, or in the order of another reference system.
+/// Point in longitude and latitude, or in the axis order of another reference system.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Point {
     pub(super) x: f64,
     pub(super) y: f64,
 }
 
-/// The location of a feature whose geometry is a point.
+/// Returns the location of a feature whose geometry is a point.
 pub(super) fn point_of(feature: &Json) -> Option<Point> {
     let coordinates = &feature["geometry"]["coordinates"];
     Some(Point { x: coordinates[0].as_f64()?, y: coordinates[1].as_f64()? })
 }
 
-/// A box of longitudes and latitudes, with its edges.
+/// Closed bounding box of longitudes and latitudes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BoundingBox {
     pub(super) west: f64,
@@ -30,20 +30,21 @@
 }
 
 impl BoundingBox {
-    /// Whether a feature is a point in it or on its edges.
+    /// Returns whether a feature is a point inside the box or on its boundary.
     pub(super) fn contains(&self, feature: &Json) -> bool {
         point_of(feature).is_some_and(|Point { x, y }| {
             self.west <= x && x <= self.east && self.south <= y && y <= self.north
         })
     }
 
-    /// Whether a feature is a point in it and not on its edges.
+    /// Returns whether a feature is a point inside the box and not on its boundary.
     pub(super) fn contains_strictly(&self, feature: &Json) -> bool {
         point_of(feature)
             .is_some_and(|Point { x, y }| self.west < x && x < self.east && self.south < y && y < self.north)
     }
 
-    /// Whether a feature is a point below the line from the upper left corner to the lower right one, or on it.
+    /// Returns whether a feature is a point on or below the diagonal from the upper left to the
+    /// lower right corner.
     pub(super) fn lower_left_half_contains(&self, feature: &Json) -> bool {
         let BoundingBox { west, south, east, north } = *self;
         point_of(feature).is_some_and(|Point { x, y }| {
@@ -51,37 +52,37 @@
         })
     }
 
-    /// `west,south,east,north`.
+    /// Formats the box as `west,south,east,north`.
     pub(super) fn to_query(self) -> String {
         let BoundingBox { west, south, east, north } = self;
         format!("{west},{south},{east},{north}")
     }
 
-    /// Its polygon as well-known text.
+    /// Formats the box as a polygon in well-known text.
     pub(super) fn to_polygon(self) -> String {
         let BoundingBox { west, south, east, north } = self;
         format!("POLYGON(({west} {south},{east} {south},{east} {north},{west} {north},{west} {south}))")
     }
 }
 
-/// A name of a queryable and a value to compare it with.
+/// Name of a queryable and a value to compare it with.
 pub(super) struct Sample<T> {
     pub(super) name: String,
     pub(super) value: T,
 }
 
-/// A feature's number of this name.
+/// Returns the number of this name of a feature.
 pub(super) fn number_of(feature: &Json, name: &str) -> Option<f64> {
     feature["properties"][name].as_f64()
 }
 
-/// A feature's text of this name.
+/// Returns the text of this name of a feature.
 pub(super) fn text_of<'f>(feature: &'f Json, name: &str) -> Option<&'f str> {
     feature["properties"][name].as_str()
 }
 
 impl Suite {
-    /// A box in the middle of all points: about a quarter of them lie in it.
+    /// Returns a box in the middle of all points that contains about a quarter of them.
     pub(super) fn middle_box(&self) -> Result<BoundingBox, Stop> {
         let points: Vec<Point> = self.features.iter().filter_map(point_of).collect();
         if points.len() < MIN_POINTS {
@@ -97,22 +98,22 @@
         Ok(BoundingBox { west, south, east, north })
     }
 
-    /// The first feature.
+    /// Returns the first feature.
     pub(super) fn first_feature(&self) -> Result<&Json, Stop> {
         self.features.first().ok_or_else(|| Stop::not_applicable("no feature is there"))
     }
 
-    /// A feature in the middle.
+    /// Returns the feature in the middle of the list.
     pub(super) fn middle_feature(&self) -> Result<&Json, Stop> {
         self.features.get(self.features.len() / 2).ok_or_else(|| Stop::not_applicable("no feature is there"))
     }
 
-    /// The location of the first feature that is a point.
+    /// Returns the location of the first feature that is a point.
     pub(super) fn first_point(&self) -> Option<Point> {
         self.features.iter().find_map(point_of)
     }
 
-    /// The name of a queryable of this type and format that features have values of.
+    /// Returns the name of a queryable of this type and format for which some feature has a value.
     pub(super) fn queryable(&self, value_type: &str, format: &str) -> Result<String, Stop> {
         let fits = |(name, schema): &(&String, &Json)| {
             let schema_type = schema["type"].as_str().unwrap_or_default();
@@ -129,7 +130,7 @@
             .ok_or_else(|| Stop::NotApplicable(format!("no queryable of type {value_type} {format}")))
     }
 
-    /// All values of a number, in order.
+    /// Returns all values of a number in ascending order.
     pub(super) fn sorted_numbers(&self, name: &str) -> Result<Vec<f64>, Stop> {
         let mut numbers: Vec<f64> = self.features.iter().filter_map(|f| number_of(f, name)).collect();
         numbers.sort_by(f64::total_cmp);
@@ -139,14 +140,14 @@
         Ok(numbers)
     }
 
-    /// A number and its median.
+    /// Returns a numeric queryable and its median.
     pub(super) fn median(&self) -> Result<Sample<f64>, Stop> {
         let name = self.queryable("number", "")?;
         let numbers = self.sorted_numbers(&name)?;
         Ok(Sample { name, value: numbers[numbers.len() / 2] })
     }
 
-    /// The name of the geometry.
+    /// Returns the name of the geometry queryable.
     pub(super) fn geometry(&self) -> Result<String, Stop> {
         let is_geometry =
             |schema: &Json| schema["format"].as_str().is_some_and(|format| format.starts_with("geometry-"));
@@ -156,7 +157,7 @@
             .ok_or_else(|| Stop::not_applicable("no geometry can be asked for"))
     }
 
-    /// A text that all features have, and the value of a feature in the middle.
+    /// Returns a text queryable that all features have, and the value of the middle feature.
     pub(super) fn text(&self) -> Result<Sample<String>, Stop> {
         let fits = |(name, schema): &(&String, &Json)| {
             schema["type"] == "string"
@@ -171,7 +172,7 @@
         Ok(Sample { name, value })
     }
 
-    /// A date or time, and its median.
+    /// Returns a date or time queryable and its median.
     pub(super) fn median_time(&self) -> Result<Sample<String>, Stop> {
         let name = self.queryable("string", "date")?;
         let mut times: Vec<&str> = self.features.iter().filter_map(|f| text_of(f, &name)).collect();
@@ -180,7 +181,7 @@
         Ok(Sample { name, value })
     }
 
-    /// The name of a text that some features have a value of and some have not.
+    /// Returns the name of a text queryable that some features have and others lack.
     pub(super) fn nullable_text(&self) -> Result<String, Stop> {
         let nulls = |name: &str| self.features.iter().filter(|f| f["properties"][name].is_null()).count();
         let is_nullable = |name: &str| name != "id" && (1..self.features.len()).contains(&nulls(name));
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -1,4 +1,4 @@
-//! Part 5: schemas and sortables; and orders and selections of properties.
+//! Part 5: schemas and sortables; and sorting and selection of properties.
 
 use super::check::{all_unique, require, Check, Stop, Verdict};
 use super::samples::number_of;
@@ -9,7 +9,7 @@
 const SCHEMAS: &str = "ogcapi-features-5/1.0/conf/schemas";
 const SORTABLES: &str = "ogcapi-features-5/1.0/conf/sortables";
 const SORTING: &str = "ogcapi-features-8/1.0/conf/sorting";
-/// The class of checks that always apply.
+/// Class of the checks that always apply.
 const ANY: &str = "";
 
 pub(super) const CHECKS: &[Check] = &[
@@ -74,7 +74,7 @@
     }),
 ];
 
-/// Requires all features, with a number in this order.
+/// Requires all features, sorted by a number in this order.
 fn require_sorted(suite: &mut Suite, key: &str, name: &str, in_order: fn(f64, f64) -> bool) -> Verdict {
     let sorted = suite.get_all(&format!("{}?limit=300&sortby={key}", suite.items_path()))?;
     require(sorted.len() == suite.features.len(), || {
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -1,4 +1,4 @@
-//! The suite at work on a service.
+//! Run of the checks against a service: its claims, its features and the requests that checks send.
 
 use super::all_checks;
 use super::check::{features_of, require, Check, CheckResult, Outcome, Stop};
@@ -9,37 +9,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Features of a collection that the suite works on at most.
+/// Maximum number of features of a collection.
 const MAX_FEATURES: usize = 20_000;
-/// A request that is rejected or fails at the server is sent so often at most.
+/// Maximum number of attempts of a request that is rejected or fails at the server.
 const MAX_ATTEMPTS: usize = 40;
-/// The wait after a 503.
+/// Backoff after a 503.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Why a service could not be opened: what the request for one of its documents came to.
+/// Failed request for one of the documents that opening a service needs.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
 pub struct OpenError(Stop);
 
-/// The suite, with the service's collection that it works on.
+/// Suite of checks against one collection of a service.
 pub struct Suite {
     client: Client,
-    /// The path before those of the standard.
+    /// Path prefix of the service.
     root: String,
     conformance_classes: Vec<String>,
-    /// The id of the collection: the first one.
+    /// Id of the collection, the first one of the service.
     pub(super) collection: String,
-    /// All its features, by the `next` links.
+    /// All features of the collection.
     pub(super) features: Vec<Json>,
-    /// Its queryables: their schemas by their names.
+    /// Schemas of the queryables by name.
     pub(super) queryables: BTreeMap<String, Json>,
 }
 
 impl Suite {
-    /// Reads what the service claims, and its first collection.
+    /// Reads the conformance classes that a service claims, and its first collection.
     ///
     /// # Errors
-    /// If the conformance page or the list of collections can't be requested.
+    /// Returns an error if the conformance page or the list of collections can't be requested.
     pub fn open(address: SocketAddr, root: &str) -> Result<Self, OpenError> {
         let mut suite = Suite {
             client: Client::new(address),
@@ -61,18 +61,18 @@
         Ok(suite)
     }
 
-    /// Runs every check.
+    /// Runs every check and returns the results.
     pub fn run(&mut self) -> Vec<CheckResult> {
         all_checks().map(|check| CheckResult { id: check.id, outcome: self.outcome_of(check) }).collect()
     }
 
-    /// Runs one check; `None`: there is none of this identifier.
+    /// Runs one check by its identifier; returns `None` if it does not exist.
     pub fn run_one(&mut self, id: &str) -> Option<Outcome> {
         let check = all_checks().find(|check| check.id == id)?;
         Some(self.outcome_of(check))
     }
 
-    /// Assumes that the service claims every class: a service that claims none has nothing to fail.
+    /// Assumes that the service claims every class, so that no check is skipped.
     pub fn claim_all(&mut self) {
         self.conformance_classes = all_checks().map(|check| check.class.to_owned()).collect();
     }
@@ -88,27 +88,28 @@
         }
     }
 
-    /// The path of the collection's items.
+    /// Returns the path of the collection's items.
     pub(super) fn items_path(&self) -> String {
         self.collection_path("items")
     }
 
-    /// The path of a document of the collection.
+    /// Returns the path of a document of the collection.
     pub(super) fn collection_path(&self, document: &str) -> String {
         format!("/collections/{}/{document}", self.collection)
     }
 
-    /// GET.
+    /// Sends a GET request and returns the response.
     pub(super) fn get(&mut self, path: &str) -> Result<Response, Stop> {
         self.get_with(path, &[])
     }
 
-    /// GET with further headers.
+    /// Sends a GET request with additional headers and returns the response.
     pub(super) fn get_with(&mut self, path: &str, headers: &[Header<'_>]) -> Result<Response, Stop> {
         self.send(&Request::new("GET", path, headers))
     }
 
-    /// Sends a request whose target is below the service's root; what is rejected for now is sent again, as a client would.
+    /// Sends a request whose target is relative to the service's root. Temporary failures are
+    /// retried.
     pub(super) fn send(&mut self, request: &Request<'_>) -> Result<Response, Stop> {
         let target = format!("{}{}", self.root, request.target);
         let request = Request { target: &target, ..*request };
@@ -126,7 +127,7 @@
         last.ok_or_else(|| "never asked".into())
     }
 
-    /// A JSON object that must be there.
+    /// Requests a JSON object; fails if the response is not one.
     pub(super) fn get_json(&mut self, path: &str) -> Result<Json, Stop> {
         let response = self.get(path)?;
         require(response.status == 200, || format!("{path}: status {}", response.status))?;
@@ -135,28 +136,28 @@
         Ok(json)
     }
 
-    /// The collection's own document.
+    /// Requests the document of the collection.
     pub(super) fn get_collection(&mut self) -> Result<Json, Stop> {
         self.get_json(&format!("/collections/{}", self.collection))
     }
 
-    /// A page of the collection's items with this query.
+    /// Requests a page of the collection's items with this query.
     pub(super) fn get_items(&mut self, query: &str) -> Result<Json, Stop> {
         self.get_json(&format!("{}?{query}", self.items_path()))
     }
 
-    /// What a link leads to.
+    /// Requests the target of a link.
     pub(super) fn follow(&mut self, href: &str) -> Result<Response, Stop> {
         let path = self.without_root(&target_of(href));
         self.get(&path)
     }
 
-    /// The root of the service is part of its links already.
+    /// Removes the root of the service, which its links include.
     fn without_root(&self, target: &str) -> String {
         target.strip_prefix(&self.root).unwrap_or(target).to_owned()
     }
 
-    /// All features of a query, over its `next` links.
+    /// Requests all features of a query over its `next` links.
     pub(super) fn get_all(&mut self, path: &str) -> Result<Vec<Json>, Stop> {
         let mut features = Vec::new();
         let mut next = Some(path.to_owned());
@@ -174,26 +175,26 @@
         Ok(features)
     }
 
-    /// The sorted ids of all items that a query matches.
+    /// Requests the sorted ids of all items that a query matches.
     pub(super) fn get_ids(&mut self, query: &str) -> Result<Vec<String>, Stop> {
         let features = self.get_all(&format!("{}?limit=500&{query}", self.items_path()))?;
         Ok(sorted_ids(&features))
     }
 
-    /// The sorted ids of all items that a filter in this language matches.
+    /// Requests the sorted ids of all items that a filter in this language matches.
     pub(super) fn get_filtered(&mut self, filter: &str, language: &str) -> Result<Vec<String>, Stop> {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         query.append_pair("filter", filter).append_pair("filter-lang", language);
         self.get_ids(&query.finish())
     }
 
-    /// The sorted ids of the features for which this holds.
+    /// Returns the sorted ids of the features that satisfy the predicate.
     pub(super) fn expected_ids(&self, matches: impl Fn(&Json) -> bool) -> Vec<String> {
         sorted_ids(self.features.iter().filter(|feature| matches(feature)))
     }
 }
 
-/// The sorted ids of features.
+/// Returns the sorted ids of features.
 fn sorted_ids<'a>(features: impl IntoIterator<Item = &'a Json>) -> Vec<String> {
     let mut ids: Vec<String> = features.into_iter().map(feature_id).collect();
     ids.sort();
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -1,4 +1,5 @@
-//! A demonstration: the front for feature queries over stand-in feature servers, to try by hand or to check once.
+//! Demonstration: the front for feature queries over stand-in servers, for manual use or one
+//! automatic check.
 
 use crate::client::{Client, Response};
 use crate::error::RunError;
@@ -10,14 +11,14 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Features of each of the two shards.
+/// Number of features of each of the two shards.
 const FEATURES_PER_SHARD: usize = 2_000;
-/// Features of one answer at most, by the `limit` of the examples.
+/// Maximum number of features of one answer, by the `limit` of the examples.
 const MAX_EXAMPLE_FEATURES: usize = 1_000;
-/// Slack for points on the hypotenuse of the drawn area.
+/// Tolerance for points on the hypotenuse of the polygon, in degrees.
 const EDGE_TOLERANCE: f64 = 1e-12;
 
-/// The settings of the demonstration's collection.
+/// Settings of the collection.
 const COLLECTION: &str = "
 [[collection]]
 id = \"devices\"
@@ -26,17 +27,18 @@
 bbox = [-121.0, 37.0, -119.0, 39.0]
 ";
 
-/// The program over four feature servers: two shards, each on two servers of different capabilities.
+/// Running program over four feature servers: two shards with two servers of different capabilities
+/// each.
 pub struct Demo {
     process: EdgeProcess,
     servers: Vec<FeatureServer>,
 }
 
-/// A query to try.
+/// Example query.
 struct Example {
     description: &'static str,
     target: &'static str,
-    /// How many of all devices the answer must have.
+    /// Expected number of features, computed from all devices.
     expected: fn(&[Json]) -> usize,
 }
 
@@ -107,7 +109,7 @@
     /// Starts the feature servers and the program over them.
     ///
     /// # Errors
-    /// If a server or the program can't be started.
+    /// Returns an error if a server or the program can't be started.
     pub fn start(program: &Path) -> Result<Demo, RunError> {
         let start = |from: usize, capabilities| {
             FeatureServer::start(devices(from..from + FEATURES_PER_SHARD), capabilities)
@@ -128,10 +130,11 @@
         Ok(Demo { process, servers })
     }
 
-    /// Sends the examples, checks the answers and prints a table. True: all were as expected.
+    /// Sends the examples, checks the answers and prints a table. Returns whether all answers were
+    /// as expected.
     ///
     /// # Errors
-    /// If an example gets no response.
+    /// Returns an error if an example gets no response.
     pub fn check_once(&self) -> Result<bool, RunError> {
         let mut client = Client::new(self.process.address);
         let all = devices(0..2 * FEATURES_PER_SHARD);
@@ -168,10 +171,10 @@
         self.servers.iter().map(FeatureServer::request_count).sum()
     }
 
-    /// Prints what to try and waits for SIGINT or SIGTERM.
+    /// Prints the examples as `curl` commands and waits for SIGINT or SIGTERM.
     ///
     /// # Errors
-    /// If no signal handler can be set.
+    /// Returns an error if the signal handler can't be set.
     pub fn run_until_signal(&self) -> Result<(), RunError> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let address = self.process.address;
@@ -180,13 +183,13 @@
             println!("  {description:<26} curl 'http://{address}{target}'");
         }
         println!("ends with Ctrl-C");
-        // Handled and not left to the default, so that the program's process is ended by its destructor.
+        // The signal is handled so that the destructor runs, which kills the program's process.
         signals.forever().next();
         Ok(())
     }
 }
 
-/// Where a device is, in degrees.
+/// Location of a device, in degrees.
 struct Point {
     longitude: f64,
     latitude: f64,
@@ -204,7 +207,7 @@
     devices.iter().filter(|device| matches(device)).count()
 }
 
-/// How many features a response to an example has.
+/// Counts the features of the response to an example.
 fn count_found(example: &Example, response: &Response) -> usize {
     if example.target.contains("f=html") {
         response.text().matches("<circle").count()
--- a/testkit/src/error.rs
+++ b/testkit/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a run of the kit could not be made.
+//! Errors of the runs that start stand-in servers and the program.
 
 use crate::client::ClientError;
 use crate::process::ProcessError;
 use std::io;
 use thiserror::Error;
 
-/// Why a run over stand-ins and the program could not be made.
+/// Reason why a run over stand-in servers and the program failed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A stand-in or a signal handler could not be started.
+    /// Failure to start a stand-in server or to set a signal handler.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The program could not be run.
+    /// Failure to run the program.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A query that must be answered got no response.
+    /// Missing response to a query that must be answered.
     #[error(transparent)]
     Client(#[from] ClientError),
 }
--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Fault injection: a proxy before a sound service that alters requests or responses, so that each check of the conformance
-//! suite can be shown to fail.
+//! Fault-injecting proxy: alters requests or responses of a correct service, so that each check of
+//! the conformance suite can be shown to fail.
 
 mod edits;
 mod faults;
@@ -14,10 +14,10 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// Headers that the proxy writes itself.
+/// Headers that the proxy sets itself.
 const OWN_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
 
-/// A request before it is forwarded.
+/// Request before it is forwarded.
 #[derive(Debug, Clone)]
 pub struct ForwardedRequest {
     method: String,
@@ -47,34 +47,34 @@
     }
 }
 
-/// What a fault alters.
+/// Alteration that a fault makes.
 #[derive(Clone, Copy)]
 enum Alteration {
-    /// The request before it is forwarded.
+    /// Alteration of a request before it is forwarded.
     Request(fn(&mut ForwardedRequest)),
-    /// The response before it is returned.
+    /// Alteration of a response before it is returned.
     Response(fn(&ForwardedRequest, &mut Response)),
 }
 
-/// A fault that can be injected.
+/// Fault that can be injected.
 pub struct InjectedFault {
-    /// The identifier of the check that must find it.
+    /// Identifier of the check that must detect the fault.
     pub found_by: &'static str,
-    /// What is wrong.
+    /// Description of the incorrect behaviour.
     pub description: &'static str,
     alteration: Alteration,
 }
 
-/// The proxy.
+/// Running proxy.
 pub struct FaultInjector {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     active: Arc<ActiveFault>,
 }
 
 type ActiveFault = Mutex<Option<&'static InjectedFault>>;
 
-/// Why a connection of the proxy ended.
+/// Reason why a connection of the proxy failed.
 #[derive(Debug, Error)]
 enum ForwardError {
     #[error(transparent)]
@@ -84,10 +84,10 @@
 }
 
 impl FaultInjector {
-    /// Starts the proxy on a free loopback port, before this service and without a fault.
+    /// Starts the proxy of a service on a free loopback port, without a fault.
     ///
     /// # Errors
-    /// If no port is free.
+    /// Returns an error if no port is free.
     pub fn start(service: SocketAddr) -> io::Result<FaultInjector> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -102,13 +102,13 @@
         Ok(FaultInjector { address, active })
     }
 
-    /// From now on this fault is injected, or none.
+    /// Sets the fault to inject; `None` restores correct behaviour.
     pub fn inject(&self, fault: Option<&'static InjectedFault>) {
         *lock(&self.active) = fault;
     }
 }
 
-/// Forwards the requests of a connection until it ends.
+/// Forwards the requests of a connection until it is closed.
 fn forward_connection(
     mut stream: TcpStream,
     service: SocketAddr,
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// Reads a request; `None` at the end of the connection.
+/// Reads a request and returns it, or `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> io::Result<Option<ForwardedRequest>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
--- a/testkit/src/fault_injection/edits.rs
+++ b/testkit/src/fault_injection/edits.rs
@@ -1,10 +1,10 @@
-//! Edits of requests and responses that injected faults are made of.
+//! Edits of requests and responses, from which injected faults are composed.
 
 use super::ForwardedRequest;
 use crate::client::Response;
 use serde_json::Value as Json;
 
-/// Edits a body that is JSON; others stay as they are.
+/// Edits a JSON body; any other body stays unchanged.
 pub(super) fn edit_json(response: &mut Response, edit: impl FnOnce(&mut Json)) {
     if let Ok(mut json) = serde_json::from_slice::<Json>(&response.body) {
         edit(&mut json);
@@ -40,7 +40,7 @@
     }
 }
 
-/// The schema of a parameter of the items in an API definition.
+/// Returns the schema of a parameter of the items in an API definition.
 pub(super) fn parameter_schema<'j>(api: &'j mut Json, name: &str) -> &'j mut Json {
     let parameters = &mut api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"];
     let position = parameters.as_array().and_then(|list| list.iter().position(|p| p["name"] == name));
@@ -65,7 +65,7 @@
     request.headers.retain(|header| !header.name.eq_ignore_ascii_case(name));
 }
 
-/// Replaces a text in a request's target.
+/// Replaces a text in the target of a request.
 pub(super) fn replace_in_target(request: &mut ForwardedRequest, from: &str, to: &str) {
     request.target = request.target.replace(from, to);
 }
--- a/testkit/src/fault_injection/faults.rs
+++ b/testkit/src/fault_injection/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that can be injected, each with the check that must find it.
+//! Table of the faults that can be injected, each with the check that must detect it.
 
 use super::edits::{
     edit_features, edit_json, parameter_schema, remove_header, remove_link, remove_parameter,
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -1,7 +1,8 @@
-//! Fault scenario: feature queries under a mix of faults for a while, observed from the wire alone.
+//! Fault scenario: runs feature queries under injected faults and checks every rule from the wire.
 //!
-//! Each query carries a mark of its own, the last digits of a box that holds everything. The program passes the box on to the
-//! servers, so their logs tell which query a request belongs to.
+//! Each query carries a unique mark, the last digits of a bounding box that contains every feature.
+//! The program forwards the box to the servers, so their logs show which query a request belongs
+//! to.
 
 mod client;
 mod fleet;
@@ -26,42 +27,43 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 6;
-/// How long a fault or a drain lasts.
+/// Duration of a fault or a drain.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
-/// The time between two faults.
+/// Time between two faults.
 const PAUSE: Duration = Duration::from_millis(500);
-/// How many of the choices of what happens next are drains; the others are faults.
+/// Number of drains among the equally likely choices of the next event; the others are faults.
 const DRAIN_CHOICES: usize = 2;
-/// Marks of a run are this far apart from those of the next seed.
+/// Number of marks reserved for each seed.
 const MARKS_PER_SEED: u64 = 1_000_000;
 const SETTINGS: &str = "retry_after_ms = 300\nlearned_age_s = 5";
-/// The check that finds a feature too many in a page.
+/// Identifier of the check that detects a page with more features than its limit.
 const LIMIT_CHECK: &str = "/conf/core/fc-limit-response";
 
-/// A fault that is planted to see that the observer finds it.
+/// Fault that is planted to prove that the observer detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// Each request is seen twice at the servers.
+    /// Requests that are logged twice by the servers.
     DuplicateRequests,
-    /// Answers have one feature more than the limit.
+    /// Answers with one feature more than their limit.
     ExcessFeatures,
 }
 
-/// What a scenario is run with.
+/// Options of a scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct ScenarioOptions {
-    /// How long faults are injected.
+    /// Duration of the fault injection.
     pub duration: Duration,
-    /// The seed of faults and queries. Faults begin by the clock, so runs of one seed are not alike.
+    /// Seed of the random faults and queries. Faults start by the clock, so runs with one seed
+    /// differ.
     pub seed: u64,
-    /// See [`PlantedFault`].
+    /// Planted fault, if any.
     pub planted: Option<PlantedFault>,
 }
 
-/// Runs a scenario and reports what was seen.
+/// Runs a scenario and returns its report.
 ///
 /// # Errors
-/// If a stand-in or the program can't be started, or the program ends before its time.
+/// Returns an error if a server or the program can't be started, or if the program exits early.
 pub fn run(program: &Path, options: &ScenarioOptions) -> Result<Report, RunError> {
     let fleet = Fleet::start()?;
     let process = EdgeProcess::start(program, SETTINGS, &fleet.inventory(None), CLASSES)?;
@@ -97,7 +99,8 @@
     Ok(report)
 }
 
-/// Injects one fault or drain after the other for the scenario's duration; the drains.
+/// Injects faults and drains one after another for the duration of the scenario. Returns the
+/// drains.
 fn inject_faults(
     fleet: &Fleet,
     process: &EdgeProcess,
@@ -122,7 +125,7 @@
     Ok(drains)
 }
 
-/// Drains a server for a while by reloads of the inventory.
+/// Drains a server for [`FAULT_DURATION`] by two reloads of the inventory.
 fn drain(fleet: &Fleet, process: &EdgeProcess, server: usize) -> Result<Drain, RunError> {
     process.reload_inventory(&fleet.inventory(Some(server)))?;
     let started_at = Instant::now();
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a fault scenario: they send queries, follow links and check the answers.
+//! Clients of a fault scenario: send queries, follow links and check the answers.
 
 use super::fleet::{shard_of_feature, FEATURES_PER_SHARD, SHARDS};
 use super::query::{Class, Query, QueryLog};
@@ -11,24 +11,24 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How long a client wants to wait, in seconds, as its header says.
+/// Deadline that clients announce in a header, in seconds.
 const TIMEOUT_SECONDS: f64 = 2.0;
-/// Beyond the client's time by so much an answer counts as late: the network margin of a busy machine.
+/// Lateness after which an answer counts as late: allowance for the network and a busy machine.
 const NETWORK_MARGIN: Duration = Duration::from_millis(250);
-/// How many network margins beyond its time a client waits for a response.
+/// Number of network margins beyond its deadline that a client waits for a response.
 const MARGINS_WAITED: u32 = 4;
-/// Pages of a query at most, with those that were requested again.
+/// Maximum number of page requests of a query, including retries.
 const MAX_PAGES: usize = 60;
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
-/// One in so many queries follows its links to the end.
+/// Interval between queries that follow their links to the end, in queries.
 const QUERIES_PER_FOLLOWED: u8 = 4;
-/// The part of the shards that an answer must have at least.
+/// Minimum share of the shards in an answer.
 const MIN_SHARE: f64 = 0.4;
-/// Slack for the division of shards.
+/// Tolerance of the comparison of shares.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// A client that sends one query after the other.
+/// Client that sends one query after another.
 pub(super) struct ScenarioClient<'a> {
     client: Client,
     rng: fastrand::Rng,
@@ -37,14 +37,14 @@
     report: &'a Mutex<Report>,
 }
 
-/// What a request for a page came to.
+/// Result of a request for a page.
 struct PageAnswer {
-    /// `None`: the connection ended or timed out.
+    /// Response; `None` if the connection was closed or timed out.
     response: Option<Response>,
     kind: AnswerKind,
 }
 
-/// What the pages of a query have given so far.
+/// Accumulated pages of a query.
 #[derive(Default)]
 struct Answers {
     ids: Vec<String>,
@@ -67,7 +67,7 @@
         ScenarioClient { client, rng: fastrand::Rng::with_seed(seed), next_mark, queries, report }
     }
 
-    /// Sends a random query, follows its links if it does, and reports what is wrong.
+    /// Sends a random query, follows its links if it is to, and reports the violations.
     pub(super) fn run_query(&mut self) {
         let query = Query {
             class: Class::ALL[self.rng.usize(..Class::ALL.len())],
@@ -150,7 +150,7 @@
 }
 
 impl Answers {
-    /// Checks a page by itself and adds it.
+    /// Checks a single page and adds its features.
     fn add_page(&mut self, query: &Query, response: &Response, kind: AnswerKind) {
         let json = response.json();
         let missing: BTreeSet<String> = json["missing"]
@@ -183,10 +183,10 @@
         self.ids.extend(page);
     }
 
-    /// Checks all pages together; all that is wrong.
+    /// Checks all pages together and returns all violations.
     fn into_violations(mut self) -> Vec<AnswerViolation> {
         let unique: BTreeSet<&String> = self.ids.iter().collect();
-        // A server that gives a feature twice over pages, as one of the faults does, is found out within an answer only.
+        // A feature that a server repeats on another page is detected only within one answer.
         if unique.len() != self.ids.len() {
             self.violations.push(AnswerViolation::DuplicateFeatures(self.ids.len() - unique.len()));
         }
@@ -199,7 +199,7 @@
         self.violations
     }
 
-    /// Each shard must be complete that is not called missing.
+    /// Requires every shard that is not reported missing to be complete.
     fn check_shards(&mut self) {
         for (index, shard) in SHARDS.into_iter().enumerate() {
             let received = self.ids.iter().filter(|id| shard_of_feature(id) == Some(index)).count();
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -1,4 +1,4 @@
-//! The servers of a fault scenario: six machines of two servers each, which hold three shards.
+//! Servers of a fault scenario: six machines of two servers each, which hold three shards.
 
 use crate::feature_server::{devices, Capabilities, Fault, FeatureServer, ALL_FAULTS};
 use std::io;
@@ -8,28 +8,29 @@
 
 const MACHINES: usize = 6;
 const SERVERS_PER_MACHINE: usize = 2;
-/// Features of each shard: more than a page.
+/// Number of features of each shard, more than a page.
 pub(super) const FEATURES_PER_SHARD: usize = 900;
-/// Numbers of devices of one shard are this far apart from those of the next.
+/// Number of device numbers reserved for each shard.
 const NUMBERS_PER_SHARD: usize = 10_000;
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
 const CAPABILITIES: [Capabilities; 3] =
     [Capabilities::FiltersAndSorting, Capabilities::SimpleFilters, Capabilities::Core];
 
-/// A machine; its fault befalls both of its servers.
+/// Machine whose fault affects both of its servers.
 #[derive(Clone, Default)]
 pub(super) struct Machine {
-    /// 0: none; otherwise one more than the index in [`ALL_FAULTS`].
+    /// Active fault: 0 for none, otherwise its index in [`ALL_FAULTS`] plus one.
     fault: Arc<AtomicUsize>,
 }
 
 impl Machine {
-    /// Sets its fault by the index in [`ALL_FAULTS`], or none.
+    /// Sets the fault by its index in [`ALL_FAULTS`], or removes it.
     pub(super) fn set_fault(&self, index: Option<usize>) {
         self.fault.store(index.map_or(0, |index| index + 1), Relaxed);
     }
 
-    /// The fault of a server's request by its number: hangs and delays at all requests, others at every second one.
+    /// Returns the fault of a request by its number: hangs and delays affect every request, other
+    /// faults every second one.
     fn fault_of_request(&self, number: u64) -> Fault {
         let Some(index) = self.fault.load(Relaxed).checked_sub(1) else { return Fault::None };
         let fault = ALL_FAULTS[index];
@@ -41,7 +42,7 @@
     }
 }
 
-/// All machines and their servers, in the order of machines.
+/// Machines and their servers, in the order of the machines.
 pub(super) struct Fleet {
     pub(super) machines: [Machine; MACHINES],
     pub(super) servers: Vec<FeatureServer>,
@@ -64,7 +65,7 @@
         Ok(Fleet { machines, servers })
     }
 
-    /// The rows of the inventory, with one server draining or none.
+    /// Returns the rows of the inventory, with one server draining or none.
     pub(super) fn inventory(&self, draining: Option<usize>) -> String {
         let row = |(index, server): (usize, &FeatureServer)| {
             let state = if draining == Some(index) { "draining" } else { "in_service" };
@@ -75,7 +76,7 @@
     }
 }
 
-/// Each shard is held by four servers on four machines.
+/// Returns the shard of a server; each is held by four servers on four machines.
 fn shard_of_server(server: usize) -> usize {
     (server / 4 + server % 2) % SHARDS.len()
 }
@@ -84,7 +85,7 @@
     shard * NUMBERS_PER_SHARD..shard * NUMBERS_PER_SHARD + FEATURES_PER_SHARD
 }
 
-/// The shard that a feature is in; `None` if no server has it.
+/// Returns the shard of a feature, or `None` if no server holds it.
 pub(super) fn shard_of_feature(id: &str) -> Option<usize> {
     let number: usize = id.strip_prefix('d')?.parse().ok()?;
     (0..SHARDS.len()).find(|shard| device_numbers(*shard).contains(&number))
--- a/testkit/src/fault_scenario/observer.rs
+++ b/testkit/src/fault_scenario/observer.rs
@@ -1,4 +1,4 @@
-//! Checks of what the servers of a fault scenario received.
+//! Checks of the requests that the servers of a fault scenario received.
 
 use super::fleet::Fleet;
 use super::query::{mark_of_target, QueryLog};
@@ -7,28 +7,28 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A drained server may receive requests for so long.
+/// Time for which a draining server may still receive requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// A drain of a server.
+/// Drain of a server.
 pub(super) struct Drain {
-    /// The server's place in the fleet.
+    /// Index of the server in the fleet.
     pub(super) server: usize,
-    /// When the program had read it.
+    /// Time at which the program had reloaded the inventory.
     pub(super) started_at: Instant,
-    /// When the program was about to be notified of its end.
+    /// Time just before the program was notified of the end.
     pub(super) ended_at: Instant,
 }
 
 impl Drain {
-    /// The time since it began, if it forbids a request at this time.
+    /// Returns the time since the drain started if it forbids a request at this time.
     fn forbids(&self, at: Instant) -> Option<Duration> {
         let forbidden = at > self.started_at + DRAIN_GRACE && at < self.ended_at;
         forbidden.then(|| at.duration_since(self.started_at))
     }
 }
 
-/// A part of a query that is not idempotent.
+/// Part of a query that is not idempotent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Part {
     mark: u64,
@@ -36,7 +36,7 @@
     target: String,
 }
 
-/// Checks the logs of all servers.
+/// Checks the logs of all servers and adds the results to the report.
 pub(super) fn observe(fleet: &Fleet, drains: &[Drain], queries: &QueryLog, report: &mut Report) {
     let mut received: BTreeMap<Part, u32> = BTreeMap::new();
     for (index, server) in fleet.servers.iter().enumerate() {
@@ -64,8 +64,8 @@
     }));
 }
 
-/// The part that a request was for, if it must run once at most and may have run. A request that was rejected unprocessed
-/// did not run and may be sent again.
+/// Returns the part that a request was for, if the part must run at most once and may have run. A
+/// request that was rejected unprocessed did not run and may be retried.
 fn non_idempotent_part(request: LoggedRequest, queries: &QueryLog) -> Option<Part> {
     if request.fault == Fault::TooManyRequests {
         return None;
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -1,25 +1,25 @@
-//! Queries of a fault scenario and what is known of those that were sent.
+//! Queries of a fault scenario and the log of those that were sent.
 
 use crate::sync::lock;
 use std::collections::HashMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// What a class promises, as far as the scenario checks it.
+/// Class of a query, by the guarantees that the scenario checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
-    /// All shards, idempotent.
+    /// Idempotent queries that need all shards.
     Map,
-    /// Answers from two fifths of the shards are enough.
+    /// Queries whose answers may be partial, from two fifths of the shards on.
     Part,
-    /// Not idempotent.
+    /// Queries that are not idempotent.
     Once,
 }
 
 impl Class {
     pub(super) const ALL: [Class; 3] = [Class::Map, Class::Part, Class::Once];
 
-    /// Its name in the settings.
+    /// Returns the name of the class in the settings.
     pub(super) fn name(self) -> &'static str {
         match self {
             Class::Map => "map",
@@ -29,7 +29,7 @@
     }
 }
 
-/// A query, with all pages that a client follows.
+/// Query with all pages that its client follows.
 pub(super) struct Query {
     pub(super) class: Class,
     pub(super) mark: u64,
@@ -39,13 +39,14 @@
 }
 
 impl Query {
-    /// The target of its first page: its mark is the fraction of the northern latitude.
+    /// Returns the target of the first page, with the mark as the fraction of the northern
+    /// latitude.
     pub(super) fn first_target(&self) -> String {
         format!("/collections/devices/items?limit={}&bbox=-180,-90,180,89.{}", self.limit, self.mark)
     }
 }
 
-/// The mark of the query that a target belongs to.
+/// Returns the mark of the query that a target belongs to.
 pub(super) fn mark_of_target(target: &str) -> Option<u64> {
     let (_, bbox) = target.split_once("bbox=")?;
     let bbox = bbox.split('&').next()?;
@@ -53,13 +54,13 @@
     north.strip_prefix("89.")?.parse().ok()
 }
 
-/// A query that was sent: its class, and when each of its pages was requested.
+/// Class of a sent query, and the times at which its pages were requested.
 struct SentQuery {
     class: Class,
     pages_requested_at: Vec<Instant>,
 }
 
-/// All queries that were sent, by their marks.
+/// Sent queries by mark.
 #[derive(Default)]
 pub(super) struct QueryLog {
     sent: Mutex<HashMap<u64, SentQuery>>,
@@ -77,8 +78,9 @@
         }
     }
 
-    /// If this query is not idempotent: how many of its pages had been requested by then. A part must not run twice for one
-    /// page; the next page is another query to the program.
+    /// Returns the number of pages of a non-idempotent query that had been requested by this time,
+    /// or `None` for other queries. A part must run at most once per page; the program sees the
+    /// next page as another query.
     pub(super) fn non_idempotent_page(&self, mark: u64, at: Instant) -> Option<usize> {
         let sent = lock(&self.sent);
         let query = sent.get(&mark).filter(|query| query.class == Class::Once)?;
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -1,28 +1,28 @@
-//! What a fault scenario counted, and the rules that were broken.
+//! Report of a fault scenario: counts of answers, and violations of the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 use thiserror::Error;
 
-/// How a query was answered.
+/// Kind of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerKind {
-    /// 410: the cursor is stale.
+    /// Status 410: the cursor is stale.
     StaleCursor,
-    /// 502.
+    /// Status 502.
     Failed,
-    /// 200, from some of the shards.
+    /// Status 200 with some of the shards.
     Partial,
     /// No response.
     Lost,
-    /// A status that none of the others has.
+    /// Any other status.
     Other,
-    /// 504.
+    /// Status 504.
     DeadlineExceeded,
-    /// 503.
+    /// Status 503.
     Rejected,
-    /// 200, from all shards.
+    /// Status 200 with all shards.
     Complete,
 }
 
@@ -41,132 +41,132 @@
     }
 }
 
-/// What the answers to one query broke.
+/// Violation by the answers to one query.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AnswerViolation {
-    /// After the client's time.
+    /// Answer after the client's deadline, with its latency.
     #[error("an answer after {} ms", .0.as_millis())]
     Late(Duration),
-    /// The connection ended or timed out.
+    /// Connection that was closed or timed out.
     #[error("no final answer")]
     NoResponse,
-    /// It says that it is complete and names missing shards, or the reverse.
+    /// Answer that claims to be complete and lists missing shards, or the reverse.
     #[error("an answer {kind} that lacks {missing:?}")]
     WrongCompleteness {
-        /// What it says.
+        /// Kind that the answer claims.
         kind: AnswerKind,
-        /// The shards that it calls missing.
+        /// Shards that the answer reports missing.
         missing: BTreeSet<String>,
     },
-    /// The class wants all shards.
+    /// Partial answer for a class that needs all shards.
     #[error("an answer in part where the class wants all")]
     PartialNotAllowed,
-    /// Fewer shards than the class wants at least.
+    /// Answer with fewer shards than the minimum of its class.
     #[error("an answer from less than the floor: {missing:?} are missing")]
     BelowMinShare {
-        /// The shards that it calls missing.
+        /// Shards that the answer reports missing.
         missing: BTreeSet<String>,
     },
-    /// More features than the limit, or another number of them than it says.
+    /// Page with more features than its limit, or with another number than it claims.
     #[error("{features} features, limit {limit}, told {number_returned}")]
     WrongCount {
-        /// Features in the page.
+        /// Number of features in the page.
         features: usize,
-        /// The limit of the query.
+        /// Limit of the query.
         limit: usize,
         /// `numberReturned` of the page, as JSON.
         number_returned: String,
     },
-    /// 503 without `Retry-After`.
+    /// Status 503 without `Retry-After`.
     #[error("a refusal without Retry-After")]
     NoRetryAfter,
-    /// A status that the program must not send here.
+    /// Status that the program must not send.
     #[error("status {status}: {body}")]
     UnexpectedStatus {
-        /// The status.
+        /// Status code.
         status: u16,
-        /// The body, as text.
+        /// Body as text.
         body: String,
     },
-    /// Features that came more than once, over all pages.
+    /// Number of features that were received more than once over all pages.
     #[error("{0} features came twice")]
     DuplicateFeatures(usize),
-    /// A feature of no server.
+    /// Feature that no server holds.
     #[error("a feature that no server has")]
     UnknownFeature,
-    /// A shard is not complete though all pages came and it is not called missing.
+    /// Incomplete shard that is not reported missing although all pages were received.
     #[error("{received} of {expected} features of {shard}, which is not said to be missing")]
     IncompleteShard {
-        /// Features of it that came.
+        /// Number of features received.
         received: usize,
-        /// Features that it has.
+        /// Number of features that the shard holds.
         expected: usize,
-        /// Its name.
+        /// Name of the shard.
         shard: &'static str,
     },
 }
 
-/// A rule that was broken.
+/// Violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A draining server received a request.
+    /// Request at a draining server.
     #[error("a request {} ms into a drain: {target}", .after.as_millis())]
     RequestWhileDraining {
-        /// The time since the drain began.
+        /// Time since the drain started.
         after: Duration,
-        /// The target of the request.
+        /// Target of the request.
         target: String,
     },
-    /// A part that must run once at most was received more often.
+    /// Repeated part that must run at most once.
     #[error("part of query {mark} came {times} times: {target}")]
     PartRepeated {
-        /// The mark of its query.
+        /// Mark of the query.
         mark: u64,
-        /// How often it was received.
+        /// Number of times the part was received.
         times: u32,
-        /// The target of its requests.
+        /// Target of the requests.
         target: String,
     },
-    /// The program counted a broken invariant of its own.
+    /// Broken invariant that the program counted itself.
     #[error("an invariant was broken")]
     Invariant,
-    /// The answers to a query break a rule.
+    /// Violation by the answers to a query.
     #[error("query {mark} of class {class}: {violation}")]
     Answer {
-        /// The query's mark.
+        /// Mark of the query.
         mark: u64,
-        /// The query's class.
+        /// Class of the query.
         class: &'static str,
-        /// What is wrong.
+        /// Violation by the answers.
         violation: AnswerViolation,
     },
 }
 
-/// What was counted.
+/// Counts and violations of a scenario.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Answers by class and kind.
+    /// Number of answers by class and kind.
     pub answers: BTreeMap<AnswerGroup, u64>,
-    /// The rules that were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Requests at the servers.
+    /// Number of requests at the servers.
     pub server_requests: u64,
-    /// Requests of the class that is not idempotent among them.
+    /// Number of requests for parts of non-idempotent queries.
     pub non_idempotent_parts: u64,
-    /// Drains of servers.
+    /// Number of drains.
     pub drains: u64,
-    /// The latency of the slowest answer.
+    /// Latency of the slowest answer.
     pub slowest: Duration,
-    /// The program's counters at the end.
+    /// Counters of the program at the end.
     pub counters: String,
 }
 
-/// Answers that are counted together.
+/// Key of the answers that are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AnswerGroup {
-    /// The class of the queries.
+    /// Class of the queries.
     pub class: &'static str,
-    /// How they were answered.
+    /// Kind of the answers.
     pub kind: AnswerKind,
 }
 
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -1,7 +1,8 @@
-//! Stand-in feature servers: OGC API - Features from the published standard, with scripted faults.
+//! Stand-in feature servers: OGC API - Features after the published standard, with scripted faults.
 //!
-//! A server holds a shard of made-up devices and serves pages of it by `limit` and `offset`. The filters that it declares are
-//! evaluated by the program's own evaluator; the checks of what comes out do not use that.
+//! A server holds a shard of synthetic devices and serves pages of it by `limit` and `offset`. The
+//! filters that it declares are evaluated by the program's own evaluator; checks of the results use
+//! other code.
 
 mod capabilities;
 mod capacity;
@@ -26,31 +27,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// Stack of a connection's thread: there may be hundreds.
+/// Stack size of a connection's thread, of which there may be hundreds.
 const CONNECTION_STACK_BYTES: usize = 256 * 1024;
-/// Requests that the log keeps at most.
+/// Maximum number of requests in the log.
 const MAX_LOGGED_REQUESTS: usize = 1_000_000;
 
-/// A request as a server logged it.
+/// Request in the log of a server.
 #[derive(Debug, Clone)]
 pub struct LoggedRequest {
-    /// When its head had been read.
+    /// Time at which the head had been read.
     pub received_at: Instant,
-    /// Its path and query.
+    /// Path and query.
     pub target: String,
-    /// What the script chose for it.
+    /// Fault that the script chose.
     pub fault: Fault,
 }
 
-/// A stand-in server; clones are handles of the same server.
+/// Handle of a stand-in server; clones refer to the same server.
 #[derive(Clone)]
 pub struct FeatureServer {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     state: Arc<ServerState>,
 }
 
-/// What a server's connections share.
+/// State shared by the connections of a server.
 struct ServerState {
     dataset: Dataset,
     capabilities: Capabilities,
@@ -66,7 +67,7 @@
     /// Starts a server of these features on a free loopback port.
     ///
     /// # Errors
-    /// If no port is free.
+    /// Returns an error if no port is free.
     pub fn start(features: Vec<Json>, capabilities: Capabilities) -> io::Result<FeatureServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -93,40 +94,41 @@
         Ok(FeatureServer { address, state })
     }
 
-    /// From now on this script chooses the fault of each request by its number, from 0, and its target.
+    /// Sets the script that chooses the fault of each request by its number, from 0, and its
+    /// target.
     pub fn set_fault_script(&self, script: impl Fn(u64, &str) -> Fault + Send + Sync + 'static) {
         *lock(&self.state.script) = Box::new(script);
     }
 
-    /// From now on its work is bounded by this capacity, or by none.
+    /// Sets the capacity of the server; `None` removes the bound.
     pub fn set_capacity(&self, capacity: Option<Capacity>) {
         self.state.slots.set_capacity(capacity);
     }
 
-    /// Requests received so far.
+    /// Returns the number of requests received so far.
     #[must_use]
     pub fn request_count(&self) -> u64 {
         self.state.requests.load(Relaxed)
     }
 
-    /// Bytes of response bodies so far.
+    /// Returns the total size of the response bodies so far, in bytes.
     #[must_use]
     pub fn body_bytes(&self) -> u64 {
         self.state.body_bytes.load(Relaxed)
     }
 
-    /// All requests, in order; at most a million of them.
+    /// Returns the logged requests in order; at most a million are logged.
     #[must_use]
     pub fn log(&self) -> Vec<LoggedRequest> {
         lock(&self.state.log).clone()
     }
 
-    /// From now on each request is logged twice: an injected fault that observers of the log must find.
+    /// Sets whether each request is logged twice, a fault that observers of the log must detect.
     pub fn set_log_twice(&self, on: bool) {
         self.state.log_twice.store(on, Relaxed);
     }
 
-    /// Its row of an inventory: name, address, the collections that it serves, and its state.
+    /// Formats the server's row of an inventory: name, address, collections and state.
     #[must_use]
     pub fn inventory_row(&self, name: &str, collections: &str, state: &str) -> String {
         format!("{name},{},{collections},{state}\n", self.address)
@@ -149,7 +151,7 @@
     }
 }
 
-/// What is known of a request before it is answered.
+/// Number and fault of a request that is about to be answered.
 #[derive(Clone, Copy)]
 struct RegisteredRequest {
     number: u64,
--- a/testkit/src/feature_server/capabilities.rs
+++ b/testkit/src/feature_server/capabilities.rs
@@ -1,10 +1,10 @@
-//! What a feature server declares that it can do.
+//! Conformance classes that a feature server declares.
 
 use serde_json::{json, Value as Json};
 
-/// The prefix of the conformance classes of OGC API - Features.
+/// Prefix of the conformance classes of OGC API - Features.
 const FEATURES_PREFIX: &str = "http://www.opengis.net/spec/ogcapi-features-";
-/// The prefix of the conformance classes of CQL2.
+/// Prefix of the conformance classes of CQL2.
 const CQL2_PREFIX: &str = "http://www.opengis.net/spec/cql2/1.0/conf/";
 const SIMPLE_FILTER_CLASSES: [&str; 3] = ["cql2-text", "basic-cql2", "basic-spatial-functions"];
 const FILTER_API_CLASSES: [&str; 3] = ["queryables", "filter", "features-filter"];
@@ -20,10 +20,10 @@
     "arithmetic",
 ];
 
-/// What a server can do beside Part 1 Core.
+/// Capabilities of a server in addition to Part 1 Core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Capabilities {
-    /// Nothing.
+    /// No additional capability.
     Core,
     /// Simple filters.
     SimpleFilters,
@@ -32,7 +32,7 @@
 }
 
 impl Capabilities {
-    /// The document of `/conformance`.
+    /// Returns the document of `/conformance`.
     pub(super) fn conformance(self) -> Json {
         let mut classes =
             vec![format!("{FEATURES_PREFIX}1/1.0/conf/core"), format!("{FEATURES_PREFIX}1/1.0/conf/geojson")];
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -1,21 +1,21 @@
-//! A bound on what a feature server works on at a time.
+//! Bound on the concurrent work of a feature server, with simulated service times.
 
 use crate::sync::lock;
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What bounds a server's work.
+/// Capacity of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
-    /// Requests in work at a time; others wait.
+    /// Number of requests processed concurrently; others wait.
     pub slots: usize,
-    /// Work of a request, without its features.
+    /// Service time of a request without its features.
     pub base: Duration,
-    /// Work of each feature in the response.
+    /// Additional service time of each feature in the response.
     pub per_feature: Duration,
 }
 
-/// The slots of a server. Without a capacity work takes no time.
+/// Worker slots of a server. Without a capacity, requests take no service time.
 #[derive(Default)]
 pub(super) struct WorkerSlots {
     capacity: Mutex<Option<Capacity>>,
@@ -28,7 +28,7 @@
         *lock(&self.capacity) = capacity;
     }
 
-    /// Waits for a slot and holds it for the time that a response with so many features takes.
+    /// Waits for a slot and holds it for the service time of a response with this many features.
     pub(super) fn work(&self, features: usize) {
         let Some(capacity) = *lock(&self.capacity) else { return };
         let mut busy = lock(&self.busy);
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -1,4 +1,5 @@
-//! A feature server's connections: requests are read, answered and spoilt as the fault wants it.
+//! Connections of a feature server: reads requests, routes them and writes responses with the
+//! chosen fault.
 
 use super::dataset::queryables;
 use super::items::ItemsRequest;
@@ -17,7 +18,7 @@
 const GEO_JSON: &str = "application/geo+json";
 const SCHEMA_JSON: &str = "application/schema+json";
 
-/// A response's status, media type and body.
+/// Status, media type and body of a response.
 pub(super) struct Document {
     status: u16,
     media_type: &'static str,
@@ -42,7 +43,7 @@
     }
 }
 
-/// What becomes of a connection after a response.
+/// State of a connection after a response.
 #[derive(PartialEq, Eq)]
 enum Connection {
     Open,
@@ -50,7 +51,7 @@
 }
 
 impl ServerState {
-    /// Serves the requests of a connection until it ends.
+    /// Serves the requests of a connection until it is closed.
     pub(super) fn serve_connection(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -114,7 +115,7 @@
     }
 }
 
-/// Reads a request and returns its target; `None` at the end of the connection.
+/// Reads a request and returns its target, or `None` at the end of the connection.
 fn read_target(reader: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -1,15 +1,15 @@
-//! Made-up devices: the features that servers hold.
+//! Synthetic devices: the features that servers hold, and their queryables.
 
 use serde_json::{json, Value as Json};
 use std::ops::Range;
 
-/// Features with their texts, in the server's order.
+/// Features and their serialized texts, in the server's order.
 pub(super) struct Dataset {
     pub(super) features: Vec<Json>,
     pub(super) texts: Vec<String>,
 }
 
-/// A location in degrees.
+/// Location in degrees.
 #[derive(Clone, Copy)]
 pub(super) struct Point {
     pub(super) longitude: f64,
@@ -22,13 +22,13 @@
         Dataset { features, texts }
     }
 
-    /// The text of the feature with this id.
+    /// Returns the serialized text of the feature with this id.
     pub(super) fn find(&self, id: &str) -> Option<&str> {
         let index = self.features.iter().position(|feature| feature["id"] == id)?;
         Some(&self.texts[index])
     }
 
-    /// Where a feature is.
+    /// Returns the location of a feature.
     pub(super) fn point(&self, index: usize) -> Point {
         let coordinates = &self.features[index]["geometry"]["coordinates"];
         Point {
@@ -37,12 +37,12 @@
         }
     }
 
-    /// When the device was installed: its instant in time.
+    /// Returns the installation time of a device, which `datetime` selects by.
     pub(super) fn installed(&self, index: usize) -> &str {
         self.features[index]["properties"]["installed"].as_str().unwrap_or_default()
     }
 
-    /// A property, or `id`.
+    /// Returns the value of a property or of `id`.
     pub(super) fn value(&self, index: usize, name: &str) -> &Json {
         match name {
             "id" => &self.features[index]["id"],
@@ -51,7 +51,7 @@
     }
 }
 
-/// Devices with these numbers. What each is follows from its number alone.
+/// Returns the devices with these numbers. A device is a function of its number alone.
 #[must_use]
 pub fn devices(numbers: Range<usize>) -> Vec<Json> {
     numbers.map(device).collect()
@@ -77,7 +77,7 @@
     })
 }
 
-/// The document of `/collections/ID/queryables`.
+/// Returns the document of `/collections/ID/queryables`.
 pub(super) fn queryables() -> Json {
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
--- a/testkit/src/feature_server/faults.rs
+++ b/testkit/src/feature_server/faults.rs
@@ -1,37 +1,37 @@
-//! Faults of a feature server.
+//! Faults that a feature server can be told to show.
 
-/// What goes wrong with a request.
+/// Fault of the response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// 500.
+    /// Status 500.
     InternalError,
-    /// 503 with `Retry-After`.
+    /// Status 503 with `Retry-After`.
     ServiceUnavailable,
-    /// 429 with `Retry-After`: the request is not processed.
+    /// Status 429 with `Retry-After`; the request is not processed.
     TooManyRequests,
     /// No response; the connection stays open.
     Hang,
-    /// Half of the body, then the connection ends.
+    /// Half of the body, then a closed connection.
     TruncatedBody,
-    /// 200 with an HTML page.
+    /// Status 200 with an HTML page.
     HtmlPage,
-    /// A body that ends with the connection.
+    /// Body that is delimited by the end of the connection.
     CloseDelimited,
-    /// The `next` link leads to the same page.
+    /// `next` link that leads to the same page.
     LinkToSelf,
-    /// The first feature is in the page twice.
+    /// Page with its first feature twice.
     DuplicateFeature,
-    /// `numberMatched` differs from request to request.
+    /// `numberMatched` that differs from request to request.
     UnstableCount,
-    /// A page shorter than requested, with a correct link.
+    /// Page shorter than requested, with a correct `next` link.
     ShortPage,
-    /// The response, after a delay.
+    /// Response after a delay.
     Slow,
-    /// A body that is sent a byte at a time and does not end.
+    /// Body that is sent byte by byte and never completed.
     TrickledBody,
-    /// The connection ends without a response, as if the process had ended.
+    /// Connection closed without a response, as by a process that exited.
     Disconnect,
 }
 
@@ -53,5 +53,5 @@
     Fault::TrickledBody,
 ];
 
-/// Chooses the fault of a request by its number and target.
+/// Function that chooses the fault of a request by its number and target.
 pub(super) type FaultScript = Box<dyn Fn(u64, &str) -> Fault + Send + Sync>;
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -1,4 +1,4 @@
-//! Pages of features: selection by filter, box and time, order, and `next` links.
+//! Pages of features: selection by filter, bounding box and time, sorting, and `next` links.
 
 use super::connection::Document;
 use super::dataset::{Dataset, Point};
@@ -10,16 +10,16 @@
 
 const DEFAULT_LIMIT: usize = 10;
 const MAX_LIMIT: usize = 500;
-/// The media type of pages, as their links have it.
+/// Media type of pages in their links.
 const GEO_JSON: &str = "application/geo+json";
 
-/// A request for features of a collection.
+/// Request for features of a collection.
 pub(super) struct ItemsRequest<'a> {
     path: &'a str,
     parameters: BTreeMap<String, String>,
 }
 
-/// A part of a selection, by indices into it.
+/// Range of a page in a selection of features; `end` is exclusive.
 #[derive(Clone, Copy)]
 struct PageRange {
     start: usize,
@@ -47,7 +47,7 @@
         PageRange { start, end: (start + limit).min(selected) }
     }
 
-    /// The links of a page after which the features from `offset` on follow.
+    /// Returns the links of a page whose next page starts at `offset`.
     fn links(&self, offset: usize, selected: usize) -> Json {
         if offset >= selected {
             return json!([]);
@@ -63,7 +63,7 @@
 }
 
 impl ServerState {
-    /// A page of features, or a bad request.
+    /// Returns a page of features, or an error document for an invalid request.
     pub(super) fn items(&self, items: &ItemsRequest<'_>, request: RegisteredRequest) -> Document {
         let mut selected: Vec<usize> = (0..self.dataset.features.len()).collect();
         if let Some(filter) = items.text("filter") {
@@ -113,7 +113,7 @@
     }
 }
 
-/// A box of longitudes and latitudes; with west beyond east it crosses the antimeridian.
+/// Bounding box in degrees; one with west beyond east crosses the antimeridian.
 struct BoundingBox {
     west: f64,
     south: f64,
@@ -139,7 +139,8 @@
     }
 }
 
-/// A closed interval of instants in RFC 3339 and UTC, which compare as texts. An end may be open: empty or `..`.
+/// Closed interval of instants in RFC 3339 and UTC, which are ordered as texts. An open end is
+/// empty or `..`.
 struct TimeInterval<'a> {
     start: &'a str,
     end: &'a str,
@@ -157,7 +158,7 @@
     }
 }
 
-/// A property to sort by.
+/// Property to sort by.
 struct SortKey<'a> {
     name: &'a str,
     descending: bool,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Features without a value come last in both directions.
+    /// Compares two values; null sorts last in both directions.
     fn compare(&self, left: &Json, right: &Json) -> Ordering {
         let ascending = match (left, right) {
             (Json::Null, Json::Null) => Ordering::Equal,
@@ -188,7 +189,7 @@
     }
 }
 
-/// Sorts by these keys, separated by commas; the sort is stable.
+/// Sorts a selection by keys separated by commas; the sort is stable.
 fn sort(dataset: &Dataset, selected: &mut [usize], keys: &str) {
     let keys: Vec<SortKey<'_>> = keys.split(',').map(SortKey::parse).collect();
     selected.sort_by(|left, right| {
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,5 +1,7 @@
-//! Test kit of quinceflow: stand-ins, load, fault injection and conformance checks. The program links none of it; the kit
-//! links the program's filter evaluator for its stand-ins.
+//! Test kit of quinceflow: stand-in servers, load, fault injection and conformance checks.
+//!
+//! Owns everything that exercises the program from outside. The program links none of it; the kit
+//! links the program's filter evaluator for its stand-in servers.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -1,4 +1,4 @@
-//! Load on a server: closed-loop and open-loop clients, with latencies in an HDR histogram.
+//! Load generator: closed-loop and open-loop clients, with latencies in an HDR histogram.
 
 use crate::client::{Client, ClientError, Response};
 use crate::sync::{into_inner, lock};
@@ -8,55 +8,55 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Queries of an open-loop load that are in flight at a time at most.
+/// Maximum number of concurrent queries of an open-loop load.
 const MAX_IN_FLIGHT: usize = 400;
-/// A query that is due with less time left than this fails without being sent.
+/// Minimum remaining time of a query; one with less fails without being sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
-/// Stack of a client's thread: there may be hundreds.
+/// Stack size of a client's thread, of which there may be hundreds.
 const CLIENT_STACK_BYTES: usize = 256 * 1024;
-/// The largest latency that the histogram holds, in microseconds.
+/// Largest latency that the histogram records, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
-/// Significant decimal digits of the histogram.
+/// Precision of the histogram in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// What a load measured.
+/// Result of a load.
 #[derive(Debug)]
 pub struct LoadResult {
     /// Latencies of the served queries, in microseconds.
     pub latencies: Histogram<u64>,
-    /// Queries answered with 200, within the time that was set.
+    /// Number of queries answered with 200 within the timeout.
     pub served: u64,
-    /// Queries answered with 503.
+    /// Number of queries answered with 503.
     pub rejected: u64,
-    /// All other queries.
+    /// Number of all other queries.
     pub failed: u64,
-    /// Bytes of the served responses' bodies.
+    /// Total size of the served response bodies, in bytes.
     pub bytes: u64,
-    /// How long the load ran.
+    /// Duration of the load.
     pub elapsed: Duration,
 }
 
 impl LoadResult {
-    /// A quantile of the latencies, in milliseconds.
+    /// Returns a quantile of the latencies in milliseconds.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Served queries a second.
+    /// Returns the throughput of served queries per second.
     #[must_use]
     pub fn served_per_second(&self) -> f64 {
         self.served as f64 / self.elapsed.as_secs_f64()
     }
 
-    /// All queries.
+    /// Returns the number of all queries.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.served + self.rejected + self.failed
     }
 }
 
-/// Counts of a running load.
+/// Counters of a running load.
 #[derive(Default)]
 struct Recorder {
     served: AtomicU64,
@@ -67,7 +67,8 @@
 }
 
 impl Recorder {
-    /// Records a response, or its absence, so long after the query was due; later than `timeout` it counts as failed.
+    /// Records a response or its absence with the latency since the query was due. A response later
+    /// than `timeout` counts as failed.
     fn record(&self, response: Result<Response, ClientError>, latency: Duration, timeout: Duration) {
         match response {
             Ok(response) if response.status == 200 && latency <= timeout => {
@@ -104,8 +105,8 @@
     }
 }
 
-/// A closed loop: each of the clients sends one query after the other, for so long. `target(client, number)` gives the
-/// target of a client's query.
+/// Runs a closed-loop load: each client sends one query after another until `duration` has passed.
+/// `target(client, number)` returns the target of a client's query.
 pub fn run_closed_loop(
     address: SocketAddr,
     clients: usize,
@@ -134,22 +135,23 @@
     recorder.finish(started.elapsed())
 }
 
-/// An open loop: queries are due at a steady rate whatever becomes of them.
+/// Open-loop load: queries are due at a constant rate, independent of their responses.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenLoop {
-    /// The server.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// Queries a second.
+    /// Arrival rate in queries per second.
     pub rate: f64,
-    /// For how long queries are due.
+    /// Duration of the arrivals.
     pub duration: Duration,
-    /// A query without an answer so long after it was due counts as failed, and its connection is closed.
+    /// Time after which an unanswered query counts as failed and its connection is closed, from
+    /// when it was due.
     pub timeout: Duration,
 }
 
 impl OpenLoop {
-    /// Runs it; `target(number)` gives the target of a query. Where `MAX_IN_FLIGHT` queries are in flight, those that
-    /// are due meanwhile start late and may fail without being sent.
+    /// Runs the load; `target(number)` returns the target of a query. While `MAX_IN_FLIGHT` queries
+    /// are in flight, due queries start late and may fail without being sent.
     pub fn run(&self, target: impl Fn(u64) -> String + Sync) -> LoadResult {
         let (recorder, next) = (Recorder::default(), AtomicU64::new(0));
         let started = Instant::now();
@@ -180,7 +182,7 @@
             }
             let due = started + Duration::from_secs_f64(number as f64 / self.rate);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            // Counted from when it was due: a query that starts late has waited already.
+            // A query that starts late has already waited since it was due.
             let time_left = self.timeout.saturating_sub(due.elapsed());
             if time_left < MIN_TIME_LEFT {
                 recorder.record_failure();
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the test kit.
+//! Command line of the test kit: parses arguments, runs one subcommand and prints its result.
 #![forbid(unsafe_code)]
 
 use clap::builder::PossibleValue;
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Violations that are printed at most.
+/// Maximum number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 40;
-/// The exit status if a command could not be run to its end.
+/// Exit status of a command that could not be completed.
 const EXIT_ERROR: u8 = 2;
 
 /// Stand-ins, load and checks for quinceflow; everything stays on loopback
@@ -33,10 +33,12 @@
 enum Command {
     /// Start stand-in feature servers and the front over them, and print queries to try
     Demo(DemoArguments),
-    /// Send queries for minutes under a mix of faults and check every rule; exit 1 if one was broken
+    /// Send queries for minutes under a mix of faults and check every rule; exit 1 if one was
+    /// broken
     #[command(alias = "storm")]
     FaultScenario(ScenarioArguments),
-    /// Measure the front for feature queries, and an earlier version if one is named; prints Markdown
+    /// Measure the front for feature queries, and an earlier version if one is named; prints
+    /// Markdown
     Measure(MeasureArguments),
     /// Check a service against the standards; exit 1 on any failure
     #[command(alias = "conform")]
@@ -45,7 +47,7 @@
 
 #[derive(Args)]
 struct ProgramArgument {
-    /// The program; by default the one beside this
+    /// Path of the program; by default the one beside this executable
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
 }
@@ -61,13 +63,13 @@
 
 #[derive(Args)]
 struct ScenarioArguments {
-    /// How long
+    /// Duration of the scenario in seconds
     #[arg(long, default_value_t = 120)]
     seconds: u64,
-    /// Plant a fault that must be found
+    /// Plant a fault that the scenario must detect
     #[arg(long)]
     plant: Option<PlantArgument>,
-    /// The seed of faults and queries
+    /// Seed of the random faults and queries
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
@@ -76,16 +78,16 @@
 
 #[derive(Args)]
 struct MeasureArguments {
-    /// The program of an earlier version
+    /// Path of an earlier version of the program
     #[arg(long, alias = "beside", value_name = "FILE")]
     baseline: Option<PathBuf>,
-    /// What the earlier version is called
+    /// Name of the earlier version in the tables
     #[arg(long, alias = "name", value_name = "NAME", default_value = "earlier")]
     baseline_name: String,
-    /// How long each load lasts
+    /// Duration of each load in seconds
     #[arg(long, default_value_t = 5)]
     seconds: u64,
-    /// Features of each of the two shards
+    /// Number of features of each of the two shards
     #[arg(long, alias = "each", value_name = "COUNT", default_value_t = 20_000)]
     features_per_shard: usize,
     #[command(flatten)]
@@ -94,14 +96,14 @@
 
 #[derive(Args)]
 struct ConformanceArguments {
-    /// Its landing page, such as http://127.0.0.1:8080/
+    /// URL of the landing page, such as http://127.0.0.1:8080/
     url: String,
-    /// Write the outcomes there as JSON
+    /// File to which the outcomes are written as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// A planted fault by its name on the command line.
+/// Planted fault as an argument of the command line.
 #[derive(Clone, Copy)]
 struct PlantArgument(PlantedFault);
 
@@ -118,7 +120,7 @@
     }
 }
 
-/// Why a command could not be run to its end.
+/// Reason why a command could not be completed.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -154,7 +156,7 @@
     }
 }
 
-/// Runs a command. False: it found something wrong.
+/// Runs a command and returns whether all of its checks passed.
 fn run(command: Command) -> Result<bool, CommandError> {
     match command {
         Command::Demo(arguments) => run_demo(arguments),
@@ -245,7 +247,7 @@
     }
 }
 
-/// The address of a URL's host and port.
+/// Resolves the host and port of a URL.
 fn resolve(url: &url::Url) -> Result<SocketAddr, CommandError> {
     let host = url.host_str().ok_or(CommandError::NoHost)?.trim_matches(['[', ']']);
     let port = url.port_or_known_default().ok_or(CommandError::NoPort)?;
--- a/testkit/src/measure.rs
+++ b/testkit/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measurements of the front for feature queries: this version and others in one run, over the same stand-ins.
+//! Comparative measurements of the front for feature queries: several versions in one run over the
+//! same stand-in servers.
 
 mod overload;
 mod tables;
@@ -12,31 +13,32 @@
 use tables::{measure_answers, measure_loads, measure_memory, measure_share};
 use test_bed::TestBed;
 
-/// The name of the program that is not an earlier version.
+/// Name of the present version in the tables.
 pub const THIS_VERSION: &str = "this version";
 
-/// A version of the program.
+/// Version of the program.
 pub struct Version {
-    /// What the tables call it.
+    /// Name in the tables.
     pub name: String,
-    /// Its file.
+    /// Path of the executable.
     pub program: PathBuf,
 }
 
-/// What is measured.
+/// Plan of a measurement.
 pub struct Plan {
-    /// The versions, in the order of the tables' rows.
+    /// Versions in the order of the table rows.
     pub versions: Vec<Version>,
-    /// How long each load lasts.
+    /// Duration of each load.
     pub load_duration: Duration,
-    /// Features of each of the two shards.
+    /// Number of features of each of the two shards.
     pub features_per_shard: usize,
 }
 
-/// Makes all measurements and returns them as tables in Markdown.
+/// Runs all measurements and returns them as tables in Markdown.
 ///
 /// # Errors
-/// If a stand-in or a version can't be started, or a query that is measured by itself gets no response.
+/// Returns an error if a server or a version can't be started, or if a single query gets no
+/// response.
 pub fn run(plan: &Plan) -> Result<String, RunError> {
     let bed = TestBed::start(plan.features_per_shard)?;
     let mut text = String::new();
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -1,4 +1,4 @@
-//! The table of an open-loop load beyond the servers' capacity, in Markdown.
+//! Measurement of an open-loop load beyond the capacity of the servers.
 
 use super::test_bed::{TestBed, SETTINGS};
 use super::{Plan, Version, THIS_VERSION};
@@ -9,7 +9,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// A class with a short deadline, for overload.
+/// Settings of a class with a short deadline.
 const SHORT_CLASSES: &str = "
 [[class]]
 name = \"map\"
@@ -17,7 +17,7 @@
 deadline_ms = 1500
 ";
 
-/// Limits that a version is measured with.
+/// Named settings of the concurrency limits.
 struct Limits {
     name: &'static str,
     settings: &'static str,
@@ -27,24 +27,25 @@
     Limits { name: "adaptive", settings: "[limits]\nmode = \"adaptive\"\n" },
     Limits { name: "fixed", settings: "[limits]\nmode = \"fixed\"\nadmission = false\n" },
 ];
-/// An earlier version may know of no limits.
+/// Limits of an earlier version, which may not support the setting.
 const EARLIER_VERSION_LIMITS: &[Limits] = &[Limits { name: "", settings: "" }];
 
 const SERVER_SLOTS: usize = 4;
 const PAGE_TIME: Duration = Duration::from_millis(20);
-/// Pages a second of one server: `SERVER_SLOTS / PAGE_TIME`.
+/// Capacity of one server in pages per second: `SERVER_SLOTS / PAGE_TIME`.
 const PAGES_PER_SECOND: f64 = 200.0;
-/// Pages of an average query: two for a small answer, and twenty for one in ten.
+/// Mean number of pages per query: two for a small answer, and twenty for one query in ten.
 const PAGES_PER_QUERY: f64 = 3.8;
 const OVERLOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Loads as multiples of the servers' capacity.
+/// Loads as multiples of the capacity of the servers.
 const LOAD_FACTORS: [f64; 3] = [0.5, 2.0, 4.0];
-/// One in so many queries requests a large answer.
+/// Interval between queries that request a large answer, in queries.
 const QUERIES_PER_LARGE: u64 = 10;
 const LARGE_LIMIT: usize = 5_000;
 const SMALL_LIMIT: usize = 10;
 
-/// Queries answered in time beyond the servers' capacity, with adaptive limits and with fixed ones.
+/// Measures the queries answered in time below and beyond the capacity of the servers, with
+/// adaptive and with fixed limits.
 pub(super) fn measure_overload(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let capacity = Capacity { slots: SERVER_SLOTS, base: PAGE_TIME, per_feature: Duration::ZERO };
     bed.servers.iter().for_each(|server| server.set_capacity(Some(capacity)));
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -1,4 +1,4 @@
-//! Tables of single answers, latencies, memory and throughput, in Markdown.
+//! Measurements of single answers, latencies, memory and throughput, as tables in Markdown.
 
 use super::test_bed::TestBed;
 use super::{Plan, Version};
@@ -12,21 +12,22 @@
 const KIB: u64 = 1024;
 const PAGE_TARGET: &str = "/collections/devices/items?limit=100";
 const LARGE_PAGE_TARGET: &str = "/collections/devices/items?limit=5000";
-/// A query that makes a version known to its servers before others are measured.
+/// Target of the query that opens the connections before the measurement.
 const WARM_UP_TARGET: &str = "/collections/devices/items/d00001";
 const CLIENTS: [usize; 3] = [1, 8, 32];
 const MEMORY_CLIENTS: usize = 100;
 const SHARE_CLIENTS: usize = 8;
-/// Pages that are followed by `next` at most, and for how long.
+/// Maximum number of pages that are followed by `next`.
 const MAX_FOLLOWED_PAGES: usize = 200;
+/// Maximum duration of a traversal by `next`.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Peak of the resident memory in the kernel's status page.
+/// Name of the peak resident memory in `/proc/PID/status`.
 const PEAK_MEMORY: &str = "VmHWM";
-/// Resident memory in the kernel's status page.
+/// Name of the resident memory in `/proc/PID/status`.
 const RESIDENT_MEMORY: &str = "VmRSS";
 
-/// A query that is measured by itself.
+/// Query that is measured individually.
 struct SingleQuery {
     description: &'static str,
     target: &'static str,
@@ -50,7 +51,7 @@
     },
 ];
 
-/// Work of single answers, and of all pages over `next`.
+/// Measures single answers, and the traversal of all pages over `next`.
 pub(super) fn measure_answers(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let _ = writeln!(text, "| program | query | status | features | requests to servers | KiB read | KiB more memory | ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
     for version in &plan.versions {
@@ -66,7 +67,7 @@
     Ok(())
 }
 
-/// Measures a query in a process of its own, so that its peak of memory is this answer's.
+/// Measures a query in a process of its own, so that the memory peak belongs to this answer.
 fn measure_single_query(
     version: &Version,
     query: &SingleQuery,
@@ -95,7 +96,7 @@
     Ok(())
 }
 
-/// Follows `next` links from a first page of so many features.
+/// Measures the traversal of `next` links from a first page of `limit` features.
 fn measure_all_pages(
     version: &Version,
     process: &EdgeProcess,
@@ -136,7 +137,7 @@
     format!("{:.1} | {:.1} | {:.1}", load.quantile_ms(0.5), load.quantile_ms(0.99), load.quantile_ms(0.999))
 }
 
-/// Latencies at three closed-loop loads.
+/// Measures latencies at three closed-loop loads.
 pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
     let _ = writeln!(text, "`limit=100` by so many clients at a time, {seconds} s each:\n");
@@ -160,7 +161,7 @@
     Ok(())
 }
 
-/// Memory with a hundred clients that request large pages.
+/// Measures memory with a hundred clients that request large pages.
 pub(super) fn measure_memory(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let _ = writeln!(text, "{MEMORY_CLIENTS} clients at `limit=5000`, {} s:\n", plan.load_duration.as_secs());
     let _ = writeln!(text, "| program | answers | refused | failed | MiB resident before | MiB at most |\n| --- | --- | --- | --- | --- | --- |");
@@ -184,7 +185,7 @@
     Ok(())
 }
 
-/// Throughput as a share of that of one stand-in without the program.
+/// Measures throughput as a share of that of one server without the program.
 pub(super) fn measure_share(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let direct = run_closed_loop(bed.servers[0].address, SHARE_CLIENTS, plan.load_duration, |_, _| {
         "/collections/north/items?limit=100".to_owned()
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -1,11 +1,12 @@
-//! The test bed: four feature servers, and the versions of the program that are started over them.
+//! Test bed of the measurements: four feature servers, over which versions of the program are
+//! started.
 
 use crate::feature_server::{devices, Capabilities, FeatureServer};
 use crate::process::{EdgeProcess, ProcessError};
 use std::io;
 use std::path::Path;
 
-/// A class with long deadlines.
+/// Settings of a class with a long deadline.
 const CLASSES: &str = "
 [[class]]
 name = \"map\"
@@ -13,18 +14,19 @@
 deadline_ms = 10000
 ";
 
-/// Settings of every version. An earlier version reads whole shards, which takes more than the default allows.
+/// Settings of every version. The limit of bytes is raised because an earlier version reads whole
+/// shards.
 pub(super) const SETTINGS: &str = "most_bytes = 33554432";
 
-/// The collections of the servers: each shard is on two of them.
+/// Collections of the servers; each shard is held by two of them.
 const SERVER_COLLECTIONS: [&str; 4] = ["devices/north", "devices/north", "devices/south", "devices/south"];
 
-/// Feature servers for all measurements.
+/// Feature servers of all measurements.
 pub(super) struct TestBed {
     pub(super) servers: Vec<FeatureServer>,
 }
 
-/// What all servers have done so far.
+/// Cumulative work of all servers.
 #[derive(Clone, Copy)]
 pub(super) struct ServerWork {
     pub(super) requests: u64,
@@ -32,7 +34,7 @@
 }
 
 impl ServerWork {
-    /// What was done since an earlier time.
+    /// Returns the work since an earlier reading.
     pub(super) fn since(self, earlier: ServerWork) -> ServerWork {
         ServerWork {
             requests: self.requests - earlier.requests,
@@ -52,7 +54,7 @@
         Ok(TestBed { servers })
     }
 
-    /// The rows of the inventory.
+    /// Returns the rows of the inventory.
     pub(super) fn inventory(&self) -> String {
         let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
             server.inventory_row(&format!("s{index}"), collection, "")
@@ -60,12 +62,12 @@
         self.servers.iter().zip(SERVER_COLLECTIONS).enumerate().map(row).collect()
     }
 
-    /// Starts a version over the servers.
+    /// Starts a version of the program over the servers.
     pub(super) fn start_version(&self, program: &Path) -> Result<EdgeProcess, ProcessError> {
         EdgeProcess::start(program, SETTINGS, &self.inventory(), CLASSES)
     }
 
-    /// What the servers have done so far.
+    /// Returns the cumulative work of the servers.
     pub(super) fn work(&self) -> ServerWork {
         ServerWork {
             requests: self.servers.iter().map(FeatureServer::request_count).sum(),
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! The front for feature queries as a process of its own: the program under test.
+//! Process of the program under test: configuration files, start, log, signals and counters.
 
 use crate::sync::lock;
 use std::io::{self, BufRead, BufReader};
@@ -10,12 +10,13 @@
 use std::sync::Mutex;
 use thiserror::Error;
 
-/// The name of the program's file.
+/// File name of the program.
 const PROGRAM_NAME: &str = "quinceflow";
-/// The inventory in the process's folder.
+/// File name of the inventory in the folder of a process.
 const INVENTORY: &str = "i.csv";
 
-/// Classes with long deadlines, for checks, and one whose answers may be partial.
+/// Settings of three classes: `map` with a long deadline, `part` with partial answers, and `once`
+/// without retries.
 pub const CLASSES: &str = "
 [[class]]
 name = \"map\"
@@ -33,42 +34,43 @@
 effect = \"unsafe\"
 ";
 
-/// Why the program could not be run.
+/// Reason why the program could not be run.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// Its file is not beside this program's.
+    /// Missing executable of the program.
     #[error("the program is not built: cargo build --workspace")]
     NotBuilt,
-    /// It could not be started or signalled, or its files could not be written.
+    /// Failure to start or signal the process, or to write its configuration.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its log ended before a line that was waited for.
+    /// End of the log before an awaited line.
     #[error("it ended before {awaited:?}")]
     Exited {
-        /// What the line was to contain.
+        /// Text that the line should contain.
         awaited: String,
     },
-    /// The log line that gives its address has none at its end.
+    /// Log line without the listening address at its end.
     #[error("{line}")]
     NoAddress {
-        /// The line.
+        /// Text of the line.
         line: String,
     },
 }
 
-/// The program, started with an edge file. It is killed, and its folder removed, when this is dropped.
+/// Running program with an edge file of its own. Dropping this kills the process and removes its
+/// folder.
 pub struct EdgeProcess {
     child: Child,
-    /// Where it answers clients.
+    /// Address that clients connect to.
     pub address: SocketAddr,
     folder: PathBuf,
     log: Mutex<Receiver<String>>,
 }
 
-/// Finds the program's file beside this program's own, or in the folder above it.
+/// Finds the program beside the current executable, or in the parent folder.
 ///
 /// # Errors
-/// If it is not there or this program's own place is unknown.
+/// Returns an error if the program is not there or the path of the current executable is unknown.
 pub fn find_program() -> Result<PathBuf, ProcessError> {
     let own = std::env::current_exe()?;
     let candidates = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM_NAME));
@@ -76,10 +78,10 @@
 }
 
 impl EdgeProcess {
-    /// Starts `program` with these settings, inventory rows and classes, and waits until it listens.
+    /// Starts `program` with this configuration and waits until it listens.
     ///
     /// # Errors
-    /// If it can't be started or ends before it listens.
+    /// Returns an error if the program can't be started or exits before it listens.
     pub fn start(program: &Path, settings: &str, rows: &str, classes: &str) -> Result<Self, ProcessError> {
         let folder = create_folder()?;
         let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"\n{settings}\n{classes}");
@@ -106,10 +108,10 @@
         Ok(process)
     }
 
-    /// The next line of its log that contains this.
+    /// Waits for the next line of the log that contains `text` and returns it.
     ///
     /// # Errors
-    /// If the log ends before.
+    /// Returns an error if the log ends first.
     pub fn wait_for_log(&self, text: &str) -> Result<String, ProcessError> {
         let log = lock(&self.log);
         loop {
@@ -121,25 +123,26 @@
         }
     }
 
-    /// Replaces the inventory and waits until it has been read again.
+    /// Replaces the inventory and waits until the program has reloaded it.
     ///
     /// # Errors
-    /// If it can't be written or the process ends before.
+    /// Returns an error if the file can't be written or the process exits first.
     pub fn reload_inventory(&self, rows: &str) -> Result<(), ProcessError> {
         write_inventory(&self.folder, rows)?;
         self.signal("HUP")?;
         self.wait_for_log("the inventory ").map(drop)
     }
 
-    /// Sends a signal by its name without `SIG`.
+    /// Sends a signal, named without its `SIG` prefix.
     ///
     /// # Errors
-    /// If `kill` can't be run.
+    /// Returns an error if `kill` can't be run.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status().map(drop)
     }
 
-    /// Its memory in KiB by a name of the kernel's status page: `VmRSS` (resident) or `VmHWM` (its peak).
+    /// Returns a memory figure of the process in KiB by its name in `/proc/PID/status`: `VmRSS`
+    /// (resident) or `VmHWM` (peak).
     #[must_use]
     pub fn memory_kib(&self, name: &str) -> Option<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
@@ -147,10 +150,10 @@
         line.split_whitespace().nth(1)?.parse().ok()
     }
 
-    /// Its counters, as it logs them at SIGUSR1.
+    /// Requests the counters of the process by SIGUSR1 and returns the line that it logs.
     ///
     /// # Errors
-    /// If it ends before.
+    /// Returns an error if the process exits first.
     pub fn counters(&self) -> Result<String, ProcessError> {
         self.signal("USR1")?;
         self.wait_for_log("counters")
@@ -165,7 +168,7 @@
     }
 }
 
-/// A folder of its own for each process that is started.
+/// Creates a folder for a process; each call returns another one.
 fn create_folder() -> io::Result<PathBuf> {
     static STARTED: AtomicUsize = AtomicUsize::new(0);
     let number = STARTED.fetch_add(1, Relaxed);
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -1,4 +1,5 @@
-//! The conformance suite against the program over faulty feature servers, and against injected faults.
+//! The conformance suite against the program over faulty feature servers, and against injected
+//! faults.
 
 use quinceflow_testkit::client::{Client, Response};
 use quinceflow_testkit::conformance::{Outcome, Suite};
@@ -9,7 +10,7 @@
 const FEATURES_PER_SHARD: usize = 150;
 const ITEMS: &str = "/collections/devices/items";
 
-/// Faults that the program must hide as long as another replica is healthy.
+/// Faults that the program must mask while another replica is healthy.
 const HIDDEN_FAULTS: [Fault; 8] = [
     Fault::InternalError,
     Fault::TruncatedBody,
@@ -21,7 +22,7 @@
     Fault::Slow,
 ];
 
-/// The program over two shards, each on two servers of different capabilities.
+/// Running program over two shards, each on two servers of different capabilities.
 struct Deployment {
     process: EdgeProcess,
     servers: Vec<FeatureServer>,
@@ -94,7 +95,8 @@
 
 #[test]
 fn queryables_are_known_to_the_first_request() {
-    // Regression: until a request had a filter, a queryable was an unknown parameter and any name was accepted.
+    // Regression: until a request had a filter, a queryable was an unknown parameter and any name
+    // was accepted.
     let first_response = |query: &str| -> Response {
         let deployment = Deployment::start();
         Client::new(deployment.process.address).get(&format!("{ITEMS}?{query}")).expect("a response")
@@ -111,7 +113,8 @@
 
 #[test]
 fn capabilities_are_discovered_for_a_class_with_a_long_latency_objective() {
-    // Regression: the discovery request was predicted to be late and rejected, so every filter was evaluated by the program.
+    // Regression: the discovery request was predicted to be late and rejected, so every filter was
+    // evaluated by the program.
     let features = devices(0..FEATURES_PER_SHARD);
     let server = FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
     let program = find_program().expect("the program is built with the workspace");
