--- a/src/policy/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -1,6 +1,6 @@
 //! The controller that sets the admitted share of low-priority queries by the quality of answers.
 
-use super::quality::{QualityReading, TARGET_SAMPLES};
+use super::super::quality::{QualityReading, TARGET_SAMPLES};
 use crate::interface::Nanos;
 use crate::stats::{PidGains, VelocityPid};
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission/mod.rs
@@ -1,5 +1,9 @@
 //! Admission: which queries are rejected, and which parts an admitted query does without.
 
+mod controller;
+
+pub use controller::AdmissionController;
+
 use super::Context;
 use crate::interface::{Class, PartId, TenantId};
 use crate::queries::{Query, WEIGHT_TOLERANCE};
--- a/src/policy/answering.rs
+++ b/src/policy/answers/mod.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a query: it is admitted or rejected, its parts are sent, it is answered or given up.
 
 use super::admission::{omit_parts, wait_share, PartWait, LIGHT_PARTS};
-use super::{dispatch::may_retry, endpoints::Target, DecisionPolicy};
+use super::{attempts::may_retry, replicas::Target, DecisionPolicy};
 use crate::interface::{Action, Class, Effect, Nanos};
 use crate::queries::{FirstAnswer, Part, Query, QueryNo, Stage, WEIGHT_TOLERANCE};
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/attempts/mod.rs
@@ -1,6 +1,7 @@
 //! Attempts at parts: first attempts, retries and hedged requests, within the rules on sending.
 
-use super::{endpoints::Target, outlier::is_overdue, DecisionPolicy, DEADLINE_MARGIN_TICKS};
+use super::replicas::{is_overdue, Target};
+use super::{DecisionPolicy, DEADLINE_MARGIN_TICKS};
 use crate::interface::{Action, AttemptNo, Class, Effect, Nanos, ReplicaId, Settings};
 use crate::queries::{Attempt, AttemptKey, Part, PartKey, Query, QueryNo, Stage};
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,26 +6,21 @@
 //! Kelley et al.), here the paper: the quality of sampled answers sets how much of low priority is admitted.
 
 mod admission;
-mod answering;
-mod controller;
-mod dispatch;
-mod endpoints;
+mod answers;
+mod attempts;
 mod fleet;
-mod outlier;
 mod polling;
 mod quality;
-mod rotation;
-mod slow_start;
+mod replicas;
 
 use crate::interface::{Action, EndpointListKind, Event, Nanos, ReplicaId, Settings};
 use crate::queries::{AttemptKey, Part, Query, QueryTable};
 use crate::stats::RatioBudget;
-use admission::Admission;
-use controller::AdmissionController;
-use endpoints::EndpointTable;
+use admission::{Admission, AdmissionController};
 use fleet::FleetStatistics;
 use polling::EndpointPoll;
 use quality::{measure_quality, take_sample, QUALITY_WINDOW};
+use replicas::EndpointTable;
 
 /// Ticks reserved before an objective: to receive the last answer, to respond, and for the network.
 const OBJECTIVE_MARGIN_TICKS: u64 = 3;
--- a/src/policy/endpoints.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,10 +1,19 @@
 //! The endpoint table: the state of each replica, and the choice of a replica for a part.
 
-use super::{outlier::OutlierDetector, rotation::Rotation, slow_start::SlowStartGuard, Context};
+mod outlier;
+mod rotation;
+mod slow_start;
+
+pub use outlier::is_overdue;
+
+use super::Context;
 use crate::interface::{ClassId, Endpoint, EndpointListKind, Nanos, Outcome, ReplicaId, ShardId};
 use crate::membership::Membership;
 use crate::queries::{Attempt, AttemptKey, AttemptsByAge, EndedAttempt, InFlight, InFlightTable};
 use crate::stats::exponential;
+use outlier::OutlierDetector;
+use rotation::Rotation;
+use slow_start::SlowStartGuard;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A replica is skipped if its cost exceeds this multiple of the lowest among the shard's holders
