--- a/src/policy/admission/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -1,18 +1,22 @@
-//! The controller that sets the admitted share of low-priority queries by the quality of answers.
+//! The admission controller: it sets the admitted share of low-priority queries by the quality of
+//! answers.
 
-use super::super::quality::{QualityReading, TARGET_SAMPLES};
 use crate::interface::Nanos;
+use crate::policy::quality::{QualityReading, TARGET_SAMPLES};
 use crate::stats::{PidGains, VelocityPid};
 
-/// The target quality. The paper has 0.9; between the two, shedding improves little.
+/// Target of the answer quality.
 const QUALITY_TARGET: f64 = 0.8;
-/// Proportional: the paper's weight of 40% for the current reading. Integral: a full swing takes about one
-/// window. Derivative: small, since samples are few.
+/// Gains of the controller. Integral: a full swing takes about one quality window. Derivative:
+/// small, since samples are few.
 const GAINS: PidGains = PidGains { proportional: 0.4, integral: 0.1, derivative: 0.05 };
-/// The error's bound, in units of the range above the target: one bad reading must not reject everything.
+/// Bound of the error, in units of the range above the target, so that one bad reading does not
+/// reject everything.
 const MAX_ERROR: f64 = 3.0;
+/// Share of the wanted samples from which a reading counts in full.
+const TRUSTED_SAMPLE_SHARE: f64 = 0.25;
 
-/// The controller's output and internal state.
+/// PID controller of the admitted share.
 #[derive(Debug)]
 pub struct AdmissionController {
     admitted_share: f64,
@@ -20,20 +24,22 @@
 }
 
 impl AdmissionController {
-    /// Starts with all queries admitted.
+    /// Creates a controller that admits all queries.
     pub fn new() -> Self {
         AdmissionController { admitted_share: 1.0, pid: VelocityPid::default() }
     }
 
-    /// The share of low-priority queries to admit, from 0 to 1.
+    /// Returns the share of low-priority queries to admit, 0 to 1.
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
 
     /// Adjusts the admitted share by the reading of one period.
     pub fn update(&mut self, reading: &QualityReading, period: Nanos) {
-        let trust = (reading.samples / (TARGET_SAMPLES / 4.0)).min(1.0);
-        let error = trust * ((reading.quality - QUALITY_TARGET) / (1.0 - QUALITY_TARGET)).max(-MAX_ERROR);
+        let trusted_samples = TARGET_SAMPLES * TRUSTED_SAMPLE_SHARE;
+        let trust = (reading.samples / trusted_samples).min(1.0);
+        let distance = (reading.quality - QUALITY_TARGET) / (1.0 - QUALITY_TARGET);
+        let error = trust * distance.max(-MAX_ERROR);
         let change = self.pid.step(GAINS, error, MAX_ERROR, period);
         // Clamping the output prevents integral windup.
         self.admitted_share = (self.admitted_share + change).clamp(0.0, 1.0);
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,108 +1,114 @@
-//! Admission: which queries are rejected, and which parts an admitted query does without.
+//! Who is admitted: tenants' quotas, the rank of a query's priority, the wait to expect, and the
+//! parts that an admitted query does without.
 
 mod controller;
+mod omission;
+mod quota;
+mod wait_estimate;
 
-pub use controller::AdmissionController;
+use super::quality::QualityReading;
+use super::replicas::ReplicaTable;
+use crate::interface::{Nanos, Settings, TenantId};
+use crate::queries::Query;
+use crate::stats::{FallingRamp, RecentValues};
+use controller::AdmissionController;
+use omission::omit_parts;
+use quota::TenantQuotas;
+use wait_estimate::{part_waits, wait_share};
 
-use super::Context;
-use crate::interface::{Class, PartId, TenantId};
-use crate::queries::{Query, WEIGHT_TOLERANCE};
-use crate::stats::{FallingRamp, RecentValues, TokenBucket};
-
-/// How many recent low-priority queries the next one is ranked among.
+/// Number of recent low-priority queries that the next one is ranked among.
 const RANKED_QUERIES: usize = 64;
-/// The admitted share of low-priority queries, by the share of their time that they are expected to wait.
-const LOW_PRIORITY: FallingRamp = FallingRamp { from: 0.4, to: 1.1 };
-/// The same for light parts: earlier, since leaving them out costs the least.
-pub const LIGHT_PARTS: FallingRamp = FallingRamp { from: 0.2, to: 0.7 };
-/// The same for the highest priority: from where it would be late, since an estimate errs both ways.
-const TOP_PRIORITY: FallingRamp = FallingRamp { from: 0.8, to: 1.2 };
-/// A part is light below this share of an even weight: it costs as much as others and contributes little.
-const LIGHT_PART: f64 = 0.6;
-/// The largest share of a query's time that an estimate without observations may take.
-const MAX_GUESSED_SHARE: f64 = 0.125;
-
-/// The expected wait of a part, in ns, and the part's weight.
-pub struct PartWait {
-    pub part: PartId,
-    pub weight: f64,
-    pub wait: f64,
-}
+/// Admitted share of low-priority queries, by the share of their time that they will wait.
+const LOW_PRIORITY_ADMISSION: FallingRamp = FallingRamp { from: 0.4, to: 1.1 };
+/// Admitted share of light parts, by the same; lower, since omitting them costs the least.
+const LIGHT_PART_ADMISSION: FallingRamp = FallingRamp { from: 0.2, to: 0.7 };
+/// Admitted share of queries of the highest priority, by the same. It falls around 1, where an
+/// answer would be late, since the estimate errs both ways.
+const TOP_PRIORITY_ADMISSION: FallingRamp = FallingRamp { from: 0.8, to: 1.2 };
 
-/// The state of admission: a token bucket for each tenant, and the priorities of recent queries.
-#[derive(Debug, Default)]
+/// Admission of queries.
+#[derive(Debug)]
 pub struct Admission {
-    quotas: Vec<TokenBucket>,
+    quotas: TenantQuotas,
     recent_priorities: RecentValues,
+    controller: AdmissionController,
 }
 
 impl Admission {
-    pub fn apply_settings(&mut self, context: &Context) {
-        self.quotas.resize(context.settings.tenants.len(), TokenBucket::new(1.0, context.now));
+    /// Creates the state of admission, which admits all queries.
+    pub fn new(settings: &Settings, now: Nanos) -> Self {
+        Admission {
+            quotas: TenantQuotas::new(settings, now),
+            recent_priorities: RecentValues::default(),
+            controller: AdmissionController::new(),
+        }
     }
 
-    /// Takes a token for a query: `true` if it exceeds this instance's even share of its tenant's quota.
-    pub fn over_quota(&mut self, tenant: TenantId, context: &Context) -> bool {
-        let at = tenant.0 as usize;
-        let Some(quota) = context.settings.tenants.get(at).and_then(|t| t.quota) else { return false };
-        let rate = quota / f64::from(context.settings.coordinators.max(1));
-        !self.quotas[at].try_take(context.now, rate, (2.0 * rate).max(2.0))
+    /// Applies new settings.
+    pub fn apply_settings(&mut self, settings: &Settings, now: Nanos) {
+        self.quotas.apply_settings(settings, now);
     }
 
-    /// Rejects low-priority queries beyond the admitted share, the lowest priority first.
-    pub fn rejects(&mut self, query: &Query, wait_share: f64, admitted: f64, context: &Context) -> bool {
-        let (priority, draw) = (query.priority, query.admission_draw);
-        let of_class = context.settings.reduction.admitted_shares.get(usize::from(query.class.0));
-        let of_class = of_class.copied().unwrap_or(1.0);
-        if priority >= context.settings.max_priority_weight() {
-            // Rejected only when all would be late: serving some in time is better than serving none.
-            return draw >= TOP_PRIORITY.at(wait_share).min(of_class);
-        }
-        let rank = self.recent_priorities.rank(priority, draw);
-        self.recent_priorities.push(priority, RANKED_QUERIES);
-        let admitted = admitted.min(LOW_PRIORITY.at(wait_share));
-        rank < 1.0 - admitted || priority <= 0.0 || draw < 1.0 - of_class
+    /// Counts a query against its tenant's quota, and returns whether the query exceeds it.
+    pub fn is_over_quota(&mut self, tenant: TenantId, settings: &Settings, now: Nanos) -> bool {
+        self.quotas.is_exceeded(tenant, settings, now)
     }
-}
 
-/// The share of a query's time that it is expected to wait, by the waits of its parts, the longest first.
-/// The controller needs a window to detect overload, this estimate detects it at once. One slow answer can
-/// raise it for a shard; that effect decays.
-pub fn wait_share(query: &Query, waits: &[PartWait], context: &Context) -> f64 {
-    let mut spare = 1.0 - context.settings.class(query.class).min_share + WEIGHT_TOLERANCE;
-    let needed = waits.iter().find(|part| {
-        spare -= part.weight;
-        spare <= 0.0
-    });
-    let time = query.respond_by.saturating_sub(context.now) as f64;
-    // A guess alone rejects nothing: if all queries were rejected, no answer could ever correct it.
-    let fair = |wait: f64, seen: bool| if seen { wait } else { wait.min(time * MAX_GUESSED_SHARE) };
-    let latency = &context.fleet.latency;
-    let longest = needed.map_or(0.0, |part| part.wait);
-    let wait = fair(longest, longest > latency.mean() || latency.any_observed());
-    wait.max(fair(latency.work(query.class), latency.observed(query.class))) / time.max(1.0)
-}
+    /// Adjusts the share of low-priority queries to admit by the answer quality of one period.
+    pub fn update(&mut self, reading: &QualityReading, period: Nanos) {
+        self.controller.update(reading, period);
+    }
 
-/// Omits light parts beyond the admitted share, down to the floor; then parts with a long expected wait, the
-/// longest first, down to half of the weight that may be missing: they would be late, and take capacity from
-/// queries that need all of their parts.
-pub fn omit_parts(query: &mut Query, waits: &[PartWait], class: &Class, admitted: f64, context: &Context) {
-    let (floor, parts) = (class.min_share, &mut query.parts);
-    parts.sort_by(|a, b| b.weight.total_cmp(&a.weight));
-    let light = LIGHT_PART / parts.len().max(1) as f64;
-    let keep = floor + (1.0 - floor) * admitted;
-    let mut left: f64 = parts.iter().map(|part| part.weight).sum();
-    for part in parts.iter_mut().rev().filter(|part| part.weight < light) {
-        left -= part.weight;
-        part.requested = left < keep;
+    /// Returns whether the controller rejects a share of the low-priority queries.
+    pub fn is_shedding(&self) -> bool {
+        self.controller.admitted_share() < 1.0
     }
-    let late = query.respond_by.saturating_sub(context.now) as f64 * TOP_PRIORITY.from;
-    let mut left: f64 = parts.iter().filter(|part| part.requested).map(|part| part.weight).sum();
-    for wait in waits.iter().filter(|part| class.allows_partial() && part.wait >= late) {
-        let part = parts.iter_mut().find(|part| part.id == wait.part && part.requested);
-        if let Some(part) = part.filter(|part| left - part.weight + WEIGHT_TOLERANCE >= (1.0 + floor) / 2.0) {
-            left -= part.weight;
-            part.requested = false;
+
+    /// Decides whether a query that was just received is admitted, and if so which of its parts are
+    /// requested.
+    pub fn admit(
+        &mut self,
+        query: &mut Query,
+        replicas: &ReplicaTable,
+        settings: &Settings,
+        now: Nanos,
+    ) -> bool {
+        let class = settings.class(query.class);
+        let waits = part_waits(query, replicas, settings, now);
+        let wait_share = wait_share(query, &waits, class, replicas.latency(), now);
+        if self.rejects(query, wait_share, settings) {
+            return false;
         }
+        let admitted_share = self.controller.admitted_share();
+        omit_parts(query, &waits, class, wait_share, admitted_share, now);
+        true
+    }
+
+    /// Decides whether a query is rejected: of low priority those beyond the admitted share, the
+    /// lowest priority first; of the highest priority only where all would be late, since serving
+    /// some in time is better than serving none.
+    fn rejects(&mut self, query: &Query, wait_share: f64, settings: &Settings) -> bool {
+        let class_index = usize::from(query.class.0);
+        let class_shares = &settings.reduction.admitted_shares;
+        let class_share = class_shares.get(class_index).copied().unwrap_or(1.0);
+        if query.priority >= settings.max_priority_weight() {
+            let admitted_share = TOP_PRIORITY_ADMISSION.at(wait_share).min(class_share);
+            return query.admission_draw >= admitted_share;
+        }
+        let rank = self.rank(query);
+        let by_wait = LOW_PRIORITY_ADMISSION.at(wait_share);
+        let admitted_share = self.controller.admitted_share().min(by_wait);
+        let below_admitted_rank = rank < 1.0 - admitted_share;
+        let worthless = query.priority <= 0.0;
+        let beyond_class_share = query.admission_draw < 1.0 - class_share;
+        below_admitted_rank || worthless || beyond_class_share
+    }
+
+    /// Returns the share of the recent low-priority queries that a query exceeds in priority, and
+    /// adds it to them.
+    fn rank(&mut self, query: &Query) -> f64 {
+        let rank = self.recent_priorities.rank(query.priority, query.admission_draw);
+        self.recent_priorities.push(query.priority, RANKED_QUERIES);
+        rank
     }
 }
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -1,133 +1,141 @@
-//! Attempts at parts: first attempts, retries and hedged requests, within the rules on sending.
+//! What may be sent: first attempts, retries and hedged requests, within the rules on sending.
 
-use super::replicas::{is_overdue, Target};
-use super::{DecisionPolicy, DEADLINE_MARGIN_TICKS};
-use crate::interface::{Action, AttemptNo, Class, Effect, Nanos, ReplicaId, Settings};
-use crate::queries::{Attempt, AttemptKey, Part, PartKey, Query, QueryNo, Stage};
+mod next_step;
+mod retry_limiter;
+mod rules;
 
-/// Ticks at the edge of the retry budget's window that are counted to its disadvantage.
-const EDGE_TICKS: u64 = 2;
+pub use rules::may_attempt_again;
 
-/// What to do about a part at this time.
-enum Step {
-    Send(ReplicaId),
-    Cancel,
-    Wait,
+use super::replicas::{ReplicaTable, Target};
+use crate::interface::{Action, AttemptNo, Nanos, ReplicaId, Settings};
+use crate::queries::{Attempt, AttemptKey, Part, Query};
+use next_step::{next_step, NextStep};
+use retry_limiter::RetryLimiter;
+use rules::latest_send;
+
+/// Maximum number of attempts at a part in flight at once, where hedging is allowed.
+const MAX_HEDGED_ATTEMPTS: usize = 2;
+
+/// An attempt that was decided on and not sent yet.
+#[derive(Debug, Clone, Copy)]
+struct PlannedAttempt {
+    /// Index of the part among those of its query.
+    part_index: usize,
+    replica: ReplicaId,
+    timeout: Nanos,
+}
+
+/// Returns the timeout of an attempt that is sent now.
+///
+/// Late answers are awaited for samples, and while nothing is shed if they are of value; otherwise
+/// attempts end when the query must be answered.
+pub fn attempt_timeout(query: &Query, is_shedding: bool, settings: &Settings, now: Nanos) -> Nanos {
+    let is_measured = query.sampled && !settings.reduction.skip_late_samples;
+    let late_answer_counts = settings.class(query.class).late_weight > 0.0;
+    let awaits_late_answer = is_measured || (late_answer_counts && !is_shedding);
+    let end = if awaits_late_answer || now >= query.respond_by { query.deadline } else { query.respond_by };
+    end.saturating_sub(now).max(settings.tick)
+}
+
+/// Sender of attempts, which keeps the retry budget.
+#[derive(Debug, Default)]
+pub struct AttemptSender {
+    retries: RetryLimiter,
 }
 
-impl DecisionPolicy {
-    /// Sends, retries and cancels attempts at the parts of a query as needed.
-    pub(super) fn send_parts(&mut self, number: QueryNo, class: &Class, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.get(number) else { return };
-        let (now, settings) = (self.context.now, &self.context.settings);
-        let sampled = query.sampled && !settings.reduction.skip_late_samples;
-        // Late answers are pursued only while nothing is shed; otherwise no part is sent after the objective.
-        let pursue = sampled || (class.late_weight > 0.0 && self.controller.admitted_share() >= 1.0);
-        let end = if pursue || now >= query.respond_by { query.deadline } else { query.respond_by };
-        let timeout = end.saturating_sub(now).max(settings.tick);
-        for index in 0..query.parts.len() {
-            let Some(query) = self.queries.get(number) else { return };
-            let Some(part) = query.parts.get(index) else { return };
-            match self.next_step(query, part, class) {
-                Step::Send(replica) => {
-                    self.dispatch(PartKey { query: number, index }, replica, timeout, actions);
+impl AttemptSender {
+    /// Counts a query or part that was received towards the retry budget.
+    pub fn record_received(&mut self, now: Nanos) {
+        self.retries.record_received(now);
+    }
+
+    /// Removes records that are too old to matter.
+    pub fn expire(&mut self, settings: &Settings, now: Nanos) {
+        self.retries.expire(settings, now);
+    }
+
+    /// Sends, retries and cancels attempts at the parts of a query as needed, and returns the
+    /// actions that do so.
+    pub fn send_parts(
+        &mut self,
+        query: &mut Query,
+        timeout: Nanos,
+        replicas: &mut ReplicaTable,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) -> Vec<Action> {
+        let mut actions = Vec::new();
+        for part_index in 0..query.parts.len() {
+            let part = &query.parts[part_index];
+            match next_step(query, part, replicas, &self.retries, settings, now) {
+                NextStep::Send(replica) => {
+                    let planned = PlannedAttempt { part_index, replica, timeout };
+                    actions.extend(self.send(query, planned, replicas, settings, rng, now));
                 }
-                Step::Cancel => actions.extend(part.cancellations()),
-                Step::Wait => {}
+                NextStep::Cancel => actions.extend(part.cancellations()),
+                NextStep::Wait(_) => {}
             }
         }
+        actions
     }
 
-    fn next_step(&self, query: &Query, part: &Part, class: &Class) -> Step {
-        let present = part.follow_up == (query.stage == Stage::FollowUp);
-        if !present || !part.requested || part.is_answered() || !may_retry(part, class) {
-            return Step::Wait;
+    /// Sends an attempt if the rules allow it: the only place where attempts are sent.
+    fn send(
+        &mut self,
+        query: &mut Query,
+        planned: PlannedAttempt,
+        replicas: &mut ReplicaTable,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) -> Vec<Action> {
+        if !self.is_allowed(query, planned, replicas, settings, now) {
+            return Vec::new();
         }
+        let part = &mut query.parts[planned.part_index];
+        let key = AttemptKey { part: part.id, attempt: AttemptNo(part.attempts.len() as u16) };
         let target = Target { class: query.class, shard: part.shard };
-        let choose = |exclude: &[ReplicaId]| self.endpoints.choose(target, exclude, &self.context);
-        let tried: Vec<ReplicaId> = part.attempts.iter().map(|attempt| attempt.replica).collect();
-        if tried.is_empty() {
-            return choose(&[]).map_or(Step::Wait, |candidate| Step::Send(candidate.replica));
-        }
-        let (now, settings) = (self.context.now, &self.context.settings);
-        let in_flight = part.in_flight().next();
-        let overdue = in_flight.is_some_and(|a| is_overdue(a.sent_at, &self.context));
-        if (in_flight.is_some() && !overdue) || part.in_flight().count() > 1 || self.retries_left() < 1.0 {
-            return Step::Wait;
+        let not_after = latest_send(part, settings.class(query.class), settings);
+        let replica = planned.replica;
+        let mut actions = Vec::new();
+        if replicas.record_send(key, target, replica, settings, rng, now) {
+            actions.push(Action::CloseIdle(replica));
         }
-        // A replica that was not tried yet or, if all were, one where this part is not in flight.
-        let busy = in_flight.map_or(vec![], |attempt| vec![attempt.replica]);
-        let Some(candidate) = choose(&tried).or_else(|| choose(&busy)) else { return Step::Wait };
-        let in_time = now as f64 + candidate.expected_wait < query.respond_by as f64;
-        // A failed attempt is retried if the retry may be in time, or if the part is late in any case.
-        let again = now >= query.respond_by || !tried.contains(&candidate.replica);
-        let late = in_flight.is_none() && class.late_weight > 0.0 && again;
-        let cancel = !settings.hedging && settings.cancellation && class.effect == Effect::Idempotent;
-        if in_flight.is_some() && in_time && cancel {
-            Step::Cancel
-        } else if in_time || late || (in_flight.is_some() && part.follow_up) {
-            Step::Send(candidate.replica)
-        } else {
-            Step::Wait
+        if !part.attempts.is_empty() {
+            self.retries.record_retry(now);
         }
+        part.attempts.push(Attempt { replica, sent_at: now, outcome: None });
+        actions.push(Action::Send { part: key.part, replica, timeout: planned.timeout, not_after });
+        actions
     }
 
-    /// Rule 6: the retries left in the budget's window, with a safety margin at its edge.
-    fn retries_left(&self) -> f64 {
-        let Some(budget) = self.context.settings.retry_budget else { return f64::INFINITY };
-        let edge = self.context.settings.ticks(EDGE_TICKS);
-        self.retries.available(self.context.now, budget.free, budget.ratio, budget.window, edge)
-    }
-
-    /// The only place where attempts are sent: checks every rule on sending, whatever decided to send.
-    fn dispatch(&mut self, key: PartKey, replica: ReplicaId, timeout: Nanos, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.get_open(key.query) else { return };
-        let Some(part) = query.parts.get(key.index) else { return };
-        let (now, settings) = (self.context.now, &self.context.settings);
+    /// Returns whether every rule on sending allows an attempt, whatever decided to send it.
+    fn is_allowed(
+        &self,
+        query: &Query,
+        planned: PlannedAttempt,
+        replicas: &ReplicaTable,
+        settings: &Settings,
+        now: Nanos,
+    ) -> bool {
         let class = settings.class(query.class);
+        let part = &query.parts[planned.part_index];
         let target = Target { class: query.class, shard: part.shard };
-        let not_after = not_after(part, class, settings);
-        let in_flight = part.in_flight().count();
-        let retry = !part.attempts.is_empty();
-        let allowed = part.follow_up == (query.stage == Stage::FollowUp)
-            && !part.is_answered()
-            && now < query.deadline
-            && now < not_after
-            && self.endpoints.accepts(target, replica, &self.context)
-            && may_retry(part, class)
-            && (in_flight == 0 || (settings.hedging && in_flight < 2))
-            && (!retry || self.retries_left() >= 1.0);
-        if !allowed {
-            return;
-        }
-        let attempt = AttemptKey { part: part.id, attempt: AttemptNo(part.attempts.len() as u16) };
-        if self.endpoints.send(attempt, target, replica, &mut self.context) {
-            actions.push(Action::CloseIdle(replica));
-        }
-        if let Some(part) = self.queries.part_mut(key) {
-            part.attempts.push(Attempt { replica, sent_at: now, outcome: None });
-        }
-        if retry {
-            self.retries.spend(now);
-        }
-        actions.push(Action::Send { part: attempt.part, replica, timeout, not_after });
-    }
-}
-
-/// Rule 2: until when another attempt may be sent, given that an earlier one may have run.
-fn not_after(part: &Part, class: &Class, settings: &Settings) -> Nanos {
-    let first = part.attempts.iter().find(|attempt| attempt.may_have_run());
-    match (class.effect, first) {
-        (Effect::Idempotent, _) | (_, None) => Nanos::MAX,
-        (Effect::Deduplicated(window), Some(first)) => {
-            (first.sent_at + window).saturating_sub(settings.ticks(DEADLINE_MARGIN_TICKS))
-        }
-        (Effect::NonIdempotent, Some(_)) => 0,
+        let is_retry = !part.attempts.is_empty();
+        let is_wanted = query.is_open() && query.is_in_step(part) && !part.is_answered();
+        let in_time = now < query.deadline && now < latest_send(part, class, settings);
+        is_wanted
+            && in_time
+            && may_attempt_again(part, class)
+            && is_within_hedging(part, settings)
+            && (!is_retry || self.retries.allows(settings, now))
+            && replicas.accepts(target, planned.replica, settings, now)
     }
 }
 
-/// The rules of its class may allow another attempt at the part, now or later.
-pub(super) fn may_retry(part: &Part, class: &Class) -> bool {
-    let harmless = class.effect != Effect::NonIdempotent || !part.may_have_run();
-    harmless && (part.attempts.len() as u32) < class.max_attempts.max(1)
+/// Returns whether the settings allow one more attempt at a part to be in flight.
+fn is_within_hedging(part: &Part, settings: &Settings) -> bool {
+    let max_in_flight = if settings.hedging { MAX_HEDGED_ATTEMPTS } else { 1 };
+    part.in_flight().count() < max_in_flight
 }
--- /dev/null
+++ b/src/policy/attempts/retry_limiter.rs
@@ -0,0 +1,44 @@
+//! The rule "retry budget": attempts beyond each part's first stay within a share of what was
+//! received.
+
+use crate::interface::{Nanos, Settings};
+use crate::stats::RatioBudget;
+
+/// Ticks at the edge of the budget's window that are counted to its disadvantage.
+const WINDOW_MARGIN_TICKS: u64 = 2;
+/// Windows after which events are removed.
+const KEPT_WINDOWS: u64 = 2;
+
+/// Retries and hedged requests, against the queries and parts received.
+#[derive(Debug, Default)]
+pub struct RetryLimiter {
+    budget: RatioBudget,
+}
+
+impl RetryLimiter {
+    /// Counts a query or part that was received.
+    pub fn record_received(&mut self, now: Nanos) {
+        self.budget.earn(now);
+    }
+
+    /// Counts a retry or hedged request that is sent.
+    pub fn record_retry(&mut self, now: Nanos) {
+        self.budget.spend(now);
+    }
+
+    /// Returns whether the budget allows another retry or hedged request now.
+    pub fn allows(&self, settings: &Settings, now: Nanos) -> bool {
+        let Some(rule) = settings.retry_budget else {
+            return true;
+        };
+        let margin = settings.ticks(WINDOW_MARGIN_TICKS);
+        let available = self.budget.available(now, rule.free, rule.ratio, rule.window, margin);
+        available >= 1.0
+    }
+
+    /// Removes events that no window covers any more.
+    pub fn expire(&mut self, settings: &Settings, now: Nanos) {
+        let kept = settings.retry_budget.map_or(0, |rule| KEPT_WINDOWS * rule.window);
+        self.budget.expire(now, kept);
+    }
+}
--- /dev/null
+++ b/src/policy/attempts/rules.rs
@@ -0,0 +1,30 @@
+//! The rules on repeating a part, by the effect of its class.
+
+use crate::interface::{Class, Effect, Nanos, Settings};
+use crate::policy::DEADLINE_MARGIN_TICKS;
+use crate::queries::Part;
+
+/// Returns whether another attempt at a part may be allowed, now or later: the rule "no part
+/// repeated beyond its class's effect", and the class's maximum number of attempts.
+pub fn may_attempt_again(part: &Part, class: &Class) -> bool {
+    let harmless = class.effect != Effect::NonIdempotent || !part.may_have_run();
+    let attempts = part.attempts.len() as u32;
+    harmless && attempts < class.max_attempts.max(1)
+}
+
+/// Returns the time after which writing another attempt at a part must not start: the rule "no part
+/// repeated beyond its class's effect".
+pub fn latest_send(part: &Part, class: &Class, settings: &Settings) -> Nanos {
+    let mut attempts = part.attempts.iter();
+    let Some(first) = attempts.find(|attempt| attempt.may_have_run()) else {
+        return Nanos::MAX;
+    };
+    match class.effect {
+        Effect::Idempotent => Nanos::MAX,
+        Effect::Deduplicated(window) => {
+            let margin = settings.ticks(DEADLINE_MARGIN_TICKS);
+            (first.sent_at + window).saturating_sub(margin)
+        }
+        Effect::NonIdempotent => 0,
+    }
+}
--- a/src/policy/fleet/tests.rs
+++ b/src/policy/fleet/tests.rs
@@ -1,6 +1,6 @@
 //! Statistics over the whole fleet.
 
-use super::{ConnectionUse, FleetLatency};
+use super::{ConnectionStatistics, FleetLatency};
 use crate::interface::{Class, ClassId, Nanos, Settings};
 use crate::test_fixtures;
 
@@ -51,8 +51,8 @@
 
 #[test]
 fn idle_connections_are_dropped_where_they_lose_far_more_than_others() {
-    let mut connections = ConnectionUse::default();
-    let losses = |connections: &mut ConnectionUse, idle, count| {
+    let mut connections = ConnectionStatistics::default();
+    let losses = |connections: &mut ConnectionStatistics, idle, count| {
         (0..count).for_each(|_| connections.record_attempt(idle, true));
         connections.idle_are_dropped()
     };
@@ -63,7 +63,7 @@
 
 #[test]
 fn the_interval_between_uses_is_smoothed() {
-    let mut connections = ConnectionUse::default();
+    let mut connections = ConnectionStatistics::default();
     connections.record_use(0, 5_000);
     connections.record_use(5_000, 5_000);
     assert_eq!(connections.reuse_interval(), 0.0, "neither is an interval");
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,18 @@
-//! Every decision of the coordinator. Its types, events and actions: `src/interface/`.
+//! Decision policy of the coordinator; its settings, events and actions are in `src/interface/`.
 //!
-//! Each batch of events is applied, then every open query is advanced in order of arrival: admit, send,
-//! retry, answer or give up. The operators' rules are checked in one place each: `dispatch`, `finish`. The
-//! design follows "Obtaining and Managing Answer Quality for Online Data-Intensive Services" (Ubora, by
-//! Kelley et al.), here the paper: the quality of sampled answers sets how much of low priority is admitted.
+//! Each batch of events is applied, then every open query is advanced in order of arrival: admitted
+//! or rejected, its parts sent or retried, answered or given up. The parts of the policy decide on
+//! one question each and own the state that it takes:
+//!
+//! * [`admission`]: who is admitted, and which parts an admitted query does without;
+//! * [`attempts`]: what may be sent; [`replicas`]: where to;
+//! * [`answers`]: what may be answered, and when to give up;
+//! * [`quality`]: sampling and measurement of answer quality, the input of the admission controller;
+//! * [`polling`]: when to poll for the endpoint list; [`fleet`]: statistics over all replicas.
+//!
+//! The design follows "Obtaining and Managing Answer Quality for Online Data-Intensive Services"
+//! (Ubora, by Kelley et al.): the quality of sampled answers sets how many queries of low priority
+//! are admitted. `docs/rules.md` names the rules that hold whatever is decided.
 
 mod admission;
 mod answers;
@@ -13,179 +22,237 @@
 mod quality;
 mod replicas;
 
-use crate::interface::{Action, EndpointListKind, Event, Nanos, ReplicaId, Settings};
-use crate::queries::{AttemptKey, Part, Query, QueryTable};
-use crate::stats::RatioBudget;
-use admission::{Admission, AdmissionController};
-use fleet::FleetStatistics;
+use crate::interface::{Action, EndpointListKind, Event, Nanos, ReplicaId, Settings, TenantId};
+use crate::queries::{AttemptKey, Part, Query, QueryNo, QueryTable, Stage};
+use admission::Admission;
+use answers::{due_ending, finish, Ending};
+use attempts::{attempt_timeout, AttemptSender};
 use polling::EndpointPoll;
 use quality::{measure_quality, take_sample, QUALITY_WINDOW};
-use replicas::EndpointTable;
+use replicas::ReplicaTable;
 
-/// Ticks reserved before an objective: to receive the last answer, to respond, and for the network.
+/// Ticks reserved before a latency objective: to receive the last answer, to respond, and for the
+/// network.
 const OBJECTIVE_MARGIN_TICKS: u64 = 3;
 /// Ticks reserved before the client's deadline.
 const DEADLINE_MARGIN_TICKS: u64 = 4;
-/// The period of the controller, in ticks; open queries are checked every tenth of it.
-const CONTROL_TICKS: u64 = 50;
-/// A replica that is not ready is removed after so many quality windows.
+/// Period of the admission controller, in ticks.
+const CONTROL_PERIOD_TICKS: u64 = 50;
+/// Longest time between two checks of open queries, in ticks.
+const CHECK_PERIOD_TICKS: u64 = 5;
+/// Quality windows after which a replica that is not ready is removed.
 const REMOVAL_WINDOWS: u64 = 3;
 
-/// The input common to all decisions; `now` is the time of the present batch.
+/// Decision policy of one coordinator.
 #[derive(Debug)]
-struct Context {
+pub struct DecisionPolicy {
     settings: Settings,
+    /// Time of the present batch.
     now: Nanos,
-    fleet: FleetStatistics,
     rng: fastrand::Rng,
-}
-
-/// The decision policy of one coordinator.
-#[derive(Debug)]
-pub struct DecisionPolicy {
-    context: Context,
     queries: QueryTable,
-    endpoints: EndpointTable,
+    replicas: ReplicaTable,
     admission: Admission,
-    controller: AdmissionController,
-    /// Retries and hedged requests against queries and parts received; see rule 6.
-    retries: RatioBudget,
+    attempts: AttemptSender,
     poll: EndpointPoll,
     next_control_at: Nanos,
+    /// Time of the timer that is set; 0 if none is.
     timer_at: Nanos,
 }
 
 impl DecisionPolicy {
-    /// A policy without queries or replicas; `seed` determines its random draws.
+    /// Creates a policy without queries or replicas; `seed` determines its random draws.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Self {
-        let (fleet, rng) = (FleetStatistics::new(&settings), fastrand::Rng::with_seed(seed));
-        let mut policy = DecisionPolicy {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        DecisionPolicy {
             queries: QueryTable::default(),
-            endpoints: EndpointTable::default(),
-            admission: Admission::default(),
-            controller: AdmissionController::new(),
-            retries: RatioBudget::default(),
+            replicas: ReplicaTable::new(&settings, &mut rng),
+            admission: Admission::new(&settings, now),
+            attempts: AttemptSender::default(),
             poll: EndpointPoll::new(settings.max_poll_interval, now),
             next_control_at: now,
             timer_at: 0,
-            context: Context { settings, now, fleet, rng },
-        };
-        policy.admission.apply_settings(&policy.context);
-        policy.endpoints.apply_settings(&mut policy.context);
-        policy
+            settings,
+            now,
+            rng,
+        }
     }
 
-    /// Applies a batch of events received at `now`, in order, and appends the resulting actions, in order.
+    /// Applies a batch of events received at `now`, in order, and appends the resulting actions, in
+    /// order.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
-        self.context.now = now.max(self.context.now);
+        self.now = now.max(self.now);
         for event in events {
             self.apply(event, actions);
         }
-        if self.poll.take_due(self.context.settings.max_poll_interval, self.context.now) {
+        if self.poll.take_due(self.settings.max_poll_interval, self.now) {
             actions.push(Action::Subscribe);
         }
-        if self.context.now >= self.next_control_at {
+        if self.now >= self.next_control_at {
             self.control();
         }
-        for number in self.queries.numbers().collect::<Vec<_>>() {
+        let numbers: Vec<QueryNo> = self.queries.numbers().collect();
+        for number in numbers {
             self.advance(number, actions);
         }
         self.set_timer(actions);
     }
 
-    /// Ready replicas that no part of an active class would be sent to now, whatever its shard.
+    /// Returns the ready replicas that no part of an active class would be sent to now, whatever
+    /// its shard.
     #[must_use]
     pub fn ejected(&self) -> Vec<ReplicaId> {
-        self.endpoints.ejected(&self.context)
+        self.replicas.ejected(&self.settings, self.now)
     }
 
     fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let now = self.context.now;
         match event {
-            Event::Endpoints { kind: EndpointListKind::Failed, .. } => {
-                self.poll.poll_failed(self.context.settings.max_poll_interval, now, &mut self.context.rng);
-            }
-            Event::Endpoints { kind, endpoints } => {
-                self.poll.list_received(*kind);
-                self.endpoints.apply_list(*kind, endpoints, &mut self.context);
-            }
+            Event::Endpoints { kind, endpoints } => match kind {
+                EndpointListKind::Failed => {
+                    let max_interval = self.settings.max_poll_interval;
+                    self.poll.poll_failed(max_interval, self.now, &mut self.rng);
+                }
+                _ => {
+                    self.poll.list_received(*kind);
+                    self.replicas.apply_list(*kind, endpoints, &self.settings, &mut self.rng, self.now);
+                }
+            },
             Event::Placement { replica, shards } => {
-                self.endpoints.set_placement(*replica, shards, &mut self.context)
+                self.replicas.set_placement(*replica, shards, &mut self.rng);
+            }
+            Event::Query { query, group, class, tenant, expected_work, time_left } => {
+                let received = Query::new(*query, *class, *group, self.now);
+                let expected_work = expected_work.unwrap_or(0);
+                self.receive(received, *tenant, expected_work, *time_left, actions);
             }
-            Event::Query { .. } => self.receive(event, actions),
             Event::Part { part, group, shard, weight } => {
-                self.retries.earn(now);
-                self.queries.add_part(*group, Part::new(*part, *shard, *weight));
+                self.attempts.record_received(self.now);
+                let part = Part::new(*part, *shard, *weight);
+                self.queries.add_part(*group, part);
             }
             Event::Outcome { part, attempt, outcome, elapsed } => {
                 let key = AttemptKey { part: *part, attempt: *attempt };
-                if self.endpoints.complete(key, *outcome, *elapsed, &mut self.context) {
-                    self.queries.complete_attempt(*part, *attempt, *outcome, now);
+                let was_in_flight = self.replicas.complete(key, *outcome, *elapsed, &self.settings, self.now);
+                if was_in_flight {
+                    self.queries.complete_attempt(*part, *attempt, *outcome, self.now);
                 }
             }
-            Event::Abandoned(query) => {
-                // Its parts are not needed any more: on poor links clients disconnect before their deadline.
-                let query = self.queries.abandon(*query).filter(|_| self.context.settings.cancellation);
-                actions.extend(query.iter().flat_map(|query| &query.parts).flat_map(Part::cancellations));
+            Event::Abandoned(id) => {
+                let query = self.queries.abandon(*id);
+                if let Some(query) = query.filter(|_| self.settings.cancellation) {
+                    actions.extend(query.parts.iter().flat_map(Part::cancellations));
+                }
             }
             Event::Settings { settings, class_mapping } => {
-                self.context.settings = Settings::clone(settings);
-                self.context.fleet.latency.apply_settings(settings, class_mapping);
-                self.admission.apply_settings(&self.context);
-                self.endpoints.apply_settings(&mut self.context);
+                self.settings = Settings::clone(settings);
+                self.admission.apply_settings(&self.settings, self.now);
+                self.replicas.apply_settings(&self.settings, class_mapping, &mut self.rng, self.now);
             }
             Event::TimerFired => self.timer_at = 0,
         }
     }
 
-    fn receive(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Query { query, group, class, tenant, expected_work, time_left } = event else { return };
-        let (settings, now) = (&self.context.settings, self.context.now);
-        let Some(of_class) = settings.classes.get(usize::from(class.0)) else {
-            return actions.push(Action::Fail(*query));
+    /// Adds a query that was received, or fails it if its class is unknown.
+    fn receive(
+        &mut self,
+        mut query: Query,
+        tenant: TenantId,
+        expected_work: Nanos,
+        time_left: Nanos,
+        actions: &mut Vec<Action>,
+    ) {
+        let settings = &self.settings;
+        let Some(class) = settings.classes.get(usize::from(query.class.0)) else {
+            actions.push(Action::Fail(query.id));
+            return;
+        };
+        let extension = (class.objective_stretch * expected_work as f64) as Nanos;
+        let objective = (class.latency_objective + extension).min(class.deadline);
+        let objective_margin = settings.ticks(OBJECTIVE_MARGIN_TICKS);
+        let deadline_margin = settings.ticks(DEADLINE_MARGIN_TICKS);
+        let time_to_deadline = time_left.saturating_sub(deadline_margin);
+        query.deadline = self.now.saturating_add(time_to_deadline);
+        query.respond_by = (self.now + objective.saturating_sub(objective_margin)).min(query.deadline);
+        query.priority = class.priority_weight;
+        if self.admission.is_over_quota(tenant, settings, self.now) {
+            query.priority *= settings.over_quota_weight;
+        }
+        if query.priority >= settings.max_priority_weight() {
+            let samples = self.queries.samples().count();
+            query.sampled = take_sample(samples, &mut self.rng);
+        }
+        query.admission_draw = self.rng.f64();
+        self.attempts.record_received(self.now);
+        self.queries.insert(query);
+    }
+
+    /// Advances an open query: admits or rejects it, sends its parts, and ends it when that is due.
+    fn advance(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
+        let Some(query) = self.queries.get_open_mut(number) else {
+            return;
+        };
+        if query.stage == Stage::Received {
+            let admitted = self.admission.admit(query, &self.replicas, &self.settings, self.now);
+            if !admitted {
+                let ending = Ending::GiveUp;
+                actions.extend(finish(query, ending, &self.settings, &mut self.rng, self.now));
+                return;
+            }
+            query.stage = Stage::FirstStep;
+            self.queries.reindex(number);
+        }
+        let Some(query) = self.queries.get_open_mut(number) else {
+            return;
         };
-        let stretch = (of_class.objective_stretch * expected_work.unwrap_or(0) as f64) as Nanos;
-        let objective = (of_class.latency_objective + stretch).min(of_class.deadline);
-        let over_quota = self.admission.over_quota(*tenant, &self.context);
-        let priority = of_class.priority_weight * if over_quota { settings.over_quota_weight } else { 1.0 };
-        let deadline = now.saturating_add(time_left.saturating_sub(settings.ticks(DEADLINE_MARGIN_TICKS)));
-        let respond_by = now + objective.saturating_sub(settings.ticks(OBJECTIVE_MARGIN_TICKS));
-        let top = priority >= settings.max_priority_weight();
-        let sampled = top && take_sample(self.queries.samples().count(), &mut self.context.rng);
-        self.retries.earn(now);
-        self.queries.insert(Query {
-            priority,
-            admission_draw: self.context.rng.f64(),
-            respond_by: respond_by.min(deadline),
-            deadline,
-            sampled,
-            ..Query::new(*query, *class, *group, now)
-        });
+        let is_shedding = self.admission.is_shedding();
+        let timeout = attempt_timeout(query, is_shedding, &self.settings, self.now);
+        actions.extend(self.attempts.send_parts(
+            query,
+            timeout,
+            &mut self.replicas,
+            &self.settings,
+            &mut self.rng,
+            self.now,
+        ));
+        if let Some(ending) = due_ending(query, &self.settings, self.now) {
+            actions.extend(finish(query, ending, &self.settings, &mut self.rng, self.now));
+        }
     }
 
-    /// Removes expired state, and updates the admitted share by the quality of the last window.
+    /// Removes expired state, rebalances the replicas, and updates the admission controller by the
+    /// answer quality of the last window.
     fn control(&mut self) {
-        let (settings, now) = (&self.context.settings, self.context.now);
-        let period = settings.ticks(CONTROL_TICKS);
+        let now = self.now;
+        let period = self.settings.ticks(CONTROL_PERIOD_TICKS);
         self.next_control_at = now + period;
-        self.queries.remove_closed(now.saturating_sub(QUALITY_WINDOW));
-        self.endpoints.remove_unlisted(now.saturating_sub(REMOVAL_WINDOWS * QUALITY_WINDOW));
-        self.retries.expire(now, settings.retry_budget.map_or(0, |budget| 2 * budget.window));
-        self.endpoints.balance(&self.context);
-        let reading = measure_quality(self.queries.samples(), |a| self.endpoints.served_since(a), now);
-        self.controller.update(&reading, period);
+        let window_start = now.saturating_sub(QUALITY_WINDOW);
+        self.queries.remove_closed(window_start);
+        let removal_time = now.saturating_sub(REMOVAL_WINDOWS * QUALITY_WINDOW);
+        self.replicas.remove_unlisted(removal_time);
+        self.attempts.expire(&self.settings, now);
+        self.replicas.balance(&self.settings, now);
+        let answered_since = |attempt: &_| self.replicas.has_answered_since(attempt);
+        let reading = measure_quality(self.queries.samples(), answered_since, now);
+        self.admission.update(&reading, period);
     }
 
     /// Sets a timer for what is due next, unless an earlier one is set already.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let (settings, now) = (&self.context.settings, self.context.now);
-        let look = self.queries.open().next().map(|_| now + settings.ticks(CONTROL_TICKS / 10));
-        let control = Some(self.next_control_at.max(now + settings.tick));
-        let next = self.queries.due_after(now).chain(look).chain(control).chain(self.poll.due_at()).min();
-        if let Some(at) = next.filter(|at| self.timer_at <= now || *at < self.timer_at) {
-            self.timer_at = at;
-            actions.push(Action::SetTimer(at));
+        let now = self.now;
+        let next_control = self.next_control_at.max(now + self.settings.tick);
+        let next_check = now + self.settings.ticks(CHECK_PERIOD_TICKS);
+        let has_open_queries = self.queries.open().next().is_some();
+        let next = self
+            .queries
+            .due_after(now)
+            .chain(has_open_queries.then_some(next_check))
+            .chain(self.poll.due_at())
+            .fold(next_control, Nanos::min);
+        let is_set = self.timer_at > now;
+        if !is_set || next < self.timer_at {
+            self.timer_at = next;
+            actions.push(Action::SetTimer(next));
         }
     }
 }
--- a/src/policy/polling.rs
+++ b/src/policy/polling.rs
@@ -1,32 +1,36 @@
-//! When to ask for the endpoint list, where it comes only when asked.
+//! Timing of polls for the endpoint list, where it is not pushed.
+
+#[cfg(test)]
+mod tests;
 
 use crate::interface::{EndpointListKind, Nanos};
 
-/// Share of the longest interval between polls within which a failed one is made again.
+/// Fraction of the longest poll interval within which a failed poll is repeated.
 const RETRY_FRACTION: u64 = 8;
-/// The least share of that wait; the rest is drawn.
-const MIN_RETRY_WAIT: f64 = 0.25;
+/// Least share of that wait; the rest is drawn.
+const MIN_RETRY_WAIT_SHARE: f64 = 0.25;
 
-/// The next poll, where one is due at all.
+/// Schedule of polls for the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointPoll {
     due_at: Option<Nanos>,
 }
 
 impl EndpointPoll {
-    /// The first poll is due at once, where the settings say how often to poll.
+    /// Creates a schedule whose first poll is due at once if the settings have a longest interval.
     #[must_use]
     pub fn new(max_interval: Option<Nanos>, now: Nanos) -> Self {
         EndpointPoll { due_at: max_interval.map(|_| now) }
     }
 
-    /// When the next poll is due.
+    /// Returns when the next poll is due, if one is.
     #[must_use]
     pub fn due_at(&self) -> Option<Nanos> {
         self.due_at
     }
 
-    /// Is a poll due? Then it is taken to be made, and the next is due after half the longest interval.
+    /// Returns whether a poll is due. If so it counts as made, and the next is due after half the
+    /// longest interval.
     pub fn take_due(&mut self, max_interval: Option<Nanos>, now: Nanos) -> bool {
         let due = self.due_at.is_some_and(|at| at <= now);
         if due {
@@ -35,18 +39,21 @@
         due
     }
 
-    /// A list, or changes to it, was received: while a subscription lasts no polls are due.
+    /// Records that a list, or changes to it, was received: while a subscription lasts no polls are
+    /// due.
     pub fn list_received(&mut self, kind: EndpointListKind) {
-        self.due_at = self.due_at.filter(|_| kind == EndpointListKind::Cached);
+        if kind != EndpointListKind::Cached {
+            self.due_at = None;
+        }
     }
 
-    /// A poll failed: the next is due after a jittered wait, well inside the longest interval.
+    /// Records that a poll failed: the next is due after a jittered wait, well inside the longest
+    /// interval.
     pub fn poll_failed(&mut self, max_interval: Option<Nanos>, now: Nanos, rng: &mut fastrand::Rng) {
-        let longest = max_interval.map(|interval| (interval / RETRY_FRACTION) as f64);
-        let wait = longest.map(|wait| wait * (MIN_RETRY_WAIT + (1.0 - MIN_RETRY_WAIT) * rng.f64()));
-        self.due_at = wait.map(|wait| now + wait as Nanos);
+        self.due_at = max_interval.map(|interval| {
+            let longest_wait = (interval / RETRY_FRACTION) as f64;
+            let jitter = (1.0 - MIN_RETRY_WAIT_SHARE) * rng.f64();
+            now + (longest_wait * (MIN_RETRY_WAIT_SHARE + jitter)) as Nanos
+        });
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/policy/quality/mod.rs
+++ b/src/policy/quality/mod.rs
@@ -1,52 +1,74 @@
-//! Answer quality, measured on a sample of the queries of the highest priority as in Ubora (Kelley et al.,
-//! "Obtaining and Managing Answer Quality for Online Data-Intensive Services"), here the paper.
+//! Answer quality, measured on a sample of the queries of the highest priority, as in Ubora (Kelley
+//! et al., "Obtaining and Managing Answer Quality for Online Data-Intensive Services").
+
+mod sampling;
+
+#[cfg(test)]
+mod tests;
+
+pub use sampling::{take_sample, TARGET_SAMPLES};
 
 use crate::interface::{Nanos, Outcome};
-use crate::queries::{Attempt, Query};
+use crate::queries::{Attempt, Part, Query};
 
-/// Window of the quality readings, in ns: the design's 10 s.
+/// Window of a quality reading, in ns.
 pub const QUALITY_WINDOW: Nanos = 10_000_000_000;
-/// Samples wanted in a window: the paper takes 20 of 100 requests; 6 cost more than they save.
-pub const TARGET_SAMPLES: f64 = 20.0;
-/// Samples kept at most: more cost time in each batch and tell nothing new.
-const MAX_SAMPLES: f64 = 200.0;
-/// Least share of high-priority queries sampled: the paper's.
-const MIN_SAMPLED_SHARE: f64 = 0.2;
-
-/// The quality of the sampled answers in a window.
+
+/// Reading of the answer quality over one window.
 #[derive(Debug)]
 pub struct QualityReading {
-    /// The weight that was answered over the weight that would have been in by the record limit.
+    /// Weight that was answered in time, as a share of the weight that was answered at all or is
+    /// late; 1 without samples.
     pub quality: f64,
-    /// How many samples it rests on.
+    /// Number of samples in the reading.
     pub samples: f64,
 }
 
-/// Should the next query of the highest priority be sampled, beside the samples kept?
-#[must_use]
-pub fn take_sample(samples: usize, rng: &mut fastrand::Rng) -> bool {
-    let samples = samples as f64;
-    samples < TARGET_SAMPLES || (samples < MAX_SAMPLES && rng.f64() < MIN_SAMPLED_SHARE)
+/// Weights of sampled parts, summed up.
+#[derive(Default)]
+struct WeightSums {
+    in_time: f64,
+    expected: f64,
 }
 
-/// Reads the samples of the last window. A part that is missing counts if its replica has answered others
-/// since, which `answered_since` tells of an attempt: then it is late, not lost.
+/// Reads the answer quality from the samples of the last window.
+///
+/// A missing part counts as late if its replica rejected it or has answered others since, which
+/// `answered_since` returns of an attempt; otherwise it is lost and does not count.
 pub fn measure_quality<'a>(
     samples: impl Iterator<Item = &'a Query>,
     answered_since: impl Fn(&Attempt) -> bool,
     now: Nanos,
 ) -> QualityReading {
-    let from = now.saturating_sub(QUALITY_WINDOW);
-    let late = |a: &Attempt| a.outcome == Some(Outcome::Rejected) || answered_since(a);
-    let ripe = |q: &&Query| q.first_answer.is_some() || !q.is_open() || now >= q.respond_by;
-    let (mut answered, mut expected, mut count) = (0.0, 0.0, 0.0);
-    for query in samples.filter(|q| q.received_at >= from).filter(ripe) {
-        let by = query.first_answer.map_or(query.respond_by, |first| first.at.min(query.respond_by));
-        for part in query.parts.iter().filter(|p| !p.follow_up) {
-            answered += part.weight * f64::from(part.answered_at.is_some_and(|at| at <= by));
-            expected += part.weight * f64::from(part.is_answered() || part.attempts.iter().any(late));
+    let window_start = now.saturating_sub(QUALITY_WINDOW);
+    let mut sums = WeightSums::default();
+    let mut count = 0.0;
+    for query in samples {
+        if query.received_at >= window_start && is_settled(query, now) {
+            add_query(&mut sums, query, &answered_since);
+            count += 1.0;
         }
-        count += 1.0;
     }
-    QualityReading { quality: if expected > 0.0 { answered / expected } else { 1.0 }, samples: count }
+    let quality = if sums.expected > 0.0 { sums.in_time / sums.expected } else { 1.0 };
+    QualityReading { quality, samples: count }
+}
+
+/// Returns whether the quality of a query's answer is determined: the query was answered or given
+/// up, or should have been answered by now.
+fn is_settled(query: &Query, now: Nanos) -> bool {
+    query.first_answer.is_some() || !query.is_open() || now >= query.respond_by
+}
+
+fn add_query(sums: &mut WeightSums, query: &Query, answered_since: &impl Fn(&Attempt) -> bool) {
+    let answer_time = query.first_answer.map_or(query.respond_by, |first| first.at.min(query.respond_by));
+    for part in query.parts.iter().filter(|part| !part.follow_up) {
+        let in_time = part.answered_at.is_some_and(|at| at <= answer_time);
+        let expected = part.is_answered() || is_late(part, answered_since);
+        sums.in_time += part.weight * f64::from(in_time);
+        sums.expected += part.weight * f64::from(expected);
+    }
+}
+
+fn is_late(part: &Part, answered_since: &impl Fn(&Attempt) -> bool) -> bool {
+    part.attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Rejected) || answered_since(attempt))
 }
--- /dev/null
+++ b/src/policy/quality/sampling.rs
@@ -0,0 +1,16 @@
+//! Sampling: which queries the answer quality is measured on.
+
+/// Number of samples wanted in a quality window.
+pub const TARGET_SAMPLES: f64 = 20.0;
+/// Maximum number of samples, which bounds the time of each batch.
+const MAX_SAMPLES: f64 = 200.0;
+/// Share of the queries beyond the target that is sampled.
+const SAMPLED_SHARE: f64 = 0.2;
+
+/// Decides whether to sample the next query of the highest priority, given the number of samples
+/// in the query table.
+#[must_use]
+pub fn take_sample(samples: usize, rng: &mut fastrand::Rng) -> bool {
+    let samples = samples as f64;
+    samples < TARGET_SAMPLES || (samples < MAX_SAMPLES && rng.f64() < SAMPLED_SHARE)
+}
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,208 +1,271 @@
-//! The endpoint table: the state of each replica, and the choice of a replica for a part.
+//! Which replica: the replicas of the endpoint list, their health and warm-up, and the choice among
+//! a shard's holders.
 
 mod outlier;
+mod replica;
 mod rotation;
 mod slow_start;
 
-pub use outlier::is_overdue;
+pub use replica::Candidate;
 
-use super::Context;
-use crate::interface::{ClassId, Endpoint, EndpointListKind, Nanos, Outcome, ReplicaId, ShardId};
+use super::fleet::{FleetLatency, FleetStatistics};
+use crate::interface::{ClassId, Endpoint, EndpointListKind, Nanos, Outcome, ReplicaId, Settings, ShardId};
 use crate::membership::Membership;
-use crate::queries::{Attempt, AttemptKey, AttemptsByAge, EndedAttempt, InFlight, InFlightTable};
+use crate::queries::{Attempt, AttemptKey, EndedAttempt, InFlight, InFlightTable};
 use crate::stats::exponential;
-use outlier::OutlierDetector;
+use replica::Replica;
 use rotation::Rotation;
-use slow_start::SlowStartGuard;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica is skipped if its cost exceeds this multiple of the lowest among the shard's holders
+/// Multiple of the lowest cost among a shard's holders above which a replica is skipped,
 const SKIP_RATIO: f64 = 1.4;
-/// plus this share of the mean response time.
-const SKIP_MARGIN: f64 = 0.5;
-/// The least share of its capacity at which a failing or warming replica counts: some parts must probe it.
-const MIN_CAPACITY: f64 = 0.1;
-/// An unused connection counts as idle after this fraction of the shortest objective.
-const IDLE_FRACTION: u64 = 4;
-/// The share of sends that still use idle connections while these are dropped, to detect when that ends.
-const IDLE_SAMPLE: f64 = 0.2;
-
-/// The state of a replica.
-#[derive(Debug, Default)]
-struct Replica {
-    health: OutlierDetector,
-    slow_start: SlowStartGuard,
-    in_flight: AttemptsByAge,
-    /// When a connection to it was last used, and whether it had been idle before that.
-    used_at: Nanos,
-    idle_connection: bool,
-}
+/// plus this multiple of the mean response time.
+const SKIP_MARGIN_RESPONSE_TIMES: f64 = 0.5;
 
-/// The shard that a part is for, and its class.
+/// Shard that a part is for, and the class of its query.
 #[derive(Debug, Clone, Copy)]
 pub struct Target {
+    /// Class of the query.
     pub class: ClassId,
+    /// Shard of the part.
     pub shard: ShardId,
 }
 
-/// A replica that a part may be sent to, its expected wait, and that plus the cost of errors, in ns.
-pub struct Candidate {
-    pub replica: ReplicaId,
-    pub expected_wait: f64,
-    cost: f64,
-}
-
-/// All replicas: their listing, health, warm-up and rotation, and the attempts in flight there.
-#[derive(Debug, Default)]
-pub struct EndpointTable {
+/// All replicas, and what was observed of them.
+#[derive(Debug)]
+pub struct ReplicaTable {
     membership: Membership,
     replicas: BTreeMap<ReplicaId, Replica>,
     rotation: Rotation,
     in_flight: InFlightTable,
+    fleet: FleetStatistics,
 }
 
-impl EndpointTable {
-    /// Applies new settings. What was observed of replicas is kept.
-    pub fn apply_settings(&mut self, context: &mut Context) {
-        self.rotation.grow(context.settings.shards as usize, &mut context.rng);
-        self.assign_shards(context);
+impl ReplicaTable {
+    /// Creates a table without replicas.
+    pub fn new(settings: &Settings, rng: &mut fastrand::Rng) -> Self {
+        let mut rotation = Rotation::default();
+        rotation.grow(settings.shards as usize, rng);
+        ReplicaTable {
+            membership: Membership::default(),
+            replicas: BTreeMap::new(),
+            rotation,
+            in_flight: InFlightTable::new(),
+            fleet: FleetStatistics::new(settings),
+        }
+    }
+
+    /// Applies new settings. Observations of replicas are kept, and those of classes by
+    /// `class_mapping`: for each class, the former class that it continues.
+    pub fn apply_settings(
+        &mut self,
+        settings: &Settings,
+        class_mapping: &[ClassId],
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) {
+        self.fleet.latency.apply_settings(settings, class_mapping);
+        self.rotation.grow(settings.shards as usize, rng);
+        self.assign_shards(settings, now);
     }
 
-    pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId], context: &mut Context) {
+    /// Sets the shards of a replica, where its cell does not determine them.
+    pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId], rng: &mut fastrand::Rng) {
         self.membership.set_placement(replica, shards);
-        self.rotation.grow(self.membership.placed_shards(replica), &mut context.rng);
+        self.rotation.grow(self.membership.placed_shards(replica), rng);
     }
 
-    pub fn apply_list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint], context: &mut Context) {
-        self.membership.apply(kind, endpoints, context.now);
+    /// Applies an endpoint list, or changes to it.
+    pub fn apply_list(
+        &mut self,
+        kind: EndpointListKind,
+        endpoints: &[Endpoint],
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) {
+        self.membership.apply(kind, endpoints, now);
         for endpoint in endpoints {
-            let drawn_gap = exponential(&mut context.rng);
-            let replica = self.replicas.entry(endpoint.replica).or_insert_with(|| Replica {
-                health: OutlierDetector::new(context.fleet.latency.mean(), context.now),
-                slow_start: SlowStartGuard::new(drawn_gap),
-                ..Replica::default()
-            });
-            replica.slow_start.restart(endpoint.started_at);
+            let drawn_gap = exponential(rng);
+            let replica = self
+                .replicas
+                .entry(endpoint.replica)
+                .or_insert_with(|| Replica::new(&self.fleet, drawn_gap, now));
+            replica.slow_start.record_start(endpoint.started_at);
         }
-        self.assign_shards(context);
+        self.assign_shards(settings, now);
     }
 
-    fn assign_shards(&mut self, context: &Context) {
+    fn assign_shards(&mut self, settings: &Settings, now: Nanos) {
         for shard in self.rotation.shards() {
-            self.rotation.set_holders(shard, self.membership.holders(shard, &context.settings));
+            let holders = self.membership.holders(shard, settings);
+            self.rotation.set_holders(shard, holders);
         }
-        self.balance(context);
+        self.balance(settings, now);
     }
 
     /// Rebalances the shares of all replicas by their present capacities.
-    pub fn balance(&mut self, context: &Context) {
-        let capacity = |replica: &Replica| {
-            (replica.slow_start.capacity(context) * replica.health.capacity()).max(MIN_CAPACITY)
-        };
+    pub fn balance(&mut self, settings: &Settings, now: Nanos) {
+        let capacity = |replica: &Replica| replica.capacity(settings, now);
         let capacities = self.replicas.iter().map(|(id, replica)| (*id, capacity(replica))).collect();
         self.rotation.balance(&capacities);
     }
 
-    /// Replicas are replaced over time; one that returns is listed again with its start.
+    /// Removes replicas that no list has named since `horizon` and that have nothing in flight. One
+    /// that returns is listed again with its start.
     pub fn remove_unlisted(&mut self, horizon: Nanos) {
-        let in_use = |id| self.replicas.get(&id).is_some_and(|replica| !replica.in_flight.is_empty());
+        let in_use = |id| {
+            let replica = self.replicas.get(&id);
+            replica.is_some_and(|replica| !replica.in_flight.is_empty())
+        };
         self.membership.remove_unlisted(horizon, in_use);
         self.replicas.retain(|id, _| self.membership.contains(*id));
     }
 
-    /// Ready replicas that no part of an active class would be sent to now, whatever its shard.
-    pub fn ejected(&self, context: &Context) -> Vec<ReplicaId> {
-        let Some(at) = context.settings.classes.iter().position(|c| c.active) else { return Vec::new() };
-        let class = ClassId(at as u16);
-        let candidates = |shard| self.candidates(Target { class, shard }, &[], context);
-        let used: BTreeSet<_> = self.rotation.shards().flat_map(candidates).map(|c| c.replica).collect();
-        let holds_any = |id| self.rotation.shards().any(|shard| self.rotation.holds(shard, id));
-        let ejected = |id: &ReplicaId| holds_any(*id) && !used.contains(id);
-        self.membership.ready().filter(ejected).collect()
-    }
-
-    /// Chooses the replica for a part.
-    pub fn choose(&self, target: Target, exclude: &[ReplicaId], context: &Context) -> Option<Candidate> {
-        self.candidates(target, exclude, context).into_iter().next()
-    }
-
-    /// A shard's holders in rotation, skipping those with an overdue attempt unless all have one. Beyond the
-    /// paper's design it skips replicas that cost far more than the shard's best; none if all are slow.
-    fn candidates(&self, target: Target, exclude: &[ReplicaId], context: &Context) -> Vec<Candidate> {
-        let class = context.settings.class(target.class);
-        let work = work(target.class, context);
-        let candidate = |id: ReplicaId| {
-            let replica = self.replicas.get(&id).filter(|r| r.slow_start.admits(work, context))?;
-            let expected_wait = replica.health.expected_wait(&replica.in_flight, class, context);
-            let cost = expected_wait + replica.health.error_cost(class, context);
-            Some(Candidate { replica: id, expected_wait, cost })
+    /// Returns the ready replicas that no part of an active class would be sent to now, whatever
+    /// its shard.
+    pub fn ejected(&self, settings: &Settings, now: Nanos) -> Vec<ReplicaId> {
+        let Some(index) = settings.classes.iter().position(|class| class.active) else {
+            return Vec::new();
         };
-        let holders = self.rotation.in_turn(target.shard).filter(|id| !exclude.contains(id));
-        let mut candidates: Vec<Candidate> = holders.filter_map(candidate).collect();
-        let best = candidates.iter().map(|c| c.cost).fold(f64::INFINITY, f64::min);
-        candidates.retain(|c| c.cost <= SKIP_RATIO * best + SKIP_MARGIN * context.fleet.latency.mean());
+        let class = ClassId(index as u16);
+        let used: BTreeSet<ReplicaId> = self
+            .rotation
+            .shards()
+            .flat_map(|shard| self.candidates(Target { class, shard }, &[], settings, now))
+            .map(|candidate| candidate.replica)
+            .collect();
+        let holds_any = |id| {
+            let mut shards = self.rotation.shards();
+            shards.any(|shard| self.rotation.holds(shard, id))
+        };
+        self.membership.ready().filter(|id| holds_any(*id) && !used.contains(id)).collect()
+    }
+
+    /// Chooses the replica for a part: the first candidate in rotation.
+    pub fn choose(
+        &self,
+        target: Target,
+        exclude: &[ReplicaId],
+        settings: &Settings,
+        now: Nanos,
+    ) -> Option<Candidate> {
+        let candidates = self.candidates(target, exclude, settings, now);
+        candidates.into_iter().next()
+    }
+
+    /// Returns the holders of a shard in rotation, without those that warm up too slowly for the
+    /// part, and without those that cost far more than the shard's best: an overdue attempt is part
+    /// of the cost. If all are slow, none is left out for it.
+    fn candidates(
+        &self,
+        target: Target,
+        exclude: &[ReplicaId],
+        settings: &Settings,
+        now: Nanos,
+    ) -> Vec<Candidate> {
+        let class = settings.class(target.class);
+        let min_objective = settings.min_latency_objective();
+        let work = self.work(target.class, settings);
+        let mut candidates: Vec<Candidate> = self
+            .rotation
+            .in_rotation(target.shard)
+            .filter(|id| !exclude.contains(id))
+            .filter_map(|id| self.replicas.get(&id).map(|replica| (id, replica)))
+            .filter(|(_, replica)| replica.slow_start.admits(work, settings, now))
+            .map(|(id, replica)| replica.candidate(id, class, &self.fleet, min_objective, now))
+            .collect();
+        let costs = candidates.iter().map(|candidate| candidate.cost);
+        let lowest_cost = costs.fold(f64::INFINITY, f64::min);
+        let margin = SKIP_MARGIN_RESPONSE_TIMES * self.fleet.latency.mean();
+        candidates.retain(|candidate| candidate.cost <= SKIP_RATIO * lowest_cost + margin);
         candidates
     }
 
-    /// Rules 3 and 4: the replica is ready, holds the shard, and has capacity for the part if it warms up.
-    pub fn accepts(&self, target: Target, replica: ReplicaId, context: &Context) -> bool {
-        let work = work(target.class, context);
+    /// Returns whether a part may be sent to a replica: the rules "nothing to draining endpoints"
+    /// and "slow start".
+    pub fn accepts(&self, target: Target, replica: ReplicaId, settings: &Settings, now: Nanos) -> bool {
+        let work = self.work(target.class, settings);
+        let has_capacity = |replica: &Replica| replica.slow_start.admits(work, settings, now);
         self.membership.is_ready(replica)
             && self.rotation.holds(target.shard, replica)
-            && self.replicas.get(&replica).is_some_and(|r| r.slow_start.admits(work, context))
-    }
-
-    /// Records an attempt that is sent. `true`: idle connections to the replica must be closed first.
-    pub fn send(&mut self, key: AttemptKey, target: Target, to: ReplicaId, context: &mut Context) -> bool {
-        let work = work(target.class, context);
-        let Some(replica) = self.replicas.get_mut(&to) else { return false };
-        let mut close = false;
-        if replica.used_at < context.now && replica.in_flight.is_empty() {
-            // While idle connections are dropped they are closed before use, except for a sample.
-            let fresh = context.now.saturating_sub(context.settings.min_latency_objective() / IDLE_FRACTION);
-            let idle = (1..fresh).contains(&replica.used_at);
-            close = idle && context.fleet.connections.idle_are_dropped() && context.rng.f64() > IDLE_SAMPLE;
-            replica.idle_connection = idle && !close;
-        }
-        context.fleet.connections.record_use(replica.used_at, context.now);
-        replica.used_at = context.now;
-        replica.in_flight.insert(context.now, key);
-        replica.slow_start.record_send(work, context);
-        let (concurrency, idle_connection) = (replica.in_flight.len(), replica.idle_connection);
-        let sent = InFlight { replica: to, class: target.class, concurrency, idle_connection };
+            && self.replicas.get(&replica).is_some_and(has_capacity)
+    }
+
+    /// Records an attempt that is sent, and returns whether idle connections to the replica must be
+    /// closed first.
+    pub fn record_send(
+        &mut self,
+        key: AttemptKey,
+        target: Target,
+        to: ReplicaId,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) -> bool {
+        let work = self.work(target.class, settings);
+        let Some(replica) = self.replicas.get_mut(&to) else {
+            return false;
+        };
+        let min_objective = settings.min_latency_objective();
+        let close_idle = replica.prepare_connection(&self.fleet, min_objective, rng, now);
+        self.fleet.connections.record_use(replica.last_used_at, now);
+        replica.last_used_at = now;
+        replica.in_flight.insert(now, key);
+        replica.slow_start.record_send(work, settings.slow_start, rng, now);
+        let sent = InFlight {
+            replica: to,
+            class: target.class,
+            concurrency: replica.in_flight.len(),
+            idle_connection: replica.was_idle,
+        };
         self.in_flight.insert(key, sent);
         self.rotation.advance(target.shard);
-        close
+        close_idle
     }
 
-    /// Records how an attempt ended; `false`: it was not in flight.
+    /// Records how an attempt ended, and returns whether it was in flight.
     pub fn complete(
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
         elapsed: Nanos,
-        context: &mut Context,
+        settings: &Settings,
+        now: Nanos,
     ) -> bool {
-        let Some(attempt) = self.in_flight.remove(&key) else { return false };
-        let Some(replica) = self.replicas.get_mut(&attempt.replica) else { return true };
+        let Some(attempt) = self.in_flight.remove(&key) else {
+            return false;
+        };
+        let Some(replica) = self.replicas.get_mut(&attempt.replica) else {
+            return true;
+        };
         replica.in_flight.remove(key);
-        let silent = replica.health.last_success < context.now.saturating_sub(elapsed);
-        context.fleet.connections.record_attempt(attempt.idle_connection, outcome != Outcome::Ok && silent);
-        replica.health.record(&EndedAttempt { attempt, outcome, elapsed, silent }, context);
+        let silent = replica.health.is_silent_for(elapsed, now);
+        let lost = outcome != Outcome::Ok && silent;
+        self.fleet.connections.record_attempt(attempt.idle_connection, lost);
+        let ended = EndedAttempt { attempt, outcome, elapsed, silent };
+        replica.health.record(&ended, &self.fleet, settings, now);
         if outcome == Outcome::Ok {
-            replica.used_at = context.now;
-            context.fleet.latency.record(attempt.class, elapsed, attempt.concurrency as f64);
+            replica.last_used_at = now;
+            let concurrency = attempt.concurrency as f64;
+            self.fleet.latency.record(attempt.class, elapsed, concurrency);
         }
         true
     }
 
-    /// The replica of an attempt has answered something since the attempt was sent.
-    pub fn served_since(&self, attempt: &Attempt) -> bool {
-        self.replicas.get(&attempt.replica).is_some_and(|r| r.health.last_success > attempt.sent_at)
+    /// Returns whether the replica of an attempt has answered anything since the attempt was sent.
+    pub fn has_answered_since(&self, attempt: &Attempt) -> bool {
+        let replica = self.replicas.get(&attempt.replica);
+        replica.is_some_and(|replica| replica.health.has_answered_since(attempt.sent_at))
     }
-}
 
-/// The work of a part and its call, in ns, by what was observed of its class.
-fn work(class: ClassId, context: &Context) -> f64 {
-    context.fleet.latency.work(class) + context.settings.call_overhead as f64
+    /// Returns the response times of the fleet.
+    pub fn latency(&self) -> &FleetLatency {
+        &self.fleet.latency
+    }
+
+    /// Returns the work of a part and its call, in ns, as observed of its class.
+    fn work(&self, class: ClassId, settings: &Settings) -> f64 {
+        self.fleet.latency.work(class) + settings.call_overhead as f64
+    }
 }
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -1,113 +1,202 @@
-//! Outlier detection: the health of a replica by its answers, and the expected wait there.
+//! Outlier detection: the health of a replica by its answers, and the wait to expect there.
 
-use super::Context;
-use crate::interface::{Class, Effect, Nanos, Outcome};
+use crate::interface::{Class, Effect, Nanos, Outcome, Settings};
+use crate::policy::fleet::FleetStatistics;
 use crate::queries::{AttemptsByAge, EndedAttempt};
 use crate::stats::{Backoff, DecayingAverage};
 
-/// An attempt is overdue after this multiple of the fleet's baseline response time.
-const OVERDUE_RATIO: f64 = 5.5;
-/// The gain of a replica's smoothed response time.
+/// Gain of a replica's smoothed response time.
 const LATENCY_GAIN: f64 = 0.5;
-/// Its half-life towards the fleet's mean, in objectives: a skipped replica is tried again.
-const LATENCY_HALF_LIFE: f64 = 0.5;
-/// The gain of a replica's error rate, and its half-life in objectives.
+/// Half-life of that time's distance to the fleet's mean, in latency objectives.
+const LATENCY_HALF_LIFE_OBJECTIVES: f64 = 0.5;
+/// Gain of a replica's error rate.
 const ERROR_GAIN: f64 = 0.15;
-const ERROR_HALF_LIFE: f64 = 4.0;
-/// The cost of an error to a part that may be retried, in mean response times: the attempt and its retry.
-const ERROR_COST: f64 = 2.0;
-/// The highest baseline that a latency decays to, as a share of the objective: past overload must decay.
-const MAX_BASELINE: f64 = 0.25;
-/// The factor on a replica's capacity for each consecutive failure without an answer.
-const FAILURE_FACTOR: f64 = 0.5;
-
-/// An attempt sent at this time has been in flight for so long that a retry is due.
-pub fn is_overdue(sent_at: Nanos, context: &Context) -> bool {
-    (context.now - sent_at) as f64 > OVERDUE_RATIO * context.fleet.latency.baseline()
+/// Half-life of the error rate, in latency objectives.
+const ERROR_HALF_LIFE_OBJECTIVES: f64 = 4.0;
+/// Cost of an error to a part that may be retried, in mean response times: the attempt and its
+/// retry.
+const ERROR_COST_RESPONSE_TIMES: f64 = 2.0;
+/// Highest baseline that a response time decays to, as a share of the latency objective, so that
+/// past overload decays.
+const MAX_BASELINE_SHARE: f64 = 0.25;
+/// Factor on a replica's capacity for each consecutive failure without an answer.
+const FAILURE_CAPACITY_FACTOR: f64 = 0.5;
+/// Penalty of an ejected replica, in latency objectives of the class.
+const EJECTION_PENALTY_OBJECTIVES: f64 = 1.0;
+/// Penalty of a due probe for a class that needs all parts, in its latency objectives.
+const PROBE_PENALTY_OBJECTIVES: f64 = 0.5;
+
+/// Evidence that an ended attempt gives about its replica.
+enum Evidence {
+    /// The replica answered.
+    Answer,
+    /// The replica's queue is full.
+    FullQueue,
+    /// The response time is at least that of the attempt.
+    SlowerThan,
+    /// The replica answered nothing since the attempt was sent.
+    Silence,
+    /// None.
+    None,
 }
 
-/// The health of one replica, estimated from its answers.
+/// Health of one replica, estimated from its answers.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
-    latency: DecayingAverage,
+    response_time: DecayingAverage,
     error_rate: DecayingAverage,
-    pub last_success: Nanos,
-    /// Consecutive failures without any answer, and when the next probe is due.
+    last_success_at: Nanos,
+    /// Consecutive failures without any answer, and the time of the next probe.
     backoff: Backoff,
 }
 
 impl OutlierDetector {
-    /// A new replica is assumed to be like the others.
-    pub fn new(latency: f64, now: Nanos) -> Self {
-        OutlierDetector { latency: DecayingAverage::new(latency, now), ..OutlierDetector::default() }
+    /// Creates the detector of a new replica, which is assumed to be like the others.
+    pub fn new(response_time: f64, now: Nanos) -> Self {
+        OutlierDetector {
+            response_time: DecayingAverage::new(response_time, now),
+            ..OutlierDetector::default()
+        }
     }
 
-    /// Its assumed capacity after its failures, as a share of that when healthy.
+    /// Returns the capacity assumed after failures, as a share of that when healthy.
     pub fn capacity(&self) -> f64 {
-        FAILURE_FACTOR.powi(self.backoff.failures() as i32)
+        FAILURE_CAPACITY_FACTOR.powi(self.backoff.failures() as i32)
+    }
+
+    /// Returns whether the replica has answered anything since a time.
+    pub fn has_answered_since(&self, at: Nanos) -> bool {
+        self.last_success_at > at
+    }
+
+    /// Returns whether the replica has answered nothing for the time that an attempt took.
+    pub fn is_silent_for(&self, elapsed: Nanos, now: Nanos) -> bool {
+        self.last_success_at < now.saturating_sub(elapsed)
     }
 
     /// Records how an attempt ended.
-    pub fn record(&mut self, ended: &EndedAttempt, context: &Context) {
-        let EndedAttempt { attempt, outcome, silent, .. } = *ended;
-        let elapsed = ended.elapsed as f64;
-        let objective = context.settings.class(attempt.class).latency_objective;
-        if matches!(outcome, Outcome::Ok | Outcome::Error) {
-            let half_life = ERROR_HALF_LIFE * context.settings.min_latency_objective() as f64;
-            let error = f64::from(outcome == Outcome::Error);
-            self.error_rate.record_decayed(context.now, half_life, error, ERROR_GAIN);
-        }
-        let answered_lately = context.now - self.last_success < objective;
-        let brief = elapsed < OVERDUE_RATIO * context.fleet.latency.baseline() && answered_lately;
-        let idle_connection =
-            attempt.idle_connection && silent && context.fleet.connections.idle_are_dropped();
-        match outcome {
-            Outcome::Ok => {
+    pub fn record(&mut self, ended: &EndedAttempt, fleet: &FleetStatistics, settings: &Settings, now: Nanos) {
+        let objective = settings.class(ended.attempt.class).latency_objective;
+        self.record_error_rate(ended.outcome, settings.min_latency_objective(), now);
+        match self.evidence(ended, objective, fleet, now) {
+            Evidence::Answer => {
                 self.backoff.succeed();
-                self.latency.record(context.now, elapsed, LATENCY_GAIN);
-                self.last_success = context.now;
+                self.response_time.record(now, ended.elapsed as f64, LATENCY_GAIN);
+                self.last_success_at = now;
             }
-            // A rejection is fast, but it means a full queue and thus a long wait.
-            Outcome::Rejected => self.latency.raise_to(context.now, objective as f64),
-            // Not sent, lost on an idle connection, or ended early amid recent answers: says nothing.
-            _ if outcome == Outcome::NotSent || idle_connection => {}
-            Outcome::Cancelled | Outcome::Reset | Outcome::Error if brief => {}
-            // Given up on while others were answered: the response time is at least this long.
-            _ if !silent && outcome != Outcome::ConnectFailed => {
-                self.latency.record_lower_bound(context.now, elapsed, LATENCY_GAIN);
+            // A rejection is fast, but a full queue means a long wait.
+            Evidence::FullQueue => self.response_time.raise_to(now, objective as f64),
+            Evidence::SlowerThan => {
+                self.response_time.record_lower_bound(now, ended.elapsed as f64, LATENCY_GAIN);
             }
-            // No answer since it was sent: probed after two mean response times, then four, and so on.
-            _ => self.backoff.fail(context.now, context.fleet.latency.mean()),
+            Evidence::Silence => self.backoff.fail(now, fleet.latency.mean()),
+            Evidence::None => {}
+        }
+    }
+
+    fn record_error_rate(&mut self, outcome: Outcome, min_objective: Nanos, now: Nanos) {
+        if matches!(outcome, Outcome::Ok | Outcome::Error) {
+            let error = f64::from(outcome == Outcome::Error);
+            let half_life = error_half_life(min_objective);
+            self.error_rate.record_decayed(now, half_life, error, ERROR_GAIN);
+        }
+    }
+
+    fn evidence(
+        &self,
+        ended: &EndedAttempt,
+        objective: Nanos,
+        fleet: &FleetStatistics,
+        now: Nanos,
+    ) -> Evidence {
+        let answered_lately = now - self.last_success_at < objective;
+        let brief = (ended.elapsed as f64) < fleet.latency.overdue_after() && answered_lately;
+        let lost_on_idle_connection =
+            ended.attempt.idle_connection && ended.silent && fleet.connections.idle_are_dropped();
+        match ended.outcome {
+            Outcome::Ok => Evidence::Answer,
+            Outcome::Rejected => Evidence::FullQueue,
+            Outcome::NotSent => Evidence::None,
+            _ if lost_on_idle_connection => Evidence::None,
+            Outcome::Cancelled | Outcome::Reset | Outcome::Error if brief => Evidence::None,
+            Outcome::ConnectFailed => Evidence::Silence,
+            _ if ended.silent => Evidence::Silence,
+            _ => Evidence::SlowerThan,
         }
     }
 
-    /// The expected wait at a replica, in ns: the longest of its decaying response time, the age of its
-    /// oldest attempt in flight, and the queueing of this instance's attempts there. An ejected replica,
-    /// which fails or has an attempt beyond the objective, has an objective added: it is used only if there
-    /// is no other. A due probe is made by classes that allow partial answers; for other classes half an
-    /// objective is added, so that a failure of long ago does not reject their queries for ever.
-    pub fn expected_wait(&self, in_flight: &AttemptsByAge, class: &Class, context: &Context) -> f64 {
-        let objective = context.settings.min_latency_objective() as f64;
-        let baseline = context.fleet.latency.mean().min(objective * MAX_BASELINE);
-        let half_life = (LATENCY_HALF_LIFE * objective).max(context.fleet.connections.reuse_interval());
-        let latency = self.latency.value_at(context.now, half_life, baseline);
-        let oldest = in_flight.oldest().map_or(0, |sent_at| context.now - sent_at);
-        let each = context.fleet.latency.per_in_flight().min(objective * MAX_BASELINE);
-        let wait = latency.max(oldest as f64).max(each * (in_flight.len() as f64 + 1.0));
+    /// Returns the wait to expect at the replica, in ns.
+    ///
+    /// It is the longest of the decayed response time, the age of the oldest attempt in flight and
+    /// the queueing of this coordinator's attempts there, plus a penalty while the replica is
+    /// ejected.
+    pub fn expected_wait(
+        &self,
+        in_flight: &AttemptsByAge,
+        class: &Class,
+        fleet: &FleetStatistics,
+        min_objective: Nanos,
+        now: Nanos,
+    ) -> f64 {
+        let max_baseline = min_objective as f64 * MAX_BASELINE_SHARE;
+        let oldest_age = in_flight.oldest().map_or(0, |sent_at| now - sent_at);
+        let wait_for_each = fleet.latency.per_in_flight().min(max_baseline);
+        let queueing = wait_for_each * (in_flight.len() as f64 + 1.0);
+        let wait = self.decayed_response_time(fleet, min_objective, now).max(oldest_age as f64).max(queueing);
+        wait + self.penalty(in_flight, oldest_age, class, now) * class.latency_objective as f64
+    }
+
+    /// Returns the smoothed response time as it has decayed towards the fleet's, in ns, so that a
+    /// replica that was skipped is tried again.
+    fn decayed_response_time(&self, fleet: &FleetStatistics, min_objective: Nanos, now: Nanos) -> f64 {
+        let objective = min_objective as f64;
+        let baseline = fleet.latency.mean().min(objective * MAX_BASELINE_SHARE);
+        let shortest = LATENCY_HALF_LIFE_OBJECTIVES * objective;
+        let half_life = shortest.max(fleet.connections.reuse_interval());
+        self.response_time.value_at(now, half_life, baseline)
+    }
+
+    /// Returns the penalty on the replica, in latency objectives of the class.
+    ///
+    /// A replica is ejected while it fails, or has an attempt beyond the objective: it is used only
+    /// if there is no other. Once its backoff is over, classes that allow partial answers probe it;
+    /// for other classes a smaller penalty stays, so that a failure of long ago does not reject
+    /// their queries forever.
+    fn penalty(&self, in_flight: &AttemptsByAge, oldest_age: Nanos, class: &Class, now: Nanos) -> f64 {
         let failing = self.backoff.is_failing();
-        let probe = in_flight.is_empty() && self.backoff.is_due(context.now);
-        let ejected = (failing && !probe) || oldest >= class.latency_objective;
-        let penalty = if ejected { 1.0 } else { f64::from(failing && !class.allows_partial()) / 2.0 };
-        wait + penalty * class.latency_objective as f64
+        let probe_due = in_flight.is_empty() && self.backoff.is_due(now);
+        let ejected = (failing && !probe_due) || oldest_age >= class.latency_objective;
+        if ejected {
+            EJECTION_PENALTY_OBJECTIVES
+        } else if failing && !class.allows_partial() {
+            PROBE_PENALTY_OBJECTIVES
+        } else {
+            0.0
+        }
     }
 
-    /// The expected cost of errors, in ns: a part that is not idempotent is lost with its query. A replica
-    /// that fails fast looks idle; parts that may be retried detect when it has recovered.
-    pub fn error_cost(&self, class: &Class, context: &Context) -> f64 {
-        let half_life = ERROR_HALF_LIFE * context.settings.min_latency_objective() as f64;
-        let error_rate = self.error_rate.value_at(context.now, half_life, 0.0);
-        let lost = class.effect == Effect::NonIdempotent;
-        error_rate
-            * if lost { class.latency_objective as f64 } else { ERROR_COST * context.fleet.latency.mean() }
+    /// Returns the expected cost of errors, in ns.
+    ///
+    /// A part that is not idempotent is lost with its query. A replica that fails fast looks idle;
+    /// parts that may be retried detect when it has recovered.
+    pub fn error_cost(
+        &self,
+        class: &Class,
+        fleet: &FleetStatistics,
+        min_objective: Nanos,
+        now: Nanos,
+    ) -> f64 {
+        let error_rate = self.error_rate.value_at(now, error_half_life(min_objective), 0.0);
+        let cost_of_error = if class.effect == Effect::NonIdempotent {
+            class.latency_objective as f64
+        } else {
+            ERROR_COST_RESPONSE_TIMES * fleet.latency.mean()
+        };
+        error_rate * cost_of_error
     }
 }
+
+/// Returns the half-life of an error rate, in ns.
+fn error_half_life(min_objective: Nanos) -> f64 {
+    ERROR_HALF_LIFE_OBJECTIVES * min_objective as f64
+}
--- a/src/policy/replicas/rotation.rs
+++ b/src/policy/replicas/rotation.rs
@@ -1,4 +1,4 @@
-//! Replica rotation: weighted round robin over the holders of each shard, with weights that balance load.
+//! Rotation: weighted round robin over the holders of each shard, with weights that balance load.
 
 use crate::interface::{ReplicaId, ShardId};
 use crate::stats::{balance_shares, Share};
@@ -6,67 +6,94 @@
 
 /// Rounds of balancing; each spreads the excess load of a replica one neighbour further.
 const BALANCE_ROUNDS: usize = 8;
-/// The drift of the position beyond an even step, so that over time it samples all of each share.
-const DRIFT: f64 = 0.01;
+/// Drift of the position beyond an even step, so that over time it samples all of each share.
+const POSITION_DRIFT: f64 = 0.01;
 
-/// The replicas that hold a shard, and the position of the rotation: 0 to 1, over their shares in order.
+/// Holders of one shard, with their shares of its parts, and the position of the rotation.
 #[derive(Debug)]
-struct Shard {
+struct ShardRotation {
     holders: Vec<Share<ReplicaId>>,
+    /// Position, 0 to 1, over the shares of the holders in order.
     position: f64,
 }
 
-/// The rotations of all shards.
+impl ShardRotation {
+    fn new(position: f64) -> Self {
+        ShardRotation { holders: Vec::new(), position }
+    }
+
+    /// Returns the index of the holder whose share contains the position.
+    fn first_holder(&self) -> usize {
+        let end_of_share = |index: usize| -> f64 { self.holders[..=index].iter().map(|h| h.share).sum() };
+        (0..self.holders.len()).find(|index| self.position < end_of_share(*index)).unwrap_or(0)
+    }
+
+    /// Advances the position by one even step and the drift.
+    fn advance(&mut self) {
+        let even_step = 1.0 / self.holders.len() as f64;
+        self.position = (self.position + even_step + POSITION_DRIFT).fract();
+    }
+}
+
+/// Rotations of all shards.
 #[derive(Debug, Default)]
 pub struct Rotation {
-    shards: Vec<Shard>,
+    shards: Vec<ShardRotation>,
 }
 
 impl Rotation {
-    /// Adds shards up to this count. Each rotation starts at a random position: otherwise instances with
-    /// little traffic would rotate in step.
+    /// Adds shards up to this count, each at a random position: otherwise coordinators with little
+    /// traffic would rotate in step.
     pub fn grow(&mut self, count: usize, rng: &mut fastrand::Rng) {
         let count = self.shards.len().max(count);
-        self.shards.resize_with(count, || Shard { holders: Vec::new(), position: rng.f64() });
+        self.shards.resize_with(count, || ShardRotation::new(rng.f64()));
     }
 
+    /// Returns all shards.
     pub fn shards(&self) -> impl Iterator<Item = ShardId> {
         (0..self.shards.len() as u32).map(ShardId)
     }
 
-    fn holders(&self, shard: ShardId) -> &[Share<ReplicaId>] {
-        self.shards.get(shard.0 as usize).map_or(&[], |shard| &shard.holders)
-    }
-
     /// Sets the holders of a shard, with equal shares.
     pub fn set_holders(&mut self, shard: ShardId, replicas: impl Iterator<Item = ReplicaId>) {
-        self.shards[shard.0 as usize].holders = replicas.map(|member| Share { member, share: 1.0 }).collect();
+        let holders = replicas.map(|member| Share { member, share: 1.0 });
+        self.shards[shard.0 as usize].holders = holders.collect();
     }
 
+    /// Returns whether a replica holds a shard.
     pub fn holds(&self, shard: ShardId, replica: ReplicaId) -> bool {
-        self.holders(shard).iter().any(|holder| holder.member == replica)
+        self.get(shard).is_some_and(|shard| shard.holders.iter().any(|holder| holder.member == replica))
     }
 
-    /// The holders of a shard in rotation, starting with the one whose share contains the position.
-    pub fn in_turn(&self, shard: ShardId) -> impl Iterator<Item = ReplicaId> + '_ {
-        let holders = self.holders(shard);
-        let position = self.shards.get(shard.0 as usize).map_or(0.0, |shard| shard.position);
-        let up_to = |n: usize| holders[..=n].iter().map(|holder| holder.share).sum::<f64>();
-        let first = (0..holders.len()).find(|n| position < up_to(*n)).unwrap_or(0);
-        (0..holders.len()).map(move |n| holders[(first + n) % holders.len()].member)
+    /// Returns the holders of a shard in rotation, from the one whose share contains the position.
+    pub fn in_rotation(&self, shard: ShardId) -> impl Iterator<Item = ReplicaId> + '_ {
+        let rotation = self.get(shard);
+        let holders = rotation.map_or(&[][..], |shard| &shard.holders);
+        let first = rotation.map_or(0, ShardRotation::first_holder);
+        let (before, from_first) = holders.split_at(first);
+        from_first.iter().chain(before).map(|holder| holder.member)
     }
 
-    /// Advances the rotation after a part was sent to one of the shard's holders.
+    /// Advances the rotation of a shard after a part was sent to one of its holders.
     pub fn advance(&mut self, shard: ShardId) {
-        let shard = &mut self.shards[shard.0 as usize];
-        shard.position = (shard.position + 1.0 / shard.holders.len() as f64 + DRIFT).fract();
+        self.shards[shard.0 as usize].advance();
     }
 
-    /// Balances the shares so that load is proportional to capacity. A replica whose neighbour drains or
-    /// warms up receives that one's parts too; all instances know this at once from the endpoint list, while
-    /// from answers alone it would take long. Its parts of other shards are shifted to their other holders.
+    /// Balances the shares so that load is proportional to capacity.
+    ///
+    /// A replica whose neighbour drains or warms up receives that one's parts too, and its own
+    /// parts of other shards shift to their other holders. All coordinators learn of this at once
+    /// from the endpoint list; from answers alone it would take long.
+    ///
+    /// # Panics
+    /// If a holder has no entry in `capacities`.
     pub fn balance(&mut self, capacities: &BTreeMap<ReplicaId, f64>) {
-        let mut groups: Vec<_> = self.shards.iter_mut().map(|shard| shard.holders.as_mut_slice()).collect();
+        let mut groups: Vec<&mut [Share<ReplicaId>]> =
+            self.shards.iter_mut().map(|shard| shard.holders.as_mut_slice()).collect();
         balance_shares(&mut groups, capacities, BALANCE_ROUNDS);
     }
+
+    fn get(&self, shard: ShardId) -> Option<&ShardRotation> {
+        self.shards.get(shard.0 as usize)
+    }
 }
--- a/src/policy/replicas/slow_start.rs
+++ b/src/policy/replicas/slow_start.rs
@@ -1,69 +1,93 @@
-//! The slow-start guard: how much work a replica that has just started is sent while it warms up.
+//! Slow start: how much work a replica that has just started is sent while it warms up.
 
-use super::Context;
-use crate::interface::Nanos;
+use crate::interface::{Nanos, Settings, SlowStartRule};
 use crate::stats::{exponential, safe_mean, TimeWindow};
 
-/// The cores assumed of a warming replica: the fewest it can have, less a fifth since work varies.
+/// Cores assumed of a warming replica: the fewest it can have, less a fifth since work varies.
 const ASSUMED_CORES: f64 = 0.8;
 /// Standard deviations by which randomly spaced parts stay below the limit.
 const SAFETY_DEVIATIONS: f64 = 2.5;
 
-/// The start of one replica, and the work it was sent lately.
+/// Start of one replica, and the work it was sent lately.
 #[derive(Debug, Default)]
 pub struct SlowStartGuard {
-    /// When it started; `None`: long ago.
+    /// Time of the last start; `None` if it is long past.
     started_at: Option<Nanos>,
-    /// The work sent, in ns.
-    sent: TimeWindow<f64>,
-    /// The randomly drawn gap before the next part, in mean gaps.
+    /// Work sent, in ns.
+    sent_work: TimeWindow<f64>,
+    /// Randomly drawn gap before the next part, in mean gaps.
     drawn_gap: f64,
 }
 
 impl SlowStartGuard {
+    /// Creates the guard of a replica of unknown start; `drawn_gap` in mean gaps between parts.
     pub fn new(drawn_gap: f64) -> Self {
         SlowStartGuard { drawn_gap, ..SlowStartGuard::default() }
     }
 
-    /// The endpoint list reports a start; 0: long ago.
-    pub fn restart(&mut self, at: Nanos) {
+    /// Records a start that the endpoint list reports; 0 if it is long past.
+    pub fn record_start(&mut self, at: Nanos) {
         if at > 0 {
             self.started_at = self.started_at.max(Some(at));
         }
     }
 
-    /// The replica's present capacity, as a share of that when warm.
-    pub fn capacity(&self, context: &Context) -> f64 {
-        let rule_and_start = context.settings.slow_start.zip(self.started_at);
-        rule_and_start.map_or(1.0, |(rule, start)| rule.capacity(context.now.saturating_sub(start)))
+    /// Returns the present capacity of the replica, as a share of its capacity when warm.
+    pub fn capacity(&self, rule: Option<SlowStartRule>, now: Nanos) -> f64 {
+        match (rule, self.started_at) {
+            (Some(rule), Some(started_at)) => rule.capacity(now.saturating_sub(started_at)),
+            _ => 1.0,
+        }
     }
 
-    /// Rule 4: a part of this work may be sent now. What all coordinators may send is split evenly; if a
-    /// share is less than one part, parts are spaced randomly, on average so far apart that all coordinators
+    /// Returns whether a part of this work, in ns, may be sent now: the rule "slow start".
+    ///
+    /// What all coordinators together may send is split evenly among them. Where a share is less
+    /// than one part, each coordinator spaces its parts randomly, on average so far apart that all
     /// together stay below the limit with a margin for chance.
-    pub fn admits(&self, work: f64, context: &Context) -> bool {
-        let Some((rule, started_at)) = context.settings.slow_start.zip(self.started_at) else { return true };
-        let capacity = |at: Nanos| rule.capacity(at.saturating_sub(started_at));
-        if capacity(context.now) >= 1.0 {
+    pub fn admits(&self, work: f64, settings: &Settings, now: Nanos) -> bool {
+        let (Some(rule), Some(started_at)) = (settings.slow_start, self.started_at) else {
+            return true;
+        };
+        let age = now.saturating_sub(started_at);
+        if rule.capacity(age) >= 1.0 {
             return true;
         }
-        let limit = |at| rule.overload_factor * capacity(at) * ASSUMED_CORES * rule.overload_window as f64;
-        let coordinators = f64::from(context.settings.coordinators.max(1));
-        let share = limit(context.now) / coordinators;
+        let coordinators = f64::from(settings.coordinators.max(1));
+        let share = window_limit(&rule, age) / coordinators;
         if share >= work {
-            return share - self.sent.sum(context.now, rule.overload_window) >= work;
+            return share - self.sent_work.sum(now, rule.overload_window) >= work;
         }
-        let last = self.sent.latest().map_or(started_at, |sent| sent.max(started_at));
-        let parts = safe_mean(limit(last.midpoint(context.now)) / work, SAFETY_DEVIATIONS);
-        (context.now - last) as f64 / rule.overload_window as f64 * parts / coordinators >= self.drawn_gap
+        self.mean_gaps_since_last(work, &rule, started_at, now) / coordinators >= self.drawn_gap
+    }
+
+    /// Returns the time since the last part or the start, in mean gaps between the parts of all
+    /// coordinators.
+    fn mean_gaps_since_last(&self, work: f64, rule: &SlowStartRule, started_at: Nanos, now: Nanos) -> f64 {
+        let last_sent = self.sent_work.latest().unwrap_or(started_at);
+        let last = last_sent.max(started_at);
+        let mean_age = last.midpoint(now).saturating_sub(started_at);
+        let parts_per_window = safe_mean(window_limit(rule, mean_age) / work, SAFETY_DEVIATIONS);
+        (now - last) as f64 / rule.overload_window as f64 * parts_per_window
     }
 
-    /// Records that a part of this work is sent.
-    pub fn record_send(&mut self, work: f64, context: &mut Context) {
-        if let Some(rule) = context.settings.slow_start {
-            self.sent.expire(context.now, rule.overload_window);
+    /// Records that a part of this work, in ns, is sent.
+    pub fn record_send(
+        &mut self,
+        work: f64,
+        rule: Option<SlowStartRule>,
+        rng: &mut fastrand::Rng,
+        now: Nanos,
+    ) {
+        if let Some(rule) = rule {
+            self.sent_work.expire(now, rule.overload_window);
         }
-        self.sent.push(context.now, work);
-        self.drawn_gap = exponential(&mut context.rng);
+        self.sent_work.push(now, work);
+        self.drawn_gap = exponential(rng);
     }
 }
+
+/// Returns the work, in ns, that overloads a replica of this age if sent within one window.
+fn window_limit(rule: &SlowStartRule, age: Nanos) -> f64 {
+    rule.overload_factor * rule.capacity(age) * ASSUMED_CORES * rule.overload_window as f64
+}
--- a/src/queries/query.rs
+++ b/src/queries/query.rs
@@ -170,10 +170,15 @@
         self.stage != Stage::Closed
     }
 
-    /// The parts of its present step.
+    /// Returns whether a part belongs to the present step.
+    #[must_use]
+    pub fn is_in_step(&self, part: &Part) -> bool {
+        part.follow_up == (self.stage == Stage::FollowUp)
+    }
+
+    /// Returns the parts of the present step.
     pub fn step_parts(&self) -> impl Iterator<Item = &Part> {
-        let follow_up = self.stage == Stage::FollowUp;
-        self.parts.iter().filter(move |part| part.follow_up == follow_up)
+        self.parts.iter().filter(|part| self.is_in_step(part))
     }
 
     /// The weight that was answered in its present step, each part once.
