--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -3,7 +3,7 @@
 mod standin;
 
 use serde_json::json;
-use standin::client::{query, query_request, read_response, read_until_close, send_request, ResponseHead};
+use standin::client::{query, read_response, read_until_close, send_request, QueryRequest, ResponseHead};
 use standin::data_node::{DataNode, UnreachableNode};
 use standin::deployment::Deployment;
 use standin::discovery::{all_in_service, endpoint_list, serve_constant_list, ControlledDiscovery};
@@ -24,11 +24,14 @@
     // Stopped: the kernel has all this, and the signal, when the process continues.
     edge.signal("STOP");
     persistent
-        .write_all(query_request("kept", "look", &[0], "Connection: close\r\n").as_bytes())
+        .write_all(QueryRequest::new("kept", "look", &[0]).close_connection().to_http().as_bytes())
         .expect("written");
     let queued: Vec<_> = (0..5)
         .map(|n| {
-            send_request(&edge, &query_request(&format!("q{n}"), "once", &[0, 1], "Connection: close\r\n"))
+            send_request(
+                &edge,
+                &QueryRequest::new(&format!("q{n}"), "once", &[0, 1]).close_connection().to_http(),
+            )
         })
         .collect();
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
@@ -56,7 +59,7 @@
         .map(|(class, n)| {
             send_request(
                 &edge,
-                &query_request(&format!("{class}{n}"), class, &[0, 1, 2, 3], "Connection: close\r\n"),
+                &QueryRequest::new(&format!("{class}{n}"), class, &[0, 1, 2, 3]).close_connection().to_http(),
             )
         })
         .collect();
@@ -70,7 +73,7 @@
         let mut client = BufReader::new(send_request(&edge, ""));
         loop {
             n += 1;
-            let next = query_request(&format!("n{n}"), "once", &[4], "").replace("In: 30", "In: 0.05");
+            let next = QueryRequest::new(&format!("n{n}"), "once", &[4]).timeout_seconds(0.05).to_http();
             if client.get_mut().write_all(next.as_bytes()).is_err() {
                 break;
             }
@@ -101,7 +104,7 @@
     let agent = ControlledDiscovery::new();
     let site = Deployment { latency_objective_ms: 500, ..Deployment::ALL_EFFECTS };
     let (mut edge, _watch) = site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
-    let mut client = BufReader::new(send_request(&edge, &query_request("q", "once", &[0], "")));
+    let mut client = BufReader::new(send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http()));
     edge.wait_for_counter("queries_accepted", 1);
     // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from here.
     edge.signal("TERM");
@@ -111,7 +114,7 @@
     edge.signal("HUP");
     assert_eq!(read_response(&mut client), Some(ResponseHead { status: 504, closes: false }));
     assert_eq!(client.read(&mut [0]).expect("closed in good order"), 0, "shortly before the last answer");
-    let mut last = BufReader::new(send_request(&edge, &query_request("last", "once", &[1], "")));
+    let mut last = BufReader::new(send_request(&edge, &QueryRequest::new("last", "once", &[1]).to_http()));
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
@@ -126,7 +129,7 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let (mut edge, _watch) = Deployment::ALL_EFFECTS.start_controlled("retry-end", &agent, &addresses);
-    let client = send_request(&edge, &query_request("q", "once", &[0], ""));
+    let client = send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http());
     let (sender, attempts) = channel();
     for listener in nodes {
         let sender = sender.clone();
@@ -152,7 +155,7 @@
     let agent = ControlledDiscovery::new();
     let (edge, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("linger-end", &agent, &nodes.each_ref().map(|n| n.address));
-    let mut client = send_request(&edge, &query_request("q", "look", &[0], "Connection: close\r\n"));
+    let mut client = send_request(&edge, &QueryRequest::new("q", "look", &[0]).close_connection().to_http());
     let mut text = String::new();
     client.read_to_string(&mut text).expect("to its end");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -13,8 +13,9 @@
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
 
-/// How long clients wait for an answer, in seconds: less than the latency objective of the classes.
-const QUERY_TIMEOUT_SECONDS: u32 = 8;
+/// The time in seconds that clients wait for an answer: less than the latency objective of the
+/// classes.
+const QUERY_TIMEOUT_SECONDS: f64 = 8.0;
 
 fn query(process: &Process, id: &str, class: &str, shards: &[u32]) -> Response {
     query_with_timeout(process, id, class, shards, QUERY_TIMEOUT_SECONDS)
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -1,6 +1,6 @@
 //! Answers that come after their attempt or their query has ended.
 
-use crate::standin::client::{query_request, read_until_close, send_request};
+use crate::standin::client::{read_until_close, send_request, QueryRequest};
 use crate::standin::data_node::DataNode;
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{endpoint_list, terminating, ControlledDiscovery};
@@ -23,7 +23,7 @@
     let agent = ControlledDiscovery::new();
     let (edge, _watch) = Deployment { latency_objective_ms: 8_000, ..Deployment::ALL_EFFECTS }
         .start_controlled("late", &agent, &addresses);
-    let client = send_request(&edge, &query_request("late", "look", &[0], "Connection: close\r\n"));
+    let client = send_request(&edge, &QueryRequest::new("late", "look", &[0]).close_connection().to_http());
     let (sender, attempts) = channel();
     for (node, listener) in nodes.into_iter().enumerate() {
         let sender = sender.clone();
@@ -66,7 +66,7 @@
         .start_controlled("after", &agent, &addresses);
     watch.send(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
     edge.wait_for_counter("endpoint_updates", 3);
-    let client = send_request(&edge, &query_request("q", "some", &[0, 1], "Connection: close\r\n"));
+    let client = send_request(&edge, &QueryRequest::new("q", "some", &[0, 1]).close_connection().to_http());
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut ids = read_part_ids(&mut stream).expect("a part");
     if ids.len() < 2 {
@@ -77,7 +77,7 @@
     assert!(text.starts_with("HTTP/1.1 200") && text.contains("\"full\":false"), "{text}");
     // The late answer, then a query on the same connection.
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[1])).expect("written");
-    let next = send_request(&edge, &query_request("next", "look", &[1], "Connection: close\r\n"));
+    let next = send_request(&edge, &QueryRequest::new("next", "look", &[1]).close_connection().to_http());
     assert_eq!(read_part_ids(&mut stream).expect("on the connection that is open"), ["next.1"]);
     write_answer(&mut stream, "next.1 served 1 -\ncell").expect("written");
     assert!(read_until_close(next).starts_with("HTTP/1.1 200"));
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that disconnect while their query waits: nothing of it is sent afterwards.
 
-use crate::standin::client::{query, query_request, read_until_close, send_request};
+use crate::standin::client::{query, read_until_close, send_request, QueryRequest};
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{all_in_service, endpoint_list, terminating, ControlledDiscovery};
@@ -23,7 +23,7 @@
         let trailing_bytes = [
             String::new(),
             "POST /api HTT".to_owned(),
-            query_request("next", "look", &[0], ""),
+            QueryRequest::new("next", "look", &[0]).to_http(),
             "x".repeat(300_000),
         ];
         let classes = ["look", "once", "some"];
@@ -31,8 +31,10 @@
         for (n, (class, trailing_bytes)) in
             classes.iter().flat_map(|c| trailing_bytes.iter().map(move |b| (c, b))).enumerate()
         {
-            let mut client =
-                send_request(&edge, &query_request(&format!("left{n}"), class, &[0, 1, 2, 3, 4, 5], ""));
+            let mut client = send_request(
+                &edge,
+                &QueryRequest::new(&format!("left{n}"), class, &[0, 1, 2, 3, 4, 5]).to_http(),
+            );
             // The process reads only part of it; the rest is not waited for.
             client.set_nonblocking(true).expect("set");
             let _ = client.write(trailing_bytes.as_bytes());
@@ -67,7 +69,7 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("left-retry", &agent, &addresses);
-    let client = send_request(&edge, &query_request("left", "look", &[0], ""));
+    let client = send_request(&edge, &QueryRequest::new("left", "look", &[0]).to_http());
     // The node that receives it keeps it until no node accepts parts.
     let (sender, attempts) = channel();
     let served = nodes.map(|listener| {
@@ -91,7 +93,7 @@
     watch.send(&endpoint_list(3, false, &all_in_service(&addresses)));
     edge.wait_for_counter("endpoint_updates", 4);
     // The nodes accept parts again: only that of another client is sent.
-    let other = send_request(&edge, &query_request("stays", "look", &[0], ""));
+    let other = send_request(&edge, &QueryRequest::new("stays", "look", &[0]).to_http());
     let (ids, mut stream) = attempts.recv().expect("an attempt");
     assert_eq!(ids, ["stays.0"]);
     write_answer(&mut stream, "stays.0 served 1 -\ncell").expect("written");
@@ -115,10 +117,12 @@
     for n in 0..20 {
         drop(send_request(
             &edge,
-            &query_request(&format!("left{n}"), ["look", "once", "some", "key"][n % 4], &[0, 1], ""),
+            &QueryRequest::new(&format!("left{n}"), ["look", "once", "some", "key"][n % 4], &[0, 1])
+                .to_http(),
         ));
     }
-    let stays = send_request(&edge, &query_request("stays", "look", &[0, 1], "Connection: close\r\n"));
+    let stays =
+        send_request(&edge, &QueryRequest::new("stays", "look", &[0, 1]).close_connection().to_http());
     edge.signal("CONT");
     assert!(read_until_close(stays).starts_with("HTTP/1.1 200"));
     edge.wait_for_counter("queries_abandoned", 20);
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -1,6 +1,6 @@
 //! Connections that are established late, or closed when idle.
 
-use crate::standin::client::{query, query_request, read_until_close, send_request};
+use crate::standin::client::{query, read_until_close, send_request, QueryRequest};
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
@@ -39,7 +39,7 @@
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
     watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
-    let client = send_request(&edge, &query_request("key", "key", &[0], "Connection: close\r\n"));
+    let client = send_request(&edge, &QueryRequest::new("key", "key", &[0]).close_connection().to_http());
     let (mut first, _) = listener.accept().expect("a connection");
     assert_eq!(read_part_ids(&mut first).expect("the first attempt"), ["key.0"]);
     watch.send(&endpoint_list(3, false, &[terminating(0, addresses[0]), in_service(1, addresses[1])]));
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,6 +1,6 @@
 //! Data nodes, queries and assertions that several of these tests share.
 
-use crate::standin::client::{query, query_request, send_request};
+use crate::standin::client::{query, send_request, QueryRequest};
 use crate::standin::data_node::DataNode;
 use crate::standin::process::Process;
 use std::net::{SocketAddr, TcpStream};
@@ -14,7 +14,7 @@
 
 /// Sends four queries whose parts must not run twice, each on a connection of its own.
 pub fn send_non_idempotent_queries(process: &Process) -> Vec<TcpStream> {
-    let query = |n| query_request(&format!("q{n}"), "once", &[0, 1, 2, 3], "Connection: close\r\n");
+    let query = |n| QueryRequest::new(&format!("q{n}"), "once", &[0, 1, 2, 3]).close_connection().to_http();
     (0..4).map(|n| send_request(process, &query(n))).collect()
 }
 
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -6,23 +6,53 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// How long a client waits for the answer of a query, in seconds, as its header says.
-const QUERY_TIMEOUT_SECONDS: u32 = 30;
+/// The time in seconds that a client waits for the answer of a query, as its header says.
+const QUERY_TIMEOUT_SECONDS: f64 = 30.0;
+/// The statement of each query.
+const STATEMENT: &str = "c41e77d0";
 
-/// A request for a query over these shards, with further header lines, each ended by CR LF.
-pub fn query_request(id: &str, class: &str, shards: &[u32], headers: &str) -> String {
-    query_request_with_timeout(id, class, shards, headers, QUERY_TIMEOUT_SECONDS)
+/// A request for a query, as the platform's clients send it.
+pub struct QueryRequest<'a> {
+    id: &'a str,
+    class: &'a str,
+    shards: &'a [u32],
+    timeout_seconds: f64,
+    closes_connection: bool,
 }
 
-fn query_request_with_timeout(id: &str, class: &str, shards: &[u32], headers: &str, seconds: u32) -> String {
-    let fraction = 1.0 / shards.len() as f64;
-    let tablets: Vec<_> = shards.iter().map(|shard| json!({"tablet": shard, "fraction": fraction})).collect();
-    let body = json!({"tablets": tablets, "statement": "c41e77d0"}).to_string();
-    format!(
-        "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\nX-Expires-In: {seconds}\r\n{headers}\
-         Content-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
+impl<'a> QueryRequest<'a> {
+    /// A query with this trace id and class over these shards, on a connection that is kept open.
+    pub fn new(id: &'a str, class: &'a str, shards: &'a [u32]) -> QueryRequest<'a> {
+        let timeout_seconds = QUERY_TIMEOUT_SECONDS;
+        QueryRequest { id, class, shards, timeout_seconds, closes_connection: false }
+    }
+
+    /// Sets how long the client waits for the answer.
+    pub fn timeout_seconds(self, timeout_seconds: f64) -> QueryRequest<'a> {
+        QueryRequest { timeout_seconds, ..self }
+    }
+
+    /// Asks for the connection to be closed after the response.
+    pub fn close_connection(self) -> QueryRequest<'a> {
+        QueryRequest { closes_connection: true, ..self }
+    }
+
+    /// Returns the text of the HTTP request.
+    pub fn to_http(&self) -> String {
+        let fraction = 1.0 / self.shards.len() as f64;
+        let tablet = |shard| json!({"tablet": shard, "fraction": fraction});
+        let tablets: Vec<Value> = self.shards.iter().map(tablet).collect();
+        let body = json!({"tablets": tablets, "statement": STATEMENT}).to_string();
+        let connection = if self.closes_connection { "Connection: close\r\n" } else { "" };
+        format!(
+            "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {}\r\nX-Qos: {}\r\n\
+             X-Expires-In: {}\r\n{connection}Content-Length: {}\r\n\r\n{body}",
+            self.id,
+            self.class,
+            self.timeout_seconds,
+            body.len()
+        )
+    }
 }
 
 /// Sends a query on a connection of its own and waits for the answer.
@@ -36,9 +66,10 @@
     id: &str,
     class: &str,
     shards: &[u32],
-    seconds: u32,
+    seconds: f64,
 ) -> Response {
-    process.send_request(&query_request_with_timeout(id, class, shards, "Connection: close\r\n", seconds))
+    let request = QueryRequest::new(id, class, shards).timeout_seconds(seconds).close_connection();
+    process.send_request(&request.to_http())
 }
 
 /// Sends a request and returns the connection on which its response will arrive.
