--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -24,7 +24,9 @@
         cuts in vec(1usize..90, 1..20),
     ) {
         let bytes = format!("{line}{end}");
-        let (mut caller, mut rest, mut cuts) = (AdminConnection::default(), bytes.as_bytes(), cuts.into_iter().cycle());
+        let mut caller = AdminConnection::default();
+        let mut rest = bytes.as_bytes();
+        let mut cuts = cuts.into_iter().cycle();
         let mut call = caller.command(false);
         while call.is_none() && !rest.is_empty() {
             let (now, later) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
@@ -62,8 +64,11 @@
                 bytes.extend_from_slice(body);
             }
         }
-        let (mut server, mut got, mut out) = (ServerConnection::default(), Vec::new(), Vec::new());
-        let (mut cuts, mut writes) = (cuts.into_iter().cycle(), writes.into_iter().cycle());
+        let mut server = ServerConnection::default();
+        let mut got = Vec::new();
+        let mut out = Vec::new();
+        let mut cuts = cuts.into_iter().cycle();
+        let mut writes = writes.into_iter().cycle();
         let mut rest = &bytes[..];
         loop {
             let n = cuts.next().unwrap_or(1).min(rest.len());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -154,7 +154,8 @@
     fn submit(&mut self, instance: usize) {
         self.schedule(PAUSE, instance, Due::Query);
         self.order += 100;
-        let (id, dice) = (self.order, self.rng.usize(..10));
+        let id = self.order;
+        let dice = self.rng.usize(..10);
         let class = if dice >= self.wide { SEND } else { [LOOKUP, REPORT][dice % 2] };
         let shards: Vec<u32> = match class {
             SEND => vec![self.rng.u32(..u32::from(NODES) / 5)],
@@ -244,7 +245,9 @@
 #[test]
 fn all_instances_return_to_recovered_nodes_gradually() {
     let mut fleet = Fleet::new(&site());
-    let (from, back, end) = (START + 5 * S, START + 10 * S, START + 26 * S);
+    let from = START + 5 * S;
+    let back = START + 10 * S;
+    let end = START + 26 * S;
     // Two neighbours: nobody answers for the shard that both hold.
     fleet.outage = Outage { nodes: 2, from, until: back };
     fleet.run(end);
@@ -264,7 +267,8 @@
         let within = |at: Nanos| parts.iter().filter(|p| (at..at + 100 * MS).contains(p)).count();
         (from..to).step_by(100 * MS as usize).map(within).max().unwrap_or(0)
     };
-    let (usual, returning) = (most(START, from), most(back, back + 5 * S));
+    let usual = most(START, from);
+    let returning = most(back, back + 5 * S);
     assert!(returning <= 2 * usual, "{returning} parts in 100 ms, {usual} before");
 }
 
@@ -272,7 +276,8 @@
 fn instances_with_only_non_idempotent_queries_return_to_recovered_nodes() {
     // Only idempotent parts probed a failed node: these instances rejected queries to its shard for good.
     let mut fleet = Fleet::new(&site());
-    let (back, end) = (START + 10 * S, START + 26 * S);
+    let back = START + 10 * S;
+    let end = START + 26 * S;
     fleet.wide = 0;
     fleet.outage = Outage { nodes: 2, from: START + 3 * S, until: back };
     fleet.run(end);
@@ -337,7 +342,8 @@
     for n in 0..INSTANCES {
         fleet.schedule(drained - START, n, Due::Draining(10));
     }
-    let (from, end) = (drained + S, drained + 12 * S);
+    let from = drained + S;
+    let end = drained + 12 * S;
     fleet.run(end);
     let load = |node: u8| fleet.sent.iter().filter(|s| s.node == node && s.at >= from).count() as f64;
     let mean = (0..NODES).filter(|n| *n != 10).map(load).sum::<f64>() / f64::from(NODES - 1);
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -49,7 +49,8 @@
 #[test]
 fn after_sigterm_all_requests_are_answered_and_the_process_exits_although_nodes_hang() {
     // One node hangs, the other cannot be connected to; the clients' timeouts are longer than the 3.7 s until the kill.
-    let (hanging, unreachable) = (DataNode::hanging(), UnreachableNode::new());
+    let hanging = DataNode::hanging();
+    let unreachable = UnreachableNode::new();
     let agent = ControlledDiscovery::new();
     let (mut edge, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("hung", &agent, &[hanging.address, unreachable.address()]);
@@ -68,7 +69,9 @@
     edge.signal("TERM");
     edge.wait_for_log("told to end");
     // On one connection after the other, each for as long as it stays open.
-    let (mut answers, mut closed, mut n) = (0, 0, 0);
+    let mut answers = 0;
+    let mut closed = 0;
+    let mut n = 0;
     while closed < 4 {
         let mut client = BufReader::new(send_request(&edge, ""));
         loop {
@@ -100,7 +103,8 @@
 
 #[test]
 fn an_answered_client_that_never_closes_does_not_delay_the_exit_until_the_kill() {
-    let (hanging, other) = (DataNode::hanging(), DataNode::hanging());
+    let hanging = DataNode::hanging();
+    let other = DataNode::hanging();
     let agent = ControlledDiscovery::new();
     let site = Deployment { latency_objective_ms: 500, ..Deployment::ALL_EFFECTS };
     let (mut edge, _watch) = site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
--- a/tests/levels.rs
+++ b/tests/levels.rs
@@ -131,7 +131,8 @@
             ref other => panic!("{other:?}"),
         };
         let waits: Vec<Nanos> = (0..200).map(retry_after).collect();
-        let (low, high) = (*waits.iter().min().expect("some"), *waits.iter().max().expect("some"));
+        let low = *waits.iter().min().expect("some");
+        let high = *waits.iter().max().expect("some");
         assert!(low >= min && high <= S, "{retry_after_factor}: {low} to {high}");
         assert!(high - low > (S - min) * 9 / 10, "{retry_after_factor}: spread from {low} to {high}");
     }
--- a/tests/node_connections/cases.rs
+++ b/tests/node_connections/cases.rs
@@ -33,7 +33,8 @@
 
 /// Writes all output; the bytes and the events.
 fn write_all(connection: &mut MultiplexedConnection) -> (Vec<u8>, Vec<AttemptEvent>) {
-    let (mut wire, mut events) = (Vec::new(), Vec::new());
+    let mut wire = Vec::new();
+    let mut events = Vec::new();
     while !connection.output().is_empty() {
         wire.extend_from_slice(connection.output());
         connection.record_written(connection.output().len(), &mut events);
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -16,7 +16,8 @@
 
 #[test]
 fn pages_of_all_shards_are_merged_and_a_limited_response_continues() {
-    let (north, south) = (FeatureServer::healthy(0..7, 3), FeatureServer::healthy(100..105, 2));
+    let north = FeatureServer::healthy(0..7, 3);
+    let south = FeatureServer::healthy(100..105, 2);
     let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
     let edge = Process::start_edge("pages", "", &rows);
     let complete = edge.get(ITEMS);
@@ -25,7 +26,8 @@
     assert_eq!(complete.json()["numberMatched"], 12);
     assert_eq!(complete.headers["x-answer-whole"], "true");
     assert_eq!(north.count_requests(|t| t.starts_with("/collections/n/items")), 3, "each page once");
-    let (mut returned, mut next) = (Vec::new(), Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9")));
+    let mut returned = Vec::new();
+    let mut next = Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9"));
     while let Some(target) = next {
         let page = edge.get(&target);
         assert!(page.ids().len() <= 4);
@@ -120,7 +122,8 @@
         Reply::Json(body) => Reply::Truncated(body),
         other => other,
     };
-    let (a, b) = (FeatureServer::start(cut), FeatureServer::start(cut));
+    let a = FeatureServer::start(cut);
+    let b = FeatureServer::start(cut);
     let rows = inventory_row("a", &a, "devices", "") + &inventory_row("b", &b, "devices", "");
     let edge = Process::start_edge("once", "", &rows);
     assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: once\r\n").status, 502);
@@ -130,7 +133,8 @@
 
 #[test]
 fn a_hanging_server_causes_a_timeout_or_a_partial_response() {
-    let (healthy, hung) = (FeatureServer::healthy(0..3, 10), FeatureServer::start(|_| Reply::Hang));
+    let healthy = FeatureServer::healthy(0..3, 10);
+    let hung = FeatureServer::start(|_| Reply::Hang);
     let rows = inventory_row("a", &healthy, "devices/n", "") + &inventory_row("b", &hung, "devices/s", "");
     let edge = Process::start_edge("hang", "", &rows);
     let timed_out = edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
@@ -187,7 +191,8 @@
         }
         healthy_reply(target, 0..6, 2)
     });
-    let (healthy, hung) = (FeatureServer::healthy(0..6, 2), FeatureServer::start(|_| Reply::Hang));
+    let healthy = FeatureServer::healthy(0..6, 2);
+    let hung = FeatureServer::start(|_| Reply::Hang);
     let clock = inventory_row("h", &hung, "hung", "");
     let edge = Process::start_edge("drain", "", &(inventory_row("a", &draining, "devices", "") + &clock));
     std::thread::scope(|scope| {
--- a/tests/ogc_run.rs
+++ b/tests/ogc_run.rs
@@ -283,7 +283,8 @@
         let start = Instant::now();
         let mut round = 0usize;
         while start.elapsed() < duration {
-            let (server, fault) = ((round * 5) % SERVERS, round % FAULTS.len());
+            let server = (round * 5) % SERVERS;
+            let fault = round % FAULTS.len();
             self.faults[server].store(fault, Relaxed);
             self.burst.store(FAULTS[fault] == "burst", Relaxed);
             if FAULTS[fault] == "drain" {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -182,8 +182,8 @@
     drop(std::os::unix::net::UnixListener::bind(temporary.join("quinceflow-127.0.0.1-0.sock")));
     let mut predecessor = first.start_successor(&temporary);
     assert_ne!(predecessor.address, first.address, "there was no predecessor");
-    let (predecessor_admin, mut persistent) =
-        (predecessor.management_address(), TcpStream::connect(predecessor.address).expect("it listens"));
+    let predecessor_admin = predecessor.management_address();
+    let mut persistent = TcpStream::connect(predecessor.address).expect("it listens");
     predecessor.wait_until_ready();
     let successor = predecessor.start_successor(&temporary);
     assert_eq!(successor.address, predecessor.address, "the same socket");
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -45,7 +45,9 @@
 
 /// All identifiers over the next links; `between` is called before each response with its number.
 fn follow(edge: &Process, first: &str, mut between: impl FnMut(usize)) -> (Vec<String>, usize) {
-    let (mut ids, mut next, mut responses) = (Vec::new(), Some(first.to_owned()), 0);
+    let mut ids = Vec::new();
+    let mut next = Some(first.to_owned());
+    let mut responses = 0;
     while let Some(target) = next {
         between(responses);
         let response = edge.get(&target);
@@ -76,7 +78,8 @@
 
 #[test]
 fn the_number_of_requests_follows_the_features_returned() {
-    let (north, south) = (server(0..20_000), server(20_000..40_000));
+    let north = server(0..20_000);
+    let south = server(20_000..40_000);
     let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
     let edge = Process::start_edge("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
@@ -96,7 +99,8 @@
 fn each_feature_is_returned_once_despite_differing_replicas_outages_and_a_reload() {
     // Two replicas in opposite orders, each down for a while in turn: neither can continue the pages of the other.
     let down: [Arc<AtomicBool>; 2] = Default::default();
-    let (a, b) = (replica(&down[0], 0..2_000, |next| next), replica(&down[1], 0..2_000, |next| 1_999 - next));
+    let a = replica(&down[0], 0..2_000, |next| next);
+    let b = replica(&down[1], 0..2_000, |next| 1_999 - next);
     let other = server(5_000..6_000);
     let rows = inventory_row("a", &a, "devices/n", "")
         + &inventory_row("b", &b, "devices/n", "")
@@ -122,7 +126,8 @@
 
 #[test]
 fn forged_expired_and_foreign_cursors_are_rejected() {
-    let (north, south) = (server(0..50), server(100..150));
+    let north = server(0..50);
+    let south = server(100..150);
     let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
     let edge = Process::start_edge("cursors", "", &rows);
     let next = edge.get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9")).link("next").expect("a next link");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -170,8 +170,9 @@
             format!("POST /api HTTP/1.1\r\nX-Trace-Id: q6\r\nX-Qos: brief\r\n{time}Connection: close\r\n");
         edge.send_request(&format!("{head}Content-Length: {}\r\n\r\n{body}", body.len())).status
     };
-    let (whole, time, text) =
-        ("{\"tablet\":0,\"fraction\":1}", "X-Expires-In: 0.2\r\n", ",\"statement\":\"c\"");
+    let whole = "{\"tablet\":0,\"fraction\":1}";
+    let time = "X-Expires-In: 0.2\r\n";
+    let text = ",\"statement\":\"c\"";
     assert_eq!(asked(whole, time, text), 503, "a valid one reaches the nodes, which do not answer");
     assert_eq!(asked(whole, "", text), 400);
     assert_eq!(asked(whole, "X-Expires-In: soon\r\n", text), 400);
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -59,7 +59,8 @@
 #[test]
 fn an_answer_after_its_query_completed_is_dropped_and_its_part_not_retried() {
     let agent = ControlledDiscovery::new();
-    let (healthy, listener) = (DataNode::serving(), bind_loopback());
+    let healthy = DataNode::serving();
+    let listener = bind_loopback();
     let addresses = [healthy.address, listener.local_addr().expect("bound")];
     // Two shards, one on each node: the other holder is draining, so that the late part cannot be retried elsewhere.
     let (edge, mut watch) = Deployment { latency_objective_ms: 600, ..Deployment::ALL_EFFECTS }
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -10,7 +10,8 @@
 
 #[test]
 fn a_connection_established_after_its_dial_timed_out_carries_no_parts() {
-    let (unreachable, healthy) = (UnreachableNode::new(), DataNode::serving());
+    let unreachable = UnreachableNode::new();
+    let healthy = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let site = Deployment { connect_timeout_ms: Some(150), ..Deployment::ALL_EFFECTS };
     let (edge, _watch) =
@@ -33,7 +34,8 @@
 #[test]
 fn a_retry_whose_connection_is_established_after_the_retry_window_is_not_sent() {
     // Regression: the retry window was checked at dispatch only; a retry whose connection was established later was sent.
-    let (listener, unreachable) = (bind_loopback(), UnreachableNode::new());
+    let listener = bind_loopback();
+    let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -105,7 +105,8 @@
 fn a_new_discovery_address_applies_during_the_backoff_of_a_watch() {
     // Regression: where lists are polled the backoff is up to must-ask-in, here 600 s, and a SIGHUP took effect after it.
     let (nodes, addresses) = two_serving_nodes();
-    let (old, new) = (ControlledDiscovery::new(), ControlledDiscovery::new());
+    let old = ControlledDiscovery::new();
+    let new = ControlledDiscovery::new();
     let edge = Deployment { push_discovery: false, ..Deployment::ALL_EFFECTS }.start_with_discovery(
         "moved",
         old.address(),
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -48,7 +48,8 @@
     // wait behind it. These never ran, so they are retried whatever their class; fully written ones may have run and are not.
     use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
     const QUERIES: usize = 90;
-    let (stalled, healthy) = (bind_loopback(), UnreachableNode::new());
+    let stalled = bind_loopback();
+    let healthy = UnreachableNode::new();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
     let agent = ControlledDiscovery::new();
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -26,7 +26,8 @@
         harness.answer(parts[0]);
     }
     // Which is first is drawn.
-    let (first, next) = (seen[0], seen[1]);
+    let first = seen[0];
+    let next = seen[1];
     assert_ne!(first, next);
     assert_eq!(seen, [first, next, first, next]);
     let (_, _, stuck) = harness.submit(&[0]);
@@ -197,7 +198,8 @@
     settings.classes.push(class(Effect::NonIdempotent));
     let mut harness = Harness::new(settings);
     let mut errors = |class: u16, rounds: usize, failing: bool| {
-        let (mut seen, mut met) = (0, 0);
+        let mut seen = 0;
+        let mut met = 0;
         for _ in 0..rounds {
             let (_, parts, actions) = harness.submit_as(class, 0, &[0]);
             let mut sent = sent_attempts(&actions);
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -57,10 +57,12 @@
     /// A node whose behaviour depends on the number of the part, from 1.
     pub fn start(behaviour: impl Fn(usize) -> NodeBehaviour + Send + Sync + 'static) -> DataNode {
         let log = Arc::new(NodeLog::default());
-        let (shared, behaviour) = (log.clone(), Arc::new(behaviour));
+        let shared = log.clone();
+        let behaviour = Arc::new(behaviour);
         let address = accept_on_thread(move |stream| {
             *shared.connections.lock().expect("count") += 1;
-            let (log, behaviour) = (shared.clone(), behaviour.clone());
+            let log = shared.clone();
+            let behaviour = behaviour.clone();
             std::thread::spawn(move || {
                 if serve(stream, &log, &*behaviour).is_ok() {
                     *log.closed_connections.lock().expect("count") += 1;
@@ -93,7 +95,8 @@
         let (line, payload) = call.split_once('\n').expect("a line");
         let words: Vec<&str> = line.split(' ').collect();
         assert_eq!((words.len(), words[2].starts_with("d="), payload), (4, true, PAYLOAD));
-        let (id, shard) = (words[0], words[1]);
+        let id = words[0];
+        let shard = words[1];
         let number = {
             let mut received = log.received_parts.lock().expect("log");
             received.push(id.to_owned());
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -35,7 +35,8 @@
         let log = targets.clone();
         let behaviour: Arc<Mutex<Behaviour>> = Arc::new(Mutex::new(Box::new(behaviour)));
         let address = accept_on_thread(move |stream| {
-            let (log, behaviour) = (log.clone(), behaviour.clone());
+            let log = log.clone();
+            let behaviour = behaviour.clone();
             std::thread::spawn(move || serve(stream, &log, &behaviour));
         });
         FeatureServer { address, targets }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -94,7 +94,8 @@
         std::thread::spawn(move || {
             BufReader::new(errors).lines().map_while(Result::ok).for_each(|l| drop(lines.send(l)))
         });
-        let (address, management) = (([127, 0, 0, 1], 0).into(), Mutex::default());
+        let address = ([127, 0, 0, 1], 0).into();
+        let management = Mutex::default();
         let mut process = Process { child, address, folder, log: Mutex::new(log), management };
         process.address = last_address(&process.wait_for_log("listens on"));
         process
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -81,8 +81,10 @@
     let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
     let mut all = Vec::new();
     while !bytes.is_empty() {
-        let (length, number) = (word(bytes) as usize, word(&bytes[4..]));
-        let (mut body, rest) = (&bytes[8..4 + length], &bytes[4 + length..]);
+        let length = word(bytes) as usize;
+        let number = word(&bytes[4..]);
+        let mut body = &bytes[8..4 + length];
+        let rest = &bytes[4 + length..];
         let mut codes = Vec::new();
         while !body.is_empty() {
             codes.push(body[0]);
