--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -167,13 +167,14 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// What ends queries among the actions, and the answers from first steps.
+/// Returns those of the actions that end a query, and the answers from first steps.
 pub fn final_actions(actions: &[Action]) -> Vec<Action> {
-    let end = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Reject { .. } | Action::Fail(_));
+    let end =
+        |action: &&Action| matches!(action, Action::Answer { .. } | Action::Reject { .. } | Action::Fail(_));
     actions.iter().filter(end).cloned().collect()
 }
 
-/// A query was rejected.
+/// Whether a query was rejected.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -114,7 +114,7 @@
 
 #[test]
 fn what_comes_behind_a_request_never_stops_the_reading_of_it_and_costs_it_no_answer() {
-    // With 80 KB behind its request a client was not read from any more, so nobody saw that it left.
+    // A client that sends more than 80 KB behind its request is read on, so that its close is seen.
     let mut server = ServerConnection::default();
     server.input().extend(b"GET /up HTTP/1.1\r\n\r\n");
     assert!(matches!(server.next_request(), Some(Ok(_))) && server.awaits_response());
@@ -152,7 +152,7 @@
         server.end_of_input();
         let error = first.or_else(|| server.next_request()).and_then(Result::err);
         if let Some(e) = error {
-            // A client that went away in the middle of a request had the worker say so without end.
+            // An error is reported once, and not again for the same bytes.
             assert!(server.next_request().is_none());
             server.respond(Response::new(e.status(), "", ""), true);
             assert!(server.next_request().is_none());
@@ -187,7 +187,7 @@
 
 #[test]
 fn an_idle_connection_told_to_close_still_takes_the_request_that_is_here() {
-    // A request that crossed the closing was dropped unread.
+    // The request and the decision to close cross: the request is read and answered.
     let mut server = ServerConnection::default();
     server.close_when_idle();
     server.input().extend(b"GET /up HTTP/1.1\r\n\r\n");
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -11,9 +11,9 @@
 
 #[test]
 fn attempt_whose_write_never_started_counts_as_not_run() {
-    // Regression: an attempt that waited for its connection until its timeout was reported as one that may
-    // have run, so its query failed where rejecting it does no harm. An attempt whose write has started goes
-    // on to its last byte, also after its timeout: it may run as well.
+    // An attempt that waits for its connection until its timeout has not run: its query is rejected and
+    // does not fail. An attempt whose write has started goes on to its last byte, also after its
+    // timeout: it may run.
     let write_inputs =
         [None, Some(Input::WriteStarted as fn(AttemptKey) -> Input), Some(Input::FullyWritten)];
     for write_input in write_inputs {
@@ -65,8 +65,8 @@
 
 #[test]
 fn unwritten_attempts_are_cancelled_once_the_client_has_left_or_has_its_answer() {
-    // Regression: where the settings allow no cancellation at the servers, parts that waited for a connection
-    // were sent whenever it was established.
+    // Where the settings allow no cancellation at the servers, parts that wait for a connection are
+    // taken back all the same.
     for (client_leaves, write_started) in [(true, false), (true, true), (false, false), (false, true)] {
         let mut core = coordinator_with(Settings { cancellation: false, ..settings() });
         let mut commands = Vec::new();
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn removed_servers_are_forgotten_and_their_ids_not_reused() {
-    // Regression: names, addresses and connections of every server that ever was were kept.
+    // Names, addresses and connections of servers that have left are not kept.
     let mut now = START;
     let mut core = coordinator();
     let mut commands = Vec::new();
@@ -100,9 +100,8 @@
 
 #[test]
 fn stale_list_reverts_no_drain_and_removes_no_server() {
-    // Regression: discovery had moved, or came back from an older copy. Its list called servers ready that
-    // had been told to drain, and parts were sent there again; servers that it did not know yet got no more
-    // work.
+    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain, and
+    // does not know newer ones: the first get no parts again, the second keep their work.
     let mut core = coordinator();
     let list = |version, kind, nodes: Vec<NodeEndpoint>| endpoint_list(kind, Some(version), nodes);
     let started = |number, state, seconds: u64| NodeEndpoint {
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn query_expired_on_arrival_and_late_turn_break_no_invariant() {
-    // Regression: both broke the invariant that guards against a policy that lets a query's deadline pass.
+    // Neither breaks the invariant that guards against a policy that lets a query's deadline pass.
     let mut core = coordinator();
     let mut commands = Vec::new();
     core.turn(START, [fleet(), submit(1, IDEMPOTENT, 1, START)], &mut commands);
@@ -41,8 +41,8 @@
 
 #[test]
 fn partial_answer_is_given_10_ms_before_the_objective() {
-    // Regression: the policy keeps three ticks for turn, rendering and network. With a tick of 1 ms each
-    // partial answer was given 2 ms before the objective, and arrived after it.
+    // The policy keeps three ticks for turn, rendering and network. With a tick of 1 ms that is too
+    // little time for a partial answer to arrive before the objective.
     let mut now = START;
     let mut core = coordinator_with(Settings { tick: MS, ..settings() });
     let mut commands = Vec::new();
--- a/tests/coordinator/settings.rs
+++ b/tests/coordinator/settings.rs
@@ -10,8 +10,7 @@
 
 #[test]
 fn pending_query_keeps_its_class_over_a_reload_and_a_new_one_has_the_reloaded_class() {
-    // Regression: attempts and effects were looked up by the class's place in the file, whatever the file
-    // said by then.
+    // Attempts and effects belong to the class by its name, not by its place in the file.
     let mut now = START;
     let mut core = coordinator();
     let mut commands = Vec::new();
--- a/tests/coordinator/shutdown.rs
+++ b/tests/coordinator/shutdown.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn query_submitted_after_the_shutdown_began_is_answered_by_the_final_deadline() {
-    // Regression: after SIGTERM it went on to accept queries whose timeout ended after the kill.
+    // After SIGTERM no query is accepted whose timeout ends after the kill.
     let mut now = START;
     let mut core = coordinator();
     let final_deadline = now + Micros::from_millis(400);
@@ -24,8 +24,7 @@
 
 #[test]
 fn query_pending_when_the_shutdown_begins_is_answered_by_the_final_deadline() {
-    // Regression: queries accepted before SIGTERM whose clients waited longer than the kill takes got a reset
-    // for an answer.
+    // Clients that wait longer than the kill takes get an answer before it, and no reset.
     let mut core = coordinator();
     let mut commands = Vec::new();
     core.turn(START, [fleet(), submit(1, NON_IDEMPOTENT, 1, START)], &mut commands);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// What happens at an instance.
+/// An occurrence at an instance.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Query,
@@ -59,7 +59,7 @@
     due: Due,
 }
 
-/// What became of a query that was submitted.
+/// The course of a submitted query.
 struct Fate {
     at: Nanos,
     class: u16,
@@ -274,7 +274,7 @@
 
 #[test]
 fn instances_with_only_non_idempotent_queries_return_to_recovered_nodes() {
-    // Only idempotent parts probed a failed node: these instances rejected queries to its shard for good.
+    // A failed node is probed by non-idempotent parts too, where an instance has no others.
     let mut fleet = Fleet::new(&site());
     let back = START + 10 * S;
     let end = START + 26 * S;
@@ -335,8 +335,8 @@
 
 #[test]
 fn the_load_of_a_draining_node_spreads_beyond_its_neighbours() {
-    // They held two shards alone and half of the two they share: half as much again, and their queues filled, while
-    // each instance met them too seldom to see it.
+    // The neighbours hold two shards alone and share two: without a spread over further nodes they
+    // get half as much load again, which each instance meets too seldom to notice.
     let mut fleet = Fleet::new(&site());
     let drained = START + 2 * S;
     for n in 0..INSTANCES {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -171,7 +171,7 @@
 
 #[test]
 fn after_a_successor_dies_its_draining_predecessor_accepts_again() {
-    // Regression: nobody accepted after the successor died, and the backlog was reset when the predecessor exited.
+    // The successor dies: its backlog is accepted by the predecessor, and not reset when that exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
     let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
--- a/tests/levels.rs
+++ b/tests/levels.rs
@@ -1,4 +1,4 @@
-//! What the decision policy does in a level of reduced service, and that it is undone once the level is left.
+//! The decision policy in a level of reduced service: its effects, which end once the level is left.
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
--- a/tests/node_connections/cases.rs
+++ b/tests/node_connections/cases.rs
@@ -31,7 +31,7 @@
     connection
 }
 
-/// Writes all output; the bytes and the events.
+/// Writes all output and returns the bytes and the events.
 fn write_all(connection: &mut MultiplexedConnection) -> (Vec<u8>, Vec<AttemptEvent>) {
     let mut wire = Vec::new();
     let mut events = Vec::new();
@@ -42,7 +42,7 @@
     (wire, events)
 }
 
-/// Receives these bytes; the number of complete frames and the events.
+/// Receives these bytes and returns the number of complete frames and the events.
 fn receive(
     connection: &mut MultiplexedConnection,
     bytes: &[u8],
@@ -54,8 +54,8 @@
 
 #[test]
 fn only_valid_answers_end_an_attempt_and_load_reports_are_ignored() {
-    // An unknown id was ignored once, and its part waited in vain; values were taken as they came, with the header of the
-    // next frame in them.
+    // An answer with an unknown id or with a value that runs into the next frame is not usable: no part
+    // waits on for it.
     for (text, usable) in UNUSUAL_ANSWERS {
         let mut connection = connection_with_written(&[&[request(0)]]);
         let (result, mut events) = receive(&mut connection, &frame('a', text));
@@ -149,8 +149,7 @@
 
 #[test]
 fn cancelled_attempts_of_a_frame_are_not_sent_unless_its_write_has_started() {
-    // An attempt was once removed from its frame only where it was the only one: of several, all were sent to the node after
-    // their query was over, each with a cancellation behind it.
+    // A frame may carry several attempts: each one that is cancelled in time is removed from it.
     for cancelled in 0..=CancelCase::ALL_CANCELLED {
         for write_started in [false, true] {
             for restarted in [false, true] {
@@ -162,8 +161,8 @@
 
 #[test]
 fn late_answer_is_not_taken_for_one_to_the_next_attempt() {
-    // All attempts at a part have one id. A late "broke" or "skipped" to the cancelled attempt ended the one in flight, and
-    // the part was sent a third time beside it.
+    // All attempts at a part have one id: a late "broke" or "skipped" for the cancelled attempt must
+    // not end the one in flight, beside which the part would be sent a third time.
     let retry =
         |n: usize| AttemptRequest { key: AttemptKey { attempt: AttemptNo(1), ..key(n) }, ..request(n) };
     let other_query = AttemptRequest { request_id: "9b20".into(), ..retry(1) };
--- a/tests/node_connections/model.rs
+++ b/tests/node_connections/model.rs
@@ -47,7 +47,7 @@
     ]
 }
 
-/// What the model knows of an attempt.
+/// The state of an attempt in the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AttemptState {
     /// Some of its frame is still to be written.
@@ -75,10 +75,10 @@
     }
 }
 
-/// How attempts ended; `None`: served.
+/// The outcomes of attempts by their numbers; `None`: served.
 type Ends = BTreeMap<usize, Option<Outcome>>;
 
-/// What a step brought, and what it had to bring.
+/// The events of a step, and the expected ends of attempts.
 #[derive(Default)]
 struct StepResult {
     events: Vec<AttemptEvent>,
@@ -90,7 +90,7 @@
 struct Model {
     connection: MultiplexedConnection,
     attempts: Vec<AttemptState>,
-    /// What is written on the present connection.
+    /// The bytes written on the present connection.
     wire: Vec<u8>,
     queue: Vec<QueuedFrame>,
     /// The attempts that the data node has received on the present connection: it answers no others.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoint_list() {
-    // Regression: SIGHUP reloaded the inventory only, so no drain was received after discovery had moved.
+    // A reload moves the watch of discovery too: a drain that the new address sends is received.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, first) = Deployment::BASIC.start("moved", &nodes);
     edge.wait_until_ready();
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_reload_applies_a_complete_file_or_nothing() {
-    // Regression: any file that parsed moved discovery, so a broken one sent the watch to an unused address.
+    // A file that parses but is not complete changes nothing, the address of discovery included.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
     let second = edge.management_address();
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_successor_takes_over_the_listening_socket_and_its_backlog() {
-    // Regression: each process listened by itself, so a backlog was lost with its listener, and each had the full limits.
+    // Both processes use one listening socket, so that no backlog is lost with a listener.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
     let address = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
@@ -216,7 +216,7 @@
 
 #[test]
 fn invalid_settings_end_the_start_with_their_key() {
-    // Regression: settings were checked at a reload only; at the start a default replaced an invalid value.
+    // Settings are checked at the start as at a reload: no default replaces an invalid value.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment::BASIC.start("refused", &nodes);
     for (pointer, value, key) in [
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -71,8 +71,8 @@
 
 #[test]
 fn an_unresponsive_connection_fails_no_query_while_its_node_is_healthy() {
-    // Regression: the connection stayed in use until an attempt had been in flight for 0.4 s, which none was where
-    // answers take milliseconds; and the bytes after half an answer were taken for its end.
+    // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a connection
+    // is given up for age: it is given up for its silence, and half an answer has no end in later bytes.
     for fault in [NodeBehaviour::StopResponding, NodeBehaviour::PartialResponse] {
         let nodes =
             [(); 2].map(|()| DataNode::start(move |n| if n == 100 { fault } else { NodeBehaviour::Serve }));
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_connection_closed_by_its_node_loses_no_part() {
-    // Regression: a part that was sent on a connection which its node closed as idle was lost. Here each close has reached
-    // the process before the next part; the unit tests of the node client cover a part sent before the close is seen.
+    // Each close has reached the process before the next part is sent; the unit tests of the node
+    // client cover a part sent before the close is seen.
     let nodes = [
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
@@ -134,7 +134,7 @@
 
 #[test]
 fn after_an_unreadable_watch_event_the_complete_list_is_requested() {
-    // Regression: the watch resumed from the last good version, so the change in the bad event was lost.
+    // A watch that resumed from the last good version would lose the change in the bad event.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, discovery) = Deployment::BASIC.start("line", &nodes);
     edge.wait_until_ready();
@@ -162,8 +162,7 @@
     assert_eq!(query(&edge, "q3", "lookup", &[9]).status, 400);
     assert_eq!(query(&edge, "q4", "lookup", &[]).status, 400);
     assert_eq!(query(&edge, "q5", "lookup", &[1, 1]).status, 400);
-    // Regression: fractions that do not add up to 1 passed for complete answers; a query without timeout or statement was
-    // sent to the nodes.
+    // Fractions add up to 1, and a query has a timeout and a statement: others reach no node.
     let asked = |shares: &str, time: &str, text: &str| {
         let body = format!("{{\"tablets\":[{shares}]{text}}}");
         let head =
@@ -194,7 +193,7 @@
 
 #[test]
 fn a_request_with_the_id_of_a_pending_one_is_rejected_and_the_pending_one_served() {
-    // Regression: data nodes identify parts by that id, so the second request received the first one's answers.
+    // Data nodes identify parts by that id: the second request would receive the first one's answers.
     let gate = Arc::new(Mutex::new(()));
     let held = gate.lock().expect("gate");
     let wait = |gate: Arc<Mutex<()>>| {
@@ -220,7 +219,7 @@
 
 #[test]
 fn silent_and_incomplete_connections_are_closed_and_do_not_block_other_clients() {
-    // Regression: incomplete requests had 10 s and silent connections no limit, and neither was evicted for new clients.
+    // Incomplete requests and silent connections have a limit of time, and are evicted for new clients.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment { descriptors: 60, ..Deployment::BASIC }.start("silent", &nodes);
     edge.wait_until_ready();
@@ -240,7 +239,7 @@
 
 #[test]
 fn an_error_response_reaches_a_client_that_keeps_sending() {
-    // Regression: the connection was closed with unread input, which sends a reset, and the client lost the error.
+    // A close with unread input sends a reset, by which the client would lose the error.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment::BASIC.start("linger", &nodes);
     let mut client = TcpStream::connect(edge.address).expect("it listens");
@@ -272,7 +271,7 @@
 
 #[test]
 fn after_sigterm_persistent_connections_are_served_before_they_are_closed() {
-    // Regression: each response closed its connection from the signal on, and for half a second nobody accepted the clients.
+    // Responses after the signal do not close their connections, and new clients are accepted.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (mut edge, _changes) =
         Deployment { latency_objective_ms: 1_000, ..Deployment::BASIC }.start("term", &nodes);
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -11,8 +11,8 @@
 
 #[test]
 fn parts_that_wait_for_a_connection_are_not_sent_after_their_client_disconnects() {
-    // Counted at the nodes: parts that arrive after their client has disconnected. Regression: parts of a batch, and all
-    // parts where cancellation is off, were sent when the connection was established.
+    // Counted at the nodes: parts that arrive after their client has disconnected, in batches or
+    // alone, with cancellation and without.
     let run = |cancellation: bool, max_batch: u32| {
         let nodes = [UnreachableNode::new(), UnreachableNode::new()];
         let addresses = [nodes[0].address(), nodes[1].address()];
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_retry_whose_connection_is_established_after_the_retry_window_is_not_sent() {
-    // Regression: the retry window was checked at dispatch only; a retry whose connection was established later was sent.
+    // The retry window is checked again when the connection is established, not at dispatch only.
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -103,7 +103,8 @@
 
 #[test]
 fn a_new_discovery_address_applies_during_the_backoff_of_a_watch() {
-    // Regression: where lists are polled the backoff is up to must-ask-in, here 600 s, and a SIGHUP took effect after it.
+    // Where lists are polled the backoff is up to must-ask-in, here 600 s: a SIGHUP does not wait
+    // for its end.
     let (nodes, addresses) = two_serving_nodes();
     let old = ControlledDiscovery::new();
     let new = ControlledDiscovery::new();
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -10,8 +10,8 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_is_not_sent_again() {
-    // The nodes read nothing, so a long frame is partly written until its timeout. Regression: it was reported as not sent,
-    // so its query was rejected or it was retried on the other node, while the rest of it was written and ran.
+    // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it is
+    // written later and may run: it does not count as not sent, and no other node gets it.
     use rustix::net::sockopt::set_socket_recv_buffer_size;
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes.iter().for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
@@ -44,8 +44,9 @@
 
 #[test]
 fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
-    // More than the socket buffers hold for a node that reads nothing: at its reset one frame is partly written and others
-    // wait behind it. These never ran, so they are retried whatever their class; fully written ones may have run and are not.
+    // More than the socket buffers hold for a node that reads nothing: at its reset one frame is
+    // partly written and others wait behind it. These cannot have run, so they are retried whatever
+    // their class; fully written ones may have run and are not.
     use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
     const QUERIES: usize = 90;
     let stalled = bind_loopback();
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -18,7 +18,8 @@
     (0..4).map(|n| send_request(process, &query(n))).collect()
 }
 
-/// Asserts that queries of these shards are answered, and that a node has received no part beyond the first ones.
+/// Asserts that queries of these shards are answered, and that a node has received no part beyond
+/// the first ones.
 pub fn assert_draining(process: &Process, node: &DataNode, shards: &[u32], received_before: usize) {
     for n in 0..6 {
         assert_eq!(query(process, &format!("q{n}"), "look", shards).status, 200);
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! How the policy chooses among replicas: rotation, outliers, failures and their recovery.
+//! The policy's choice among replicas: rotation, outliers, failures and their recovery.
 
 mod common;
 use common::*;
@@ -56,8 +56,8 @@
 
 #[test]
 fn slow_answers_of_long_ago_reject_nobody() {
-    // On the full fleet one slow query of 200 parts was all that a coordinator had seen: every query was rejected for
-    // what its own parts would cost, so that nothing new was ever observed ("shut=36 struck=11 ... typical=509.6").
+    // The coordinator has seen slow queries only. Its estimate must not reject every query, since
+    // nothing new would be observed then.
     let slow = |harness: &mut Harness| {
         for _ in 0..40 {
             let (_, parts, _) = harness.submit(&[0, 1, 2]);
@@ -70,8 +70,8 @@
 
 #[test]
 fn a_failure_of_long_ago_does_not_reject_non_idempotent_queries() {
-    // Only idempotent parts probed failed replicas: on the full fleet a coordinator has a few in ten seconds over 180
-    // servers, and rejected non-idempotent queries at two of them for the rest of the day.
+    // On a large fleet a coordinator has too few idempotent parts to probe each failed replica by them:
+    // it must send non-idempotent parts again after a while.
     let mut sent = 0;
     for seed in 0..20 {
         let mut settings = two_priorities();
@@ -91,7 +91,8 @@
 
 #[test]
 fn dropped_idle_connections_are_closed_before_use_and_count_as_no_failure() {
-    // Found on midshires-fleet-later: connections idle for a second were dropped, and all looked silent.
+    // The servers drop connections that are idle for a second; a server does not count as silent for
+    // that.
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let mut closed = [0, 0];
     for (idle, closed) in [true, false].into_iter().zip(&mut closed) {
@@ -138,7 +139,7 @@
 
 #[test]
 fn a_slow_replica_is_remembered_for_the_interval_between_its_uses() {
-    // Found on wms-kalendarz-later: with ten seconds between two uses a slow replica was forgotten each time.
+    // With ten seconds between two uses a slow replica is still known as slow.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let mut met = 0;
     for n in 0..180 {
@@ -155,7 +156,7 @@
 
 #[test]
 fn a_part_rejected_by_all_holders_waits_before_its_retry() {
-    // Found on i45c43f: with one holder left each part was sent three times to the same full queue.
+    // With one holder left a part is not retried at once: its queue is still full.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let (_, parts, _) = harness.submit(&[0]);
     let again = harness.complete(parts[0], 0, Outcome::Rejected, MS);
@@ -193,7 +194,7 @@
 
 #[test]
 fn a_replica_that_fails_fast_gets_no_non_idempotent_parts() {
-    // It looked idle: errors did not count where answers were recent, and half of the parts were lost there.
+    // A replica whose errors come fast looks idle: its errors count although its answers are recent.
     let mut settings = settings(class(Effect::Idempotent));
     settings.classes.push(class(Effect::NonIdempotent));
     let mut harness = Harness::new(settings);
@@ -224,7 +225,7 @@
 
 #[test]
 fn replaced_replicas_are_removed_from_the_table() {
-    // Every replica that ever existed stayed in the tables, and each list was processed over all of them.
+    // The tables hold the present replicas only, however many there have been.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for n in 3..200 {
         let gone = endpoint(n, EndpointState::Removed, 0);
@@ -243,7 +244,7 @@
 
 #[test]
 fn a_few_slow_replicas_do_not_delay_retries_elsewhere() {
-    // Their answers raised the mean response time, and with it the wait before the other replica was tried.
+    // Slow answers of a few replicas do not raise the wait before the other replica is tried.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for (answers, took) in [(200, 20), (8, 800)] {
         for _ in 0..answers {
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -55,12 +55,12 @@
     }
 }
 
-/// Sends a query on a connection of its own and waits for the answer.
+/// Sends a query on a connection of its own and returns the response.
 pub fn query(process: &Process, id: &str, class: &str, shards: &[u32]) -> Response {
     query_with_timeout(process, id, class, shards, QUERY_TIMEOUT_SECONDS)
 }
 
-/// Like [`query`], by a client that waits for so many seconds.
+/// Sends a query as [`query`] does, from a client that waits for so many seconds.
 pub fn query_with_timeout(
     process: &Process,
     id: &str,
@@ -79,18 +79,19 @@
     client
 }
 
-/// All that arrives until the connection closes in good order.
+/// Reads all that arrives until the connection closes without a reset.
 pub fn read_until_close(mut client: TcpStream) -> String {
     let mut text = String::new();
     client.read_to_string(&mut text).expect("an answer, and no reset");
     text
 }
 
-/// What a client on a persistent connection sees of a response.
+/// The parts of a response that matter to a client on a persistent connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
-    /// Whether it says that the connection closes.
+    /// Whether the response announces the close of the connection.
     pub closes: bool,
 }
 
@@ -104,12 +105,14 @@
     Some(ResponseHead { status, closes: head.iter().any(|line| line == "Connection: close") })
 }
 
-/// A response.
+/// A response, as read to the end of its connection.
 #[derive(Debug)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
-    /// By their names in lower case.
+    /// The header fields by their names in lower case.
     pub headers: BTreeMap<String, String>,
+    /// The body as text.
     pub body: String,
 }
 
@@ -126,19 +129,19 @@
         Response { status, headers: lines.filter_map(header).collect(), body: body.to_owned() }
     }
 
-    /// Its body, which must be JSON.
+    /// Parses the body, which must be JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 
-    /// The ids of its features, in order.
+    /// Returns the ids of the features, in order.
     pub fn ids(&self) -> Vec<String> {
         let json = self.json();
         let features = json["features"].as_array().unwrap_or_else(|| panic!("no features: {self:?}"));
         features.iter().map(|feature| feature["id"].as_str().expect("an id").to_owned()).collect()
     }
 
-    /// Where its link of that relation leads, without scheme and host.
+    /// Returns the target of the link of that relation, without scheme and host.
     pub fn link(&self, relation: &str) -> Option<String> {
         let json = self.json();
         let link = json["links"].as_array()?.iter().find(|link| link["rel"] == relation)?;
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -9,7 +9,7 @@
 /// The payload of each part that tests send.
 const PAYLOAD: &str = "c41e77d0";
 
-/// What a data node does with a part.
+/// The behaviour of a data node towards a part.
 #[derive(Clone, Copy, PartialEq)]
 pub enum NodeBehaviour {
     /// Answers with the shard's value.
@@ -30,31 +30,36 @@
     PartialResponse,
 }
 
+/// The record of a data node.
 #[derive(Default)]
 struct NodeLog {
+    /// The ids of the parts, in order.
     received_parts: Mutex<Vec<String>>,
+    /// The number of accepted connections.
     connections: Mutex<usize>,
+    /// The number of connections that the node closed by itself.
     closed_connections: Mutex<usize>,
 }
 
 /// A data node that accepts connections and reads calls of one part each.
 pub struct DataNode {
+    /// The address at which the node listens.
     pub address: SocketAddr,
     log: Arc<NodeLog>,
 }
 
 impl DataNode {
-    /// A node that serves every part.
+    /// Starts a node that serves every part.
     pub fn serving() -> DataNode {
         DataNode::start(|_| NodeBehaviour::Serve)
     }
 
-    /// A node that answers nothing.
+    /// Starts a node that answers nothing.
     pub fn hanging() -> DataNode {
         DataNode::start(|_| NodeBehaviour::Hang)
     }
 
-    /// A node whose behaviour depends on the number of the part, from 1.
+    /// Starts a node whose behaviour depends on the number of the part, from 1.
     pub fn start(behaviour: impl Fn(usize) -> NodeBehaviour + Send + Sync + 'static) -> DataNode {
         let log = Arc::new(NodeLog::default());
         let shared = log.clone();
@@ -72,17 +77,18 @@
         DataNode { address, log }
     }
 
-    /// The ids of the parts that were received, in order.
+    /// Returns the ids of the received parts, in order.
     pub fn received_parts(&self) -> Vec<String> {
         self.log.received_parts.lock().expect("log").clone()
     }
 
-    /// How many connections were accepted.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         *self.log.connections.lock().expect("count")
     }
 
-    /// How many connections the node ended by itself after a part; one that the process gave up does not count.
+    /// Returns the number of connections that the node closed by itself after a part; those that the
+    /// process gave up do not count.
     pub fn closed_connections(&self) -> usize {
         *self.log.closed_connections.lock().expect("count")
     }
@@ -128,25 +134,28 @@
     write_answer(stream, &format!("{id} served 18 inflight=1,util=0.5\ncell{shard}"))
 }
 
-/// Ends this side and waits until the process has closed too: before that nothing says that it has seen the end.
+/// Closes this side and waits until the process has closed too, which shows that it has seen the
+/// close.
 fn close_and_wait(stream: &mut TcpStream) -> Result<()> {
     stream.shutdown(Shutdown::Write)?;
     stream.read(&mut [0; 64]).map(drop)
 }
 
-/// The addresses of nodes, in their order.
+/// Returns the addresses of nodes, in their order.
 pub fn addresses_of(nodes: &[DataNode]) -> Vec<SocketAddr> {
     nodes.iter().map(|node| node.address).collect()
 }
 
-/// A data node to which no connection is established before the test lets it: its accept queue is full.
+/// A data node whose accept queue is full: no connection to it is established before the test
+/// accepts them.
 pub struct UnreachableNode {
     listener: TcpListener,
+    /// The connection that fills the accept queue.
     queued: TcpStream,
 }
 
 impl UnreachableNode {
-    /// Listens without accepting.
+    /// Starts to listen, without accepting.
     pub fn new() -> UnreachableNode {
         use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
         let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
@@ -158,25 +167,27 @@
         UnreachableNode { listener, queued }
     }
 
-    /// Where it will be reachable.
+    /// Returns the address at which the node will be reachable.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
     }
 }
 
+/// The record of a [`RecordingNode`].
 #[derive(Default)]
 struct Recording {
+    /// The ids of the received parts, in order.
     parts: Vec<String>,
     open_connections: usize,
 }
 
-/// A data node that serves every part and whose connections are read to their ends.
+/// A data node that serves every part and reads its connections to their ends.
 pub struct RecordingNode {
     recording: Arc<Mutex<Recording>>,
 }
 
 impl RecordingNode {
-    /// Makes a node reachable and serves what arrives.
+    /// Makes a node reachable and serves every part that arrives.
     pub fn start(node: UnreachableNode) -> RecordingNode {
         let recording = Arc::new(Mutex::new(Recording::default()));
         let shared = recording.clone();
@@ -196,7 +207,7 @@
         RecordingNode { recording }
     }
 
-    /// The ids of all received parts, once no connection is open any more.
+    /// Waits until no connection is open and returns the ids of all received parts.
     pub fn wait_until_closed(self) -> Vec<String> {
         loop {
             let recording = self.recording.lock().expect("recording");
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -8,15 +8,18 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
+/// Nanoseconds in a millisecond: the configuration has times in nanoseconds.
 const NANOS_PER_MS: u64 = 1_000_000;
 
 /// A class of queries in a deployment.
 #[derive(Clone, Copy)]
 pub struct ClassTemplate {
     name: &'static str,
+    /// The effect as the configuration names it.
     effect: &'static str,
-    /// Its own latency objective; by default the deployment's.
+    /// The latency objective; `None`: the deployment's.
     latency_objective_ms: Option<u64>,
+    /// The least share of the parts that an answer needs, from 0 to 1.
     min_share: f64,
 }
 
@@ -39,20 +42,26 @@
     ClassTemplate::new("key", "idempotency_key"),
 ];
 
-/// What a test sets of a deployment. `None` leaves the key out of the configuration.
+/// The settings of a deployment that tests choose. `None` leaves the key out of the configuration.
 #[derive(Clone, Copy)]
 pub struct Deployment {
+    /// The classes of queries, in the order of the configuration.
     pub classes: &'static [ClassTemplate],
-    /// Of every class that has none of its own; deadlines are twice as long.
+    /// The latency objective of each class without one of its own; deadlines are twice as long.
     pub latency_objective_ms: u64,
+    /// The time for which data nodes recognize a repeated part.
     pub deduplication_window_ms: Option<u64>,
     /// Whether discovery pushes changes; otherwise it is polled.
     pub push_discovery: bool,
     /// Whether data nodes may be sent cancels.
     pub cancellation: bool,
+    /// The most parts in a call.
     pub max_batch: u32,
+    /// The number of shards for each data node.
     pub shards_per_node: usize,
+    /// The time in which a connection to a data node must be established.
     pub connect_timeout_ms: Option<u64>,
+    /// The time after which an idle connection to a data node is closed.
     pub idle_timeout_ms: Option<u64>,
     /// The limit of file descriptors.
     pub descriptors: usize,
@@ -73,8 +82,8 @@
         descriptors: 1024,
     };
 
-    /// Four shards a node, long time-outs, and a class of each effect: `look`, `once` (not idempotent), `some` (half of the
-    /// shards suffice) and `key` (idempotency key).
+    /// Four shards a node, long time-outs, and a class of each effect: `look`, `once` (not
+    /// idempotent), `some` (half of the shards suffice) and `key` (idempotency key).
     pub const ALL_EFFECTS: Deployment = Deployment {
         classes: ALL_EFFECT_CLASSES,
         latency_objective_ms: 20_000,
@@ -85,19 +94,20 @@
         ..Deployment::BASIC
     };
 
-    /// Starts it over these nodes, with discovery that knows them in service.
+    /// Starts the process over these nodes, with discovery that knows them in service.
     pub fn start(&self, test: &str, nodes: &[DataNode]) -> (Process, Discovery) {
         let addresses = addresses_of(nodes);
         let discovery = Discovery::start(endpoint_list(1, true, &all_in_service(&addresses)));
         (self.start_with_discovery(test, discovery.address, &addresses), discovery)
     }
 
-    /// Starts it with discovery at this address and returns at once.
+    /// Starts the process with discovery at this address and returns at once.
     pub fn start_with_discovery(&self, test: &str, discovery: SocketAddr, nodes: &[SocketAddr]) -> Process {
         Process::start_platform(test, &self.configuration(discovery, nodes), self.descriptors)
     }
 
-    /// Starts it, answers its first watch with these nodes in service, and waits until it is ready.
+    /// Starts the process, answers its first watch with these nodes in service, and waits until it
+    /// is ready.
     pub fn start_controlled(
         &self,
         test: &str,
@@ -110,7 +120,7 @@
         (process, watch)
     }
 
-    /// The configuration, with these nodes as the known list.
+    /// Returns the configuration, with these nodes as the known list.
     pub fn configuration(&self, discovery: SocketAddr, nodes: &[SocketAddr]) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1f",
             "mgmt": "127.0.0.1:0",
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for discovery: one that answers by itself, and one whose watches the test holds.
+//! Stand-ins for discovery: one that answers by itself, and one whose watches the test answers. Owns
+//! the lists of endpoints that they send.
 
 use super::http::{
     accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head, write_line_chunk,
@@ -12,7 +13,7 @@
 /// After this time a test that waits for what never arrives fails instead of hanging.
 const WATCHDOG_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// An endpoint as discovery lists it. Its index is its pod group, and its unique id is made from it.
+/// An endpoint as discovery lists it. The index is the pod group, and the unique id is made from it.
 #[derive(Clone, Copy)]
 pub struct ListedEndpoint {
     index: usize,
@@ -20,27 +21,28 @@
     state: &'static str,
 }
 
-/// An endpoint in service.
+/// Returns an endpoint in service.
 pub fn in_service(index: usize, address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint { index, address, state: "in_service" }
 }
 
-/// An endpoint that drains.
+/// Returns an endpoint that drains.
 pub fn terminating(index: usize, address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint { index, address, state: "terminating" }
 }
 
-/// These endpoints in service, indexed by their places.
+/// Returns these endpoints in service, indexed by their places.
 pub fn all_in_service(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
     addresses.iter().enumerate().map(|(index, address)| in_service(index, *address)).collect()
 }
 
-/// A list of endpoints as discovery sends it: a revision, and whether it is complete or a change.
+/// Returns a list of endpoints as discovery sends it: a revision, and whether it is complete or a
+/// change.
 pub fn endpoint_list(revision: u64, complete: bool, endpoints: &[ListedEndpoint]) -> String {
     endpoint_list_json(revision, complete, endpoints).to_string()
 }
 
-/// See [`endpoint_list`].
+/// Returns the JSON of an [`endpoint_list`].
 pub fn endpoint_list_json(revision: u64, complete: bool, endpoints: &[ListedEndpoint]) -> Value {
     let target = |endpoint: &ListedEndpoint| {
         let ListedEndpoint { index, address, state } = endpoint;
@@ -50,7 +52,8 @@
     json!({"rev": revision, "all": complete, "targets": endpoints.iter().map(target).collect::<Vec<_>>()})
 }
 
-/// A watch that was requested beside another one, which was answered first: the process has closed it.
+/// Whether the process has closed a watch because another one, requested beside it, was answered
+/// first.
 fn is_abandoned(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("set");
     let ended = matches!(stream.peek(&mut [0]), Ok(0));
@@ -60,13 +63,16 @@
 
 /// Discovery that answers each watch with its first line; lines sent later follow.
 pub struct Discovery {
+    /// The address at which discovery listens.
     pub address: SocketAddr,
+    /// The lines to send on the open watch.
     updates: Sender<String>,
+    /// The request lines of the watches.
     requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
-    /// Starts it with the first line of every watch.
+    /// Starts discovery with the first line of every watch.
     pub fn start(first: String) -> Discovery {
         let (updates, pending) = channel::<String>();
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -89,13 +95,13 @@
         self.updates.send(line.to_owned()).expect("discovery runs");
     }
 
-    /// The first lines of the watch requests so far.
+    /// Returns the request lines of the watches so far.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().expect("log").clone()
     }
 }
 
-/// Discovery that answers any number of watches with this line and sends nothing more.
+/// Starts discovery that answers any number of watches with this line and sends nothing more.
 pub fn serve_constant_list(first: String) -> SocketAddr {
     let mut open = Vec::new();
     accept_on_thread(move |mut stream| {
@@ -105,14 +111,17 @@
     })
 }
 
-/// Discovery whose watches the test holds: each is answered when and with what the test decides.
+/// Discovery whose watches the test accepts and answers.
 pub struct ControlledDiscovery {
+    /// The listener for watches.
     pub listener: TcpListener,
 }
 
 /// A watch that the process has opened.
 pub struct Watch {
+    /// The connection of the watch.
     pub stream: TcpStream,
+    /// The request line.
     pub request: String,
 }
 
@@ -129,18 +138,18 @@
 }
 
 impl ControlledDiscovery {
-    /// Listens, and starts the watchdog of these tests.
+    /// Starts to listen, and starts the watchdog of these tests.
     pub fn new() -> ControlledDiscovery {
         start_watchdog();
         ControlledDiscovery { listener: bind_loopback() }
     }
 
-    /// Where it listens.
+    /// Returns the address at which discovery listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
     }
 
-    /// The next watch that the process opens, unanswered.
+    /// Accepts the next watch that the process opens, without an answer.
     pub fn accept_watch(&self) -> Watch {
         loop {
             let (stream, _) = self.listener.accept().expect("a watch");
@@ -151,7 +160,7 @@
         }
     }
 
-    /// The next watch, answered with this line.
+    /// Accepts the next watch and answers it with this line.
     pub fn answer_watch(&self, first: &str) -> Watch {
         self.accept_watch().answer(first)
     }
@@ -170,7 +179,7 @@
         write_line_chunk(&mut self.stream, line).expect("it listens");
     }
 
-    /// Ends it by a reset.
+    /// Ends the watch by a reset.
     pub fn reset(self) {
         let linger = rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO));
         linger.expect("set");
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -1,4 +1,4 @@
-//! Stand-in feature servers that misbehave as the test tells them.
+//! Stand-in feature servers: owns their replies, healthy and faulty, and the record of their requests.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
 use std::io::{Result, Write};
@@ -6,7 +6,7 @@
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
 
-/// What a feature server does with a request.
+/// The reply of a feature server to a request.
 pub enum Reply {
     /// 200 with this body.
     Json(String),
@@ -24,7 +24,9 @@
 
 /// A feature server; its behaviour is a function of the request's target.
 pub struct FeatureServer {
+    /// The address at which the server listens.
     pub address: SocketAddr,
+    /// The targets of all requests, in order.
     targets: Arc<Mutex<Vec<String>>>,
 }
 
@@ -42,17 +44,17 @@
         FeatureServer { address, targets }
     }
 
-    /// A healthy server of these features, in pages of so many.
+    /// Starts a healthy server of these features, in pages of so many.
     pub fn healthy(ids: Range<usize>, page: usize) -> FeatureServer {
         FeatureServer::start(move |target| healthy_reply(target, ids.clone(), page))
     }
 
-    /// The targets of all requests, in order.
+    /// Returns the targets of all requests, in order.
     pub fn requests(&self) -> Vec<String> {
         self.targets.lock().expect("log").clone()
     }
 
-    /// How many requests had such a target.
+    /// Returns the number of requests whose target matches.
     pub fn count_requests(&self, matches: impl Fn(&str) -> bool) -> usize {
         self.targets.lock().expect("log").iter().filter(|target| matches(target)).count()
     }
@@ -88,7 +90,7 @@
     }
 }
 
-/// The number that a target's query has under this name.
+/// Returns the number that a target's query has under this name.
 pub fn query_parameter(target: &str, name: &str) -> Option<usize> {
     let query = target.split_once('?')?.1;
     query.split('&').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == name)?.1.parse().ok()
@@ -100,7 +102,7 @@
     )
 }
 
-/// The reply of a healthy server: a page of features with a next link, or one feature.
+/// Returns the reply of a healthy server: a page of features with a next link, or one feature.
 pub fn healthy_reply(target: &str, ids: Range<usize>, page: usize) -> Reply {
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
@@ -119,7 +121,7 @@
     Reply::Json(format!(r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#))
 }
 
-/// A line of the inventory: the server's name, the collections it serves, and its state.
+/// Returns a line of the inventory: the server's name, the collections it serves, and its state.
 pub fn inventory_row(name: &str, server: &FeatureServer, collections: &str, state: &str) -> String {
     format!("{name},{},{collections},{state}\n", server.address)
 }
--- a/tests/standin/frames.rs
+++ b/tests/standin/frames.rs
@@ -1,4 +1,5 @@
-//! Frames between the process under test and data nodes: a length of four bytes, a letter for the kind, and text.
+//! Frames between the process under test and data nodes: a length of four bytes, a letter for the
+//! kind, and text. Owns the reading and writing of them.
 
 use std::io::{Read, Result, Write};
 use std::net::TcpStream;
@@ -18,15 +19,16 @@
     stream.write_all(&bytes)
 }
 
-/// Writes the answer of a part: its id, how it ended, and what it gives.
+/// Writes the answer of a part: the id, the outcome, and the value.
 pub fn write_answer(stream: &mut TcpStream, text: &str) -> Result<()> {
     write_frame(stream, ANSWER, text)
 }
 
 /// A frame as it was read.
 pub struct Frame {
-    /// One of the constants of this module.
+    /// The kind: one of the constants of this module.
     pub kind: u8,
+    /// The text after the kind.
     pub text: String,
 }
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// The ids of the parts in the next call on this connection; cancels before it are skipped.
+/// Reads the next call and returns the ids of its parts; cancels before it are skipped.
 pub fn read_part_ids(stream: &mut TcpStream) -> Result<Vec<String>> {
     let call = read_call(stream)?;
     let mut rest = call.as_str();
@@ -64,7 +66,8 @@
     Ok(ids)
 }
 
-/// Serves every part on this connection until it ends; `received` is called with each part's id first.
+/// Serves every part on this connection until it ends; `received` is called with each part's id
+/// first.
 pub fn serve_parts(mut stream: TcpStream, mut received: impl FnMut(&str)) -> Result<()> {
     loop {
         for id in read_part_ids(&mut stream)? {
--- a/tests/standin/http.rs
+++ b/tests/standin/http.rs
@@ -1,4 +1,4 @@
-//! The little of HTTP/1.1 that stand-in servers need.
+//! The subset of HTTP/1.1 that stand-in servers use, and their listeners.
 
 use std::io::{BufRead, BufReader, Lines, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,12 +6,13 @@
 /// The head of a response whose chunks follow.
 const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A listener on a free loopback port.
+/// Binds a listener to a free loopback port.
 pub fn bind_loopback() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// Accepts connections on a free loopback port, on a thread that lives as long as the test program.
+/// Accepts connections on a free loopback port, on a thread that lives as long as the test program,
+/// and returns the address.
 pub fn accept_on_thread(mut accept: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = bind_loopback();
     let address = listener.local_addr().expect("an address");
@@ -19,7 +20,7 @@
     address
 }
 
-/// The lines that arrive on a connection.
+/// Returns the lines that arrive on a connection.
 pub fn lines_of(stream: &TcpStream) -> Lines<BufReader<TcpStream>> {
     BufReader::new(stream.try_clone().expect("a handle")).lines()
 }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -1,4 +1,4 @@
-//! The process under test: its start, its log, its signals and its configuration.
+//! The process under test: owns its start, its log, its signals and its configuration.
 
 use super::client::Response;
 use serde_json::Value;
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How long a counter may take to reach the value that a test waits for.
+/// The time in which a counter must reach the value that a test waits for.
 const COUNTER_TIMEOUT: Duration = Duration::from_secs(20);
 /// The configuration that the process reads again at SIGHUP.
 const CONFIGURATION: &str = "config.json";
@@ -39,13 +39,16 @@
 effect = "unsafe"
 "#;
 
-/// A running process; it is killed, and its folder removed, when this is dropped.
+/// A running process. Dropping it kills the process and removes its folder.
 pub struct Process {
     child: Child,
-    /// Where it answers clients.
+    /// The address for clients.
     pub address: SocketAddr,
+    /// The folder of the configuration.
     folder: PathBuf,
+    /// The lines of the log that no test has waited for yet.
     log: Mutex<Receiver<String>>,
+    /// The management address, once the log has told it.
     management: Mutex<Option<SocketAddr>>,
 }
 
@@ -101,13 +104,13 @@
         process
     }
 
-    /// Where it answers operators.
+    /// Returns the management address, as the log tells it.
     pub fn management_address(&self) -> SocketAddr {
         let mut known = self.management.lock().expect("known");
         *known.get_or_insert_with(|| last_address(&self.wait_for_log("operators are answered on")))
     }
 
-    /// The next log line that contains this.
+    /// Waits for the next log line that contains this text and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = self.log.lock().expect("log").recv().expect("the program's log goes on");
@@ -117,7 +120,7 @@
         }
     }
 
-    /// The counters as it logs them at SIGUSR1.
+    /// Sends SIGUSR1 and returns the log line with the counters.
     pub fn log_counters(&self) -> String {
         self.signal("USR1");
         self.wait_for_log("counters")
@@ -138,12 +141,12 @@
         }
     }
 
-    /// Waits until it says that it is up.
+    /// Waits until the readiness check succeeds.
     pub fn wait_until_ready(&self) {
         while self.get("/up").status != 200 {}
     }
 
-    /// The configuration of the start with another value at this place.
+    /// Returns the configuration of the start with another value at this JSON pointer.
     pub fn configuration_with(&self, pointer: &str, value: Value) -> String {
         let text = std::fs::read(self.folder.join(START_CONFIGURATION)).expect("a configuration");
         let mut configuration: Value = serde_json::from_slice(&text).expect("JSON");
@@ -167,12 +170,12 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// GET on a connection of its own.
+    /// Sends a GET request on a connection of its own.
     pub fn get(&self, target: &str) -> Response {
         self.get_with_headers(target, "")
     }
 
-    /// GET with further header lines, each ended by CR LF.
+    /// Sends a GET request with further header lines, each ended by CR LF.
     pub fn get_with_headers(&self, target: &str, headers: &str) -> Response {
         self.send_request(&format!(
             "GET {target} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n{headers}\r\n",
@@ -189,7 +192,7 @@
         Response::parse(&String::from_utf8(text).expect("text"))
     }
 
-    /// Waits until it has exited; whether with success.
+    /// Waits until the process has exited and returns whether it did so with success.
     pub fn wait_for_exit(&mut self) -> bool {
         self.child.wait().expect("it ends").success()
     }
@@ -209,7 +212,7 @@
     folder
 }
 
-/// The address at the end of a log line.
+/// Returns the address at the end of a log line.
 fn last_address(line: &str) -> SocketAddr {
     line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
 }
