--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -6,104 +6,139 @@
 use crate::standin::discovery::{all_in_service, endpoint_list, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_part_ids, serve_parts, write_answer};
 use crate::standin::http::bind_loopback;
+use crate::standin::process::Process;
 use std::io::{BufRead, BufReader, Write};
-use std::sync::mpsc::channel;
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver};
+
+/// The shards of each query of [`count_late_parts`].
+const ALL_SHARDS: [u32; 6] = [0, 1, 2, 3, 4, 5];
+
+/// The result of a run in which clients disconnect before any connection to a node is established.
+#[derive(Debug, PartialEq)]
+struct DisconnectRun {
+    clients: usize,
+    /// The parts that arrived at a node after their client had disconnected.
+    late_parts: usize,
+}
+
+/// Sends a query for each class and each kind of bytes behind the request.
+fn send_queries_with_trailing_bytes(edge: &Process) -> Vec<TcpStream> {
+    let trailing_bytes = [
+        String::new(),
+        "POST /api HTT".to_owned(),
+        QueryRequest::new("next", "look", &[0]).to_http(),
+        "x".repeat(300_000),
+    ];
+    let mut clients = Vec::new();
+    for class in ["look", "once", "some"] {
+        for bytes in &trailing_bytes {
+            let id = format!("left{}", clients.len());
+            let request = QueryRequest::new(&id, class, &ALL_SHARDS).to_http();
+            let mut client = send_request(edge, &request);
+            // The process reads only part of the bytes; the rest is not waited for.
+            client.set_nonblocking(true).expect("set");
+            let _ = client.write(bytes.as_bytes());
+            clients.push(client);
+        }
+    }
+    clients
+}
+
+/// Lets clients disconnect while their parts wait for a connection, then makes the nodes reachable.
+fn count_late_parts(cancellation: bool, max_batch: u32) -> DisconnectRun {
+    let nodes = [UnreachableNode::new(), UnreachableNode::new()];
+    let addresses = [nodes[0].address(), nodes[1].address()];
+    let agent = ControlledDiscovery::new();
+    let site = Deployment { cancellation, max_batch, ..Deployment::ALL_EFFECTS };
+    let test = format!("left-{cancellation}-{max_batch}");
+    let (edge, _watch) = site.start_controlled(&test, &agent, &addresses);
+
+    let clients = send_queries_with_trailing_bytes(&edge);
+    let count = clients.len();
+    edge.wait_for_counter("queries_accepted", count as u64);
+    edge.wait_for_counter("attempts_dispatched", 2);
+    drop(clients);
+    edge.wait_for_counter("queries_abandoned", count as u64);
+
+    let recordings = nodes.map(RecordingNode::start);
+    assert_eq!(query(&edge, "stays", "look", &ALL_SHARDS).status, 200);
+    drop(edge);
+    let received: Vec<String> = recordings.into_iter().flat_map(RecordingNode::wait_until_closed).collect();
+    assert!(received.iter().any(|id| id.starts_with("stays.")), "{received:?}");
+    let late_parts = received.iter().filter(|id| !id.starts_with("stays.")).count();
+    DisconnectRun { clients: count, late_parts }
+}
 
 #[test]
 fn parts_that_wait_for_a_connection_are_not_sent_after_their_client_disconnects() {
     // Counted at the nodes: parts that arrive after their client has disconnected, in batches or
     // alone, with cancellation and without.
-    let run = |cancellation: bool, max_batch: u32| {
-        let nodes = [UnreachableNode::new(), UnreachableNode::new()];
-        let addresses = [nodes[0].address(), nodes[1].address()];
-        let agent = ControlledDiscovery::new();
-        let site = Deployment { cancellation, max_batch, ..Deployment::ALL_EFFECTS };
-        let (edge, _watch) =
-            site.start_controlled(&format!("left-{cancellation}-{max_batch}"), &agent, &addresses);
-        let trailing_bytes = [
-            String::new(),
-            "POST /api HTT".to_owned(),
-            QueryRequest::new("next", "look", &[0]).to_http(),
-            "x".repeat(300_000),
-        ];
-        let classes = ["look", "once", "some"];
-        let mut clients = Vec::new();
-        for (n, (class, trailing_bytes)) in
-            classes.iter().flat_map(|c| trailing_bytes.iter().map(move |b| (c, b))).enumerate()
-        {
-            let mut client = send_request(
-                &edge,
-                &QueryRequest::new(&format!("left{n}"), class, &[0, 1, 2, 3, 4, 5]).to_http(),
-            );
-            // The process reads only part of it; the rest is not waited for.
-            client.set_nonblocking(true).expect("set");
-            let _ = client.write(trailing_bytes.as_bytes());
-            clients.push(client);
-        }
-        let cases = clients.len();
-        edge.wait_for_counter("queries_accepted", cases as u64);
-        edge.wait_for_counter("attempts_dispatched", 2);
-        drop(clients);
-        edge.wait_for_counter("queries_abandoned", cases as u64);
-        let recordings = nodes.map(RecordingNode::start);
-        assert_eq!(query(&edge, "stays", "look", &[0, 1, 2, 3, 4, 5]).status, 200);
-        drop(edge);
-        let received: Vec<String> =
-            recordings.into_iter().flat_map(RecordingNode::wait_until_closed).collect();
-        assert!(received.iter().any(|id| id.starts_with("stays.")), "{received:?}");
-        let late = received.iter().filter(|id| !id.starts_with("stays.")).count();
-        (cases, late)
-    };
-    let all: Vec<_> = [(true, 1), (true, 4), (false, 1), (false, 4)]
-        .map(|(cancellation, max_batch)| std::thread::spawn(move || run(cancellation, max_batch)))
+    let runs: Vec<DisconnectRun> = [(true, 1), (true, 4), (false, 1), (false, 4)]
+        .map(|(cancellation, max_batch)| {
+            std::thread::spawn(move || count_late_parts(cancellation, max_batch))
+        })
         .into_iter()
-        .map(|t| t.join().expect("it ends"))
+        .map(|thread| thread.join().expect("it ends"))
         .collect();
-    println!("cases and late sends: {all:?}");
-    assert!(all.iter().all(|(cases, late)| (*cases, *late) == (12, 0)), "{all:?}");
+    println!("clients and late parts: {runs:?}");
+    assert!(runs.iter().all(|run| *run == DisconnectRun { clients: 12, late_parts: 0 }), "{runs:?}");
+}
+
+/// The first call that a node receives, and the connection on which its answer is written.
+struct ReceivedCall {
+    part_ids: Vec<String>,
+    stream: TcpStream,
+}
+
+/// Passes on the first call on each listener. A second one on its connection is not answered.
+fn receive_first_calls(listeners: [TcpListener; 2]) -> Receiver<ReceivedCall> {
+    let (sender, calls) = channel();
+    for listener in listeners {
+        let sender = sender.clone();
+        std::thread::spawn(move || {
+            let (mut stream, _) = listener.accept().expect("a connection");
+            let part_ids = read_part_ids(&mut stream).expect("a part");
+            let answering = stream.try_clone().expect("a handle");
+            sender.send(ReceivedCall { part_ids, stream: answering }).expect("written");
+            serve_parts(stream, |_| panic!("nothing more is on this one"))
+        });
+    }
+    calls
 }
 
 #[test]
 fn a_part_that_waits_for_a_retry_is_not_sent_again_after_its_client_disconnects() {
     let agent = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
-    let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
+    let addresses = nodes.each_ref().map(|node| node.local_addr().expect("bound"));
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("left-retry", &agent, &addresses);
     let client = send_request(&edge, &QueryRequest::new("left", "look", &[0]).to_http());
-    // The node that receives it keeps it until no node accepts parts.
-    let (sender, attempts) = channel();
-    let served = nodes.map(|listener| {
-        let sender = sender.clone();
-        std::thread::spawn(move || {
-            let (mut stream, _) = listener.accept().expect("a connection");
-            sender
-                .send((read_part_ids(&mut stream).expect("a part"), stream.try_clone().expect("a handle")))
-                .expect("written");
-            serve_parts(stream, |_| panic!("nothing more is on this one"))
-        })
-    });
-    let (ids, mut stream) = attempts.recv().expect("an attempt");
-    let draining: Vec<_> = addresses.iter().enumerate().map(|(n, a)| terminating(n, *a)).collect();
+    let calls = receive_first_calls(nodes);
+
+    // The node that receives the part answers once no node accepts parts, so that its retry waits.
+    let mut rejected = calls.recv().expect("an attempt");
+    let draining: Vec<_> =
+        addresses.iter().enumerate().map(|(index, address)| terminating(index, *address)).collect();
     watch.send(&endpoint_list(2, false, &draining));
     edge.wait_for_counter("endpoint_updates", 3);
-    write_answer(&mut stream, &format!("{} skipped 0 -\n", ids[0])).expect("written");
+    write_answer(&mut rejected.stream, &format!("{} skipped 0 -\n", rejected.part_ids[0])).expect("written");
     edge.wait_for_counter("attempts_rejected", 1);
     drop(client);
     edge.wait_for_counter("queries_abandoned", 1);
     watch.send(&endpoint_list(3, false, &all_in_service(&addresses)));
     edge.wait_for_counter("endpoint_updates", 4);
+
     // The nodes accept parts again: only that of another client is sent.
     let other = send_request(&edge, &QueryRequest::new("stays", "look", &[0]).to_http());
-    let (ids, mut stream) = attempts.recv().expect("an attempt");
-    assert_eq!(ids, ["stays.0"]);
-    write_answer(&mut stream, "stays.0 served 1 -\ncell").expect("written");
-    drop(stream);
+    let mut served = calls.recv().expect("an attempt");
+    assert_eq!(served.part_ids, ["stays.0"]);
+    write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("written");
+    drop(served);
     let mut first = String::new();
     BufReader::new(other).read_line(&mut first).expect("an answer");
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
     edge.wait_for_counter("attempts_dispatched", 2);
-    drop(edge);
-    drop(served);
 }
 
 #[test]
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -6,13 +6,16 @@
 use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_frame, CALL, CANCEL};
 use crate::standin::http::bind_loopback;
+use crate::standin::process::Process;
+use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
 use serde_json::json;
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
 
 #[test]
 fn a_part_whose_frame_is_partly_written_is_not_sent_again() {
     // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it is
     // written later and may run: it does not count as not sent, and no other node gets it.
-    use rustix::net::sockopt::set_socket_recv_buffer_size;
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes.iter().for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
@@ -42,51 +45,63 @@
     assert_eq!(runs, 1);
 }
 
+/// The queries of the test below: more than the socket buffers hold for a node that reads nothing.
+const QUERIES: usize = 90;
+
+/// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on a connection of its own.
+fn send_long_queries(edge: &Process) -> Vec<TcpStream> {
+    let body =
+        json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)}).to_string();
+    let length = body.len();
+    let request = |number: usize| {
+        format!(
+            "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: q{number}\r\nX-Qos: once\r\n\
+             X-Expires-In: 30\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
+        )
+    };
+    (0..QUERIES).map(|number| send_request(edge, &request(number))).collect()
+}
+
+/// Accepts all connections that wait at a listener and resets them.
+fn reset_connections(listener: &TcpListener) {
+    listener.set_nonblocking(true).expect("set");
+    while let Ok((stream, _)) = listener.accept() {
+        set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
+    }
+}
+
 #[test]
 fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
-    // More than the socket buffers hold for a node that reads nothing: at its reset one frame is
-    // partly written and others wait behind it. These cannot have run, so they are retried whatever
-    // their class; fully written ones may have run and are not.
-    use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
-    const QUERIES: usize = 90;
+    // At its reset by the node one frame is partly written and others wait behind it. These cannot
+    // have run, so they are retried whatever their class; fully written ones may have run and are not.
     let stalled = bind_loopback();
-    let healthy = UnreachableNode::new();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
+    let healthy = UnreachableNode::new();
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
     watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
-    let body =
-        json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)}).to_string();
-    let clients: Vec<_> = (0..QUERIES)
-        .map(|n| {
-            let head = format!(
-                "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: q{n}\r\nX-Qos: once\r\nX-Expires-In: 30"
-            );
-            let length = body.len();
-            send_request(
-                &edge,
-                &format!("{head}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"),
-            )
-        })
-        .collect();
+    let clients = send_long_queries(&edge);
     edge.wait_for_counter("attempts_dispatched", QUERIES as u64);
     edge.wait_for_counter("attempts_fully_written", 1);
     watch.send(&endpoint_list(3, false, &[in_service(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 4);
+
     let recording = RecordingNode::start(healthy);
-    stalled.set_nonblocking(true).expect("set");
-    while let Ok((stream, _)) = stalled.accept() {
-        set_socket_linger(&stream, Some(std::time::Duration::ZERO)).expect("set");
-    }
+    reset_connections(&stalled);
     let answers: Vec<String> = clients.into_iter().map(read_until_close).collect();
     drop(edge);
+
     let mut retried = recording.wait_until_closed();
     retried.sort();
-    let mut served: Vec<_> = (0..QUERIES).filter(|n| answers[*n].starts_with("HTTP/1.1 200")).collect();
-    served.sort_by_key(|n| format!("q{n}.0"));
-    assert_eq!(retried, served.iter().map(|n| format!("q{n}.0")).collect::<Vec<_>>(), "each once");
+    let is_served = |number: &usize| answers[*number].starts_with("HTTP/1.1 200");
+    let mut served: Vec<String> =
+        (0..QUERIES).filter(is_served).map(|number| format!("q{number}.0")).collect();
+    served.sort();
+    assert_eq!(retried, served, "each once");
     assert!((1..QUERIES).contains(&served.len()), "{} of {QUERIES}", served.len());
-    assert!(answers.iter().all(|a| a.starts_with("HTTP/1.1 200") || a.starts_with("HTTP/1.1 502")));
+    assert!(answers
+        .iter()
+        .all(|answer| { answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 502") }));
 }
