--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -14,6 +14,27 @@
     }
 }
 
+/// The text of requests with these bodies, each in chunks of 7 bytes if its flag is set.
+fn requests_text(bodies: &[(Vec<u8>, bool)]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    for (body, chunked) in bodies {
+        if !chunked {
+            let length = body.len();
+            bytes.extend(format!("POST /api HTTP/1.1\r\nContent-Length: {length}\r\n\r\n").bytes());
+            bytes.extend_from_slice(body);
+            continue;
+        }
+        bytes.extend_from_slice(b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for chunk in body.chunks(7) {
+            bytes.extend(format!("{:x}\r\n", chunk.len()).bytes());
+            bytes.extend_from_slice(chunk);
+            bytes.extend_from_slice(b"\r\n");
+        }
+        bytes.extend_from_slice(b"0\r\n\r\n");
+    }
+    bytes
+}
+
 proptest! {
     #![proptest_config(config())]
 
@@ -49,21 +70,7 @@
         cuts in vec(1usize..120, 1..60),
         writes in vec(1usize..150, 1..60),
     ) {
-        let mut bytes = Vec::new();
-        for (body, chunked) in &bodies {
-            if *chunked {
-                bytes.extend_from_slice(b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
-                for part in body.chunks(7) {
-                    bytes.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
-                    bytes.extend_from_slice(part);
-                    bytes.extend_from_slice(b"\r\n");
-                }
-                bytes.extend_from_slice(b"0\r\n\r\n");
-            } else {
-                bytes.extend_from_slice(format!("POST /api HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes());
-                bytes.extend_from_slice(body);
-            }
-        }
+        let bytes = requests_text(&bodies);
         let mut server = ServerConnection::default();
         let mut got = Vec::new();
         let mut out = Vec::new();
@@ -87,7 +94,7 @@
                 break;
             }
         }
-        let sent: Vec<_> = bodies.into_iter().map(|b| b.0).collect();
+        let sent: Vec<_> = bodies.into_iter().map(|(body, _)| body).collect();
         prop_assert_eq!(&got, &sent);
         let out = String::from_utf8(out).expect("text");
         prop_assert_eq!(out.matches("HTTP/1.1 200 OK").count(), sent.len());
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -10,7 +10,9 @@
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
 use standin::management::management_call;
+use standin::process::Process;
 use std::io::{BufReader, Read, Write};
+use std::net::TcpStream;
 use std::sync::mpsc::channel;
 
 #[test]
@@ -46,37 +48,35 @@
     assert!(edge.wait_for_exit(), "it exits by itself");
 }
 
-#[test]
-fn after_sigterm_all_requests_are_answered_and_the_process_exits_although_nodes_hang() {
-    // One node hangs, the other cannot be connected to; the clients' timeouts are longer than the 3.7 s until the kill.
-    let hanging = DataNode::hanging();
-    let unreachable = UnreachableNode::new();
-    let agent = ControlledDiscovery::new();
-    let (mut edge, _watch) =
-        Deployment::ALL_EFFECTS.start_controlled("hung", &agent, &[hanging.address, unreachable.address()]);
-    let pending: Vec<_> = ["look", "once", "some"]
-        .iter()
-        .flat_map(|class| (0..4).map(move |n| (class, n)))
-        .map(|(class, n)| {
-            send_request(
-                &edge,
-                &QueryRequest::new(&format!("{class}{n}"), class, &[0, 1, 2, 3]).close_connection().to_http(),
-            )
-        })
-        .collect();
-    edge.wait_for_counter("queries_accepted", 12);
-    let started_at = std::time::Instant::now();
-    edge.signal("TERM");
-    edge.wait_for_log("told to end");
-    // On one connection after the other, each for as long as it stays open.
+/// Sends four queries of each of three classes, each on a connection of its own.
+fn send_pending_queries(edge: &Process) -> Vec<TcpStream> {
+    let mut clients = Vec::new();
+    for class in ["look", "once", "some"] {
+        for number in 0..4 {
+            let id = format!("{class}{number}");
+            let request = QueryRequest::new(&id, class, &[0, 1, 2, 3]).close_connection();
+            clients.push(send_request(edge, &request.to_http()));
+        }
+    }
+    clients
+}
+
+/// The number of connections that the process closes, by `Connection: close`, before
+/// [`count_answers_until_closed`] stops.
+const CLOSED_CONNECTIONS: usize = 4;
+
+/// Sends short queries on one connection after the other, each for as long as it stays open. Asserts
+/// that they fail, and returns the number of their answers.
+fn count_answers_until_closed(edge: &Process) -> usize {
     let mut answers = 0;
     let mut closed = 0;
-    let mut n = 0;
-    while closed < 4 {
-        let mut client = BufReader::new(send_request(&edge, ""));
+    let mut queries = 0;
+    while closed < CLOSED_CONNECTIONS {
+        let mut client = BufReader::new(send_request(edge, ""));
         loop {
-            n += 1;
-            let next = QueryRequest::new(&format!("n{n}"), "once", &[4]).timeout_seconds(0.05).to_http();
+            queries += 1;
+            let id = format!("n{queries}");
+            let next = QueryRequest::new(&id, "once", &[4]).timeout_seconds(0.05).to_http();
             if client.get_mut().write_all(next.as_bytes()).is_err() {
                 break;
             }
@@ -92,6 +92,26 @@
             }
         }
     }
+    answers
+}
+
+#[test]
+fn after_sigterm_all_requests_are_answered_and_the_process_exits_although_nodes_hang() {
+    // One node hangs, the other cannot be connected to; the clients' timeouts are longer than the
+    // 3.7 s until the kill.
+    let hanging = DataNode::hanging();
+    let unreachable = UnreachableNode::new();
+    let agent = ControlledDiscovery::new();
+    let (mut edge, _watch) =
+        Deployment::ALL_EFFECTS.start_controlled("hung", &agent, &[hanging.address, unreachable.address()]);
+    let pending = send_pending_queries(&edge);
+    edge.wait_for_counter("queries_accepted", 12);
+
+    let started_at = std::time::Instant::now();
+    edge.signal("TERM");
+    edge.wait_for_log("told to end");
+    let answers = count_answers_until_closed(&edge);
+
     assert!(answers > 4, "{answers}");
     for client in pending {
         let text = read_until_close(client);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -107,27 +107,24 @@
     while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
 }
 
-#[test]
-fn a_reload_applies_a_complete_file_or_nothing() {
-    // A file that parses but is not complete changes nothing, the address of discovery included.
-    let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
-    let second = edge.management_address();
-    edge.wait_until_ready();
-    let complete = edge.configuration_with("/name", json!("n0"));
-    let without_key = |pointer: &str, key: &str| {
-        let mut config: serde_json::Value = serde_json::from_str(&complete).expect("a configuration");
-        config.pointer_mut(pointer).and_then(|o| o.as_object_mut()?.remove(key)).expect("it was there");
-        config.to_string()
-    };
-    let invalid = [
+/// The configuration without one of its keys.
+fn without_key(configuration: &str, pointer: &str, key: &str) -> String {
+    let mut json: serde_json::Value = serde_json::from_str(configuration).expect("a configuration");
+    let object = json.pointer_mut(pointer).and_then(serde_json::Value::as_object_mut);
+    object.and_then(|object| object.remove(key)).expect("it was there");
+    json.to_string()
+}
+
+/// Configurations that are cut off, lack a key or have an invalid value.
+fn invalid_configurations(edge: &Process, complete: &str) -> Vec<String> {
+    vec![
         String::new(),
         complete[..complete.len() / 2].to_owned(),
-        without_key("", "settings"),
-        without_key("", "discovery"),
-        without_key("/settings", "limits"),
-        without_key("/settings/limits", "max-attempts"),
-        without_key("/settings/classes/2", "late-worth"),
+        without_key(complete, "", "settings"),
+        without_key(complete, "", "discovery"),
+        without_key(complete, "/settings", "limits"),
+        without_key(complete, "/settings/limits", "max-attempts"),
+        without_key(complete, "/settings/classes/2", "late-worth"),
         edge.configuration_with("/settings/limits/max-attempts", json!(0)),
         edge.configuration_with("/settings/limits/max-attempts", json!(-1)),
         edge.configuration_with("/settings/classes/1/deadline", json!(0)),
@@ -140,7 +137,30 @@
         edge.configuration_with("/settings/family-info/in-a-row", json!(0)),
         edge.configuration_with("/settings/classes/0/points", json!(-1.0)),
         edge.configuration_with("/discovery", json!("nowhere")),
-    ];
+    ]
+}
+
+/// The configuration with fewer attempts for all classes, one class new, one removed, and one no
+/// longer idempotent.
+fn changed_configuration(complete: &str) -> String {
+    let mut json: serde_json::Value = serde_json::from_str(complete).expect("a configuration");
+    json["settings"]["limits"]["max-attempts"] = json!(2);
+    json["settings"]["classes"][0]["effect"] = json!("non_idempotent");
+    json["settings"]["classes"][1]["name"] = json!("later");
+    json["settings"]["classes"][2]["effect"] = json!("read_like");
+    json.to_string()
+}
+
+#[test]
+fn a_reload_applies_a_complete_file_or_nothing() {
+    // A file that parses but is not complete changes nothing, the address of discovery included.
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
+    let management_address = edge.management_address();
+    edge.wait_until_ready();
+    let complete = edge.configuration_with("/name", json!("n0"));
+
+    let invalid = invalid_configurations(&edge, &complete);
     for text in &invalid {
         edge.write_configuration(text);
         edge.signal("HUP");
@@ -148,13 +168,8 @@
     }
     assert_eq!(query(&edge, "q0", "later", &[0]).status, 400);
     assert_eq!(query(&edge, "q1", "brief", &[0]).status, 200);
-    // One class is new, one is removed, one is no longer idempotent, and all have fewer attempts.
-    let mut config: serde_json::Value = serde_json::from_str(&complete).expect("a configuration");
-    config["settings"]["limits"]["max-attempts"] = json!(2);
-    config["settings"]["classes"][0]["effect"] = json!("non_idempotent");
-    config["settings"]["classes"][1]["name"] = json!("later");
-    config["settings"]["classes"][2]["effect"] = json!("read_like");
-    edge.write_configuration(&config.to_string());
+
+    edge.write_configuration(&changed_configuration(&complete));
     edge.signal("HUP");
     assert!(edge.wait_for_log("the configuration is read anew").ends_with("classes lookup later send"));
     for (id, class, status) in
@@ -162,13 +177,23 @@
     {
         assert_eq!(query(&edge, id, class, &[0, 1]).status, status, "{class}");
     }
-    let dump = management_call(second, "DUMP\n");
+
+    let dump = management_call(management_address, "DUMP\n");
     let of = |name: &str| dump_value(&dump, &format!("node.{name}"));
     assert_eq!((of("config_applied"), of("config_rejected")), (1, invalid.len() as u64));
-    let ok = ["brief", "later", "lookup", "send"].map(|c| of(&format!("responses.{c}.ok")));
+    let ok = ["brief", "later", "lookup", "send"].map(|class| of(&format!("responses.{class}.ok")));
     assert_eq!((ok, of("responses.later.tries")), ([1, 1, 1, 1], 2));
 }
 
+/// Sends a query on a persistent connection and returns the head of its response.
+fn query_on(persistent: &mut TcpStream, id: &str) -> String {
+    let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
+    let head = format!("POST /api HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: lookup\r\nX-Expires-In: 9\r\n");
+    write!(persistent, "{head}Content-Length: {}\r\n\r\n{body}", body.len()).expect("written");
+    let lines = BufReader::new(persistent).lines().map_while(Result::ok);
+    lines.take_while(|line| !line.is_empty()).collect::<Vec<_>>().join("\n")
+}
+
 #[test]
 fn a_successor_takes_over_the_listening_socket_and_its_backlog() {
     // Both processes use one listening socket, so that no backlog is lost with a listener.
@@ -190,13 +215,6 @@
     let successor_admin = successor.management_address();
     while management_call(successor_admin, "HEALTH\n") != "YES\n" {}
     assert_eq!(management_call(predecessor_admin, "HEALTH\n"), "YES\n");
-    let query_on = |persistent: &mut TcpStream, id: &str| {
-        let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
-        let head = format!("POST /api HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: lookup\r\nX-Expires-In: 9\r\n");
-        write!(persistent, "{head}Content-Length: {}\r\n\r\n{body}", body.len()).expect("written");
-        let mut lines = BufReader::new(persistent).lines().map_while(Result::ok);
-        lines.by_ref().take_while(|l| !l.is_empty()).collect::<Vec<_>>().join("\n")
-    };
     let answer = query_on(&mut persistent, "q1");
     assert!(answer.starts_with("HTTP/1.1 200 ") && !answer.contains("Connection: close"), "{answer}");
     predecessor.signal("TERM");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -122,22 +122,24 @@
     assert_eq!(replies(&output.stdout).len(), 1);
 }
 
-#[test]
-fn malformed_input_gets_one_error_line_and_no_reply() {
-    let with = |extra: Vec<u8>| {
-        let mut records = start_records(SETTINGS);
-        records.push(extra);
-        batch(7, 1_000, &records)
-    };
-    let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("unknown event code 99", with(record(99, &[]))),
-        ("VERDICT", with(record(5, &[1, 2, 3]))),
+/// The records of a start and one more, as a batch.
+fn batch_with(extra: Vec<u8>) -> Vec<u8> {
+    let mut records = start_records(SETTINGS);
+    records.push(extra);
+    batch(7, 1_000, &records)
+}
+
+/// Malformed inputs, each with words that its error line contains.
+fn malformed_inputs() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
+        ("unknown event code 99", batch_with(record(99, &[]))),
+        ("VERDICT", batch_with(record(5, &[1, 2, 3]))),
         // A probe's report that announces two values and brings one.
-        ("PROBED", with(record(8, &[&[10, 0, 0, 1, 0, 80, 0][..], &[0; 8], &[2], &[0; 4]].concat()))),
-        ("unknown outcome", with(record(8, &[&[10, 0, 0, 1, 0, 80, 99][..], &[0; 8], &[0]].concat()))),
+        ("PROBED", batch_with(record(8, &[&[10, 0, 0, 1, 0, 80, 0][..], &[0; 8], &[2], &[0; 4]].concat()))),
+        ("unknown outcome", batch_with(record(8, &[&[10, 0, 0, 1, 0, 80, 99][..], &[0; 8], &[0]].concat()))),
         (
             "unknown outcome",
-            with({
+            batch_with({
                 let mut bytes = outcome_record(41);
                 bytes[5 + 16] = 77;
                 bytes
@@ -155,8 +157,12 @@
             bytes[0] = 2;
             bytes
         }),
-    ];
-    for (word, input) in cases {
+    ]
+}
+
+#[test]
+fn malformed_input_gets_one_error_line_and_no_reply() {
+    for (word, input) in malformed_inputs() {
         let output = run(&input);
         let error_line = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{word}: {error_line}");
