--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Connections from clients and operators, against random bytes and cuts. Fixed seeds: the same verdict each time.
+//! Connections from clients and operators, against random bytes and cuts. Fixed seeds: the same
+//! verdict each time.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -11,9 +11,9 @@
 
 #[test]
 fn attempt_whose_write_never_started_counts_as_not_run() {
-    // An attempt that waits for its connection until its timeout has not run: its query is rejected and
-    // does not fail. An attempt whose write has started goes on to its last byte, also after its
-    // timeout: it may run.
+    // An attempt that waits for its connection until its timeout has not run: its query is rejected
+    // and does not fail. An attempt whose write has started goes on to its last byte, also after
+    // its timeout: it may run.
     let write_inputs =
         [None, Some(Input::WriteStarted as fn(AttemptKey) -> Input), Some(Input::FullyWritten)];
     for write_input in write_inputs {
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -100,8 +100,8 @@
 
 #[test]
 fn stale_list_reverts_no_drain_and_removes_no_server() {
-    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain, and
-    // does not know newer ones: the first get no parts again, the second keep their work.
+    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain,
+    // and does not know newer ones: the first get no parts again, the second keep their work.
     let mut core = coordinator();
     let list = |version, kind, nodes: Vec<NodeEndpoint>| endpoint_list(kind, Some(version), nodes);
     let started = |number, state, seconds: u64| NodeEndpoint {
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -1,5 +1,5 @@
-//! The coordinator against random inputs: each attempt has one outcome, each query one final answer, and the
-//! reserved slots are bounded.
+//! The coordinator against random inputs: each attempt has one outcome, each query one final
+//! answer, and the reserved slots are bounded.
 
 use crate::support::{
     coordinator, endpoint_list, failed, fleet, node, served, submit, MAX_IN_FLIGHT, NON_IDEMPOTENT, PARTIAL,
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -1,4 +1,5 @@
-//! A coordinator of three servers and three classes, the inputs for it, and readers of its commands.
+//! A coordinator of three servers and three classes, the inputs for it, and readers of its
+//! commands.
 
 use crate::common::{self, MS};
 use quinceflow::coordinator::{
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The full fleet in virtual time: 300 instances of the policy side by side, each with a query every two seconds.
+//! The full fleet in virtual time: 300 instances of the policy side by side, each with a query
+//! every two seconds.
 
 mod common;
 use common::*;
@@ -14,7 +15,8 @@
 const LOOKUP: u16 = 1;
 const REPORT: u16 = 2;
 
-/// Three classes: sends, which are not idempotent; lookups, which need all parts; reports, from four fifths of them.
+/// Three classes: sends, which are not idempotent; lookups, which need all parts; reports, from
+/// four fifths of them.
 fn site() -> Settings {
     let of = |name: &str, effect| Class {
         name: name.to_owned(),
@@ -285,8 +287,8 @@
     assert!(after > 0.98, "{after}");
 }
 
-/// Checks that what all instances together send a starting node in any second stays within its capacity; returns how
-/// many parts it was sent.
+/// Checks that what all instances together send a starting node in any second stays within its
+/// capacity; returns how many parts it was sent.
 fn parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
     let sent: Vec<_> = fleet.sent.iter().filter(|s| s.node == node && s.at >= started).collect();
     for (n, SentPart { at, .. }) in sent.iter().enumerate() {
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -65,8 +65,8 @@
 /// [`count_answers_until_closed`] stops.
 const CLOSED_CONNECTIONS: usize = 4;
 
-/// Sends short queries on one connection after the other, each for as long as it stays open. Asserts
-/// that they fail, and returns the number of their answers.
+/// Sends short queries on one connection after the other, each for as long as it stays open.
+/// Asserts that they fail, and returns the number of their answers.
 fn count_answers_until_closed(edge: &Process) -> usize {
     let mut answers = 0;
     let mut closed = 0;
@@ -130,7 +130,8 @@
     let (mut edge, _watch) = site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
     let mut client = BufReader::new(send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http()));
     edge.wait_for_counter("queries_accepted", 1);
-    // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from here.
+    // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
+    // here.
     edge.signal("TERM");
     edge.wait_for_log("told to end");
     let longer_deadline = edge.configuration_with("/settings/classes/0/deadline", json!(8_000_000_000_u64));
@@ -191,7 +192,8 @@
 
 #[test]
 fn after_a_successor_dies_its_draining_predecessor_accepts_again() {
-    // The successor dies: its backlog is accepted by the predecessor, and not reset when that exits.
+    // The successor dies: its backlog is accepted by the predecessor, and not reset when that
+    // exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
     let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -122,7 +122,7 @@
 
 #[test]
 fn many_instances_together_do_not_overload_a_warming_replica_and_still_use_it() {
-    // Found on the grown deployments: an even share of the allowance held less than one part, so nobody sent any.
+    // An even share of the allowance is less than one part: some instances send one all the same.
     let count = 60;
     let rule =
         SlowStartRule { overload_factor: 3.0, overload_window: S, initial_capacity: 0.2, warm_up: 20 * S };
--- a/tests/levels.rs
+++ b/tests/levels.rs
@@ -1,4 +1,5 @@
-//! The decision policy in a level of reduced service: its effects, which end once the level is left.
+//! The decision policy in a level of reduced service: its effects, which end once the level is
+//! left.
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
@@ -20,7 +21,8 @@
     settings
 }
 
-/// The number of 400 queries of a class that are admitted; each of the others must be rejected at once.
+/// The number of 400 queries of a class that are admitted; each of the others must be rejected at
+/// once.
 fn count_admitted(harness: &mut Harness, class: u16) -> usize {
     let mut admitted = 0;
     for _ in 0..400 {
--- a/tests/node_connections/cases.rs
+++ b/tests/node_connections/cases.rs
@@ -5,7 +5,8 @@
 use quinceflow::proto::frames::{AttemptEvent, FrameError, MultiplexedConnection};
 use quinceflow::{AttemptNo, Outcome};
 
-/// Answers to attempt 0 that are not the usual ones, and whether the connection can be used after them.
+/// Answers to attempt 0 that are not the usual ones, and whether the connection can be used after
+/// them.
 const UNUSUAL_ANSWERS: [(&str, bool); 12] = [
     ("9b1f.0 served 1 inflight=\u{fffd} x,util\nvalue", true),
     ("9b1f.0 served 1 -\nvalue\0\0\0", false),
@@ -54,8 +55,8 @@
 
 #[test]
 fn only_valid_answers_end_an_attempt_and_load_reports_are_ignored() {
-    // An answer with an unknown id or with a value that runs into the next frame is not usable: no part
-    // waits on for it.
+    // An answer with an unknown id or with a value that runs into the next frame is not usable: no
+    // part waits on for it.
     for (text, usable) in UNUSUAL_ANSWERS {
         let mut connection = connection_with_written(&[&[request(0)]]);
         let (result, mut events) = receive(&mut connection, &frame('a', text));
@@ -161,8 +162,8 @@
 
 #[test]
 fn late_answer_is_not_taken_for_one_to_the_next_attempt() {
-    // All attempts at a part have one id: a late "broke" or "skipped" for the cancelled attempt must
-    // not end the one in flight, beside which the part would be sent a third time.
+    // All attempts at a part have one id: a late "broke" or "skipped" for the cancelled attempt
+    // must not end the one in flight, beside which the part would be sent a third time.
     let retry =
         |n: usize| AttemptRequest { key: AttemptKey { attempt: AttemptNo(1), ..key(n) }, ..request(n) };
     let other_query = AttemptRequest { request_id: "9b20".into(), ..retry(1) };
--- a/tests/node_connections/model.rs
+++ b/tests/node_connections/model.rs
@@ -1,4 +1,5 @@
-//! A model of a connection's state, against which random steps are checked. Fixed seeds: the same verdict each time.
+//! A model of a connection's state, against which random steps are checked. Fixed seeds: the same
+//! verdict each time.
 
 use super::wire::{frame, frames, key, query_payload, request};
 use proptest::collection::vec;
@@ -93,7 +94,8 @@
     /// The bytes written on the present connection.
     wire: Vec<u8>,
     queue: Vec<QueuedFrame>,
-    /// The attempts that the data node has received on the present connection: it answers no others.
+    /// The attempts that the data node has received on the present connection: it answers no
+    /// others.
     received: BTreeSet<usize>,
     metrics: Arc<ClassMetrics>,
     /// Frames fully written, whatever became of their attempts: operators are told of these.
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -1,4 +1,5 @@
-//! The front for feature queries against stand-in feature servers: pages, faults, draining, rejections.
+//! The front for feature queries against stand-in feature servers: pages, faults, draining,
+//! rejections.
 
 mod standin;
 
@@ -105,7 +106,7 @@
 
 #[test]
 fn all_pages_are_fetched_from_a_server_that_closes_after_each() {
-    // A connection that the server closed once made the fetch of the next page fail.
+    // Each page is fetched on a new connection, since the server has closed the one before.
     let server = FeatureServer::start(|target| match healthy_reply(target, 0..6, 2) {
         Reply::Json(body) => Reply::CloseDelimited(body),
         other => other,
@@ -175,7 +176,8 @@
     }
     assert_eq!(elsewhere.count_requests(|_| true), 0);
     assert_eq!((round.count_requests(|_| true), large.count_requests(|_| true)), (1, 1));
-    // Endless links without a new feature: the one feature is returned once, after at most two attempts of two pages.
+    // Endless links without a new feature: the one feature is returned once, after at most two
+    // attempts of two pages.
     let response = edge.get("/collections/endless/items");
     assert_eq!((response.status, response.ids()), (200, expected(0..1)));
     assert!(endless.count_requests(|_| true) <= 4, "{}", endless.count_requests(|_| true));
--- a/tests/ogc_run.rs
+++ b/tests/ogc_run.rs
@@ -1,5 +1,6 @@
 //! Some minutes of feature queries under the usual faults, outside CI:
-//! `MINUTES=4 cargo test --release --test ogc_run -- --ignored --nocapture`. Results: docs/recorded-run.md.
+//! `MINUTES=4 cargo test --release --test ogc_run -- --ignored --nocapture`. Results:
+//! docs/recorded-run.md.
 
 mod standin;
 
@@ -325,8 +326,8 @@
         starts
     }
 
-    /// The number of starts at a shard for each page request of the non-idempotent class: a client's
-    /// request may start each shard once, and so may its request for a further page.
+    /// The number of starts at a shard for each page request of the non-idempotent class: a
+    /// client's request may start each shard once, and so may its request for a further page.
     fn non_idempotent_starts_per_page(&self) -> Vec<usize> {
         let mut recorded = self.starts_before_pages.lock().expect("starts").clone();
         let mut per_page = Vec::new();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,5 @@
-//! Operating the process on real sockets: startup checks, health check, admin endpoint, reloads and upgrades.
+//! Operating the process on real sockets: startup checks, health check, admin endpoint, reloads and
+//! upgrades.
 
 mod standin;
 
@@ -90,7 +91,8 @@
 
 #[test]
 fn the_health_check_fails_until_discovery_has_sent_its_list() {
-    // The cached list may be old: queries are served from it, but the health check waits for discovery.
+    // The cached list may be old: queries are served from it, but the health check waits for
+    // discovery.
     let silent_discovery = bind_loopback();
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -1,4 +1,5 @@
-//! The policy on the ordinary path: when to answer, rotation, quality and the controller, and faults found.
+//! The policy on the ordinary path: when queries are answered and admitted, quality, the controller,
+//! and parts that are omitted.
 
 mod common;
 use common::*;
@@ -18,8 +19,8 @@
 
 #[test]
 fn a_query_is_admitted_whatever_time_other_queries_had_left() {
-    // A client's last retry may have more time left than its first attempt had: once one was received, every first
-    // attempt was taken for a retry past its objective and rejected. So were first attempts with a short time-out.
+    // A client's last retry may have more time left than its first attempt had: it must not make
+    // first attempts, or those with a short time-out, look like retries past their objective.
     let mut harness = Harness::new(settings(Class { late_weight: 0.0, ..class(Effect::Idempotent) }));
     for (n, left) in
         [2_500, 3_600, 2_500, 2_500, 2_500, 2_500, 2_500, 900, 2_500, 700].into_iter().enumerate()
@@ -83,7 +84,8 @@
 #[test]
 fn low_priority_is_shed_for_late_answers_and_recovers() {
     let mut harness = Harness::new(two_priorities());
-    // High-priority parts are answered late while their replica answers others: the share must fall.
+    // High-priority parts are answered late while their replica answers others: the share must
+    // fall.
     let mut rejections = 0;
     for _ in 0..60 {
         let (_, late, _) = harness.submit_as(0, 0, &[0]);
@@ -119,7 +121,7 @@
 
 #[test]
 fn a_query_with_a_few_ticks_less_time_left_is_admitted() {
-    // Found on the first incidents: the network delay varies the time left of a first attempt.
+    // The network delay varies the time left of a first attempt.
     let mut settings = settings(class(Effect::Idempotent));
     settings.classes[0].deadline = 5 * S;
     let mut harness = Harness::new(settings);
@@ -193,7 +195,7 @@
 
 #[test]
 fn light_parts_are_omitted_when_their_replicas_are_slow() {
-    // Found on tbilisi-main's bursts: the many light parts cost as much as the heavy ones.
+    // Light parts cost as much as heavy ones: they are the first to be omitted.
     let ask = |harness: &mut Harness, id: u64| {
         let group = GroupId(id as u32);
         let mut events = vec![query_event(id, 0, 0, 3 * S)];
@@ -213,8 +215,7 @@
 
 #[test]
 fn all_parts_of_a_wide_query_are_sent_at_once() {
-    // On the full fleet each query of 35 parts once waited for probes of its nodes' load, whose figures were no truer than
-    // the last answers.
+    // No part waits for a probe of its node's load: the last answers tell the load as well.
     let wide: Vec<u32> = (0..64).map(|n| n % 3).collect();
     let (_, _, actions) = Harness::new(two_priorities()).submit_as(1, 0, &wide);
     assert_eq!(sent_attempts(&actions).len(), 64);
@@ -222,8 +223,8 @@
 
 #[test]
 fn a_class_is_not_rejected_for_a_guess_at_its_work() {
-    // A class with a long objective and clients with short time-outs was rejected for ever: the guess at its work came
-    // from its objective and exceeded its clients' time, and with all rejected no answer could correct it.
+    // With a long objective the guess at the work of a query exceeds its client's short time-out. It
+    // must not be rejected for that: only answers correct the guess.
     let mut harness = Harness::new(settings(Class {
         latency_objective: 20 * S,
         deadline: 30 * S,
@@ -250,7 +251,8 @@
 
 #[test]
 fn an_answer_from_all_parts_is_complete_however_their_weights_were_rounded() {
-    // 35 parts of 0.02857 each come to 0.99995: nothing is missing, and nothing better will ever come.
+    // 35 parts of 0.02857 each come to 0.99995: nothing is missing, and nothing better will ever
+    // come.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let parts: Vec<PartId> = (2..37).map(PartId).collect();
     let part = |p: &PartId| Event::Part { part: *p, group: GroupId(1), shard: ShardId(0), weight: 0.028_57 };
@@ -262,8 +264,8 @@
 
 #[test]
 fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
-    // On the full fleet a fifth of the nodes took ten times as long as the others: the parts of wide queries there came too
-    // late, and took the room of queries that need theirs.
+    // Parts of wide queries at slow nodes would be late, and would take the room of queries that need
+    // their parts there.
     let mut settings = settings(Class { min_share: 0.6, ..class(Effect::Idempotent) });
     settings.cells = 10;
     settings.shards = 10;
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -1,4 +1,5 @@
-//! Following the `next` links to the end: each feature is returned once, with no more requests to servers than pages.
+//! Following the `next` links to the end: each feature is returned once, with no more requests to
+//! servers than pages.
 
 mod standin;
 
@@ -97,7 +98,8 @@
 
 #[test]
 fn each_feature_is_returned_once_despite_differing_replicas_outages_and_a_reload() {
-    // Two replicas in opposite orders, each down for a while in turn: neither can continue the pages of the other.
+    // Two replicas in opposite orders, each down for a while in turn: neither can continue the
+    // pages of the other.
     let down: [Arc<AtomicBool>; 2] = Default::default();
     let a = replica(&down[0], 0..2_000, |next| next);
     let b = replica(&down[1], 0..2_000, |next| 1_999 - next);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -33,7 +33,8 @@
         assert_eq!(answer.json(), json!({"full": true, "pieces": [cell(0), cell(1), cell(2)]}));
     }
     let open: Vec<usize> = nodes.iter().map(DataNode::connections).collect();
-    // Not one each: if the machine pauses, an answer is overdue, and the next parts take another connection.
+    // Not one each: if the machine pauses, an answer is overdue, and the next parts take another
+    // connection.
     assert!(open.iter().all(|n| *n <= 4), "connections are reused: {open:?}");
 }
 
@@ -71,8 +72,9 @@
 
 #[test]
 fn an_unresponsive_connection_fails_no_query_while_its_node_is_healthy() {
-    // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a connection
-    // is given up for age: it is given up for its silence, and half an answer has no end in later bytes.
+    // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a
+    // connection is given up for age: it is given up for its silence, and half an answer has no end
+    // in later bytes.
     for fault in [NodeBehaviour::StopResponding, NodeBehaviour::PartialResponse] {
         let nodes =
             [(); 2].map(|()| DataNode::start(move |n| if n == 100 { fault } else { NodeBehaviour::Serve }));
@@ -193,7 +195,8 @@
 
 #[test]
 fn a_request_with_the_id_of_a_pending_one_is_rejected_and_the_pending_one_served() {
-    // Data nodes identify parts by that id: the second request would receive the first one's answers.
+    // Data nodes identify parts by that id: the second request would receive the first one's
+    // answers.
     let gate = Arc::new(Mutex::new(()));
     let held = gate.lock().expect("gate");
     let wait = |gate: Arc<Mutex<()>>| {
@@ -219,7 +222,8 @@
 
 #[test]
 fn silent_and_incomplete_connections_are_closed_and_do_not_block_other_clients() {
-    // Incomplete requests and silent connections have a limit of time, and are evicted for new clients.
+    // Incomplete requests and silent connections have a limit of time, and are evicted for new
+    // clients.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment { descriptors: 60, ..Deployment::BASIC }.start("silent", &nodes);
     edge.wait_until_ready();
@@ -286,7 +290,8 @@
     let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
     write!(
         kept,
-        "POST /api HTTP/1.1\r\nX-Trace-Id: q1\r\nX-Qos: lookup\r\nX-Expires-In: 1\r\nContent-Length: {}\r\n\r\n{body}",
+        "POST /api HTTP/1.1\r\nX-Trace-Id: q1\r\nX-Qos: lookup\r\nX-Expires-In: 1\r\n\
+         Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .expect("written");
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -62,7 +62,8 @@
     let healthy = DataNode::serving();
     let listener = bind_loopback();
     let addresses = [healthy.address, listener.local_addr().expect("bound")];
-    // Two shards, one on each node: the other holder is draining, so that the late part cannot be retried elsewhere.
+    // Two shards, one on each node: the other holder is draining, so that the late part cannot be
+    // retried elsewhere.
     let (edge, mut watch) = Deployment { latency_objective_ms: 600, ..Deployment::ALL_EFFECTS }
         .start_controlled("after", &agent, &addresses);
     watch.send(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -14,8 +14,8 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_is_not_sent_again() {
-    // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it is
-    // written later and may run: it does not count as not sent, and no other node gets it.
+    // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it
+    // is written later and may run: it does not count as not sent, and no other node gets it.
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes.iter().for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
@@ -24,7 +24,8 @@
         .start_controlled("begun", &agent, &addresses);
     let body =
         json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)}).to_string();
-    let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\nX-Expires-In: 0.8\r\nConnection: close";
+    let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\n\
+                X-Expires-In: 0.8\r\nConnection: close";
     let answer = edge.send_request(&format!("{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     edge.wait_for_counter("attempts_dispatched", 1);
     assert_eq!(answer.status, 504, "it may run: {answer:?}");
@@ -73,7 +74,8 @@
 #[test]
 fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
     // At its reset by the node one frame is partly written and others wait behind it. These cannot
-    // have run, so they are retried whatever their class; fully written ones may have run and are not.
+    // have run, so they are retried whatever their class; fully written ones may have run and are
+    // not.
     let stalled = bind_loopback();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
     let healthy = UnreachableNode::new();
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -70,8 +70,8 @@
 
 #[test]
 fn a_failure_of_long_ago_does_not_reject_non_idempotent_queries() {
-    // On a large fleet a coordinator has too few idempotent parts to probe each failed replica by them:
-    // it must send non-idempotent parts again after a while.
+    // On a large fleet a coordinator has too few idempotent parts to probe each failed replica by
+    // them: it must send non-idempotent parts again after a while.
     let mut sent = 0;
     for seed in 0..20 {
         let mut settings = two_priorities();
@@ -91,8 +91,8 @@
 
 #[test]
 fn dropped_idle_connections_are_closed_before_use_and_count_as_no_failure() {
-    // The servers drop connections that are idle for a second; a server does not count as silent for
-    // that.
+    // The servers drop connections that are idle for a second; a server does not count as silent
+    // for that.
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let mut closed = [0, 0];
     for (idle, closed) in [true, false].into_iter().zip(&mut closed) {
@@ -100,7 +100,8 @@
         for n in 0..200 {
             let (_, parts, actions) = harness.submit(&[0]);
             *closed += u32::from(closes(&actions));
-            // Idle connections lose everything and new ones nothing; an overload loses half on both.
+            // Idle connections lose everything and new ones nothing; an overload loses half on
+            // both.
             if if idle { !closes(&actions) } else { n % 2 == 0 } {
                 harness.now += S;
                 harness.complete(parts[0], 0, Outcome::TimedOut, S);
@@ -115,7 +116,7 @@
 
 #[test]
 fn a_replica_that_rejects_is_skipped_for_a_while() {
-    // Found on i7896a1 and i7ec26b: rejecting in no time, a full replica looked fast and drew a third of the sends.
+    // A full replica rejects in no time: it must not look fast for that and draw more parts.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for _ in 0..20 {
         let (_, parts, actions) = harness.submit(&[0]);
@@ -168,7 +169,7 @@
 
 #[test]
 fn resets_between_answers_count_as_no_failure() {
-    // Found on i281b39: broken connections all over a healthy fleet ejected its replicas.
+    // Broken connections all over a healthy fleet must not eject its replicas.
     let mut settings = settings(class(Effect::Idempotent));
     settings.slow_start = Some(SlowStartRule {
         overload_factor: 2.0,
@@ -194,7 +195,8 @@
 
 #[test]
 fn a_replica_that_fails_fast_gets_no_non_idempotent_parts() {
-    // A replica whose errors come fast looks idle: its errors count although its answers are recent.
+    // A replica whose errors come fast looks idle: its errors count although its answers are
+    // recent.
     let mut settings = settings(class(Effect::Idempotent));
     settings.classes.push(class(Effect::NonIdempotent));
     let mut harness = Harness::new(settings);
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -87,8 +87,8 @@
         *self.log.connections.lock().expect("count")
     }
 
-    /// Returns the number of connections that the node closed by itself after a part; those that the
-    /// process gave up do not count.
+    /// Returns the number of connections that the node closed by itself after a part; those that
+    /// the process gave up do not count.
     pub fn closed_connections(&self) -> usize {
         *self.log.closed_connections.lock().expect("count")
     }
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for discovery: one that answers by itself, and one whose watches the test answers. Owns
-//! the lists of endpoints that they send.
+//! Stand-ins for discovery: one that answers by itself, and one whose watches the test answers.
+//! Owns the lists of endpoints that they send.
 
 use super::http::{
     accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head, write_line_chunk,
@@ -13,7 +13,8 @@
 /// After this time a test that waits for what never arrives fails instead of hanging.
 const WATCHDOG_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// An endpoint as discovery lists it. The index is the pod group, and the unique id is made from it.
+/// An endpoint as discovery lists it. The index is the pod group, and the unique id is made from
+/// it.
 #[derive(Clone, Copy)]
 pub struct ListedEndpoint {
     index: usize,
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -1,4 +1,5 @@
-//! Stand-in feature servers: owns their replies, healthy and faulty, and the record of their requests.
+//! Stand-in feature servers: owns their replies, healthy and faulty, and the record of their
+//! requests.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
 use std::io::{Result, Write};
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -82,7 +82,8 @@
         Process::spawn(command, folder)
     }
 
-    /// Starts a successor of this process with the same configuration. Both use this folder for temporary files.
+    /// Starts a successor of this process with the same configuration. Both use this folder for
+    /// temporary files.
     pub fn start_successor(&self, temporary: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
         let start = self.folder.ancestors().find(|f| f.join(CONFIGURATION).exists()).expect("its start");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The simulator's adapter as a process: frames in, frames out, and one error line for malformed input.
+//! The simulator's adapter as a process: frames in, frames out, and one error line for malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
