--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Connections from clients and operators, against random bytes and cuts. Fixed seeds: the same verdict each time.
+//! Connections from clients and operators, against random bytes and cuts. Fixed seeds: the same
+//! verdict each time.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -14,6 +15,27 @@
     }
 }
 
+/// The text of requests with these bodies, each in chunks of 7 bytes if its flag is set.
+fn requests_text(bodies: &[(Vec<u8>, bool)]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    for (body, chunked) in bodies {
+        if !chunked {
+            let length = body.len();
+            bytes.extend(format!("POST /api HTTP/1.1\r\nContent-Length: {length}\r\n\r\n").bytes());
+            bytes.extend_from_slice(body);
+            continue;
+        }
+        bytes.extend_from_slice(b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for chunk in body.chunks(7) {
+            bytes.extend(format!("{:x}\r\n", chunk.len()).bytes());
+            bytes.extend_from_slice(chunk);
+            bytes.extend_from_slice(b"\r\n");
+        }
+        bytes.extend_from_slice(b"0\r\n\r\n");
+    }
+    bytes
+}
+
 proptest! {
     #![proptest_config(config())]
 
@@ -24,7 +46,9 @@
         cuts in vec(1usize..90, 1..20),
     ) {
         let bytes = format!("{line}{end}");
-        let (mut caller, mut rest, mut cuts) = (AdminConnection::default(), bytes.as_bytes(), cuts.into_iter().cycle());
+        let mut caller = AdminConnection::default();
+        let mut rest = bytes.as_bytes();
+        let mut cuts = cuts.into_iter().cycle();
         let mut call = caller.command(false);
         while call.is_none() && !rest.is_empty() {
             let (now, later) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
@@ -47,23 +71,12 @@
         cuts in vec(1usize..120, 1..60),
         writes in vec(1usize..150, 1..60),
     ) {
-        let mut bytes = Vec::new();
-        for (body, chunked) in &bodies {
-            if *chunked {
-                bytes.extend_from_slice(b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
-                for part in body.chunks(7) {
-                    bytes.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
-                    bytes.extend_from_slice(part);
-                    bytes.extend_from_slice(b"\r\n");
-                }
-                bytes.extend_from_slice(b"0\r\n\r\n");
-            } else {
-                bytes.extend_from_slice(format!("POST /api HTTP/1.1\r\nContent-Length: {}\r\n\r\n", body.len()).as_bytes());
-                bytes.extend_from_slice(body);
-            }
-        }
-        let (mut server, mut got, mut out) = (ServerConnection::default(), Vec::new(), Vec::new());
-        let (mut cuts, mut writes) = (cuts.into_iter().cycle(), writes.into_iter().cycle());
+        let bytes = requests_text(&bodies);
+        let mut server = ServerConnection::default();
+        let mut got = Vec::new();
+        let mut out = Vec::new();
+        let mut cuts = cuts.into_iter().cycle();
+        let mut writes = writes.into_iter().cycle();
         let mut rest = &bytes[..];
         loop {
             let n = cuts.next().unwrap_or(1).min(rest.len());
@@ -82,7 +95,7 @@
                 break;
             }
         }
-        let sent: Vec<_> = bodies.into_iter().map(|b| b.0).collect();
+        let sent: Vec<_> = bodies.into_iter().map(|(body, _)| body).collect();
         prop_assert_eq!(&got, &sent);
         let out = String::from_utf8(out).expect("text");
         prop_assert_eq!(out.matches("HTTP/1.1 200 OK").count(), sent.len());
@@ -109,7 +122,7 @@
 
 #[test]
 fn what_comes_behind_a_request_never_stops_the_reading_of_it_and_costs_it_no_answer() {
-    // With 80 KB behind its request a client was not read from any more, so nobody saw that it left.
+    // A client that sends more than 80 KB behind its request is read on, so that its close is seen.
     let mut server = ServerConnection::default();
     server.input().extend(b"GET /up HTTP/1.1\r\n\r\n");
     assert!(matches!(server.next_request(), Some(Ok(_))) && server.awaits_response());
@@ -147,7 +160,7 @@
         server.end_of_input();
         let error = first.or_else(|| server.next_request()).and_then(Result::err);
         if let Some(e) = error {
-            // A client that went away in the middle of a request had the worker say so without end.
+            // An error is reported once, and not again for the same bytes.
             assert!(server.next_request().is_none());
             server.respond(Response::new(e.status(), "", ""), true);
             assert!(server.next_request().is_none());
@@ -182,7 +195,7 @@
 
 #[test]
 fn an_idle_connection_told_to_close_still_takes_the_request_that_is_here() {
-    // A request that crossed the closing was dropped unread.
+    // The request and the decision to close cross: the request is read and answered.
     let mut server = ServerConnection::default();
     server.close_when_idle();
     server.input().extend(b"GET /up HTTP/1.1\r\n\r\n");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The full fleet in virtual time: 300 instances of the policy side by side, each with a query every two seconds.
+//! The full fleet in virtual time: 300 instances of the policy side by side, each with a query
+//! every two seconds.
 
 mod common;
 use common::*;
@@ -14,7 +15,8 @@
 const LOOKUP: u16 = 1;
 const REPORT: u16 = 2;
 
-/// Three classes: sends, which are not idempotent; lookups, which need all parts; reports, from four fifths of them.
+/// Three classes: sends, which are not idempotent; lookups, which need all parts; reports, from
+/// four fifths of them.
 fn site() -> Settings {
     let of = |name: &str, effect| Class {
         name: name.to_owned(),
@@ -38,7 +40,7 @@
     }
 }
 
-/// What happens at an instance.
+/// An occurrence at an instance.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Query,
@@ -59,7 +61,7 @@
     due: Due,
 }
 
-/// What became of a query that was submitted.
+/// The course of a submitted query.
 struct Fate {
     at: Nanos,
     class: u16,
@@ -154,7 +156,8 @@
     fn submit(&mut self, instance: usize) {
         self.schedule(PAUSE, instance, Due::Query);
         self.order += 100;
-        let (id, dice) = (self.order, self.rng.usize(..10));
+        let id = self.order;
+        let dice = self.rng.usize(..10);
         let class = if dice >= self.wide { SEND } else { [LOOKUP, REPORT][dice % 2] };
         let shards: Vec<u32> = match class {
             SEND => vec![self.rng.u32(..u32::from(NODES) / 5)],
@@ -244,7 +247,9 @@
 #[test]
 fn all_instances_return_to_recovered_nodes_gradually() {
     let mut fleet = Fleet::new(&site());
-    let (from, back, end) = (START + 5 * S, START + 10 * S, START + 26 * S);
+    let from = START + 5 * S;
+    let back = START + 10 * S;
+    let end = START + 26 * S;
     // Two neighbours: nobody answers for the shard that both hold.
     fleet.outage = Outage { nodes: 2, from, until: back };
     fleet.run(end);
@@ -264,15 +269,17 @@
         let within = |at: Nanos| parts.iter().filter(|p| (at..at + 100 * MS).contains(p)).count();
         (from..to).step_by(100 * MS as usize).map(within).max().unwrap_or(0)
     };
-    let (usual, returning) = (most(START, from), most(back, back + 5 * S));
+    let usual = most(START, from);
+    let returning = most(back, back + 5 * S);
     assert!(returning <= 2 * usual, "{returning} parts in 100 ms, {usual} before");
 }
 
 #[test]
 fn instances_with_only_non_idempotent_queries_return_to_recovered_nodes() {
-    // Only idempotent parts probed a failed node: these instances rejected queries to its shard for good.
+    // A failed node is probed by non-idempotent parts too, where an instance has no others.
     let mut fleet = Fleet::new(&site());
-    let (back, end) = (START + 10 * S, START + 26 * S);
+    let back = START + 10 * S;
+    let end = START + 26 * S;
     fleet.wide = 0;
     fleet.outage = Outage { nodes: 2, from: START + 3 * S, until: back };
     fleet.run(end);
@@ -280,8 +287,8 @@
     assert!(after > 0.98, "{after}");
 }
 
-/// Checks that what all instances together send a starting node in any second stays within its capacity; returns how
-/// many parts it was sent.
+/// Checks that what all instances together send a starting node in any second stays within its
+/// capacity; returns how many parts it was sent.
 fn parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
     let sent: Vec<_> = fleet.sent.iter().filter(|s| s.node == node && s.at >= started).collect();
     for (n, SentPart { at, .. }) in sent.iter().enumerate() {
@@ -330,14 +337,15 @@
 
 #[test]
 fn the_load_of_a_draining_node_spreads_beyond_its_neighbours() {
-    // They held two shards alone and half of the two they share: half as much again, and their queues filled, while
-    // each instance met them too seldom to see it.
+    // The neighbours hold two shards alone and share two: without a spread over further nodes they
+    // get half as much load again, which each instance meets too seldom to notice.
     let mut fleet = Fleet::new(&site());
     let drained = START + 2 * S;
     for n in 0..INSTANCES {
         fleet.schedule(drained - START, n, Due::Draining(10));
     }
-    let (from, end) = (drained + S, drained + 12 * S);
+    let from = drained + S;
+    let end = drained + 12 * S;
     fleet.run(end);
     let load = |node: u8| fleet.sent.iter().filter(|s| s.node == node && s.at >= from).count() as f64;
     let mean = (0..NODES).filter(|n| *n != 10).map(load).sum::<f64>() / f64::from(NODES - 1);
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,16 +1,18 @@
-//! Graceful shutdown on real sockets, and events that race with it; see also `tests/races.rs`.
+//! Graceful shutdown on real sockets, and events that race with it; see also `tests/races/`.
 
 mod standin;
 
 use serde_json::json;
-use standin::client::{query, query_request, read_response, read_until_close, send_request, ResponseHead};
+use standin::client::{query, read_response, read_until_close, send_request, QueryRequest, ResponseHead};
 use standin::data_node::{DataNode, UnreachableNode};
 use standin::deployment::Deployment;
 use standin::discovery::{all_in_service, endpoint_list, serve_constant_list, ControlledDiscovery};
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
 use standin::management::management_call;
+use standin::process::Process;
 use std::io::{BufReader, Read, Write};
+use std::net::TcpStream;
 use std::sync::mpsc::channel;
 
 #[test]
@@ -24,11 +26,14 @@
     // Stopped: the kernel has all this, and the signal, when the process continues.
     edge.signal("STOP");
     persistent
-        .write_all(query_request("kept", "look", &[0], "Connection: close\r\n").as_bytes())
+        .write_all(QueryRequest::new("kept", "look", &[0]).close_connection().to_http().as_bytes())
         .expect("written");
     let queued: Vec<_> = (0..5)
         .map(|n| {
-            send_request(&edge, &query_request(&format!("q{n}"), "once", &[0, 1], "Connection: close\r\n"))
+            send_request(
+                &edge,
+                &QueryRequest::new(&format!("q{n}"), "once", &[0, 1]).close_connection().to_http(),
+            )
         })
         .collect();
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
@@ -43,34 +48,35 @@
     assert!(edge.wait_for_exit(), "it exits by itself");
 }
 
-#[test]
-fn after_sigterm_all_requests_are_answered_and_the_process_exits_although_nodes_hang() {
-    // One node hangs, the other cannot be connected to; the clients' timeouts are longer than the 3.7 s until the kill.
-    let (hanging, unreachable) = (DataNode::hanging(), UnreachableNode::new());
-    let agent = ControlledDiscovery::new();
-    let (mut edge, _watch) =
-        Deployment::ALL_EFFECTS.start_controlled("hung", &agent, &[hanging.address, unreachable.address()]);
-    let pending: Vec<_> = ["look", "once", "some"]
-        .iter()
-        .flat_map(|class| (0..4).map(move |n| (class, n)))
-        .map(|(class, n)| {
-            send_request(
-                &edge,
-                &query_request(&format!("{class}{n}"), class, &[0, 1, 2, 3], "Connection: close\r\n"),
-            )
-        })
-        .collect();
-    edge.wait_for_counter("queries_accepted", 12);
-    let started_at = std::time::Instant::now();
-    edge.signal("TERM");
-    edge.wait_for_log("told to end");
-    // On one connection after the other, each for as long as it stays open.
-    let (mut answers, mut closed, mut n) = (0, 0, 0);
-    while closed < 4 {
-        let mut client = BufReader::new(send_request(&edge, ""));
+/// Sends four queries of each of three classes, each on a connection of its own.
+fn send_pending_queries(edge: &Process) -> Vec<TcpStream> {
+    let mut clients = Vec::new();
+    for class in ["look", "once", "some"] {
+        for number in 0..4 {
+            let id = format!("{class}{number}");
+            let request = QueryRequest::new(&id, class, &[0, 1, 2, 3]).close_connection();
+            clients.push(send_request(edge, &request.to_http()));
+        }
+    }
+    clients
+}
+
+/// The number of connections that the process closes, by `Connection: close`, before
+/// [`count_answers_until_closed`] stops.
+const CLOSED_CONNECTIONS: usize = 4;
+
+/// Sends short queries on one connection after the other, each for as long as it stays open.
+/// Asserts that they fail, and returns the number of their answers.
+fn count_answers_until_closed(edge: &Process) -> usize {
+    let mut answers = 0;
+    let mut closed = 0;
+    let mut queries = 0;
+    while closed < CLOSED_CONNECTIONS {
+        let mut client = BufReader::new(send_request(edge, ""));
         loop {
-            n += 1;
-            let next = query_request(&format!("n{n}"), "once", &[4], "").replace("In: 30", "In: 0.05");
+            queries += 1;
+            let id = format!("n{queries}");
+            let next = QueryRequest::new(&id, "once", &[4]).timeout_seconds(0.05).to_http();
             if client.get_mut().write_all(next.as_bytes()).is_err() {
                 break;
             }
@@ -86,6 +92,26 @@
             }
         }
     }
+    answers
+}
+
+#[test]
+fn after_sigterm_all_requests_are_answered_and_the_process_exits_although_nodes_hang() {
+    // One node hangs, the other cannot be connected to; the clients' timeouts are longer than the
+    // 3.7 s until the kill.
+    let hanging = DataNode::hanging();
+    let unreachable = UnreachableNode::new();
+    let agent = ControlledDiscovery::new();
+    let (mut edge, _watch) =
+        Deployment::ALL_EFFECTS.start_controlled("hung", &agent, &[hanging.address, unreachable.address()]);
+    let pending = send_pending_queries(&edge);
+    edge.wait_for_counter("queries_accepted", 12);
+
+    let started_at = std::time::Instant::now();
+    edge.signal("TERM");
+    edge.wait_for_log("told to end");
+    let answers = count_answers_until_closed(&edge);
+
     assert!(answers > 4, "{answers}");
     for client in pending {
         let text = read_until_close(client);
@@ -97,13 +123,15 @@
 
 #[test]
 fn an_answered_client_that_never_closes_does_not_delay_the_exit_until_the_kill() {
-    let (hanging, other) = (DataNode::hanging(), DataNode::hanging());
+    let hanging = DataNode::hanging();
+    let other = DataNode::hanging();
     let agent = ControlledDiscovery::new();
     let site = Deployment { latency_objective_ms: 500, ..Deployment::ALL_EFFECTS };
     let (mut edge, _watch) = site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
-    let mut client = BufReader::new(send_request(&edge, &query_request("q", "once", &[0], "")));
+    let mut client = BufReader::new(send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http()));
     edge.wait_for_counter("queries_accepted", 1);
-    // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from here.
+    // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
+    // here.
     edge.signal("TERM");
     edge.wait_for_log("told to end");
     let longer_deadline = edge.configuration_with("/settings/classes/0/deadline", json!(8_000_000_000_u64));
@@ -111,7 +139,7 @@
     edge.signal("HUP");
     assert_eq!(read_response(&mut client), Some(ResponseHead { status: 504, closes: false }));
     assert_eq!(client.read(&mut [0]).expect("closed in good order"), 0, "shortly before the last answer");
-    let mut last = BufReader::new(send_request(&edge, &query_request("last", "once", &[1], "")));
+    let mut last = BufReader::new(send_request(&edge, &QueryRequest::new("last", "once", &[1]).to_http()));
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
@@ -126,7 +154,7 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let (mut edge, _watch) = Deployment::ALL_EFFECTS.start_controlled("retry-end", &agent, &addresses);
-    let client = send_request(&edge, &query_request("q", "once", &[0], ""));
+    let client = send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http());
     let (sender, attempts) = channel();
     for listener in nodes {
         let sender = sender.clone();
@@ -152,7 +180,7 @@
     let agent = ControlledDiscovery::new();
     let (edge, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("linger-end", &agent, &nodes.each_ref().map(|n| n.address));
-    let mut client = send_request(&edge, &query_request("q", "look", &[0], "Connection: close\r\n"));
+    let mut client = send_request(&edge, &QueryRequest::new("q", "look", &[0]).close_connection().to_http());
     let mut text = String::new();
     client.read_to_string(&mut text).expect("to its end");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
@@ -164,7 +192,8 @@
 
 #[test]
 fn after_a_successor_dies_its_draining_predecessor_accepts_again() {
-    // Regression: nobody accepted after the successor died, and the backlog was reset when the predecessor exited.
+    // The successor dies: its backlog is accepted by the predecessor, and not reset when that
+    // exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
     let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
--- a/tests/levels.rs
+++ b/tests/levels.rs
@@ -1,4 +1,5 @@
-//! What the decision policy does in a level of reduced service, and that it is undone once the level is left.
+//! The decision policy in a level of reduced service: its effects, which end once the level is
+//! left.
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
@@ -20,7 +21,8 @@
     settings
 }
 
-/// The number of 400 queries of a class that are admitted; each of the others must be rejected at once.
+/// The number of 400 queries of a class that are admitted; each of the others must be rejected at
+/// once.
 fn count_admitted(harness: &mut Harness, class: u16) -> usize {
     let mut admitted = 0;
     for _ in 0..400 {
@@ -131,7 +133,8 @@
             ref other => panic!("{other:?}"),
         };
         let waits: Vec<Nanos> = (0..200).map(retry_after).collect();
-        let (low, high) = (*waits.iter().min().expect("some"), *waits.iter().max().expect("some"));
+        let low = *waits.iter().min().expect("some");
+        let high = *waits.iter().max().expect("some");
         assert!(low >= min && high <= S, "{retry_after_factor}: {low} to {high}");
         assert!(high - low > (S - min) * 9 / 10, "{retry_after_factor}: spread from {low} to {high}");
     }
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! How the policy chooses among replicas: rotation, outliers, failures and their recovery.
+//! The policy's choice among replicas: rotation, outliers, failures and their recovery.
 
 mod common;
 use common::*;
@@ -26,7 +26,8 @@
         harness.answer(parts[0]);
     }
     // Which is first is drawn.
-    let (first, next) = (seen[0], seen[1]);
+    let first = seen[0];
+    let next = seen[1];
     assert_ne!(first, next);
     assert_eq!(seen, [first, next, first, next]);
     let (_, _, stuck) = harness.submit(&[0]);
@@ -55,8 +56,8 @@
 
 #[test]
 fn slow_answers_of_long_ago_reject_nobody() {
-    // On the full fleet one slow query of 200 parts was all that a coordinator had seen: every query was rejected for
-    // what its own parts would cost, so that nothing new was ever observed ("shut=36 struck=11 ... typical=509.6").
+    // The coordinator has seen slow queries only. Its estimate must not reject every query, since
+    // nothing new would be observed then.
     let slow = |harness: &mut Harness| {
         for _ in 0..40 {
             let (_, parts, _) = harness.submit(&[0, 1, 2]);
@@ -69,8 +70,8 @@
 
 #[test]
 fn a_failure_of_long_ago_does_not_reject_non_idempotent_queries() {
-    // Only idempotent parts probed failed replicas: on the full fleet a coordinator has a few in ten seconds over 180
-    // servers, and rejected non-idempotent queries at two of them for the rest of the day.
+    // On a large fleet a coordinator has too few idempotent parts to probe each failed replica by
+    // them: it must send non-idempotent parts again after a while.
     let mut sent = 0;
     for seed in 0..20 {
         let mut settings = two_priorities();
@@ -90,7 +91,8 @@
 
 #[test]
 fn dropped_idle_connections_are_closed_before_use_and_count_as_no_failure() {
-    // Found on midshires-fleet-later: connections idle for a second were dropped, and all looked silent.
+    // The servers drop connections that are idle for a second; a server does not count as silent
+    // for that.
     let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let mut closed = [0, 0];
     for (idle, closed) in [true, false].into_iter().zip(&mut closed) {
@@ -98,7 +100,8 @@
         for n in 0..200 {
             let (_, parts, actions) = harness.submit(&[0]);
             *closed += u32::from(closes(&actions));
-            // Idle connections lose everything and new ones nothing; an overload loses half on both.
+            // Idle connections lose everything and new ones nothing; an overload loses half on
+            // both.
             if if idle { !closes(&actions) } else { n % 2 == 0 } {
                 harness.now += S;
                 harness.complete(parts[0], 0, Outcome::TimedOut, S);
@@ -113,7 +116,7 @@
 
 #[test]
 fn a_replica_that_rejects_is_skipped_for_a_while() {
-    // Found on i7896a1 and i7ec26b: rejecting in no time, a full replica looked fast and drew a third of the sends.
+    // A full replica rejects in no time: it must not look fast for that and draw more parts.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for _ in 0..20 {
         let (_, parts, actions) = harness.submit(&[0]);
@@ -137,7 +140,7 @@
 
 #[test]
 fn a_slow_replica_is_remembered_for_the_interval_between_its_uses() {
-    // Found on wms-kalendarz-later: with ten seconds between two uses a slow replica was forgotten each time.
+    // With ten seconds between two uses a slow replica is still known as slow.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let mut met = 0;
     for n in 0..180 {
@@ -154,7 +157,7 @@
 
 #[test]
 fn a_part_rejected_by_all_holders_waits_before_its_retry() {
-    // Found on i45c43f: with one holder left each part was sent three times to the same full queue.
+    // With one holder left a part is not retried at once: its queue is still full.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let (_, parts, _) = harness.submit(&[0]);
     let again = harness.complete(parts[0], 0, Outcome::Rejected, MS);
@@ -166,7 +169,7 @@
 
 #[test]
 fn resets_between_answers_count_as_no_failure() {
-    // Found on i281b39: broken connections all over a healthy fleet ejected its replicas.
+    // Broken connections all over a healthy fleet must not eject its replicas.
     let mut settings = settings(class(Effect::Idempotent));
     settings.slow_start = Some(SlowStartRule {
         overload_factor: 2.0,
@@ -192,12 +195,14 @@
 
 #[test]
 fn a_replica_that_fails_fast_gets_no_non_idempotent_parts() {
-    // It looked idle: errors did not count where answers were recent, and half of the parts were lost there.
+    // A replica whose errors come fast looks idle: its errors count although its answers are
+    // recent.
     let mut settings = settings(class(Effect::Idempotent));
     settings.classes.push(class(Effect::NonIdempotent));
     let mut harness = Harness::new(settings);
     let mut errors = |class: u16, rounds: usize, failing: bool| {
-        let (mut seen, mut met) = (0, 0);
+        let mut seen = 0;
+        let mut met = 0;
         for _ in 0..rounds {
             let (_, parts, actions) = harness.submit_as(class, 0, &[0]);
             let mut sent = sent_attempts(&actions);
@@ -222,7 +227,7 @@
 
 #[test]
 fn replaced_replicas_are_removed_from_the_table() {
-    // Every replica that ever existed stayed in the tables, and each list was processed over all of them.
+    // The tables hold the present replicas only, however many there have been.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for n in 3..200 {
         let gone = endpoint(n, EndpointState::Removed, 0);
@@ -241,7 +246,7 @@
 
 #[test]
 fn a_few_slow_replicas_do_not_delay_retries_elsewhere() {
-    // Their answers raised the mean response time, and with it the wait before the other replica was tried.
+    // Slow answers of a few replicas do not raise the wait before the other replica is tried.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for (answers, took) in [(200, 20), (8, 800)] {
         for _ in 0..answers {
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -6,39 +6,70 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// How long a client waits for the answer of a query, in seconds, as its header says.
-const QUERY_TIMEOUT_SECONDS: u32 = 30;
+/// The time in seconds that a client waits for the answer of a query, as its header says.
+const QUERY_TIMEOUT_SECONDS: f64 = 30.0;
+/// The statement of each query.
+const STATEMENT: &str = "c41e77d0";
 
-/// A request for a query over these shards, with further header lines, each ended by CR LF.
-pub fn query_request(id: &str, class: &str, shards: &[u32], headers: &str) -> String {
-    query_request_with_timeout(id, class, shards, headers, QUERY_TIMEOUT_SECONDS)
+/// A request for a query, as the platform's clients send it.
+pub struct QueryRequest<'a> {
+    id: &'a str,
+    class: &'a str,
+    shards: &'a [u32],
+    timeout_seconds: f64,
+    closes_connection: bool,
 }
 
-fn query_request_with_timeout(id: &str, class: &str, shards: &[u32], headers: &str, seconds: u32) -> String {
-    let fraction = 1.0 / shards.len() as f64;
-    let tablets: Vec<_> = shards.iter().map(|shard| json!({"tablet": shard, "fraction": fraction})).collect();
-    let body = json!({"tablets": tablets, "statement": "c41e77d0"}).to_string();
-    format!(
-        "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {id}\r\nX-Qos: {class}\r\nX-Expires-In: {seconds}\r\n{headers}\
-         Content-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
+impl<'a> QueryRequest<'a> {
+    /// A query with this trace id and class over these shards, on a connection that is kept open.
+    pub fn new(id: &'a str, class: &'a str, shards: &'a [u32]) -> QueryRequest<'a> {
+        let timeout_seconds = QUERY_TIMEOUT_SECONDS;
+        QueryRequest { id, class, shards, timeout_seconds, closes_connection: false }
+    }
+
+    /// Sets how long the client waits for the answer.
+    pub fn timeout_seconds(self, timeout_seconds: f64) -> QueryRequest<'a> {
+        QueryRequest { timeout_seconds, ..self }
+    }
+
+    /// Asks for the connection to be closed after the response.
+    pub fn close_connection(self) -> QueryRequest<'a> {
+        QueryRequest { closes_connection: true, ..self }
+    }
+
+    /// Returns the text of the HTTP request.
+    pub fn to_http(&self) -> String {
+        let fraction = 1.0 / self.shards.len() as f64;
+        let tablet = |shard| json!({"tablet": shard, "fraction": fraction});
+        let tablets: Vec<Value> = self.shards.iter().map(tablet).collect();
+        let body = json!({"tablets": tablets, "statement": STATEMENT}).to_string();
+        let connection = if self.closes_connection { "Connection: close\r\n" } else { "" };
+        format!(
+            "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {}\r\nX-Qos: {}\r\n\
+             X-Expires-In: {}\r\n{connection}Content-Length: {}\r\n\r\n{body}",
+            self.id,
+            self.class,
+            self.timeout_seconds,
+            body.len()
+        )
+    }
 }
 
-/// Sends a query on a connection of its own and waits for the answer.
+/// Sends a query on a connection of its own and returns the response.
 pub fn query(process: &Process, id: &str, class: &str, shards: &[u32]) -> Response {
     query_with_timeout(process, id, class, shards, QUERY_TIMEOUT_SECONDS)
 }
 
-/// Like [`query`], by a client that waits for so many seconds.
+/// Sends a query as [`query`] does, from a client that waits for so many seconds.
 pub fn query_with_timeout(
     process: &Process,
     id: &str,
     class: &str,
     shards: &[u32],
-    seconds: u32,
+    seconds: f64,
 ) -> Response {
-    process.send_request(&query_request_with_timeout(id, class, shards, "Connection: close\r\n", seconds))
+    let request = QueryRequest::new(id, class, shards).timeout_seconds(seconds).close_connection();
+    process.send_request(&request.to_http())
 }
 
 /// Sends a request and returns the connection on which its response will arrive.
@@ -48,18 +79,19 @@
     client
 }
 
-/// All that arrives until the connection closes in good order.
+/// Reads all that arrives until the connection closes without a reset.
 pub fn read_until_close(mut client: TcpStream) -> String {
     let mut text = String::new();
     client.read_to_string(&mut text).expect("an answer, and no reset");
     text
 }
 
-/// What a client on a persistent connection sees of a response.
+/// The parts of a response that matter to a client on a persistent connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseHead {
+    /// The status code.
     pub status: u16,
-    /// Whether it says that the connection closes.
+    /// Whether the response announces the close of the connection.
     pub closes: bool,
 }
 
@@ -73,12 +105,14 @@
     Some(ResponseHead { status, closes: head.iter().any(|line| line == "Connection: close") })
 }
 
-/// A response.
+/// A response, as read to the end of its connection.
 #[derive(Debug)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
-    /// By their names in lower case.
+    /// The header fields by their names in lower case.
     pub headers: BTreeMap<String, String>,
+    /// The body as text.
     pub body: String,
 }
 
@@ -95,19 +129,19 @@
         Response { status, headers: lines.filter_map(header).collect(), body: body.to_owned() }
     }
 
-    /// Its body, which must be JSON.
+    /// Parses the body, which must be JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {self:?}"))
     }
 
-    /// The ids of its features, in order.
+    /// Returns the ids of the features, in order.
     pub fn ids(&self) -> Vec<String> {
         let json = self.json();
         let features = json["features"].as_array().unwrap_or_else(|| panic!("no features: {self:?}"));
         features.iter().map(|feature| feature["id"].as_str().expect("an id").to_owned()).collect()
     }
 
-    /// Where its link of that relation leads, without scheme and host.
+    /// Returns the target of the link of that relation, without scheme and host.
     pub fn link(&self, relation: &str) -> Option<String> {
         let json = self.json();
         let link = json["links"].as_array()?.iter().find(|link| link["rel"] == relation)?;
