--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -102,7 +102,8 @@
     }),
     Check::new("/conf/crs/geojson", CRS, |suite| {
         let first = suite.first_feature()?;
-        let (id, original) = (feature_id(first), point_of(first));
+        let id = feature_id(first);
+        let original = point_of(first);
         let feature = suite.get_json(&format!("{}/{id}?crs={WGS84}", suite.items_path()))?;
         let (Some(found), Some(Point { x, y })) = (point_of(&feature), original) else {
             return Err(Stop::not_applicable("it is no point"));
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -58,7 +58,8 @@
     }),
     Check::new("/req/case-insensitive-comparison/casei-function", CASE, |suite| {
         let Sample { name, value } = suite.text()?;
-        let (upper, lower) = (quoted(&value.to_uppercase()), value.to_lowercase());
+        let upper = quoted(&value.to_uppercase());
+        let lower = value.to_lowercase();
         require_matches(suite, &format!("CASEI({name}) = CASEI('{upper}')"), |feature| {
             text_of(feature, &name).is_some_and(|text| text.to_lowercase() == lower)
         })
@@ -74,7 +75,8 @@
         })
     }),
     Check::new("/req/basic-spatial-functions/bbox", BASIC_SPATIAL, |suite| {
-        let (bbox, name) = (suite.middle_box()?, suite.geometry()?);
+        let bbox = suite.middle_box()?;
+        let name = suite.geometry()?;
         let filter = format!("S_INTERSECTS({name},BBOX({}))", bbox.to_query());
         require_matches(suite, &filter, |feature| bbox.contains(feature))
     }),
@@ -85,7 +87,8 @@
         require_matches(suite, &filter, |feature| point_of(feature) == Some(point))
     }),
     Check::new("/req/basic-spatial-functions-plus/polygon", BASIC_SPATIAL_PLUS, |suite| {
-        let (bbox, name) = (suite.middle_box()?, suite.geometry()?);
+        let bbox = suite.middle_box()?;
+        let name = suite.geometry()?;
         let BoundingBox { west, south, east, north } = bbox;
         let triangle = format!("POLYGON(({west} {south},{east} {south},{west} {north},{west} {south}))");
         let filter = format!("S_INTERSECTS({name},{triangle})");
@@ -117,13 +120,14 @@
     Check::new("/req/search/post", ANY, search_by_post_is_right),
 ];
 
-/// A text without the accents that the test data has.
+/// Removes the accents that occur in the test data from a text.
 fn without_accents(text: &str) -> String {
     text.replace('é', "e").replace('ä', "a")
 }
 
 fn spatial_predicates_are_right(suite: &mut Suite) -> Verdict {
-    let (bbox, name) = (suite.middle_box()?, suite.geometry()?);
+    let bbox = suite.middle_box()?;
+    let name = suite.geometry()?;
     let polygon = bbox.to_polygon();
     require_matches(suite, &format!("S_WITHIN({name},{polygon})"), |f| bbox.contains_strictly(f))?;
     require_matches(suite, &format!("S_DISJOINT({name},{polygon})"), |feature| {
@@ -170,7 +174,8 @@
     };
     let sample = suite.features.iter().map(elements_of).find(|elements| elements.len() > 1);
     let sample = sample.ok_or_else(|| Stop::not_applicable("no array of two"))?;
-    let (first, second) = (&sample[0], &sample[1]);
+    let first = &sample[0];
+    let second = &sample[1];
     require_matches(suite, &format!("A_CONTAINS({name},('{first}'))"), |feature| {
         elements_of(feature).contains(first)
     })?;
--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -144,7 +144,8 @@
     let mut words = request_line.split_whitespace().map(str::to_owned);
     let method = words.next().unwrap_or_default();
     let target = words.next().unwrap_or_default();
-    let (mut headers, mut body_length) = (Vec::new(), 0);
+    let mut headers = Vec::new();
+    let mut body_length = 0;
     loop {
         let mut line = String::new();
         reader.read_line(&mut line)?;
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -76,8 +76,10 @@
         injector.inject(INJECTED_FAULTS.iter().find(|fault| fault.found_by == LIMIT_CHECK));
         address = injector.address;
     }
-    let (report, queries) = (Mutex::new(Report::default()), QueryLog::default());
-    let (stopped, next_mark) = (AtomicBool::new(false), AtomicU64::new(options.seed * MARKS_PER_SEED + 1));
+    let report = Mutex::new(Report::default());
+    let queries = QueryLog::default();
+    let stopped = AtomicBool::new(false);
+    let next_mark = AtomicU64::new(options.seed * MARKS_PER_SEED + 1);
     let drains = std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let seed = options.seed ^ ((number as u64) << 32);
@@ -110,8 +112,8 @@
     let mut drains = Vec::new();
     let started = Instant::now();
     while started.elapsed() < options.duration {
-        let (machine, choice) =
-            (rng.usize(..fleet.machines.len()), rng.usize(..ALL_FAULTS.len() + DRAIN_CHOICES));
+        let machine = rng.usize(..fleet.machines.len());
+        let choice = rng.usize(..ALL_FAULTS.len() + DRAIN_CHOICES);
         match ALL_FAULTS.get(choice) {
             Some(_) => {
                 fleet.machines[machine].set_fault(Some(choice));
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -77,7 +77,8 @@
         };
         self.queries.record_query(&query);
         let answers = self.request_pages(&query);
-        let (mark, class) = (query.mark, query.class.name());
+        let mark = query.mark;
+        let class = query.class.name();
         let violations = answers.into_violations().into_iter();
         let violations = violations.map(|violation| Violation::Answer { mark, class, violation });
         lock(self.report).violations.extend(violations);
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -142,7 +142,8 @@
 }
 
 fn write_document(stream: &mut TcpStream, document: &Document, fault: Fault) -> io::Result<Connection> {
-    let (head, body) = (document.head(), &document.body);
+    let head = document.head();
+    let body = &document.body;
     if fault == Fault::CloseDelimited {
         stream.write_all(format!("{head}Connection: close\r\n\r\n{body}").as_bytes())?;
         return Ok(Connection::Closed);
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -61,7 +61,9 @@
     const KINDS: [&str; 4] = ["meter", "relay", "Wächter", "café sensor"];
     let longitude = -121.0 + (number * 7919 % 20_000) as f64 / 10_000.0;
     let latitude = 37.0 + (number * 104_729 % 20_000) as f64 / 10_000.0;
-    let (year, month, day) = (10 + number % 15, 1 + number % 12, 1 + number % 28);
+    let year = 2010 + number % 15;
+    let month = 1 + number % 12;
+    let day = 1 + number % 28;
     let feeder = if number.is_multiple_of(10) { Json::Null } else { json!(format!("F-{}", number % 40)) };
     json!({
         "type": "Feature", "id": format!("d{number:05}"),
@@ -70,7 +72,7 @@
             "name": format!("{} {number}", KINDS[number % KINDS.len()]),
             "volts": 110 + number * 31 % 140,
             "live": !number.is_multiple_of(3),
-            "installed": format!("20{year:02}-{month:02}-{day:02}T00:00:00Z"),
+            "installed": format!("{year}-{month:02}-{day:02}T00:00:00Z"),
             "tags": [format!("t{}", number % 5), format!("z{}", number % 7)],
             "feeder": feeder,
         }
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -113,11 +113,14 @@
     duration: Duration,
     target: impl Fn(usize, u64) -> String + Sync,
 ) -> LoadResult {
-    let (recorder, stopped) = (Recorder::default(), AtomicBool::new(false));
+    let recorder = Recorder::default();
+    let stopped = AtomicBool::new(false);
     let started = Instant::now();
     std::thread::scope(|scope| {
         for client_number in 0..clients {
-            let (target, stopped, recorder) = (&target, &stopped, &recorder);
+            let target = &target;
+            let stopped = &stopped;
+            let recorder = &recorder;
             scope.spawn(move || {
                 let mut client = Client::new(address);
                 let mut sent = 0;
@@ -153,12 +156,12 @@
     /// Runs the load; `target(number)` returns the target of a query. While `MAX_IN_FLIGHT` queries
     /// are in flight, due queries start late and may fail without being sent.
     pub fn run(&self, target: impl Fn(u64) -> String + Sync) -> LoadResult {
-        let (recorder, next) = (Recorder::default(), AtomicU64::new(0));
+        let recorder = Recorder::default();
+        let next = AtomicU64::new(0);
         let started = Instant::now();
         std::thread::scope(|scope| {
             for _ in 0..MAX_IN_FLIGHT {
-                let (target, recorder, next) = (&target, &recorder, &next);
-                let client = move || self.run_client(started, next, recorder, target);
+                let client = || self.run_client(started, &next, &recorder, &target);
                 let _ =
                     std::thread::Builder::new().stack_size(CLIENT_STACK_BYTES).spawn_scoped(scope, client);
             }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -77,7 +77,8 @@
     let process = bed.start_version(&version.program)?;
     let mut client = Client::new(process.address);
     client.get(WARM_UP_TARGET)?;
-    let (work_before, memory_before) = (bed.work(), memory_kib(&process, PEAK_MEMORY));
+    let work_before = bed.work();
+    let memory_before = memory_kib(&process, PEAK_MEMORY);
     let started = Instant::now();
     let response = client.get(query.target)?;
     let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
@@ -106,9 +107,11 @@
 ) -> Result<(), RunError> {
     let mut client = Client::new(process.address);
     client.timeout = FOLLOW_TIMEOUT;
-    let (work_before, started) = (bed.work(), Instant::now());
+    let work_before = bed.work();
+    let started = Instant::now();
     let mut next = Some(format!("/collections/devices/items?limit={limit}"));
-    let (mut features, mut pages) = (0, 0);
+    let mut features = 0;
+    let mut pages = 0;
     while let Some(target) = next {
         let response = client.get(&target)?;
         features += response.ids().len();
