--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -15,10 +15,11 @@
 use quinceflow::front::ogc::{OgcFront, SharedCatalog};
 use quinceflow::front::{Front, Reaction};
 use quinceflow::proto::fetch::FetchedResponse;
-use quinceflow::proto::http::ServerConnection;
+use quinceflow::proto::http::{HttpRequest, ServerConnection};
 use quinceflow::sync::lock;
 use quinceflow::time::Micros;
 use quinceflow_testkit::feature_server::devices;
+use std::path::Path;
 use std::sync::Arc;
 
 fn main() {
@@ -123,35 +124,50 @@
     }
 }
 
-/// Measures a query from the bytes of its request to those of its answer, with the servers' pages
-/// of 500.
-#[divan::bench(args = ["limit=500", "limit=500&f=html", "limit=500&crs=EPSG:3857", "limit=500&properties=volts"])]
-fn answer_of_500(bencher: Bencher, query: &str) {
-    let edge =
-        EdgeConfig::load(std::path::Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/edge.toml")))
-            .expect("sound");
+/// Creates a front with the settings and the inventory of `deploy/`.
+fn deployed_front() -> OgcFront {
+    let file = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/edge.toml"));
+    let edge = EdgeConfig::load(file).expect("sound");
     let catalog = SharedCatalog::default();
     lock(&catalog).load(&edge.load_inventory().expect("sound"), Micros::ZERO);
-    let front = OgcFront::new(edge, catalog, CursorKey::new(b"k"), Arc::default(), Arc::default());
-    let body = body(500);
-    bencher.bench(|| {
-        let mut server = ServerConnection::default();
-        server
-            .input()
-            .extend(format!("GET /collections/devices/items?{query} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-        let request = server.next_request().expect("whole").expect("well formed");
-        let mut reaction = front.handle(request, Token(1), Micros::ZERO, true);
-        loop {
-            match reaction {
-                Reaction::Respond(response) => {
-                    assert_eq!(response.status, 200);
-                    return response.body.len();
-                }
-                Reaction::Submit(request, render) => {
-                    let parts = request.parts.iter().map(|part| serve(part, &body)).collect();
-                    reaction = render(Answer::Served { complete: true, parts });
-                }
+    OgcFront::new(edge, catalog, CursorKey::new(b"k"), Arc::default(), Arc::default())
+}
+
+/// Parses a request for the items of a collection from its bytes.
+fn items_request(query: &str) -> HttpRequest {
+    let target = format!("/collections/devices/items?{query}");
+    let mut server = ServerConnection::default();
+    server.input().extend(format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
+    server.next_request().expect("whole").expect("well formed")
+}
+
+/// Answers a query with `page` as the page of every part, and returns the length of the answer.
+fn answer(front: &OgcFront, query: &str, page: &[u8]) -> usize {
+    let mut reaction = front.handle(items_request(query), Token(1), Micros::ZERO, true);
+    loop {
+        match reaction {
+            Reaction::Respond(response) => {
+                assert_eq!(response.status, 200);
+                return response.body.len();
+            }
+            Reaction::Submit(request, render) => {
+                let parts = request.parts.iter().map(|part| serve(part, page)).collect();
+                reaction = render(Answer::Served { complete: true, parts });
             }
         }
-    });
+    }
+}
+
+/// Measures a query from the bytes of its request to those of its answer, with the servers' pages
+/// of 500.
+#[divan::bench(args = [
+    "limit=500",
+    "limit=500&f=html",
+    "limit=500&crs=EPSG:3857",
+    "limit=500&properties=volts",
+])]
+fn answer_of_500(bencher: Bencher, query: &str) {
+    let front = deployed_front();
+    let page = body(500);
+    bencher.bench(|| answer(&front, query, &page));
 }
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -5,7 +5,7 @@
 use super::filters::{number_is, quoted, require_matches};
 use super::samples::{point_of, text_of, BoundingBox, Sample};
 use super::Suite;
-use crate::client::{Header, Request};
+use crate::client::{Header, Request, Response};
 use serde_json::{json, Value as Json};
 
 const COMPARISON: &str = "conf/advanced-comparison-operators";
@@ -147,46 +147,71 @@
 }
 
 fn temporal_predicates_are_right(suite: &mut Suite) -> Verdict {
-    let Sample { name, value: time } = suite.median_time()?;
+    let sample = suite.median_time()?;
+    require_instant_predicates(suite, &sample)?;
+    require_interval_predicates(suite, &sample)
+}
+
+/// Returns whether a feature has an instant of this name that satisfies the predicate.
+fn instant_is(feature: &Json, name: &str, holds: impl Fn(&str) -> bool) -> bool {
+    text_of(feature, name).is_some_and(holds)
+}
+
+fn require_instant_predicates(suite: &mut Suite, sample: &Sample<String>) -> Verdict {
+    let Sample { name, value: time } = sample;
+    require_matches(suite, &format!("T_AFTER({name},TIMESTAMP('{time}'))"), |feature| {
+        instant_is(feature, name, |instant| instant > time.as_str())
+    })?;
+    require_matches(suite, &format!("T_BEFORE({name},TIMESTAMP('{time}'))"), |feature| {
+        instant_is(feature, name, |instant| instant < time.as_str())
+    })?;
+    require_matches(suite, &format!("T_EQUALS({name},TIMESTAMP('{time}'))"), |feature| {
+        instant_is(feature, name, |instant| instant == time)
+    })
+}
+
+fn require_interval_predicates(suite: &mut Suite, sample: &Sample<String>) -> Verdict {
+    let Sample { name, value: time } = sample;
     let day = &time[.."2001-01-01".len()];
-    let instant_is =
-        |feature: &Json, holds: &dyn Fn(&str) -> bool| text_of(feature, &name).is_some_and(holds);
-    let after = |feature: &Json| instant_is(feature, &|instant| instant > time.as_str());
-    let before = |feature: &Json| instant_is(feature, &|instant| instant < time.as_str());
-    let not_before = |feature: &Json| instant_is(feature, &|instant| instant >= time.as_str());
-    let equal = |feature: &Json| instant_is(feature, &|instant| instant == time);
-    let on_day = |feature: &Json| instant_is(feature, &|instant| instant.starts_with(day));
-    require_matches(suite, &format!("T_AFTER({name},TIMESTAMP('{time}'))"), after)?;
-    require_matches(suite, &format!("T_BEFORE({name},TIMESTAMP('{time}'))"), before)?;
-    require_matches(suite, &format!("T_EQUALS({name},TIMESTAMP('{time}'))"), equal)?;
-    require_matches(suite, &format!("T_INTERSECTS({name},INTERVAL('{time}','..'))"), not_before)?;
-    require_matches(suite, &format!("T_INTERSECTS({name},DATE('{day}'))"), on_day)?;
-    require_matches(suite, &format!("T_DISJOINT({name},INTERVAL('..','{time}'))"), after)?;
+    require_matches(suite, &format!("T_INTERSECTS({name},INTERVAL('{time}','..'))"), |feature| {
+        instant_is(feature, name, |instant| instant >= time.as_str())
+    })?;
+    require_matches(suite, &format!("T_INTERSECTS({name},DATE('{day}'))"), |feature| {
+        instant_is(feature, name, |instant| instant.starts_with(day))
+    })?;
+    require_matches(suite, &format!("T_DISJOINT({name},INTERVAL('..','{time}'))"), |feature| {
+        instant_is(feature, name, |instant| instant > time.as_str())
+    })?;
     // All features are later than the interval's start.
-    require_matches(suite, &format!("T_DURING({name},INTERVAL('2001-01-01T00:00:00Z','{time}'))"), before)
+    let during = format!("T_DURING({name},INTERVAL('2001-01-01T00:00:00Z','{time}'))");
+    require_matches(suite, &during, |feature| instant_is(feature, name, |instant| instant < time.as_str()))
+}
+
+/// Returns the elements of an array property of a feature; empty if the feature lacks it.
+fn elements_of(feature: &Json, name: &str) -> Vec<String> {
+    let elements = feature["properties"][name].as_array().into_iter().flatten();
+    elements.filter_map(|element| element.as_str().map(str::to_owned)).collect()
 }
 
 fn array_predicates_are_right(suite: &mut Suite) -> Verdict {
     let name = suite.queryable("array", "")?;
-    let elements_of = |feature: &Json| -> Vec<String> {
-        let elements = feature["properties"][&name].as_array().into_iter().flatten();
-        elements.filter_map(|element| element.as_str().map(str::to_owned)).collect()
-    };
-    let sample = suite.features.iter().map(elements_of).find(|elements| elements.len() > 1);
+    let mut arrays = suite.features.iter().map(|feature| elements_of(feature, &name));
+    let sample = arrays.find(|elements| elements.len() > 1);
     let sample = sample.ok_or_else(|| Stop::not_applicable("no array of two"))?;
     let first = &sample[0];
     let second = &sample[1];
+    let is_either = |element: &String| element == first || element == second;
     require_matches(suite, &format!("A_CONTAINS({name},('{first}'))"), |feature| {
-        elements_of(feature).contains(first)
+        elements_of(feature, &name).contains(first)
     })?;
     require_matches(suite, &format!("A_OVERLAPS({name},('{first}','{second}'))"), |feature| {
-        elements_of(feature).iter().any(|element| element == first || element == second)
+        elements_of(feature, &name).iter().any(is_either)
     })?;
     require_matches(suite, &format!("A_CONTAINEDBY({name},('{first}','{second}'))"), |feature| {
-        elements_of(feature).iter().all(|element| element == first || element == second)
+        elements_of(feature, &name).iter().all(is_either)
     })?;
     require_matches(suite, &format!("A_EQUALS({name},('{second}','{first}'))"), |feature| {
-        let elements = elements_of(feature);
+        let elements = elements_of(feature, &name);
         elements.len() == 2 && elements.contains(first) && elements.contains(second)
     })
 }
@@ -199,14 +224,7 @@
     let above = json!({"op": ">", "args": [{"property": name}, median]});
     let polygon = json!({"type": "Polygon", "coordinates": [ring_of(bbox)]});
     let within = json!({"op": "s_intersects", "args": [{"property": geometry}, polygon]});
-    let body = json!({
-        "collections": [suite.collection], "limit": SEARCH_LIMIT, "filter-lang": "cql2-json",
-        "filter": {"op": "and", "args": [above, within]}
-    });
-    let headers = [Header::new("Content-Type", "application/json")];
-    let body = body.to_string();
-    let response =
-        suite.send(&Request { body: body.as_bytes(), ..Request::new("POST", "/search", &headers) })?;
+    let response = post_search(suite, &json!({"op": "and", "args": [above, within]}))?;
     if matches!(response.status, 404 | 405) {
         return Err(Stop::not_applicable("there is no POST /search"));
     }
@@ -223,6 +241,19 @@
     require_same("an area of 10,000 points", &found, &expected)
 }
 
+/// Sends a search of the collection with a filter in CQL2 JSON and returns the response.
+fn post_search(suite: &mut Suite, filter: &Json) -> Result<Response, Stop> {
+    let search = json!({
+        "collections": [suite.collection],
+        "limit": SEARCH_LIMIT,
+        "filter-lang": "cql2-json",
+        "filter": filter,
+    });
+    let body = search.to_string();
+    let headers = [Header::new("Content-Type", "application/json")];
+    suite.send(&Request { body: body.as_bytes(), ..Request::new("POST", "/search", &headers) })
+}
+
 /// Returns a box as a closed ring with many points on each edge.
 fn ring_of(bbox: BoundingBox) -> Vec<[f64; 2]> {
     let BoundingBox { west, south, east, north } = bbox;
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -21,6 +21,7 @@
 use fleet::Fleet;
 use observer::{observe, Drain};
 use query::QueryLog;
+use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
@@ -67,23 +68,42 @@
 pub fn run(program: &Path, options: &ScenarioOptions) -> Result<Report, RunError> {
     let fleet = Fleet::start()?;
     let process = EdgeProcess::start(program, SETTINGS, &fleet.inventory(None), CLASSES)?;
-    if options.planted == Some(PlantedFault::DuplicateRequests) {
-        fleet.servers.iter().for_each(|server| server.set_log_twice(true));
-    }
     let injector = FaultInjector::start(process.address)?;
-    let mut address = process.address;
-    if options.planted == Some(PlantedFault::ExcessFeatures) {
-        injector.inject(INJECTED_FAULTS.iter().find(|fault| fault.found_by == LIMIT_CHECK));
-        address = injector.address;
-    }
+    let address = match options.planted {
+        Some(PlantedFault::ExcessFeatures) => {
+            injector.inject(INJECTED_FAULTS.iter().find(|fault| fault.found_by == LIMIT_CHECK));
+            injector.address
+        }
+        Some(PlantedFault::DuplicateRequests) => {
+            fleet.servers.iter().for_each(|server| server.set_log_twice(true));
+            process.address
+        }
+        None => process.address,
+    };
     let report = Mutex::new(Report::default());
     let queries = QueryLog::default();
+    let drains =
+        run_clients(address, options, &queries, &report, || inject_faults(&fleet, &process, options))?;
+    let mut report = into_inner(report);
+    observe(&fleet, &drains, &queries, &mut report);
+    report.record_counters(process.counters()?);
+    Ok(report)
+}
+
+/// Runs the clients until `inject` returns, and returns its result.
+fn run_clients<T>(
+    address: SocketAddr,
+    options: &ScenarioOptions,
+    queries: &QueryLog,
+    report: &Mutex<Report>,
+    inject: impl FnOnce() -> T,
+) -> T {
     let stopped = AtomicBool::new(false);
     let next_mark = AtomicU64::new(options.seed * MARKS_PER_SEED + 1);
-    let drains = std::thread::scope(|scope| {
+    std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let seed = options.seed ^ ((number as u64) << 32);
-            let mut client = ScenarioClient::new(address, seed, &next_mark, &queries, &report);
+            let mut client = ScenarioClient::new(address, seed, &next_mark, queries, report);
             let stopped = &stopped;
             scope.spawn(move || {
                 while !stopped.load(Relaxed) {
@@ -91,14 +111,10 @@
                 }
             });
         }
-        let drains = inject_faults(&fleet, &process, options);
+        let result = inject();
         stopped.store(true, Relaxed);
-        drains
-    })?;
-    let mut report = into_inner(report);
-    observe(&fleet, &drains, &queries, &mut report);
-    report.record_counters(process.counters()?);
-    Ok(report)
+        result
+    })
 }
 
 /// Injects faults and drains one after another for the duration of the scenario. Returns the
--- a/testkit/src/measure.rs
+++ b/testkit/src/measure.rs
@@ -54,3 +54,9 @@
     measure_overload(plan, &bed, &mut text)?;
     Ok(text)
 }
+
+/// Writes the header of a Markdown table.
+fn write_header(text: &mut String, columns: &[&str]) {
+    let rule = vec!["---"; columns.len()];
+    let _ = writeln!(text, "| {} |\n| {} |", columns.join(" | "), rule.join(" | "));
+}
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -1,7 +1,7 @@
 //! Measurement of an open-loop load beyond the capacity of the servers.
 
 use super::test_bed::{TestBed, SETTINGS};
-use super::{Plan, Version, THIS_VERSION};
+use super::{write_header, Plan, Version, THIS_VERSION};
 use crate::error::RunError;
 use crate::feature_server::Capacity;
 use crate::load::{LoadResult, OpenLoop};
@@ -44,23 +44,29 @@
 const LARGE_LIMIT: usize = 5_000;
 const SMALL_LIMIT: usize = 10;
 
+/// Columns of the overload table.
+const OVERLOAD_COLUMNS: [&str; 8] = [
+    "program and limits",
+    "times what they bear",
+    "asked",
+    "in time",
+    "share",
+    "refused",
+    "late or failed",
+    "p99 ms",
+];
+
 /// Measures the queries answered in time below and beyond the capacity of the servers, with
 /// adaptive and with fixed limits.
 pub(super) fn measure_overload(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let capacity = Capacity { slots: SERVER_SLOTS, base: PAGE_TIME, per_feature: Duration::ZERO };
     bed.servers.iter().for_each(|server| server.set_capacity(Some(capacity)));
     let total_pages = PAGES_PER_SECOND * bed.servers.len() as f64;
-    let _ = writeln!(
-        text,
-        "Servers of 4 slots and 20 ms a page (together {total_pages:.0} pages a second); clients ask one device's page (a first answer \
-         asks both shards: 2 pages) at a steady rate and want it within 1 s; one in ten asks 5,000 features. In time: answers \
-         within 1 s of those asked for.\n"
-    );
-    let _ = writeln!(text, "| program and limits | times what they bear | asked | in time | share | refused | late or failed | p99 ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+    write_introduction(text, total_pages);
+    write_header(text, &OVERLOAD_COLUMNS);
     for factor in LOAD_FACTORS {
         for version in &plan.versions {
-            let is_this = version.name == THIS_VERSION;
-            for limits in if is_this { THIS_VERSION_LIMITS } else { EARLIER_VERSION_LIMITS } {
+            for limits in limits_of(version) {
                 let rate = total_pages * factor / PAGES_PER_QUERY;
                 let load = run_overload(plan, bed, version, limits, rate)?;
                 write_overload_row(text, version, limits, factor, &load);
@@ -72,6 +78,24 @@
     Ok(())
 }
 
+fn write_introduction(text: &mut String, total_pages: f64) {
+    let _ = writeln!(
+        text,
+        "Servers of 4 slots and 20 ms a page (together {total_pages:.0} pages a second); clients \
+         ask one device's page (a first answer asks both shards: 2 pages) at a steady rate and \
+         want it within 1 s; one in ten asks 5,000 features. In time: answers within 1 s of those \
+         asked for.\n"
+    );
+}
+
+fn limits_of(version: &Version) -> &'static [Limits] {
+    if version.name == THIS_VERSION {
+        THIS_VERSION_LIMITS
+    } else {
+        EARLIER_VERSION_LIMITS
+    }
+}
+
 fn run_overload(
     plan: &Plan,
     bed: &TestBed,
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -1,7 +1,7 @@
 //! Measurements of single answers, latencies, memory and throughput, as tables in Markdown.
 
 use super::test_bed::TestBed;
-use super::{Plan, Version};
+use super::{write_header, Plan, Version};
 use crate::client::Client;
 use crate::error::RunError;
 use crate::load::{run_closed_loop, LoadResult};
@@ -51,9 +51,24 @@
     },
 ];
 
+/// Columns of the table of single answers.
+const ANSWER_COLUMNS: [&str; 8] =
+    ["program", "query", "status", "features", "requests to servers", "KiB read", "KiB more memory", "ms"];
+
+/// Columns of the table of latencies.
+const LOAD_COLUMNS: [&str; 8] =
+    ["program", "clients", "answers a second", "p50 ms", "p99 ms", "p99.9 ms", "refused", "failed"];
+
+/// Columns of the table of memory.
+const MEMORY_COLUMNS: [&str; 6] =
+    ["program", "answers", "refused", "failed", "MiB resident before", "MiB at most"];
+
+/// Columns of the table of throughput.
+const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
+
 /// Measures single answers, and the traversal of all pages over `next`.
 pub(super) fn measure_answers(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let _ = writeln!(text, "| program | query | status | features | requests to servers | KiB read | KiB more memory | ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+    write_header(text, &ANSWER_COLUMNS);
     for version in &plan.versions {
         for query in &SINGLE_QUERIES {
             measure_single_query(version, query, bed, text)?;
@@ -144,7 +159,7 @@
 pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
     let _ = writeln!(text, "`limit=100` by so many clients at a time, {seconds} s each:\n");
-    let _ = writeln!(text, "| program | clients | answers a second | p50 ms | p99 ms | p99.9 ms | refused | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+    write_header(text, &LOAD_COLUMNS);
     for clients in CLIENTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
@@ -167,7 +182,7 @@
 /// Measures memory with a hundred clients that request large pages.
 pub(super) fn measure_memory(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let _ = writeln!(text, "{MEMORY_CLIENTS} clients at `limit=5000`, {} s:\n", plan.load_duration.as_secs());
-    let _ = writeln!(text, "| program | answers | refused | failed | MiB resident before | MiB at most |\n| --- | --- | --- | --- | --- | --- |");
+    write_header(text, &MEMORY_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let before_kib = memory_kib(&process, RESIDENT_MEMORY);
@@ -198,7 +213,7 @@
         "`limit=100` by {SHARE_CLIENTS} clients, beside one stand-in asked directly ({:.0} answers a second):\n",
         direct.served_per_second()
     );
-    let _ = writeln!(text, "| program | answers a second | share |\n| --- | --- | --- |");
+    write_header(text, &SHARE_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let load = run_closed_loop(process.address, SHARE_CLIENTS, plan.load_duration, |_, _| {
