--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -8,6 +8,7 @@
 mod capacity;
 mod connection;
 mod dataset;
+mod document;
 mod faults;
 mod items;
 
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -2,6 +2,7 @@
 //! chosen fault.
 
 use super::dataset::queryables;
+use super::document::Document;
 use super::items::ItemsRequest;
 use super::{Capabilities, Fault, RegisteredRequest, ServerState};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -14,35 +15,6 @@
 const TRICKLED_BYTES: usize = 100;
 const RETRY_AFTER: &str = "Retry-After: 1\r\n";
 
-const JSON: &str = "application/json";
-const GEO_JSON: &str = "application/geo+json";
-const SCHEMA_JSON: &str = "application/schema+json";
-
-/// Status, media type and body of a response.
-pub(super) struct Document {
-    status: u16,
-    media_type: &'static str,
-    body: String,
-}
-
-impl Document {
-    pub(super) fn geo_json(body: String) -> Document {
-        Document { status: 200, media_type: GEO_JSON, body }
-    }
-
-    pub(super) fn bad_request(reason: &str) -> Document {
-        Document { status: 400, media_type: JSON, body: serde_json::json!({"why": reason}).to_string() }
-    }
-
-    fn not_found() -> Document {
-        Document { status: 404, media_type: JSON, body: "{}".to_owned() }
-    }
-
-    fn head(&self) -> String {
-        format!("HTTP/1.1 {} X\r\nContent-Type: {}\r\n", self.status, self.media_type)
-    }
-}
-
 /// State of a connection after a response.
 #[derive(PartialEq, Eq)]
 enum Connection {
@@ -81,11 +53,7 @@
             _ => {}
         }
         let document = match request.fault {
-            Fault::HtmlPage => Document {
-                status: 200,
-                media_type: "text/html",
-                body: "<html><body>busy</body></html>".to_owned(),
-            },
+            Fault::HtmlPage => Document::html("<html><body>busy</body></html>"),
             _ => self.document(target, request),
         };
         self.body_bytes.fetch_add(document.body.len() as u64, Relaxed);
@@ -96,11 +64,9 @@
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let segments: Vec<&str> = path.split('/').filter(|segment| !segment.is_empty()).collect();
         match segments[..] {
-            ["conformance"] => {
-                Document { status: 200, media_type: JSON, body: self.capabilities.conformance().to_string() }
-            }
+            ["conformance"] => Document::json(&self.capabilities.conformance()),
             ["collections", _, "queryables"] if self.capabilities != Capabilities::Core => {
-                Document { status: 200, media_type: SCHEMA_JSON, body: queryables().to_string() }
+                Document::schema(&queryables())
             }
             ["collections", _, "items"] => self.items(&ItemsRequest::new(path, query), request),
             ["collections", _, "items", id] => self.item(id),
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -1,7 +1,7 @@
 //! Pages of features: selection by filter, bounding box and time, sorting, and `next` links.
 
-use super::connection::Document;
 use super::dataset::{Dataset, Point};
+use super::document::{Document, GEO_JSON};
 use super::{Capabilities, Fault, RegisteredRequest, ServerState};
 use quinceflow::front::ogc::cql2::{self, Matcher};
 use serde_json::{json, Value as Json};
@@ -10,8 +10,6 @@
 
 const DEFAULT_LIMIT: usize = 10;
 const MAX_LIMIT: usize = 500;
-/// Media type of pages in their links.
-const GEO_JSON: &str = "application/geo+json";
 
 /// Request for features of a collection.
 pub(super) struct ItemsRequest<'a> {
