--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::client::{Client, Response};
 use crate::error::RunError;
 use crate::feature_server::{devices, Capabilities, FeatureServer};
-use crate::process::{EdgeProcess, CLASSES};
+use crate::process::{Configuration, EdgeProcess, CLASSES};
 use serde_json::Value as Json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -125,8 +125,10 @@
             server.inventory_row(&format!("features-{}", index + 1), shard, "in_service")
         };
         let rows: String = servers.iter().zip(shards).enumerate().map(row).collect();
-        let classes = format!("{CLASSES}{COLLECTION}");
-        let process = EdgeProcess::start(program, "mgmt = \"127.0.0.1:0\"", &rows, &classes)?;
+        let tables = format!("{CLASSES}{COLLECTION}");
+        let configuration =
+            Configuration { settings: "mgmt = \"127.0.0.1:0\"", inventory_rows: &rows, tables: &tables };
+        let process = EdgeProcess::start(program, &configuration)?;
         Ok(Demo { process, servers })
     }
 
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -15,7 +15,7 @@
 use crate::error::RunError;
 use crate::fault_injection::{FaultInjector, INJECTED_FAULTS};
 use crate::feature_server::ALL_FAULTS;
-use crate::process::{EdgeProcess, CLASSES};
+use crate::process::{Configuration, EdgeProcess, CLASSES};
 use crate::sync::into_inner;
 use client::ScenarioClient;
 use fleet::Fleet;
@@ -67,7 +67,9 @@
 /// Returns an error if a server or the program can't be started, or if the program exits early.
 pub fn run(program: &Path, options: &ScenarioOptions) -> Result<Report, RunError> {
     let fleet = Fleet::start()?;
-    let process = EdgeProcess::start(program, SETTINGS, &fleet.inventory(None), CLASSES)?;
+    let rows = fleet.inventory(None);
+    let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: CLASSES };
+    let process = EdgeProcess::start(program, &configuration)?;
     let injector = FaultInjector::start(process.address)?;
     let address = match options.planted {
         Some(PlantedFault::ExcessFeatures) => {
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -5,7 +5,7 @@
 use crate::error::RunError;
 use crate::feature_server::Capacity;
 use crate::load::{LoadResult, OpenLoop};
-use crate::process::EdgeProcess;
+use crate::process::{Configuration, EdgeProcess};
 use std::fmt::Write as _;
 use std::time::Duration;
 
@@ -103,8 +103,10 @@
     limits: &Limits,
     rate: f64,
 ) -> Result<LoadResult, RunError> {
-    let classes = format!("{SHORT_CLASSES}{}", limits.settings);
-    let process = EdgeProcess::start(&version.program, SETTINGS, &bed.inventory(), &classes)?;
+    let rows = bed.inventory();
+    let tables = format!("{SHORT_CLASSES}{}", limits.settings);
+    let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: &tables };
+    let process = EdgeProcess::start(&version.program, &configuration)?;
     let load =
         OpenLoop { address: process.address, rate, duration: plan.load_duration, timeout: OVERLOAD_TIMEOUT };
     Ok(load.run(|number| {
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -2,7 +2,7 @@
 //! started.
 
 use crate::feature_server::{devices, Capabilities, FeatureServer};
-use crate::process::{EdgeProcess, ProcessError};
+use crate::process::{Configuration, EdgeProcess, ProcessError};
 use std::io;
 use std::path::Path;
 
@@ -64,7 +64,9 @@
 
     /// Starts a version of the program over the servers.
     pub(super) fn start_version(&self, program: &Path) -> Result<EdgeProcess, ProcessError> {
-        EdgeProcess::start(program, SETTINGS, &self.inventory(), CLASSES)
+        let rows = self.inventory();
+        let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: CLASSES };
+        EdgeProcess::start(program, &configuration)
     }
 
     /// Returns the cumulative work of the servers.
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -12,6 +12,8 @@
 
 /// File name of the program.
 const PROGRAM_NAME: &str = "quinceflow";
+/// File name of the edge file in the folder of a process.
+const EDGE_FILE: &str = "edge.toml";
 /// File name of the inventory in the folder of a process.
 const INVENTORY: &str = "i.csv";
 
@@ -67,6 +69,28 @@
     log: Mutex<Receiver<String>>,
 }
 
+/// Configuration of a process.
+#[derive(Debug, Clone, Copy)]
+pub struct Configuration<'a> {
+    /// Top-level settings of the edge file, as TOML; the listening address is set by the process.
+    pub settings: &'a str,
+    /// Rows of the inventory, as CSV without the header.
+    pub inventory_rows: &'a str,
+    /// Tables of the edge file, such as classes and collections, as TOML.
+    pub tables: &'a str,
+}
+
+impl Configuration<'_> {
+    /// Writes the edge file and the inventory into a folder.
+    fn write(&self, folder: &Path) -> io::Result<()> {
+        let Configuration { settings, inventory_rows, tables } = self;
+        let own_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"");
+        let text = format!("{own_settings}\n{settings}\n{tables}");
+        std::fs::write(folder.join(EDGE_FILE), text)?;
+        write_inventory(folder, inventory_rows)
+    }
+}
+
 /// Finds the program beside the current executable, or in the parent folder.
 ///
 /// # Errors
@@ -82,24 +106,17 @@
     ///
     /// # Errors
     /// Returns an error if the program can't be started or exits before it listens.
-    pub fn start(program: &Path, settings: &str, rows: &str, classes: &str) -> Result<Self, ProcessError> {
+    pub fn start(program: &Path, configuration: &Configuration<'_>) -> Result<Self, ProcessError> {
         let folder = create_folder()?;
-        let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"\n{settings}\n{classes}");
-        std::fs::write(folder.join("edge.toml"), text)?;
-        write_inventory(&folder, rows)?;
+        configuration.write(&folder)?;
         let mut child = Command::new(program)
             .arg("--edge")
-            .arg(folder.join("edge.toml"))
+            .arg(folder.join(EDGE_FILE))
             .env_remove("NODE_CONFIG")
             .env_remove("TMPDIR")
             .stderr(Stdio::piped())
             .spawn()?;
-        let (lines, log) = channel();
-        if let Some(errors) = child.stderr.take() {
-            std::thread::spawn(move || {
-                BufReader::new(errors).lines().map_while(Result::ok).for_each(|l| drop(lines.send(l)));
-            });
-        }
+        let log = read_log(&mut child);
         let address = ([127, 0, 0, 1], 0).into();
         let mut process = EdgeProcess { child, address, folder, log: Mutex::new(log) };
         let line = process.wait_for_log("listens on")?;
@@ -177,6 +194,18 @@
     Ok(folder)
 }
 
+/// Reads the log of a process from its standard error, line by line.
+fn read_log(child: &mut Child) -> Receiver<String> {
+    let (lines, log) = channel();
+    if let Some(errors) = child.stderr.take() {
+        std::thread::spawn(move || {
+            let read = BufReader::new(errors).lines().map_while(Result::ok);
+            read.for_each(|line| drop(lines.send(line)));
+        });
+    }
+    log
+}
+
 fn write_inventory(folder: &Path, rows: &str) -> io::Result<()> {
     std::fs::write(folder.join(INVENTORY), format!("name,address,collections,state\n{rows}"))
 }
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -5,7 +5,7 @@
 use quinceflow_testkit::conformance::{Outcome, Suite};
 use quinceflow_testkit::fault_injection::{FaultInjector, INJECTED_FAULTS};
 use quinceflow_testkit::feature_server::{devices, Capabilities, Fault, FeatureServer};
-use quinceflow_testkit::process::{find_program, EdgeProcess, CLASSES};
+use quinceflow_testkit::process::{find_program, Configuration, EdgeProcess, CLASSES};
 
 const FEATURES_PER_SHARD: usize = 150;
 const ITEMS: &str = "/collections/devices/items";
@@ -48,7 +48,8 @@
         // Capabilities are discovered again every second: they must not change what queries return.
         let settings = "retry_after_ms = 50\nlearned_age_s = 1\npage_size = 100";
         let program = find_program().expect("the program is built with the workspace");
-        let process = EdgeProcess::start(&program, settings, &rows, CLASSES).expect("it starts");
+        let configuration = Configuration { settings, inventory_rows: &rows, tables: CLASSES };
+        let process = EdgeProcess::start(&program, &configuration).expect("it starts");
         Deployment { process, servers }
     }
 }
@@ -120,7 +121,8 @@
     let program = find_program().expect("the program is built with the workspace");
     let classes = "[[class]]\nname = \"map\"\naim_ms = 8000\ndeadline_ms = 10000\n";
     let rows = server.inventory_row("a", "devices", "");
-    let process = EdgeProcess::start(&program, "", &rows, classes).expect("it starts");
+    let configuration = Configuration { settings: "", inventory_rows: &rows, tables: classes };
+    let process = EdgeProcess::start(&program, &configuration).expect("it starts");
     let mut client = Client::new(process.address);
     let target = format!("{ITEMS}?filter=volts%3E200&sortby=-volts&limit=5");
     let response = client.get(&target).expect("a response");
