--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -38,73 +38,97 @@
 struct Example {
     description: &'static str,
     target: &'static str,
-    /// Expected number of features, computed from all devices.
-    expected: fn(&[Json]) -> usize,
+    expected: ExpectedCount,
+}
+
+/// Expected number of features of an answer.
+enum ExpectedCount {
+    /// Fixed number.
+    Exactly(usize),
+    /// Number of the devices that satisfy a predicate.
+    Matching(fn(&Json) -> bool),
+}
+
+impl ExpectedCount {
+    fn among(&self, devices: &[Json]) -> usize {
+        match self {
+            ExpectedCount::Exactly(count) => *count,
+            ExpectedCount::Matching(matches) => devices.iter().filter(|device| matches(device)).count(),
+        }
+    }
 }
 
 const EXAMPLES: [Example; 9] = [
     Example {
         description: "all devices, a page",
         target: "/collections/devices/items?limit=100",
-        expected: |_| 100,
+        expected: ExpectedCount::Exactly(100),
     },
     Example {
         description: "in a box",
         target: "/collections/devices/items?bbox=-120.5,37.5,-119.5,38.5&limit=1000",
-        expected: |devices| {
-            count(devices, |device| {
-                let Point { longitude, latitude } = point_of(device);
-                (-120.5..=-119.5).contains(&longitude) && (37.5..=38.5).contains(&latitude)
-            })
-        },
+        expected: ExpectedCount::Matching(is_in_box),
     },
     Example {
         description: "in a drawn area",
-        target: "/collections/devices/items?limit=1000&filter=S_INTERSECTS(geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
-        expected: |devices| {
-            count(devices, |device| {
-                let Point { longitude, latitude } = point_of(device);
-                (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
-            })
-        },
+        target: "/collections/devices/items?limit=1000&filter=S_INTERSECTS(\
+                 geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
+        expected: ExpectedCount::Matching(is_in_triangle),
     },
     Example {
         description: "by voltage",
-        target: "/collections/devices/items?limit=1000&filter=volts%20%3E%20230%20AND%20live%20%3D%20TRUE",
-        expected: |devices| {
-            count(devices, |device| {
-                let properties = &device["properties"];
-                properties["volts"].as_f64() > Some(230.0) && properties["live"] == true
-            })
-        },
+        target: "/collections/devices/items?limit=1000\
+                 &filter=volts%20%3E%20230%20AND%20live%20%3D%20TRUE",
+        expected: ExpectedCount::Matching(is_live_above_230_volts),
     },
     Example {
         description: "by name, accents apart",
-        target: "/collections/devices/items?limit=1000&filter=ACCENTI(name)%20LIKE%20%27cafe%25%27",
-        expected: |devices| {
-            count(devices, |device| {
-                device["properties"]["name"].as_str().is_some_and(|name| name.starts_with("café"))
-            })
-        },
+        target: "/collections/devices/items?limit=1000\
+                 &filter=ACCENTI(name)%20LIKE%20%27cafe%25%27",
+        expected: ExpectedCount::Matching(is_cafe_device),
     },
     Example {
         description: "highest voltage first",
         target: "/collections/devices/items?limit=20&sortby=-volts",
-        expected: |_| 20,
+        expected: ExpectedCount::Exactly(20),
     },
     Example {
         description: "in Web Mercator",
         target: "/collections/devices/items?limit=5&crs=http://www.opengis.net/def/crs/EPSG/0/3857",
-        expected: |_| 5,
+        expected: ExpectedCount::Exactly(5),
     },
     Example {
         description: "a map for people",
         target: "/collections/devices/items?limit=200&f=html",
-        expected: |_| 200,
+        expected: ExpectedCount::Exactly(200),
+    },
+    Example {
+        description: "one device",
+        target: "/collections/devices/items/d00042",
+        expected: ExpectedCount::Exactly(1),
     },
-    Example { description: "one device", target: "/collections/devices/items/d00042", expected: |_| 1 },
 ];
 
+fn is_in_box(device: &Json) -> bool {
+    let Point { longitude, latitude } = point_of(device);
+    (-120.5..=-119.5).contains(&longitude) && (37.5..=38.5).contains(&latitude)
+}
+
+fn is_in_triangle(device: &Json) -> bool {
+    let Point { longitude, latitude } = point_of(device);
+    (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
+}
+
+fn is_live_above_230_volts(device: &Json) -> bool {
+    let properties = &device["properties"];
+    properties["volts"].as_f64() > Some(230.0) && properties["live"] == true
+}
+
+fn is_cafe_device(device: &Json) -> bool {
+    let name = device["properties"]["name"].as_str();
+    name.is_some_and(|name| name.starts_with("café"))
+}
+
 impl Demo {
     /// Starts the feature servers and the program over them.
     ///
@@ -146,7 +170,7 @@
         );
         let mut all_right = true;
         for example in &EXAMPLES {
-            all_right &= self.check(&mut client, example, (example.expected)(&all))?;
+            all_right &= self.check(&mut client, example, example.expected.among(&all))?;
         }
         println!("{}", if all_right { "all as expected" } else { "something is wrong" });
         Ok(all_right)
@@ -205,10 +229,6 @@
     }
 }
 
-fn count(devices: &[Json], matches: impl Fn(&Json) -> bool) -> usize {
-    devices.iter().filter(|device| matches(device)).count()
-}
-
 /// Counts the features of the response to an example.
 fn count_found(example: &Example, response: &Response) -> usize {
     if example.target.contains("f=html") {
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -1,6 +1,6 @@
 //! Measurements of single answers, latencies, memory and throughput, as tables in Markdown.
 
-use super::test_bed::TestBed;
+use super::test_bed::{ServerWork, TestBed};
 use super::{write_header, Plan, Version};
 use crate::client::Client;
 use crate::error::RunError;
@@ -43,7 +43,8 @@
     },
     SingleQuery {
         description: "an area, limit=100",
-        target: "/collections/devices/items?limit=100&filter=S_INTERSECTS(geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
+        target: "/collections/devices/items?limit=100&filter=S_INTERSECTS(\
+                 geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
     },
     SingleQuery {
         description: "sortby=-volts, limit=100",
@@ -66,6 +67,30 @@
 /// Columns of the table of throughput.
 const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
 
+/// Row of the table of single answers.
+struct AnswerRow<'a> {
+    version: &'a str,
+    query: String,
+    status: u16,
+    features: usize,
+    work: ServerWork,
+    memory_kib: u64,
+    /// Elapsed time in milliseconds, formatted.
+    elapsed: String,
+}
+
+impl AnswerRow<'_> {
+    fn write(&self, text: &mut String) {
+        let AnswerRow { version, query, status, features, work, memory_kib, elapsed } = self;
+        let read_kib = work.body_bytes / KIB;
+        let _ = writeln!(
+            text,
+            "| {version} | {query} | {status} | {features} | {} | {read_kib} | {memory_kib} | {elapsed} |",
+            work.requests,
+        );
+    }
+}
+
 /// Measures single answers, and the traversal of all pages over `next`.
 pub(super) fn measure_answers(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     write_header(text, &ANSWER_COLUMNS);
@@ -97,18 +122,16 @@
     let started = Instant::now();
     let response = client.get(query.target)?;
     let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
-    let work = bed.work().since(work_before);
-    let _ = writeln!(
-        text,
-        "| {} | {} | {} | {} | {} | {} | {} | {elapsed_ms:.1} |",
-        version.name,
-        query.description,
-        response.status,
-        response.ids().len(),
-        work.requests,
-        work.body_bytes / KIB,
-        memory_kib(&process, PEAK_MEMORY).saturating_sub(memory_before)
-    );
+    let row = AnswerRow {
+        version: &version.name,
+        query: query.description.to_owned(),
+        status: response.status,
+        features: response.ids().len(),
+        work: bed.work().since(work_before),
+        memory_kib: memory_kib(&process, PEAK_MEMORY).saturating_sub(memory_before),
+        elapsed: format!("{elapsed_ms:.1}"),
+    };
+    row.write(text);
     Ok(())
 }
 
@@ -134,16 +157,17 @@
         let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
         next = response.link("next").filter(|_| goes_on);
     }
-    let work = bed.work().since(work_before);
-    let _ = writeln!(
-        text,
-        "| {} | all by next, limit={limit} ({pages} answers) | 200 | {features} | {} | {} | {} | {:.0} |",
-        version.name,
-        work.requests,
-        work.body_bytes / KIB,
-        memory_kib(process, PEAK_MEMORY),
-        started.elapsed().as_secs_f64() * 1e3
-    );
+    let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
+    let row = AnswerRow {
+        version: &version.name,
+        query: format!("all by next, limit={limit} ({pages} answers)"),
+        status: 200,
+        features,
+        work: bed.work().since(work_before),
+        memory_kib: memory_kib(process, PEAK_MEMORY),
+        elapsed: format!("{elapsed_ms:.0}"),
+    };
+    row.write(text);
     Ok(())
 }
 
