--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -26,10 +26,10 @@
     #[error(transparent)]
     Head(#[from] httparse::Error),
     /// Chunk size that is not a hexadecimal number.
-    #[error("a chunk's size")]
+    #[error("invalid chunk size")]
     ChunkSize,
     /// `Content-Length` that is not a number.
-    #[error("a length")]
+    #[error("invalid Content-Length")]
     ContentLength,
 }
 
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -97,7 +97,7 @@
         let missing = expected.iter().filter(|id| !found.contains(id)).count();
         let extra = found.iter().filter(|id| !expected.contains(id)).count();
         format!(
-            "{what}: {} features for {}, {missing} missing, {extra} too many",
+            "{what}: {} features in place of {}, {missing} missing, {extra} unexpected",
             found.len(),
             expected.len()
         )
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -31,9 +31,9 @@
     Check::new("/conf/core/conformance-op", CORE, |suite| suite.get_json("/conformance").map(drop)),
     Check::new("/conf/core/conformance-success", CORE, |suite| {
         let conformance = suite.get_json("/conformance")?;
-        let classes = conformance["conformsTo"].as_array().ok_or("conformsTo is no array")?;
+        let classes = conformance["conformsTo"].as_array().ok_or("conformsTo is not an array")?;
         let claimed = classes.iter().all(Json::is_string) && classes.iter().any(|class| class == CORE_URI);
-        require(claimed, || format!("{CORE_URI} is not there"))
+        require(claimed, || format!("{CORE_URI} is not claimed"))
     }),
     Check::new("/conf/core/fc-md-op", CORE, |suite| suite.get_json("/collections").map(drop)),
     Check::new("/conf/core/fc-md-success", CORE, |suite| {
@@ -75,8 +75,8 @@
     let json = suite.get_json("/collections")?;
     let mut collections = json["collections"].as_array().into_iter().flatten();
     let listed = collections.find(|listed| listed["id"] == collection["id"]);
-    let listed = listed.ok_or("it is not among the collections")?;
+    let listed = listed.ok_or("the collection is not listed")?;
     require(COLLECTION_PROPERTIES.iter().all(|name| collection[*name] == listed[*name]), || {
-        "it is not as the list of collections has it".to_owned()
+        "the collection differs from its entry in the list".to_owned()
     })
 }
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -45,7 +45,7 @@
     Check::new("/conf/crs/crs-uri", CRS, |suite| {
         let systems = listed_systems(suite)?;
         require(systems.iter().all(|uri| uri.starts_with("http://www.opengis.net/def/crs/")), || {
-            "a system is no URI".to_owned()
+            "the identifier of a reference system is not a URI".to_owned()
         })
     }),
     Check::new("/conf/crs/fc-md-crs-list", CRS, |suite| {
@@ -75,7 +75,7 @@
         let default = suite.get_items("limit=5")?;
         let named = suite.get_items(&format!("limit=5&crs={CRS84}"))?;
         require(default["features"] == named["features"], || {
-            "what comes without crs is not in CRS84".to_owned()
+            "the default reference system is not CRS84".to_owned()
         })
     }),
     Check::new("/conf/crs/fc-crs-action", CRS, |suite| {
@@ -106,7 +106,7 @@
         let original = point_of(first);
         let feature = suite.get_json(&format!("{}/{id}?crs={WGS84}", suite.items_path()))?;
         let (Some(found), Some(Point { x, y })) = (point_of(&feature), original) else {
-            return Err(Stop::not_applicable("it is no point"));
+            return Err(Stop::not_applicable("the first feature is not a point"));
         };
         require(is_near(found, Point { x: y, y: x }), || {
             format!("{} {} in place of {y} {x}", found.x, found.y)
@@ -123,7 +123,7 @@
 
 fn require_unknown_system(suite: &mut Suite, query: &str) -> Verdict {
     let response = suite.get(&format!("{}?{query}", suite.items_path()))?;
-    require(response.status == 400, || format!("status {} for a system that is none", response.status))
+    require(response.status == 400, || format!("status {} for an unknown reference system", response.status))
 }
 
 fn require_crs_header(suite: &mut Suite, query: &str, uri: &str) -> Verdict {
@@ -192,7 +192,7 @@
 }
 
 fn utm_coordinates_are_plausible(suite: &mut Suite) -> Verdict {
-    let first = suite.first_point().ok_or_else(|| Stop::not_applicable("no point is there"))?;
+    let first = suite.first_point().ok_or_else(|| Stop::not_applicable("no feature is a point"))?;
     let zone = UtmZone::of(first);
     if !listed_systems(suite)?.contains(&zone.uri) {
         return Err(Stop::not_applicable("UTM is not listed"));
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -46,11 +46,11 @@
         let path = suite.items_path();
         let tag = suite.get(&path)?.header("etag").to_owned();
         if tag.is_empty() {
-            return Err(Stop::not_applicable("no ETag is given"));
+            return Err(Stop::not_applicable("no ETag is sent"));
         }
         let again = suite.get_with(&path, &[Header::new("If-None-Match", &tag)])?;
         require(again.status == 304 && again.body.is_empty(), || {
-            format!("status {} for a tag that is known", again.status)
+            format!("status {} for a current ETag", again.status)
         })
     }),
     Check::new("/conf/core/gzip", ANY, |suite| {
@@ -58,11 +58,11 @@
         let plain = suite.get(&path)?;
         let compressed = suite.get_with(&path, &[Header::new("Accept-Encoding", "gzip")])?;
         if compressed.header("content-encoding") != "gzip" {
-            return Err(Stop::not_applicable("answers are not made small"));
+            return Err(Stop::not_applicable("responses are not compressed"));
         }
         let is_same = compressed.json()["features"] == plain.json()["features"];
         require(is_same && compressed.encoded_length < plain.encoded_length, || {
-            "what is unpacked differs".to_owned()
+            "the decompressed features differ, or the body is not shorter".to_owned()
         })
     }),
     Check::new("/conf/geojson/definition", GEO_JSON, |suite| {
@@ -78,7 +78,9 @@
     }),
     Check::new("/conf/geojson/content", GEO_JSON, |suite| {
         suite.features.iter().try_for_each(|feature| {
-            require(is_geo_json_feature(feature), || format!("feature {} is no GeoJSON", feature_id(feature)))
+            require(is_geo_json_feature(feature), || {
+                format!("feature {} is not valid GeoJSON", feature_id(feature))
+            })
         })
     }),
     Check::new("/conf/html/definition", HTML, |suite| {
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -52,7 +52,7 @@
         let schema = response.json();
         let is_schema =
             schema["$id"].is_string() && schema["$schema"].is_string() && schema["type"] == "object";
-        require(is_schema, || "it is no schema with $id".to_owned())
+        require(is_schema, || "the response is not a JSON schema with $id".to_owned())
     }),
     Check::new("/req/queryables-query-parameters/parameters", QUERYABLE_PARAMETERS, |suite| {
         let name = suite.queryable("number", "")?;
@@ -71,7 +71,9 @@
         parameter(suite, "filter-lang")?;
         let items = suite.items_path();
         let response = suite.get(&format!("{items}?filter=a=1&filter-lang=no-such-language"))?;
-        require(response.status == 400, || format!("status {} for a language that is none", response.status))
+        require(response.status == 400, || {
+            format!("status {} for an unknown filter language", response.status)
+        })
     }),
     Check::new("/req/filter/filter-crs-param", FILTER, |suite| {
         let bbox = suite.middle_box()?;
@@ -101,7 +103,7 @@
     }),
     Check::new("/req/features-filter/queryable-unknown", FEATURES_FILTER, |suite| {
         if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no queryables are told"));
+            return Err(Stop::not_applicable("no queryables are declared"));
         }
         let response = suite.get(&format!("{}?filter=no_such_queryable=1", suite.items_path()))?;
         require(response.status == 400, || format!("status {}", response.status))
@@ -110,7 +112,7 @@
         let Sample { name, value: median } = suite.median()?;
         let path = format!("{}?limit=37&filter={name}%3C%3D{median}", suite.items_path());
         let mut ids: Vec<String> = suite.get_all(&path)?.iter().map(feature_id).collect();
-        require(all_unique(&ids), || "features come twice over the next links".to_owned())?;
+        require(all_unique(&ids), || "features are duplicated over the next links".to_owned())?;
         ids.sort();
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n <= median));
         require_same("a filter over pages", &ids, &expected)
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -19,7 +19,7 @@
         let are_features =
             json["features"].as_array().is_some_and(|list| list.iter().all(|f| f["type"] == "Feature"));
         require(json["type"] == "FeatureCollection" && are_features, || {
-            "it is no collection of features".to_owned()
+            "the response is not a feature collection".to_owned()
         })
     }),
     Check::new("/conf/core/fc-limit-definition", CORE, |suite| {
@@ -86,7 +86,7 @@
         require_links(&json, "items", &["self", "alternate"])?;
         require_typed_links(&json, "items")?;
         require(suite.features.len() <= 2 || link_of(&json, "next").is_some(), || {
-            "no next link though more features are there".to_owned()
+            "no next link although more features exist".to_owned()
         })
     }),
     Check::new("/conf/core/fc-next-complete", CORE, next_links_are_complete),
@@ -101,12 +101,12 @@
         let json = suite.get_items("limit=1")?;
         match json["numberMatched"].as_u64() {
             Some(matched) => require(matched as usize == suite.features.len(), || {
-                format!("it is {matched}, and {} features are there", suite.features.len())
+                format!("numberMatched is {matched} for {} features", suite.features.len())
             }),
             None if json.get("numberMatched").is_none() => {
-                Err(Stop::not_applicable("it is not told, as it need not be"))
+                Err(Stop::not_applicable("numberMatched is optional and absent"))
             }
-            None => Err("it is no number".into()),
+            None => Err("numberMatched is not a number".into()),
         }
     }),
     Check::new("/conf/core/fc-numberReturned", CORE, |suite| {
@@ -123,7 +123,7 @@
         let is_same = feature["type"] == "Feature"
             && feature_id(&feature) == feature_id(&expected)
             && feature["properties"] == expected["properties"];
-        require(is_same, || "it is another feature than the one among the items".to_owned())
+        require(is_same, || "the feature differs from the one among the items".to_owned())
     }),
     Check::new("/conf/core/f-links", CORE, |suite| {
         let feature = get_middle_feature(suite)?;
@@ -146,7 +146,9 @@
     let count = ids.len();
     ids.sort();
     ids.dedup();
-    require(count == ids.len(), || format!("{} features came twice over the next links", count - ids.len()))?;
+    require(count == ids.len(), || {
+        format!("{} features are duplicated over the next links", count - ids.len())
+    })?;
     require_same("pages of 97 beside pages of 500", &ids, &suite.expected_ids(|_| true))
 }
 
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -100,12 +100,14 @@
 
     /// Returns the first feature.
     pub(super) fn first_feature(&self) -> Result<&Json, Stop> {
-        self.features.first().ok_or_else(|| Stop::not_applicable("no feature is there"))
+        self.features.first().ok_or_else(|| Stop::not_applicable("the collection has no features"))
     }
 
     /// Returns the feature in the middle of the list.
     pub(super) fn middle_feature(&self) -> Result<&Json, Stop> {
-        self.features.get(self.features.len() / 2).ok_or_else(|| Stop::not_applicable("no feature is there"))
+        self.features
+            .get(self.features.len() / 2)
+            .ok_or_else(|| Stop::not_applicable("the collection has no features"))
     }
 
     /// Returns the location of the first feature that is a point.
@@ -135,7 +137,7 @@
         let mut numbers: Vec<f64> = self.features.iter().filter_map(|f| number_of(f, name)).collect();
         numbers.sort_by(f64::total_cmp);
         if numbers.is_empty() {
-            return Err(Stop::not_applicable("no numbers are there"));
+            return Err(Stop::not_applicable("no feature has a number"));
         }
         Ok(numbers)
     }
@@ -154,7 +156,7 @@
         let found = self.queryables.iter().find(|(_, schema)| is_geometry(schema));
         found
             .map(|(name, _)| name.clone())
-            .ok_or_else(|| Stop::not_applicable("no geometry can be asked for"))
+            .ok_or_else(|| Stop::not_applicable("no geometry queryable is declared"))
     }
 
     /// Returns a text queryable that all features have, and the value of the middle feature.
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -22,7 +22,7 @@
         let schema = suite.get_json(&path)?;
         let is_schema =
             schema["$schema"].is_string() && schema["type"] == "object" && schema["properties"].is_object();
-        require(is_schema, || "it is no schema".to_owned())
+        require(is_schema, || "the response is not a JSON schema".to_owned())
     }),
     Check::new("/conf/schemas/properties", SCHEMAS, |suite| {
         let schema = suite.get_json(&suite.collection_path("schema"))?;
@@ -50,12 +50,12 @@
         let sorted = suite.get_all(&format!("{}?limit=61&sortby={name}", suite.items_path()))?;
         let ids: Vec<String> = sorted.iter().map(feature_id).collect();
         require(all_unique(&ids) && ids.len() == suite.features.len(), || {
-            "features that stand alike are lost or doubled over pages".to_owned()
+            "features with equal keys are lost or duplicated over pages".to_owned()
         })
     }),
     Check::new("/conf/sorting/sortby-unknown", SORTING, |suite| {
         if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no sortables are told"));
+            return Err(Stop::not_applicable("no sortables are declared"));
         }
         let response = suite.get(&format!("{}?sortby=no-such-property", suite.items_path()))?;
         require(response.status == 400, || format!("status {}", response.status))
@@ -69,7 +69,7 @@
                 && feature["id"].is_string()
         };
         require(json["features"].as_array().is_some_and(|list| list.iter().all(has_only_this)), || {
-            "other properties came too".to_owned()
+            "unselected properties are returned".to_owned()
         })
     }),
 ];
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -124,7 +124,7 @@
             }
             last = Some(response);
         }
-        last.ok_or_else(|| "never asked".into())
+        last.ok_or_else(|| "no attempt was made".into())
     }
 
     /// Requests a JSON object; fails if the response is not one.
@@ -132,7 +132,7 @@
         let response = self.get(path)?;
         require(response.status == 200, || format!("{path}: status {}", response.status))?;
         let json = response.json();
-        require(json.is_object(), || format!("{path}: no JSON object"))?;
+        require(json.is_object(), || format!("{path}: not a JSON object"))?;
         Ok(json)
     }
 
@@ -168,7 +168,7 @@
             })?;
             features.extend(features_of(&response.json()));
             require(features.len() <= MAX_FEATURES, || {
-                "more features than the suite works on, or a circle".to_owned()
+                "more features than the suite supports, or circular next links".to_owned()
             })?;
             next = response.link("next").map(|target| self.without_root(&target));
         }
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -65,12 +65,12 @@
         expected: ExpectedCount::Exactly(100),
     },
     Example {
-        description: "in a box",
+        description: "in a bounding box",
         target: "/collections/devices/items?bbox=-120.5,37.5,-119.5,38.5&limit=1000",
         expected: ExpectedCount::Matching(is_in_box),
     },
     Example {
-        description: "in a drawn area",
+        description: "in a polygon",
         target: "/collections/devices/items?limit=1000&filter=S_INTERSECTS(\
                  geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
         expected: ExpectedCount::Matching(is_in_triangle),
@@ -82,7 +82,7 @@
         expected: ExpectedCount::Matching(is_live_above_230_volts),
     },
     Example {
-        description: "by name, accents apart",
+        description: "by name, ignoring accents",
         target: "/collections/devices/items?limit=1000\
                  &filter=ACCENTI(name)%20LIKE%20%27cafe%25%27",
         expected: ExpectedCount::Matching(is_cafe_device),
@@ -98,7 +98,7 @@
         expected: ExpectedCount::Exactly(5),
     },
     Example {
-        description: "a map for people",
+        description: "HTML with a map",
         target: "/collections/devices/items?limit=200&f=html",
         expected: ExpectedCount::Exactly(200),
     },
@@ -172,7 +172,7 @@
         for example in &EXAMPLES {
             all_right &= self.check(&mut client, example, example.expected.among(&all))?;
         }
-        println!("{}", if all_right { "all as expected" } else { "something is wrong" });
+        println!("{}", if all_right { "all as expected" } else { "some answers are not as expected" });
         Ok(all_right)
     }
 
@@ -188,7 +188,7 @@
             "{:<26} {:>6} {found:>9} {expected:>9} {requests:>9} {elapsed_ms:>8.1}{}",
             example.description,
             response.status,
-            if right { "" } else { "  WRONG" }
+            if right { "" } else { "  UNEXPECTED" }
         );
         Ok(right)
     }
@@ -204,7 +204,7 @@
     pub fn run_until_signal(&self) -> Result<(), RunError> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let address = self.process.address;
-        println!("the edge is at http://{address}/");
+        println!("the front listens at http://{address}/");
         for Example { description, target, .. } in &EXAMPLES {
             println!("  {description:<26} curl 'http://{address}{target}'");
         }
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -29,14 +29,14 @@
 impl fmt::Display for AnswerKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.pad(match self {
-            AnswerKind::StaleCursor => "begin anew",
+            AnswerKind::StaleCursor => "stale cursor",
             AnswerKind::Failed => "failed",
-            AnswerKind::Partial => "in part",
+            AnswerKind::Partial => "partial",
             AnswerKind::Lost => "lost",
             AnswerKind::Other => "other",
-            AnswerKind::DeadlineExceeded => "out of time",
-            AnswerKind::Rejected => "refused",
-            AnswerKind::Complete => "whole",
+            AnswerKind::DeadlineExceeded => "deadline exceeded",
+            AnswerKind::Rejected => "rejected",
+            AnswerKind::Complete => "complete",
         })
     }
 }
@@ -51,7 +51,7 @@
     #[error("no final answer")]
     NoResponse,
     /// Answer that claims to be complete and lists missing shards, or the reverse.
-    #[error("an answer {kind} that lacks {missing:?}")]
+    #[error("an answer of kind {kind} with the missing shards {missing:?}")]
     WrongCompleteness {
         /// Kind that the answer claims.
         kind: AnswerKind,
@@ -59,16 +59,16 @@
         missing: BTreeSet<String>,
     },
     /// Partial answer for a class that needs all shards.
-    #[error("an answer in part where the class wants all")]
+    #[error("a partial answer for a class that requires all shards")]
     PartialNotAllowed,
     /// Answer with fewer shards than the minimum of its class.
-    #[error("an answer from less than the floor: {missing:?} are missing")]
+    #[error("an answer with less than the minimum share of shards: {missing:?} are missing")]
     BelowMinShare {
         /// Shards that the answer reports missing.
         missing: BTreeSet<String>,
     },
     /// Page with more features than its limit, or with another number than it claims.
-    #[error("{features} features, limit {limit}, told {number_returned}")]
+    #[error("{features} features, limit {limit}, numberReturned {number_returned}")]
     WrongCount {
         /// Number of features in the page.
         features: usize,
@@ -78,7 +78,7 @@
         number_returned: String,
     },
     /// Status 503 without `Retry-After`.
-    #[error("a refusal without Retry-After")]
+    #[error("a rejection without Retry-After")]
     NoRetryAfter,
     /// Status that the program must not send.
     #[error("status {status}: {body}")]
@@ -89,13 +89,13 @@
         body: String,
     },
     /// Number of features that were received more than once over all pages.
-    #[error("{0} features came twice")]
+    #[error("{0} duplicate features")]
     DuplicateFeatures(usize),
     /// Feature that no server holds.
-    #[error("a feature that no server has")]
+    #[error("a feature that no server holds")]
     UnknownFeature,
     /// Incomplete shard that is not reported missing although all pages were received.
-    #[error("{received} of {expected} features of {shard}, which is not said to be missing")]
+    #[error("{received} of {expected} features of {shard}, which is not reported missing")]
     IncompleteShard {
         /// Number of features received.
         received: usize,
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -66,14 +66,14 @@
         let mut selected: Vec<usize> = (0..self.dataset.features.len()).collect();
         if let Some(filter) = items.text("filter") {
             if self.capabilities == Capabilities::Core {
-                return Document::bad_request("no filter is known here");
+                return Document::bad_request("filters are not supported");
             }
-            let Ok(filter) = cql2::parse_text(filter) else { return Document::bad_request("the filter") };
+            let Ok(filter) = cql2::parse_text(filter) else { return Document::bad_request("invalid filter") };
             let matcher = Matcher::new(filter);
             selected.retain(|index| matcher.matches(&self.dataset.features[*index]));
         }
         if let Some(bbox) = items.text("bbox") {
-            let Some(bbox) = BoundingBox::parse(bbox) else { return Document::bad_request("the box") };
+            let Some(bbox) = BoundingBox::parse(bbox) else { return Document::bad_request("invalid bbox") };
             selected.retain(|index| bbox.contains(self.dataset.point(*index)));
         }
         if let Some(interval) = items.text("datetime") {
@@ -82,7 +82,7 @@
         }
         if let Some(keys) = items.text("sortby") {
             if self.capabilities != Capabilities::FiltersAndSorting {
-                return Document::bad_request("no order is known here");
+                return Document::bad_request("sorting is not supported");
             }
             sort(&self.dataset, &mut selected, keys);
         }
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -133,7 +133,7 @@
     NoHost,
     #[error("the URL has no port")]
     NoPort,
-    #[error("no address")]
+    #[error("the host has no address")]
     NoAddress,
     #[error(transparent)]
     Resolve(io::Error),
@@ -194,10 +194,10 @@
 
 fn print_report(report: &Report) {
     for (group, count) in &report.answers {
-        println!("{:<6} {:<12} {count:>8}", group.class, group.kind);
+        println!("{:<6} {:<18} {count:>8}", group.class, group.kind);
     }
     println!(
-        "requests at servers {}, parts that must not run twice {}, drains {}, slowest answer {} ms",
+        "requests at servers {}, non-idempotent parts {}, drains {}, slowest answer {} ms",
         report.server_requests,
         report.non_idempotent_parts,
         report.drains,
@@ -205,9 +205,9 @@
     );
     println!("{}", report.counters);
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
-        println!("BROKEN {violation}");
+        println!("VIOLATION {violation}");
     }
-    println!("{} rules broken", report.violations.len());
+    println!("{} violations", report.violations.len());
 }
 
 fn run_measure(arguments: MeasureArguments) -> Result<bool, CommandError> {
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -47,11 +47,11 @@
 /// Columns of the overload table.
 const OVERLOAD_COLUMNS: [&str; 8] = [
     "program and limits",
-    "times what they bear",
-    "asked",
+    "load factor",
+    "queries",
     "in time",
     "share",
-    "refused",
+    "rejected",
     "late or failed",
     "p99 ms",
 ];
@@ -81,10 +81,10 @@
 fn write_introduction(text: &mut String, total_pages: f64) {
     let _ = writeln!(
         text,
-        "Servers of 4 slots and 20 ms a page (together {total_pages:.0} pages a second); clients \
-         ask one device's page (a first answer asks both shards: 2 pages) at a steady rate and \
-         want it within 1 s; one in ten asks 5,000 features. In time: answers within 1 s of those \
-         asked for.\n"
+        "Servers with 4 slots and 20 ms of work a page (together {total_pages:.0} pages a second); \
+         clients request pages of 10 features (2 pages of servers, as both shards are queried) at \
+         a constant rate with a timeout of 1 s; one query in ten requests 5,000 features. In time: \
+         queries answered within 1 s of their arrival.\n"
     );
 }
 
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -54,15 +54,15 @@
 
 /// Columns of the table of single answers.
 const ANSWER_COLUMNS: [&str; 8] =
-    ["program", "query", "status", "features", "requests to servers", "KiB read", "KiB more memory", "ms"];
+    ["program", "query", "status", "features", "requests to servers", "KiB read", "KiB memory growth", "ms"];
 
 /// Columns of the table of latencies.
 const LOAD_COLUMNS: [&str; 8] =
-    ["program", "clients", "answers a second", "p50 ms", "p99 ms", "p99.9 ms", "refused", "failed"];
+    ["program", "clients", "answers a second", "p50 ms", "p99 ms", "p99.9 ms", "rejected", "failed"];
 
 /// Columns of the table of memory.
 const MEMORY_COLUMNS: [&str; 6] =
-    ["program", "answers", "refused", "failed", "MiB resident before", "MiB at most"];
+    ["program", "answers", "rejected", "failed", "MiB resident at start", "MiB peak"];
 
 /// Columns of the table of throughput.
 const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
@@ -103,7 +103,7 @@
             measure_all_pages(version, &process, limit, bed, text)?;
         }
     }
-    text.push_str("\nMemory of `all by next` is all that the program had resident at most.\n\n");
+    text.push_str("\nFor `all pages by next` the memory is the program's peak resident memory.\n\n");
     Ok(())
 }
 
@@ -160,7 +160,7 @@
     let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
     let row = AnswerRow {
         version: &version.name,
-        query: format!("all by next, limit={limit} ({pages} answers)"),
+        query: format!("all pages by next, limit={limit} ({pages} answers)"),
         status: 200,
         features,
         work: bed.work().since(work_before),
@@ -182,7 +182,7 @@
 /// Measures latencies at three closed-loop loads.
 pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
-    let _ = writeln!(text, "`limit=100` by so many clients at a time, {seconds} s each:\n");
+    let _ = writeln!(text, "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n");
     write_header(text, &LOAD_COLUMNS);
     for clients in CLIENTS {
         for Version { name, program } in &plan.versions {
@@ -234,7 +234,8 @@
     });
     let _ = writeln!(
         text,
-        "`limit=100` by {SHARE_CLIENTS} clients, beside one stand-in asked directly ({:.0} answers a second):\n",
+        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried directly \
+         ({:.0} answers a second):\n",
         direct.served_per_second()
     );
     write_header(text, &SHARE_COLUMNS);
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -46,13 +46,13 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// End of the log before an awaited line.
-    #[error("it ended before {awaited:?}")]
+    #[error("the program exited before it logged {awaited:?}")]
     Exited {
         /// Text that the line should contain.
         awaited: String,
     },
     /// Log line without the listening address at its end.
-    #[error("{line}")]
+    #[error("no address at the end of the log line {line:?}")]
     NoAddress {
         /// Text of the line.
         line: String,
