--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -3,9 +3,11 @@
 //! Owns the connection and its retry after an idle close; leaves redirects, cookies and TLS out.
 
 mod connection;
+mod headers;
 mod message;
 
-pub use message::{feature_id, target_of, Header, Request, Response};
+pub use headers::{Header, Headers};
+pub use message::{feature_id, target_of, Request, Response};
 
 use connection::{Connection, ReadResponse};
 use std::io::{self, ErrorKind};
--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -1,8 +1,7 @@
 //! Connection of a client: writes requests, and reads and decodes responses.
 
-use super::{ClientError, Response};
+use super::{ClientError, Header, Headers, Response};
 use flate2::read::GzDecoder;
-use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -29,13 +28,7 @@
 
 struct Head {
     status: u16,
-    headers: BTreeMap<String, String>,
-}
-
-impl Head {
-    fn header(&self, name: &str) -> Option<&str> {
-        self.headers.get(name).map(String::as_str)
-    }
+    headers: Headers,
 }
 
 impl Connection {
@@ -54,19 +47,19 @@
     /// Reads the next response; `head_only` marks the response to a HEAD request.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
-        let mut closes = head.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
+        let mut closes = head.headers.get("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
         let mut body = if head_only || matches!(head.status, 204 | 304) {
             Vec::new()
-        } else if head.header("transfer-encoding").is_some() {
+        } else if head.headers.get("transfer-encoding").is_some() {
             self.read_chunks()?
-        } else if let Some(length) = head.header("content-length") {
+        } else if let Some(length) = head.headers.get("content-length") {
             self.read_exact(length.parse().map_err(|_| ClientError::ContentLength)?)?
         } else {
             closes = true;
             self.read_to_end()
         };
         let encoded_length = body.len();
-        if head.header("content-encoding") == Some("gzip") {
+        if head.headers.get("content-encoding") == Some("gzip") {
             body = decompress(&body)?;
         }
         let response = Response { status: head.status, headers: head.headers, body, encoded_length };
@@ -78,7 +71,7 @@
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut parsed = httparse::Response::new(&mut headers);
             if let httparse::Status::Complete(length) = parsed.parse(&self.buffer)? {
-                let headers = parsed.headers.iter().map(header_entry).collect();
+                let headers = owned_headers(parsed.headers);
                 let status = parsed.code.unwrap_or(0);
                 self.buffer.drain(..length);
                 return Ok(Head { status, headers });
@@ -137,9 +130,13 @@
     }
 }
 
-fn header_entry(header: &httparse::Header<'_>) -> (String, String) {
-    let value = String::from_utf8_lossy(header.value).trim().to_owned();
-    (header.name.to_ascii_lowercase(), value)
+fn owned_headers(parsed: &[httparse::Header<'_>]) -> Headers {
+    let mut headers = Headers::default();
+    for header in parsed {
+        let value = String::from_utf8_lossy(header.value);
+        headers.set(Header::new(header.name, value.trim()));
+    }
+    headers
 }
 
 fn decompress(body: &[u8]) -> io::Result<Vec<u8>> {
--- a/testkit/src/client/message.rs
+++ b/testkit/src/client/message.rs
@@ -1,26 +1,9 @@
 //! HTTP requests and responses as plain data; their transfer is left to the connection.
 
+use super::headers::{Header, Headers};
 use serde_json::Value as Json;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Header of a request.
-#[derive(Debug, Clone, Copy)]
-pub struct Header<'a> {
-    /// Name of the header.
-    pub name: &'a str,
-    /// Value of the header.
-    pub value: &'a str,
-}
-
-impl<'a> Header<'a> {
-    /// Creates a header.
-    #[must_use]
-    pub const fn new(name: &'a str, value: &'a str) -> Self {
-        Header { name, value }
-    }
-}
-
 /// HTTP request.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
@@ -61,8 +44,8 @@
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Header values by lower-case name.
-    pub headers: BTreeMap<String, String>,
+    /// Headers.
+    pub headers: Headers,
     /// Body, decompressed.
     pub body: Vec<u8>,
     /// Length of the body as transferred, in bytes.
@@ -85,7 +68,7 @@
     /// Returns the value of a header by its lower-case name; empty if the header is absent.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
-        self.headers.get(name).map_or("", String::as_str)
+        self.headers.get(name).unwrap_or("")
     }
 
     /// Returns the ids of the features in the body, in order.
--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -180,8 +180,8 @@
     let compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
     let body = if compressed { compress(&response.body)? } else { response.body.clone() };
     let mut bytes = format!("HTTP/1.1 {} X\r\n", response.status);
-    let passed_on = response.headers.iter().filter(|(name, _)| !OWN_HEADERS.contains(&name.as_str()));
-    for (name, value) in passed_on {
+    let passed_on = response.headers.iter().filter(|header| !OWN_HEADERS.contains(&header.name));
+    for Header { name, value } in passed_on {
         bytes.push_str(&format!("{name}: {value}\r\n"));
     }
     bytes.push_str(&format!("content-length: {}\r\n\r\n", body.len()));
--- a/testkit/src/fault_injection/edits.rs
+++ b/testkit/src/fault_injection/edits.rs
@@ -47,11 +47,6 @@
     &mut parameters[position.unwrap_or(0)]["schema"]
 }
 
-/// Sets a header, by its name in lower case.
-pub(super) fn set_header(response: &mut Response, name: &str, value: &str) {
-    response.headers.insert(name.to_owned(), value.to_owned());
-}
-
 /// Removes a parameter from a request's query.
 pub(super) fn remove_parameter(request: &mut ForwardedRequest, name: &str) {
     let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
--- a/testkit/src/fault_injection/faults/crs.rs
+++ b/testkit/src/fault_injection/faults/crs.rs
@@ -1,8 +1,9 @@
 //! Faults of Part 2: coordinate reference systems by reference.
 
 use super::super::alteration::{Alteration, Scope};
-use super::super::edits::{set_header, swap_coordinates};
+use super::super::edits::swap_coordinates;
 use super::super::InjectedFault;
+use crate::client::Header;
 use serde_json::json;
 
 pub(super) const FAULTS: &[InjectedFault] = &[
@@ -45,7 +46,7 @@
         description: "the header names another reference system",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
-            set_header(response, "content-crs", "<http://www.opengis.net/def/crs/EPSG/0/3857>");
+            response.headers.set(Header::new("content-crs", "<http://www.opengis.net/def/crs/EPSG/0/3857>"));
         }),
     },
 ];
--- a/testkit/src/fault_injection/faults/encodings.rs
+++ b/testkit/src/fault_injection/faults/encodings.rs
@@ -1,8 +1,8 @@
 //! Faults of Part 1: HTTP, GeoJSON, HTML and OpenAPI 3.0; and caching and problem details.
 
 use super::super::alteration::{Alteration, Scope};
-use super::super::edits::set_header;
 use super::super::InjectedFault;
+use crate::client::Header;
 use serde_json::Value as Json;
 
 pub(super) const FAULTS: &[InjectedFault] = &[
@@ -28,7 +28,7 @@
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
             if response.status >= 400 {
-                set_header(response, "content-type", "text/plain");
+                response.headers.set(Header::new("content-type", "text/plain"));
             }
         }),
     },
@@ -38,7 +38,7 @@
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
             if response.header("content-type") == "application/geo+json" {
-                set_header(response, "content-type", "application/json");
+                response.headers.set(Header::new("content-type", "application/json"));
             }
         }),
     },
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -101,7 +101,7 @@
                     answers.at_end = link.is_none();
                     next = link.filter(|_| query.follows_links);
                 }
-                AnswerKind::Rejected if !response.headers.contains_key("retry-after") => {
+                AnswerKind::Rejected if response.headers.get("retry-after").is_none() => {
                     answers.violations.push(AnswerViolation::NoRetryAfter);
                 }
                 AnswerKind::Rejected | AnswerKind::Failed | AnswerKind::DeadlineExceeded => {
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -58,7 +58,7 @@
                 let capabilities = CAPABILITIES[(machine_number + place) % CAPABILITIES.len()];
                 let server = FeatureServer::start(devices(device_numbers(shard)), capabilities)?;
                 let machine = machine.clone();
-                server.set_fault_script(move |number, _| machine.fault_of_request(number));
+                server.set_fault_script(move |request| machine.fault_of_request(request.number));
                 servers.push(server);
             }
         }
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -15,7 +15,7 @@
 pub use capabilities::Capabilities;
 pub use capacity::Capacity;
 pub use dataset::devices;
-pub use faults::{Fault, ALL_FAULTS};
+pub use faults::{Fault, ReceivedRequest, ALL_FAULTS};
 
 use crate::sync::lock;
 use capacity::WorkerSlots;
@@ -75,7 +75,7 @@
         let state = Arc::new(ServerState {
             dataset: Dataset::new(features),
             capabilities,
-            script: Mutex::new(Box::new(|_, _| Fault::None)),
+            script: Mutex::new(Box::new(|_| Fault::None)),
             slots: WorkerSlots::default(),
             requests: AtomicU64::new(0),
             body_bytes: AtomicU64::new(0),
@@ -95,9 +95,8 @@
         Ok(FeatureServer { address, state })
     }
 
-    /// Sets the script that chooses the fault of each request by its number, from 0, and its
-    /// target.
-    pub fn set_fault_script(&self, script: impl Fn(u64, &str) -> Fault + Send + Sync + 'static) {
+    /// Sets the script that chooses the fault of each request.
+    pub fn set_fault_script(&self, script: impl Fn(&ReceivedRequest<'_>) -> Fault + Send + Sync + 'static) {
         *lock(&self.state.script) = Box::new(script);
     }
 
@@ -140,7 +139,7 @@
     /// Counts and logs a request and chooses its fault.
     fn register_request(&self, target: &str) -> RegisteredRequest {
         let number = self.requests.fetch_add(1, Relaxed);
-        let fault = lock(&self.script)(number, target);
+        let fault = lock(&self.script)(&ReceivedRequest { number, target });
         let mut log = lock(&self.log);
         let copies = 1 + usize::from(self.log_twice.load(Relaxed));
         for _ in 0..copies {
--- a/testkit/src/feature_server/faults.rs
+++ b/testkit/src/feature_server/faults.rs
@@ -53,5 +53,14 @@
     Fault::TrickledBody,
 ];
 
-/// Function that chooses the fault of a request by its number and target.
-pub(super) type FaultScript = Box<dyn Fn(u64, &str) -> Fault + Send + Sync>;
+/// Received request, by which a script chooses a fault.
+#[derive(Debug, Clone, Copy)]
+pub struct ReceivedRequest<'a> {
+    /// Number of the request at its server, from 0.
+    pub number: u64,
+    /// Path and query.
+    pub target: &'a str,
+}
+
+/// Function that chooses the fault of a request.
+pub(super) type FaultScript = Box<dyn Fn(&ReceivedRequest<'_>) -> Fault + Send + Sync>;
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -51,7 +51,9 @@
             return json!([]);
         }
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.extend_pairs(self.parameters.iter().filter(|p| p.0 != "offset" && p.0 != "limit"));
+        query.extend_pairs(
+            self.parameters.iter().filter(|(name, _)| !matches!(name.as_str(), "offset" | "limit")),
+        );
         query.append_pair("limit", self.text("limit").unwrap_or("10"));
         if offset > 0 {
             query.append_pair("offset", &offset.to_string());
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -59,8 +59,8 @@
     let Deployment { process, servers } = Deployment::start();
     for server in servers.iter().step_by(2) {
         // One in seven requests fails, each time by another fault.
-        server.set_fault_script(|number, _| match number % 7 {
-            3 => HIDDEN_FAULTS[(number / 7) as usize % HIDDEN_FAULTS.len()],
+        server.set_fault_script(|request| match request.number % 7 {
+            3 => HIDDEN_FAULTS[(request.number / 7) as usize % HIDDEN_FAULTS.len()],
             _ => Fault::None,
         });
     }
