--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -156,7 +156,8 @@
     require(!projected.is_empty(), || "no features".to_owned())?;
     projected.iter().try_for_each(|feature| {
         let original = find_point(&originals, &feature_id(feature));
-        let (Some(found), Some(original)) = (point_of(feature), original) else { return Ok(()) };
+        let Some(found) = point_of(feature) else { return Ok(()) };
+        let Some(original) = original else { return Ok(()) };
         let expected = project(original);
         require(is_near(found, expected), || {
             format!("{uri}: {} {} in place of {} {}", found.x, found.y, expected.x, expected.y)
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -3,7 +3,7 @@
 
 use super::check::{require, require_same, Check, Stop, Verdict};
 use super::filters::{number_is, quoted, require_matches};
-use super::samples::{point_of, text_of, BoundingBox, Sample};
+use super::samples::{point_of, text_of, BoundingBox, QueryableKind, Sample};
 use super::Suite;
 use crate::client::{Header, Request, Response};
 use serde_json::{json, Value as Json};
@@ -194,7 +194,7 @@
 }
 
 fn array_predicates_are_right(suite: &mut Suite) -> Verdict {
-    let name = suite.queryable("array", "")?;
+    let name = suite.queryable(QueryableKind::Array)?;
     let mut arrays = suite.features.iter().map(|feature| elements_of(feature, &name));
     let sample = arrays.find(|elements| elements.len() > 1);
     let sample = sample.ok_or_else(|| Stop::not_applicable("no array of two"))?;
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -2,7 +2,8 @@
 
 use super::check::{all_unique, require, require_same, Check, Stop, Verdict};
 use super::documents::{link_of, parameter};
-use super::samples::{number_of, text_of, BoundingBox, Sample};
+use super::samples::{number_of, text_of, BoundingBox, QueryableKind, Sample};
+use super::suite::FilterLanguage;
 use super::Suite;
 use crate::client::feature_id;
 use serde_json::{json, Value as Json};
@@ -55,7 +56,7 @@
         require(is_schema, || "the response is not a JSON schema with $id".to_owned())
     }),
     Check::new("/req/queryables-query-parameters/parameters", QUERYABLE_PARAMETERS, |suite| {
-        let name = suite.queryable("number", "")?;
+        let name = suite.queryable(QueryableKind::Number)?;
         let value = suite.sorted_numbers(&name)?[0];
         let found = suite.get_ids(&format!("{name}={value}"))?;
         let expected = suite.expected_ids(|feature| number_of(feature, &name) == Some(value));
@@ -128,7 +129,7 @@
         let above = json!({"op": ">", "args": [property, median]});
         let not_equal = json!({"op": "not", "args": [{"op": "=", "args": [property, -1]}]});
         let filter = json!({"op": "and", "args": [above, not_equal]});
-        let found = suite.get_filtered(&filter.to_string(), "cql2-json")?;
+        let found = suite.get_filtered(&filter.to_string(), FilterLanguage::Json)?;
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n > median));
         require_same("CQL2 JSON", &found, &expected)
     }),
@@ -164,7 +165,7 @@
 
 fn logic_is_right(suite: &mut Suite) -> Verdict {
     let Sample { name, value: median } = suite.median()?;
-    let flag = suite.queryable("boolean", "")?;
+    let flag = suite.queryable(QueryableKind::Boolean)?;
     let flag_of = |feature: &Json| feature["properties"][&flag].as_bool();
     let is_above = |feature: &Json| number_is(feature, &name, |n| n > median);
     require_matches(suite, &format!("{name} > {median} AND {flag} = TRUE"), |feature| {
@@ -190,6 +191,6 @@
 
 /// Requires a CQL2 text filter to match exactly the features that satisfy the predicate.
 pub(super) fn require_matches(suite: &mut Suite, filter: &str, matches: impl Fn(&Json) -> bool) -> Verdict {
-    let found = suite.get_filtered(filter, "cql2-text")?;
+    let found = suite.get_filtered(filter, FilterLanguage::Text)?;
     require_same(filter, &found, &suite.expected_ids(matches))
 }
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -65,6 +65,38 @@
     }
 }
 
+/// Kind of a queryable, by the type and format of its schema.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum QueryableKind {
+    /// Array of any elements.
+    Array,
+    /// Truth value.
+    Boolean,
+    /// Number.
+    Number,
+    /// Date, or date and time.
+    Time,
+}
+
+impl QueryableKind {
+    fn value_type(self) -> &'static str {
+        match self {
+            QueryableKind::Array => "array",
+            QueryableKind::Boolean => "boolean",
+            QueryableKind::Number => "number",
+            QueryableKind::Time => "string",
+        }
+    }
+
+    /// Returns the prefix of the format; empty for a schema without a format.
+    fn format_prefix(self) -> &'static str {
+        match self {
+            QueryableKind::Array | QueryableKind::Boolean | QueryableKind::Number => "",
+            QueryableKind::Time => "date",
+        }
+    }
+}
+
 /// Name of a queryable and a value to compare it with.
 pub(super) struct Sample<T> {
     pub(super) name: String,
@@ -115,8 +147,10 @@
         self.features.iter().find_map(point_of)
     }
 
-    /// Returns the name of a queryable of this type and format for which some feature has a value.
-    pub(super) fn queryable(&self, value_type: &str, format: &str) -> Result<String, Stop> {
+    /// Returns the name of a queryable of this kind for which some feature has a value.
+    pub(super) fn queryable(&self, kind: QueryableKind) -> Result<String, Stop> {
+        let value_type = kind.value_type();
+        let format = kind.format_prefix();
         let fits = |(name, schema): &(&String, &Json)| {
             let schema_type = schema["type"].as_str().unwrap_or_default();
             let schema_format = schema["format"].as_str().unwrap_or_default();
@@ -144,7 +178,7 @@
 
     /// Returns a numeric queryable and its median.
     pub(super) fn median(&self) -> Result<Sample<f64>, Stop> {
-        let name = self.queryable("number", "")?;
+        let name = self.queryable(QueryableKind::Number)?;
         let numbers = self.sorted_numbers(&name)?;
         Ok(Sample { name, value: numbers[numbers.len() / 2] })
     }
@@ -176,7 +210,7 @@
 
     /// Returns a date or time queryable and its median.
     pub(super) fn median_time(&self) -> Result<Sample<String>, Stop> {
-        let name = self.queryable("string", "date")?;
+        let name = self.queryable(QueryableKind::Time)?;
         let mut times: Vec<&str> = self.features.iter().filter_map(|f| text_of(f, &name)).collect();
         times.sort_unstable();
         let value = times[times.len() / 2].to_owned();
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -1,7 +1,7 @@
 //! Part 5: schemas and sortables; and sorting and selection of properties.
 
 use super::check::{all_unique, require, Check, Stop, Verdict};
-use super::samples::number_of;
+use super::samples::{number_of, QueryableKind};
 use super::Suite;
 use crate::client::feature_id;
 use serde_json::Value as Json;
@@ -41,12 +41,12 @@
         require(sortables["properties"].is_object(), || "no properties".to_owned())
     }),
     Check::new("/conf/sorting/sortby", SORTING, |suite| {
-        let name = suite.queryable("number", "")?;
-        require_sorted(suite, &name, &name, |left, right| left <= right)?;
-        require_sorted(suite, &format!("-{name}"), &name, |left, right| left >= right)
+        let name = suite.queryable(QueryableKind::Number)?;
+        require_sorted(suite, &name, Direction::Ascending)?;
+        require_sorted(suite, &name, Direction::Descending)
     }),
     Check::new("/conf/sorting/sortby-ties", SORTING, |suite| {
-        let name = suite.queryable("boolean", "")?;
+        let name = suite.queryable(QueryableKind::Boolean)?;
         let sorted = suite.get_all(&format!("{}?limit=61&sortby={name}", suite.items_path()))?;
         let ids: Vec<String> = sorted.iter().map(feature_id).collect();
         require(all_unique(&ids) && ids.len() == suite.features.len(), || {
@@ -61,7 +61,7 @@
         require(response.status == 400, || format!("status {}", response.status))
     }),
     Check::new("/conf/property-selection/properties", ANY, |suite| {
-        let name = suite.queryable("number", "")?;
+        let name = suite.queryable(QueryableKind::Number)?;
         let json = suite.get_items(&format!("limit=5&properties={name}"))?;
         let has_only_this = |feature: &Json| {
             let properties = feature["properties"].as_object();
@@ -74,13 +74,37 @@
     }),
 ];
 
-/// Requires all features, sorted by a number in this order.
-fn require_sorted(suite: &mut Suite, key: &str, name: &str, in_order: fn(f64, f64) -> bool) -> Verdict {
+/// Direction of a sort key.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    Ascending,
+    Descending,
+}
+
+impl Direction {
+    fn sort_key(self, name: &str) -> String {
+        match self {
+            Direction::Ascending => name.to_owned(),
+            Direction::Descending => format!("-{name}"),
+        }
+    }
+
+    fn is_in_order(self, left: f64, right: f64) -> bool {
+        match self {
+            Direction::Ascending => left <= right,
+            Direction::Descending => left >= right,
+        }
+    }
+}
+
+/// Requires all features, sorted by a number in this direction.
+fn require_sorted(suite: &mut Suite, name: &str, direction: Direction) -> Verdict {
+    let key = direction.sort_key(name);
     let sorted = suite.get_all(&format!("{}?limit=300&sortby={key}", suite.items_path()))?;
     require(sorted.len() == suite.features.len(), || {
         format!("{} features for {}", sorted.len(), suite.features.len())
     })?;
     let values: Vec<f64> = sorted.iter().filter_map(|feature| number_of(feature, name)).collect();
-    let all_in_order = values.windows(2).all(|pair| in_order(pair[0], pair[1]));
+    let all_in_order = values.windows(2).all(|pair| direction.is_in_order(pair[0], pair[1]));
     require(all_in_order, || format!("sortby={key}: not in order"))
 }
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -16,6 +16,22 @@
 /// Backoff after a 503.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
+/// Encoding of a CQL2 filter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum FilterLanguage {
+    Json,
+    Text,
+}
+
+impl FilterLanguage {
+    fn name(self) -> &'static str {
+        match self {
+            FilterLanguage::Json => "cql2-json",
+            FilterLanguage::Text => "cql2-text",
+        }
+    }
+}
+
 /// Failed request for one of the documents that opening a service needs.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
@@ -182,9 +198,13 @@
     }
 
     /// Requests the sorted ids of all items that a filter in this language matches.
-    pub(super) fn get_filtered(&mut self, filter: &str, language: &str) -> Result<Vec<String>, Stop> {
+    pub(super) fn get_filtered(
+        &mut self,
+        filter: &str,
+        language: FilterLanguage,
+    ) -> Result<Vec<String>, Stop> {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.append_pair("filter", filter).append_pair("filter-lang", language);
+        query.append_pair("filter", filter).append_pair("filter-lang", language.name());
         self.get_ids(&query.finish())
     }
 
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -3,7 +3,7 @@
 
 use crate::client::{Client, Response};
 use crate::error::RunError;
-use crate::feature_server::{devices, Capabilities, FeatureServer};
+use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
 use crate::process::{Configuration, EdgeProcess, CLASSES};
 use serde_json::Value as Json;
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -146,7 +146,9 @@
         ];
         let shards = ["devices/north", "devices/north", "devices/south", "devices/south"];
         let row = |(index, (server, shard)): (usize, (&FeatureServer, &str))| {
-            server.inventory_row(&format!("features-{}", index + 1), shard, "in_service")
+            let name = format!("features-{}", index + 1);
+            let state = InventoryState::InService;
+            server.inventory_row(InventoryEntry { name: &name, collections: shard, state })
         };
         let rows: String = servers.iter().zip(shards).enumerate().map(row).collect();
         let tables = format!("{CLASSES}{COLLECTION}");
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -1,6 +1,8 @@
 //! Servers of a fault scenario: six machines of two servers each, which hold three shards.
 
-use crate::feature_server::{devices, Capabilities, Fault, FeatureServer, ALL_FAULTS};
+use crate::feature_server::{
+    devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState, ALL_FAULTS,
+};
 use std::io;
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -68,9 +70,12 @@
     /// Returns the rows of the inventory, with one server draining or none.
     pub(super) fn inventory(&self, draining: Option<usize>) -> String {
         let row = |(index, server): (usize, &FeatureServer)| {
-            let state = if draining == Some(index) { "draining" } else { "in_service" };
+            let is_draining = draining == Some(index);
+            let state = if is_draining { InventoryState::Draining } else { InventoryState::InService };
             let shard = SHARDS[shard_of_server(index)];
-            server.inventory_row(&format!("s{index}"), &format!("devices/{shard}"), state)
+            let name = format!("s{index}");
+            let collections = format!("devices/{shard}");
+            server.inventory_row(InventoryEntry { name: &name, collections: &collections, state })
         };
         self.servers.iter().enumerate().map(row).collect()
     }
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -10,12 +10,14 @@
 mod dataset;
 mod document;
 mod faults;
+mod inventory;
 mod items;
 
 pub use capabilities::Capabilities;
 pub use capacity::Capacity;
 pub use dataset::devices;
 pub use faults::{Fault, ReceivedRequest, ALL_FAULTS};
+pub use inventory::{InventoryEntry, InventoryState};
 
 use crate::sync::lock;
 use capacity::WorkerSlots;
@@ -128,10 +130,10 @@
         self.state.log_twice.store(on, Relaxed);
     }
 
-    /// Formats the server's row of an inventory: name, address, collections and state.
+    /// Formats the server's row of an inventory.
     #[must_use]
-    pub fn inventory_row(&self, name: &str, collections: &str, state: &str) -> String {
-        format!("{name},{},{collections},{state}\n", self.address)
+    pub fn inventory_row(&self, entry: InventoryEntry<'_>) -> String {
+        entry.to_row(self.address)
     }
 }
 
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -1,7 +1,7 @@
 //! Test bed of the measurements: four feature servers, over which versions of the program are
 //! started.
 
-use crate::feature_server::{devices, Capabilities, FeatureServer};
+use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
 use crate::process::{Configuration, EdgeProcess, ProcessError};
 use std::io;
 use std::path::Path;
@@ -57,7 +57,9 @@
     /// Returns the rows of the inventory.
     pub(super) fn inventory(&self) -> String {
         let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
-            server.inventory_row(&format!("s{index}"), collection, "")
+            let name = format!("s{index}");
+            let state = InventoryState::Unspecified;
+            server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
         };
         self.servers.iter().zip(SERVER_COLLECTIONS).enumerate().map(row).collect()
     }
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -4,7 +4,9 @@
 use quinceflow_testkit::client::{Client, Response};
 use quinceflow_testkit::conformance::{Outcome, Suite};
 use quinceflow_testkit::fault_injection::{injected_faults, FaultInjector};
-use quinceflow_testkit::feature_server::{devices, Capabilities, Fault, FeatureServer};
+use quinceflow_testkit::feature_server::{
+    devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState,
+};
 use quinceflow_testkit::process::{find_program, Configuration, EdgeProcess, CLASSES};
 
 const FEATURES_PER_SHARD: usize = 150;
@@ -42,7 +44,9 @@
         ];
         let collections = ["devices/north", "devices/north", "devices/south", "devices/south"];
         let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
-            server.inventory_row(&format!("s{index}"), collection, "")
+            let name = format!("s{index}");
+            let state = InventoryState::Unspecified;
+            server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
         };
         let rows: String = servers.iter().zip(collections).enumerate().map(row).collect();
         // Capabilities are discovered again every second: they must not change what queries return.
@@ -120,7 +124,8 @@
     let server = FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
     let program = find_program().expect("the program is built with the workspace");
     let classes = "[[class]]\nname = \"map\"\naim_ms = 8000\ndeadline_ms = 10000\n";
-    let rows = server.inventory_row("a", "devices", "");
+    let state = InventoryState::Unspecified;
+    let rows = server.inventory_row(InventoryEntry { name: "a", collections: "devices", state });
     let configuration = Configuration { settings: "", inventory_rows: &rows, tables: classes };
     let process = EdgeProcess::start(&program, &configuration).expect("it starts");
     let mut client = Client::new(process.address);
