--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -2,7 +2,8 @@
 
 use super::check::{all_unique, require, require_same, Check, Stop, Verdict};
 use super::documents::{link_of, parameter};
-use super::samples::{number_of, text_of, BoundingBox, Sample};
+use super::samples::{number_of, text_of, BoundingBox, QueryableKind, Sample};
+use super::suite::FilterLanguage;
 use super::Suite;
 use crate::client::feature_id;
 use serde_json::{json, Value as Json};
@@ -52,10 +53,10 @@
         let schema = response.json();
         let is_schema =
             schema["$id"].is_string() && schema["$schema"].is_string() && schema["type"] == "object";
-        require(is_schema, || "it is no schema with $id".to_owned())
+        require(is_schema, || "the response is not a JSON schema with $id".to_owned())
     }),
     Check::new("/req/queryables-query-parameters/parameters", QUERYABLE_PARAMETERS, |suite| {
-        let name = suite.queryable("number", "")?;
+        let name = suite.queryable(QueryableKind::Number)?;
         let value = suite.sorted_numbers(&name)?[0];
         let found = suite.get_ids(&format!("{name}={value}"))?;
         let expected = suite.expected_ids(|feature| number_of(feature, &name) == Some(value));
@@ -71,7 +72,9 @@
         parameter(suite, "filter-lang")?;
         let items = suite.items_path();
         let response = suite.get(&format!("{items}?filter=a=1&filter-lang=no-such-language"))?;
-        require(response.status == 400, || format!("status {} for a language that is none", response.status))
+        require(response.status == 400, || {
+            format!("status {} for an unknown filter language", response.status)
+        })
     }),
     Check::new("/req/filter/filter-crs-param", FILTER, |suite| {
         let bbox = suite.middle_box()?;
@@ -101,7 +104,7 @@
     }),
     Check::new("/req/features-filter/queryable-unknown", FEATURES_FILTER, |suite| {
         if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no queryables are told"));
+            return Err(Stop::not_applicable("no queryables are declared"));
         }
         let response = suite.get(&format!("{}?filter=no_such_queryable=1", suite.items_path()))?;
         require(response.status == 400, || format!("status {}", response.status))
@@ -110,7 +113,7 @@
         let Sample { name, value: median } = suite.median()?;
         let path = format!("{}?limit=37&filter={name}%3C%3D{median}", suite.items_path());
         let mut ids: Vec<String> = suite.get_all(&path)?.iter().map(feature_id).collect();
-        require(all_unique(&ids), || "features come twice over the next links".to_owned())?;
+        require(all_unique(&ids), || "features are duplicated over the next links".to_owned())?;
         ids.sort();
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n <= median));
         require_same("a filter over pages", &ids, &expected)
@@ -126,7 +129,7 @@
         let above = json!({"op": ">", "args": [property, median]});
         let not_equal = json!({"op": "not", "args": [{"op": "=", "args": [property, -1]}]});
         let filter = json!({"op": "and", "args": [above, not_equal]});
-        let found = suite.get_filtered(&filter.to_string(), "cql2-json")?;
+        let found = suite.get_filtered(&filter.to_string(), FilterLanguage::Json)?;
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n > median));
         require_same("CQL2 JSON", &found, &expected)
     }),
@@ -162,7 +165,7 @@
 
 fn logic_is_right(suite: &mut Suite) -> Verdict {
     let Sample { name, value: median } = suite.median()?;
-    let flag = suite.queryable("boolean", "")?;
+    let flag = suite.queryable(QueryableKind::Boolean)?;
     let flag_of = |feature: &Json| feature["properties"][&flag].as_bool();
     let is_above = |feature: &Json| number_is(feature, &name, |n| n > median);
     require_matches(suite, &format!("{name} > {median} AND {flag} = TRUE"), |feature| {
@@ -188,6 +191,6 @@
 
 /// Requires a CQL2 text filter to match exactly the features that satisfy the predicate.
 pub(super) fn require_matches(suite: &mut Suite, filter: &str, matches: impl Fn(&Json) -> bool) -> Verdict {
-    let found = suite.get_filtered(filter, "cql2-text")?;
+    let found = suite.get_filtered(filter, FilterLanguage::Text)?;
     require_same(filter, &found, &suite.expected_ids(matches))
 }
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -65,6 +65,38 @@
     }
 }
 
+/// Kind of a queryable, by the type and format of its schema.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum QueryableKind {
+    /// Array of any elements.
+    Array,
+    /// Truth value.
+    Boolean,
+    /// Number.
+    Number,
+    /// Date, or date and time.
+    Time,
+}
+
+impl QueryableKind {
+    fn value_type(self) -> &'static str {
+        match self {
+            QueryableKind::Array => "array",
+            QueryableKind::Boolean => "boolean",
+            QueryableKind::Number => "number",
+            QueryableKind::Time => "string",
+        }
+    }
+
+    /// Returns the prefix of the format; empty for a schema without a format.
+    fn format_prefix(self) -> &'static str {
+        match self {
+            QueryableKind::Array | QueryableKind::Boolean | QueryableKind::Number => "",
+            QueryableKind::Time => "date",
+        }
+    }
+}
+
 /// Name of a queryable and a value to compare it with.
 pub(super) struct Sample<T> {
     pub(super) name: String,
@@ -100,12 +132,14 @@
 
     /// Returns the first feature.
     pub(super) fn first_feature(&self) -> Result<&Json, Stop> {
-        self.features.first().ok_or_else(|| Stop::not_applicable("no feature is there"))
+        self.features.first().ok_or_else(|| Stop::not_applicable("the collection has no features"))
     }
 
     /// Returns the feature in the middle of the list.
     pub(super) fn middle_feature(&self) -> Result<&Json, Stop> {
-        self.features.get(self.features.len() / 2).ok_or_else(|| Stop::not_applicable("no feature is there"))
+        self.features
+            .get(self.features.len() / 2)
+            .ok_or_else(|| Stop::not_applicable("the collection has no features"))
     }
 
     /// Returns the location of the first feature that is a point.
@@ -113,8 +147,10 @@
         self.features.iter().find_map(point_of)
     }
 
-    /// Returns the name of a queryable of this type and format for which some feature has a value.
-    pub(super) fn queryable(&self, value_type: &str, format: &str) -> Result<String, Stop> {
+    /// Returns the name of a queryable of this kind for which some feature has a value.
+    pub(super) fn queryable(&self, kind: QueryableKind) -> Result<String, Stop> {
+        let value_type = kind.value_type();
+        let format = kind.format_prefix();
         let fits = |(name, schema): &(&String, &Json)| {
             let schema_type = schema["type"].as_str().unwrap_or_default();
             let schema_format = schema["format"].as_str().unwrap_or_default();
@@ -135,14 +171,14 @@
         let mut numbers: Vec<f64> = self.features.iter().filter_map(|f| number_of(f, name)).collect();
         numbers.sort_by(f64::total_cmp);
         if numbers.is_empty() {
-            return Err(Stop::not_applicable("no numbers are there"));
+            return Err(Stop::not_applicable("no feature has a number"));
         }
         Ok(numbers)
     }
 
     /// Returns a numeric queryable and its median.
     pub(super) fn median(&self) -> Result<Sample<f64>, Stop> {
-        let name = self.queryable("number", "")?;
+        let name = self.queryable(QueryableKind::Number)?;
         let numbers = self.sorted_numbers(&name)?;
         Ok(Sample { name, value: numbers[numbers.len() / 2] })
     }
@@ -154,7 +190,7 @@
         let found = self.queryables.iter().find(|(_, schema)| is_geometry(schema));
         found
             .map(|(name, _)| name.clone())
-            .ok_or_else(|| Stop::not_applicable("no geometry can be asked for"))
+            .ok_or_else(|| Stop::not_applicable("no geometry queryable is declared"))
     }
 
     /// Returns a text queryable that all features have, and the value of the middle feature.
@@ -174,7 +210,7 @@
 
     /// Returns a date or time queryable and its median.
     pub(super) fn median_time(&self) -> Result<Sample<String>, Stop> {
-        let name = self.queryable("string", "date")?;
+        let name = self.queryable(QueryableKind::Time)?;
         let mut times: Vec<&str> = self.features.iter().filter_map(|f| text_of(f, &name)).collect();
         times.sort_unstable();
         let value = times[times.len() / 2].to_owned();
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -16,6 +16,22 @@
 /// Backoff after a 503.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
+/// Encoding of a CQL2 filter.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum FilterLanguage {
+    Json,
+    Text,
+}
+
+impl FilterLanguage {
+    fn name(self) -> &'static str {
+        match self {
+            FilterLanguage::Json => "cql2-json",
+            FilterLanguage::Text => "cql2-text",
+        }
+    }
+}
+
 /// Failed request for one of the documents that opening a service needs.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
@@ -124,7 +140,7 @@
             }
             last = Some(response);
         }
-        last.ok_or_else(|| "never asked".into())
+        last.ok_or_else(|| "no attempt was made".into())
     }
 
     /// Requests a JSON object; fails if the response is not one.
@@ -132,7 +148,7 @@
         let response = self.get(path)?;
         require(response.status == 200, || format!("{path}: status {}", response.status))?;
         let json = response.json();
-        require(json.is_object(), || format!("{path}: no JSON object"))?;
+        require(json.is_object(), || format!("{path}: not a JSON object"))?;
         Ok(json)
     }
 
@@ -168,7 +184,7 @@
             })?;
             features.extend(features_of(&response.json()));
             require(features.len() <= MAX_FEATURES, || {
-                "more features than the suite works on, or a circle".to_owned()
+                "more features than the suite supports, or circular next links".to_owned()
             })?;
             next = response.link("next").map(|target| self.without_root(&target));
         }
@@ -182,9 +198,13 @@
     }
 
     /// Requests the sorted ids of all items that a filter in this language matches.
-    pub(super) fn get_filtered(&mut self, filter: &str, language: &str) -> Result<Vec<String>, Stop> {
+    pub(super) fn get_filtered(
+        &mut self,
+        filter: &str,
+        language: FilterLanguage,
+    ) -> Result<Vec<String>, Stop> {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.append_pair("filter", filter).append_pair("filter-lang", language);
+        query.append_pair("filter", filter).append_pair("filter-lang", language.name());
         self.get_ids(&query.finish())
     }
 
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -3,8 +3,8 @@
 
 use crate::client::{Client, Response};
 use crate::error::RunError;
-use crate::feature_server::{devices, Capabilities, FeatureServer};
-use crate::process::{EdgeProcess, CLASSES};
+use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
+use crate::process::{Configuration, EdgeProcess, CLASSES};
 use serde_json::Value as Json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -38,73 +38,97 @@
 struct Example {
     description: &'static str,
     target: &'static str,
-    /// Expected number of features, computed from all devices.
-    expected: fn(&[Json]) -> usize,
+    expected: ExpectedCount,
+}
+
+/// Expected number of features of an answer.
+enum ExpectedCount {
+    /// Fixed number.
+    Exactly(usize),
+    /// Number of the devices that satisfy a predicate.
+    Matching(fn(&Json) -> bool),
+}
+
+impl ExpectedCount {
+    fn among(&self, devices: &[Json]) -> usize {
+        match self {
+            ExpectedCount::Exactly(count) => *count,
+            ExpectedCount::Matching(matches) => devices.iter().filter(|device| matches(device)).count(),
+        }
+    }
 }
 
 const EXAMPLES: [Example; 9] = [
     Example {
         description: "all devices, a page",
         target: "/collections/devices/items?limit=100",
-        expected: |_| 100,
+        expected: ExpectedCount::Exactly(100),
     },
     Example {
-        description: "in a box",
+        description: "in a bounding box",
         target: "/collections/devices/items?bbox=-120.5,37.5,-119.5,38.5&limit=1000",
-        expected: |devices| {
-            count(devices, |device| {
-                let Point { longitude, latitude } = point_of(device);
-                (-120.5..=-119.5).contains(&longitude) && (37.5..=38.5).contains(&latitude)
-            })
-        },
+        expected: ExpectedCount::Matching(is_in_box),
     },
     Example {
-        description: "in a drawn area",
-        target: "/collections/devices/items?limit=1000&filter=S_INTERSECTS(geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
-        expected: |devices| {
-            count(devices, |device| {
-                let Point { longitude, latitude } = point_of(device);
-                (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
-            })
-        },
+        description: "in a polygon",
+        target: "/collections/devices/items?limit=1000&filter=S_INTERSECTS(\
+                 geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
+        expected: ExpectedCount::Matching(is_in_triangle),
     },
     Example {
         description: "by voltage",
-        target: "/collections/devices/items?limit=1000&filter=volts%20%3E%20230%20AND%20live%20%3D%20TRUE",
-        expected: |devices| {
-            count(devices, |device| {
-                let properties = &device["properties"];
-                properties["volts"].as_f64() > Some(230.0) && properties["live"] == true
-            })
-        },
+        target: "/collections/devices/items?limit=1000\
+                 &filter=volts%20%3E%20230%20AND%20live%20%3D%20TRUE",
+        expected: ExpectedCount::Matching(is_live_above_230_volts),
     },
     Example {
-        description: "by name, accents apart",
-        target: "/collections/devices/items?limit=1000&filter=ACCENTI(name)%20LIKE%20%27cafe%25%27",
-        expected: |devices| {
-            count(devices, |device| {
-                device["properties"]["name"].as_str().is_some_and(|name| name.starts_with("café"))
-            })
-        },
+        description: "by name, ignoring accents",
+        target: "/collections/devices/items?limit=1000\
+                 &filter=ACCENTI(name)%20LIKE%20%27cafe%25%27",
+        expected: ExpectedCount::Matching(is_cafe_device),
     },
     Example {
         description: "highest voltage first",
         target: "/collections/devices/items?limit=20&sortby=-volts",
-        expected: |_| 20,
+        expected: ExpectedCount::Exactly(20),
     },
     Example {
         description: "in Web Mercator",
         target: "/collections/devices/items?limit=5&crs=http://www.opengis.net/def/crs/EPSG/0/3857",
-        expected: |_| 5,
+        expected: ExpectedCount::Exactly(5),
     },
     Example {
-        description: "a map for people",
+        description: "HTML with a map",
         target: "/collections/devices/items?limit=200&f=html",
-        expected: |_| 200,
+        expected: ExpectedCount::Exactly(200),
+    },
+    Example {
+        description: "one device",
+        target: "/collections/devices/items/d00042",
+        expected: ExpectedCount::Exactly(1),
     },
-    Example { description: "one device", target: "/collections/devices/items/d00042", expected: |_| 1 },
 ];
 
+fn is_in_box(device: &Json) -> bool {
+    let Point { longitude, latitude } = point_of(device);
+    (-120.5..=-119.5).contains(&longitude) && (37.5..=38.5).contains(&latitude)
+}
+
+fn is_in_triangle(device: &Json) -> bool {
+    let Point { longitude, latitude } = point_of(device);
+    (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
+}
+
+fn is_live_above_230_volts(device: &Json) -> bool {
+    let properties = &device["properties"];
+    properties["volts"].as_f64() > Some(230.0) && properties["live"] == true
+}
+
+fn is_cafe_device(device: &Json) -> bool {
+    let name = device["properties"]["name"].as_str();
+    name.is_some_and(|name| name.starts_with("café"))
+}
+
 impl Demo {
     /// Starts the feature servers and the program over them.
     ///
@@ -122,11 +146,15 @@
         ];
         let shards = ["devices/north", "devices/north", "devices/south", "devices/south"];
         let row = |(index, (server, shard)): (usize, (&FeatureServer, &str))| {
-            server.inventory_row(&format!("features-{}", index + 1), shard, "in_service")
+            let name = format!("features-{}", index + 1);
+            let state = InventoryState::InService;
+            server.inventory_row(InventoryEntry { name: &name, collections: shard, state })
         };
         let rows: String = servers.iter().zip(shards).enumerate().map(row).collect();
-        let classes = format!("{CLASSES}{COLLECTION}");
-        let process = EdgeProcess::start(program, "mgmt = \"127.0.0.1:0\"", &rows, &classes)?;
+        let tables = format!("{CLASSES}{COLLECTION}");
+        let configuration =
+            Configuration { settings: "mgmt = \"127.0.0.1:0\"", inventory_rows: &rows, tables: &tables };
+        let process = EdgeProcess::start(program, &configuration)?;
         Ok(Demo { process, servers })
     }
 
@@ -144,9 +172,9 @@
         );
         let mut all_right = true;
         for example in &EXAMPLES {
-            all_right &= self.check(&mut client, example, (example.expected)(&all))?;
+            all_right &= self.check(&mut client, example, example.expected.among(&all))?;
         }
-        println!("{}", if all_right { "all as expected" } else { "something is wrong" });
+        println!("{}", if all_right { "all as expected" } else { "some answers are not as expected" });
         Ok(all_right)
     }
 
@@ -162,7 +190,7 @@
             "{:<26} {:>6} {found:>9} {expected:>9} {requests:>9} {elapsed_ms:>8.1}{}",
             example.description,
             response.status,
-            if right { "" } else { "  WRONG" }
+            if right { "" } else { "  UNEXPECTED" }
         );
         Ok(right)
     }
@@ -178,7 +206,7 @@
     pub fn run_until_signal(&self) -> Result<(), RunError> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let address = self.process.address;
-        println!("the edge is at http://{address}/");
+        println!("the front listens at http://{address}/");
         for Example { description, target, .. } in &EXAMPLES {
             println!("  {description:<26} curl 'http://{address}{target}'");
         }
@@ -203,10 +231,6 @@
     }
 }
 
-fn count(devices: &[Json], matches: impl Fn(&Json) -> bool) -> usize {
-    devices.iter().filter(|device| matches(device)).count()
-}
-
 /// Counts the features of the response to an example.
 fn count_found(example: &Example, response: &Response) -> usize {
     if example.target.contains("f=html") {
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -77,7 +77,8 @@
         };
         self.queries.record_query(&query);
         let answers = self.request_pages(&query);
-        let (mark, class) = (query.mark, query.class.name());
+        let mark = query.mark;
+        let class = query.class.name();
         let violations = answers.into_violations().into_iter();
         let violations = violations.map(|violation| Violation::Answer { mark, class, violation });
         lock(self.report).violations.extend(violations);
@@ -100,7 +101,7 @@
                     answers.at_end = link.is_none();
                     next = link.filter(|_| query.follows_links);
                 }
-                AnswerKind::Rejected if !response.headers.contains_key("retry-after") => {
+                AnswerKind::Rejected if response.headers.get("retry-after").is_none() => {
                     answers.violations.push(AnswerViolation::NoRetryAfter);
                 }
                 AnswerKind::Rejected | AnswerKind::Failed | AnswerKind::DeadlineExceeded => {
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -8,13 +8,16 @@
 mod capacity;
 mod connection;
 mod dataset;
+mod document;
 mod faults;
+mod inventory;
 mod items;
 
 pub use capabilities::Capabilities;
 pub use capacity::Capacity;
 pub use dataset::devices;
-pub use faults::{Fault, ALL_FAULTS};
+pub use faults::{Fault, ReceivedRequest, ALL_FAULTS};
+pub use inventory::{InventoryEntry, InventoryState};
 
 use crate::sync::lock;
 use capacity::WorkerSlots;
@@ -74,7 +77,7 @@
         let state = Arc::new(ServerState {
             dataset: Dataset::new(features),
             capabilities,
-            script: Mutex::new(Box::new(|_, _| Fault::None)),
+            script: Mutex::new(Box::new(|_| Fault::None)),
             slots: WorkerSlots::default(),
             requests: AtomicU64::new(0),
             body_bytes: AtomicU64::new(0),
@@ -94,9 +97,8 @@
         Ok(FeatureServer { address, state })
     }
 
-    /// Sets the script that chooses the fault of each request by its number, from 0, and its
-    /// target.
-    pub fn set_fault_script(&self, script: impl Fn(u64, &str) -> Fault + Send + Sync + 'static) {
+    /// Sets the script that chooses the fault of each request.
+    pub fn set_fault_script(&self, script: impl Fn(&ReceivedRequest<'_>) -> Fault + Send + Sync + 'static) {
         *lock(&self.state.script) = Box::new(script);
     }
 
@@ -128,10 +130,10 @@
         self.state.log_twice.store(on, Relaxed);
     }
 
-    /// Formats the server's row of an inventory: name, address, collections and state.
+    /// Formats the server's row of an inventory.
     #[must_use]
-    pub fn inventory_row(&self, name: &str, collections: &str, state: &str) -> String {
-        format!("{name},{},{collections},{state}\n", self.address)
+    pub fn inventory_row(&self, entry: InventoryEntry<'_>) -> String {
+        entry.to_row(self.address)
     }
 }
 
@@ -139,7 +141,7 @@
     /// Counts and logs a request and chooses its fault.
     fn register_request(&self, target: &str) -> RegisteredRequest {
         let number = self.requests.fetch_add(1, Relaxed);
-        let fault = lock(&self.script)(number, target);
+        let fault = lock(&self.script)(&ReceivedRequest { number, target });
         let mut log = lock(&self.log);
         let copies = 1 + usize::from(self.log_twice.load(Relaxed));
         for _ in 0..copies {
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -1,7 +1,7 @@
 //! Pages of features: selection by filter, bounding box and time, sorting, and `next` links.
 
-use super::connection::Document;
 use super::dataset::{Dataset, Point};
+use super::document::{Document, GEO_JSON};
 use super::{Capabilities, Fault, RegisteredRequest, ServerState};
 use quinceflow::front::ogc::cql2::{self, Matcher};
 use serde_json::{json, Value as Json};
@@ -10,8 +10,6 @@
 
 const DEFAULT_LIMIT: usize = 10;
 const MAX_LIMIT: usize = 500;
-/// Media type of pages in their links.
-const GEO_JSON: &str = "application/geo+json";
 
 /// Request for features of a collection.
 pub(super) struct ItemsRequest<'a> {
@@ -53,7 +51,9 @@
             return json!([]);
         }
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.extend_pairs(self.parameters.iter().filter(|p| p.0 != "offset" && p.0 != "limit"));
+        query.extend_pairs(
+            self.parameters.iter().filter(|(name, _)| !matches!(name.as_str(), "offset" | "limit")),
+        );
         query.append_pair("limit", self.text("limit").unwrap_or("10"));
         if offset > 0 {
             query.append_pair("offset", &offset.to_string());
@@ -68,14 +68,14 @@
         let mut selected: Vec<usize> = (0..self.dataset.features.len()).collect();
         if let Some(filter) = items.text("filter") {
             if self.capabilities == Capabilities::Core {
-                return Document::bad_request("no filter is known here");
+                return Document::bad_request("filters are not supported");
             }
-            let Ok(filter) = cql2::parse_text(filter) else { return Document::bad_request("the filter") };
+            let Ok(filter) = cql2::parse_text(filter) else { return Document::bad_request("invalid filter") };
             let matcher = Matcher::new(filter);
             selected.retain(|index| matcher.matches(&self.dataset.features[*index]));
         }
         if let Some(bbox) = items.text("bbox") {
-            let Some(bbox) = BoundingBox::parse(bbox) else { return Document::bad_request("the box") };
+            let Some(bbox) = BoundingBox::parse(bbox) else { return Document::bad_request("invalid bbox") };
             selected.retain(|index| bbox.contains(self.dataset.point(*index)));
         }
         if let Some(interval) = items.text("datetime") {
@@ -84,7 +84,7 @@
         }
         if let Some(keys) = items.text("sortby") {
             if self.capabilities != Capabilities::FiltersAndSorting {
-                return Document::bad_request("no order is known here");
+                return Document::bad_request("sorting is not supported");
             }
             sort(&self.dataset, &mut selected, keys);
         }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -1,7 +1,7 @@
 //! Measurements of single answers, latencies, memory and throughput, as tables in Markdown.
 
-use super::test_bed::TestBed;
-use super::{Plan, Version};
+use super::test_bed::{ServerWork, TestBed};
+use super::{write_header, Plan, Version};
 use crate::client::Client;
 use crate::error::RunError;
 use crate::load::{run_closed_loop, LoadResult};
@@ -43,7 +43,8 @@
     },
     SingleQuery {
         description: "an area, limit=100",
-        target: "/collections/devices/items?limit=100&filter=S_INTERSECTS(geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
+        target: "/collections/devices/items?limit=100&filter=S_INTERSECTS(\
+                 geometry,POLYGON((-121%2037,-120%2037,-121%2038,-121%2037)))",
     },
     SingleQuery {
         description: "sortby=-volts, limit=100",
@@ -51,9 +52,48 @@
     },
 ];
 
+/// Columns of the table of single answers.
+const ANSWER_COLUMNS: [&str; 8] =
+    ["program", "query", "status", "features", "requests to servers", "KiB read", "KiB memory growth", "ms"];
+
+/// Columns of the table of latencies.
+const LOAD_COLUMNS: [&str; 8] =
+    ["program", "clients", "answers a second", "p50 ms", "p99 ms", "p99.9 ms", "rejected", "failed"];
+
+/// Columns of the table of memory.
+const MEMORY_COLUMNS: [&str; 6] =
+    ["program", "answers", "rejected", "failed", "MiB resident at start", "MiB peak"];
+
+/// Columns of the table of throughput.
+const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
+
+/// Row of the table of single answers.
+struct AnswerRow<'a> {
+    version: &'a str,
+    query: String,
+    status: u16,
+    features: usize,
+    work: ServerWork,
+    memory_kib: u64,
+    /// Elapsed time in milliseconds, formatted.
+    elapsed: String,
+}
+
+impl AnswerRow<'_> {
+    fn write(&self, text: &mut String) {
+        let AnswerRow { version, query, status, features, work, memory_kib, elapsed } = self;
+        let read_kib = work.body_bytes / KIB;
+        let _ = writeln!(
+            text,
+            "| {version} | {query} | {status} | {features} | {} | {read_kib} | {memory_kib} | {elapsed} |",
+            work.requests,
+        );
+    }
+}
+
 /// Measures single answers, and the traversal of all pages over `next`.
 pub(super) fn measure_answers(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let _ = writeln!(text, "| program | query | status | features | requests to servers | KiB read | KiB more memory | ms |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+    write_header(text, &ANSWER_COLUMNS);
     for version in &plan.versions {
         for query in &SINGLE_QUERIES {
             measure_single_query(version, query, bed, text)?;
@@ -63,7 +103,7 @@
             measure_all_pages(version, &process, limit, bed, text)?;
         }
     }
-    text.push_str("\nMemory of `all by next` is all that the program had resident at most.\n\n");
+    text.push_str("\nFor `all pages by next` the memory is the program's peak resident memory.\n\n");
     Ok(())
 }
 
@@ -77,22 +117,21 @@
     let process = bed.start_version(&version.program)?;
     let mut client = Client::new(process.address);
     client.get(WARM_UP_TARGET)?;
-    let (work_before, memory_before) = (bed.work(), memory_kib(&process, PEAK_MEMORY));
+    let work_before = bed.work();
+    let memory_before = memory_kib(&process, PEAK_MEMORY);
     let started = Instant::now();
     let response = client.get(query.target)?;
     let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
-    let work = bed.work().since(work_before);
-    let _ = writeln!(
-        text,
-        "| {} | {} | {} | {} | {} | {} | {} | {elapsed_ms:.1} |",
-        version.name,
-        query.description,
-        response.status,
-        response.ids().len(),
-        work.requests,
-        work.body_bytes / KIB,
-        memory_kib(&process, PEAK_MEMORY).saturating_sub(memory_before)
-    );
+    let row = AnswerRow {
+        version: &version.name,
+        query: query.description.to_owned(),
+        status: response.status,
+        features: response.ids().len(),
+        work: bed.work().since(work_before),
+        memory_kib: memory_kib(&process, PEAK_MEMORY).saturating_sub(memory_before),
+        elapsed: format!("{elapsed_ms:.1}"),
+    };
+    row.write(text);
     Ok(())
 }
 
@@ -106,9 +145,11 @@
 ) -> Result<(), RunError> {
     let mut client = Client::new(process.address);
     client.timeout = FOLLOW_TIMEOUT;
-    let (work_before, started) = (bed.work(), Instant::now());
+    let work_before = bed.work();
+    let started = Instant::now();
     let mut next = Some(format!("/collections/devices/items?limit={limit}"));
-    let (mut features, mut pages) = (0, 0);
+    let mut features = 0;
+    let mut pages = 0;
     while let Some(target) = next {
         let response = client.get(&target)?;
         features += response.ids().len();
@@ -116,16 +157,17 @@
         let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
         next = response.link("next").filter(|_| goes_on);
     }
-    let work = bed.work().since(work_before);
-    let _ = writeln!(
-        text,
-        "| {} | all by next, limit={limit} ({pages} answers) | 200 | {features} | {} | {} | {} | {:.0} |",
-        version.name,
-        work.requests,
-        work.body_bytes / KIB,
-        memory_kib(process, PEAK_MEMORY),
-        started.elapsed().as_secs_f64() * 1e3
-    );
+    let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
+    let row = AnswerRow {
+        version: &version.name,
+        query: format!("all pages by next, limit={limit} ({pages} answers)"),
+        status: 200,
+        features,
+        work: bed.work().since(work_before),
+        memory_kib: memory_kib(process, PEAK_MEMORY),
+        elapsed: format!("{elapsed_ms:.0}"),
+    };
+    row.write(text);
     Ok(())
 }
 
@@ -140,8 +182,8 @@
 /// Measures latencies at three closed-loop loads.
 pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
-    let _ = writeln!(text, "`limit=100` by so many clients at a time, {seconds} s each:\n");
-    let _ = writeln!(text, "| program | clients | answers a second | p50 ms | p99 ms | p99.9 ms | refused | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- |");
+    let _ = writeln!(text, "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n");
+    write_header(text, &LOAD_COLUMNS);
     for clients in CLIENTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
@@ -164,7 +206,7 @@
 /// Measures memory with a hundred clients that request large pages.
 pub(super) fn measure_memory(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let _ = writeln!(text, "{MEMORY_CLIENTS} clients at `limit=5000`, {} s:\n", plan.load_duration.as_secs());
-    let _ = writeln!(text, "| program | answers | refused | failed | MiB resident before | MiB at most |\n| --- | --- | --- | --- | --- | --- |");
+    write_header(text, &MEMORY_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let before_kib = memory_kib(&process, RESIDENT_MEMORY);
@@ -192,10 +234,11 @@
     });
     let _ = writeln!(
         text,
-        "`limit=100` by {SHARE_CLIENTS} clients, beside one stand-in asked directly ({:.0} answers a second):\n",
+        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried directly \
+         ({:.0} answers a second):\n",
         direct.served_per_second()
     );
-    let _ = writeln!(text, "| program | answers a second | share |\n| --- | --- | --- |");
+    write_header(text, &SHARE_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let load = run_closed_loop(process.address, SHARE_CLIENTS, plan.load_duration, |_, _| {
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -3,9 +3,11 @@
 
 use quinceflow_testkit::client::{Client, Response};
 use quinceflow_testkit::conformance::{Outcome, Suite};
-use quinceflow_testkit::fault_injection::{FaultInjector, INJECTED_FAULTS};
-use quinceflow_testkit::feature_server::{devices, Capabilities, Fault, FeatureServer};
-use quinceflow_testkit::process::{find_program, EdgeProcess, CLASSES};
+use quinceflow_testkit::fault_injection::{injected_faults, FaultInjector};
+use quinceflow_testkit::feature_server::{
+    devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState,
+};
+use quinceflow_testkit::process::{find_program, Configuration, EdgeProcess, CLASSES};
 
 const FEATURES_PER_SHARD: usize = 150;
 const ITEMS: &str = "/collections/devices/items";
@@ -42,13 +44,16 @@
         ];
         let collections = ["devices/north", "devices/north", "devices/south", "devices/south"];
         let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
-            server.inventory_row(&format!("s{index}"), collection, "")
+            let name = format!("s{index}");
+            let state = InventoryState::Unspecified;
+            server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
         };
         let rows: String = servers.iter().zip(collections).enumerate().map(row).collect();
         // Capabilities are discovered again every second: they must not change what queries return.
         let settings = "retry_after_ms = 50\nlearned_age_s = 1\npage_size = 100";
         let program = find_program().expect("the program is built with the workspace");
-        let process = EdgeProcess::start(&program, settings, &rows, CLASSES).expect("it starts");
+        let configuration = Configuration { settings, inventory_rows: &rows, tables: CLASSES };
+        let process = EdgeProcess::start(&program, &configuration).expect("it starts");
         Deployment { process, servers }
     }
 }
@@ -58,8 +63,8 @@
     let Deployment { process, servers } = Deployment::start();
     for server in servers.iter().step_by(2) {
         // One in seven requests fails, each time by another fault.
-        server.set_fault_script(|number, _| match number % 7 {
-            3 => HIDDEN_FAULTS[(number / 7) as usize % HIDDEN_FAULTS.len()],
+        server.set_fault_script(|request| match request.number % 7 {
+            3 => HIDDEN_FAULTS[(request.number / 7) as usize % HIDDEN_FAULTS.len()],
             _ => Fault::None,
         });
     }
@@ -77,9 +82,9 @@
 fn each_injected_fault_fails_the_check_that_must_find_it() {
     let Deployment { process, servers: _servers } = Deployment::start();
     let injector = FaultInjector::start(process.address).expect("it starts");
-    assert!(INJECTED_FAULTS.len() >= 25);
+    assert!(injected_faults().count() >= 25);
     let mut suite = Suite::open(injector.address, "/").expect("it answers");
-    for fault in INJECTED_FAULTS {
+    for fault in injected_faults() {
         injector.inject(None);
         let healthy = suite.run_one(fault.found_by);
         assert_eq!(healthy, Some(Outcome::Pass), "{} without a fault", fault.found_by);
@@ -119,8 +124,10 @@
     let server = FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
     let program = find_program().expect("the program is built with the workspace");
     let classes = "[[class]]\nname = \"map\"\naim_ms = 8000\ndeadline_ms = 10000\n";
-    let rows = server.inventory_row("a", "devices", "");
-    let process = EdgeProcess::start(&program, "", &rows, classes).expect("it starts");
+    let state = InventoryState::Unspecified;
+    let rows = server.inventory_row(InventoryEntry { name: "a", collections: "devices", state });
+    let configuration = Configuration { settings: "", inventory_rows: &rows, tables: classes };
+    let process = EdgeProcess::start(&program, &configuration).expect("it starts");
     let mut client = Client::new(process.address);
     let target = format!("{ITEMS}?filter=volts%3E200&sortby=-volts&limit=5");
     let response = client.get(&target).expect("a response");
