--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -100,8 +100,8 @@
         }
         let address = ([127, 0, 0, 1], 0).into();
         let mut process = EdgeProcess { child, address, folder, log: Mutex::new(log) };
-        let line = process.wait_for_log("listens on")?;
-        let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
+        let line = process.wait_for_log("listening for client connections")?;
+        let address = line.rsplit(' ').next().and_then(|word| word.strip_prefix("address=")?.parse().ok());
         process.address = address.ok_or(ProcessError::NoAddress { line })?;
         Ok(process)
     }
@@ -128,7 +128,7 @@
     pub fn reload_inventory(&self, rows: &str) -> Result<(), ProcessError> {
         write_inventory(&self.folder, rows)?;
         self.signal("HUP")?;
-        self.wait_for_log("the inventory ").map(drop)
+        self.wait_for_log("inventory reload").map(drop)
     }
 
     /// Sends a signal by its name without `SIG`.
--- a/src/bin/quinceflow.rs
+++ b/src/bin/quinceflow.rs
@@ -48,7 +48,7 @@
     match serve(arguments.edge) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!("{error}");
+            tracing::error!(%error, "exiting with an error");
             ExitCode::FAILURE
         }
     }
--- a/src/coordinator/counters.rs
+++ b/src/coordinator/counters.rs
@@ -1,6 +1,5 @@
-//! The counters of the process, printed on SIGUSR1 and at the end.
+//! The counters of the process, logged on SIGUSR1 and at its exit.
 
-use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 macro_rules! counters {
@@ -13,15 +12,13 @@
             const fn new() -> Self {
                 Counters { $($name: Counter::new(),)* }
             }
-        }
 
-        impl fmt::Display for Counters {
-            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("counters")?;
-                $(write!(f, " {}={}", stringify!($name), self.$name.get())?;)*
-                Ok(())
+            /// Logs all counters as the fields of one event.
+            pub fn log(&self) {
+                tracing::info!($($name = self.$name.get(),)* "counters");
             }
         }
+
     };
 }
 
--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -99,12 +99,13 @@
             self.version = version;
             return;
         }
-        let current = self.version;
+        let current_version = self.version;
         log_throttled(&COUNTERS.stale_endpoint_updates, || {
-            format!(
-                "discovery: stale endpoint list of version {version} after {current}: \
-                 only its drains, removals and restarts are applied"
-            )
+            tracing::warn!(
+                version,
+                current_version,
+                "stale endpoint list: only its drains, removals and restarts are applied"
+            );
         });
         update.kind = EndpointListKind::Delta;
         update.endpoints.retain(|node| {
--- a/src/log.rs
+++ b/src/log.rs
@@ -10,14 +10,14 @@
 /// The format of log lines. The texts of the variants are part of the program's `--help`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// `quinceflow: ` and the words that `docs/on-call.md` names.
+    /// A line an event: `quinceflow: `, the level, the message and the fields as `name=value`.
     #[default]
     Text,
-    /// A JSON object a line: `timestamp`, `level`, `target` and `fields`, with the same words in `fields.message`.
+    /// A JSON object a line: `timestamp`, `level`, `target` and `fields`, with the message in `fields.message`.
     Json,
 }
 
-/// Formats an event as its message and its fields. The time is left to what collects the lines, and there is no colour.
+/// Formats an event as its level, its message and its fields. The time is left to what collects the lines, and there is no colour.
 struct PlainFormat;
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
@@ -31,7 +31,7 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        write!(writer, "quinceflow: ")?;
+        write!(writer, "quinceflow: {} ", event.metadata().level())?;
         context.field_format().format_fields(writer.by_ref(), event)?;
         writeln!(writer)
     }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint, which operators call the second address: health check and metrics. It has a thread of its own and
+//! The admin endpoint: health check and metrics. It has a thread of its own and
 //! reads atomics only, so that a saturated worker delays no reply.
 
 use super::lifecycle::Unhealthy;
@@ -29,7 +29,7 @@
 
 /// Why the endpoint cannot be served.
 #[derive(Debug, Error)]
-#[error("the second address {address}: {source}")]
+#[error("listen on {address}: {source}")]
 pub struct AdminError {
     /// Where it was to listen.
     pub address: SocketAddr,
@@ -53,7 +53,7 @@
 /// The address cannot be bound, or the thread cannot be started.
 pub fn start(address: SocketAddr, endpoint: AdminEndpoint) -> Result<(), AdminError> {
     let bound = try_start(address, endpoint).map_err(|source| AdminError { address, source })?;
-    tracing::info!("operators are answered on {bound}");
+    tracing::info!(address = %bound, "admin endpoint listening");
     Ok(())
 }
 
@@ -61,7 +61,7 @@
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
-    std::thread::Builder::new().name("second address".to_owned()).stack_size(STACK_BYTES).spawn(
+    std::thread::Builder::new().name("admin endpoint".to_owned()).stack_size(STACK_BYTES).spawn(
         move || {
             let mut callers = Vec::new();
             loop {
@@ -121,7 +121,10 @@
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => None,
         Err(e) => {
             static ACCEPT_ERRORS: Counter = Counter::new();
-            log_throttled(&ACCEPT_ERRORS, || format!("the second address: accept: {e}"));
+            log_throttled(
+                &ACCEPT_ERRORS,
+                || tracing::warn!(error = %e, "accepting an admin connection failed"),
+            );
             std::thread::sleep(ACCEPT_RETRY_INTERVAL);
             None
         }
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -12,7 +12,7 @@
     let in_use = listener.local_addr().expect("bound");
     let error = start(in_use, endpoint()).expect_err("the address is in use");
     assert_eq!((error.address, error.source.kind()), (in_use, ErrorKind::AddrInUse));
-    assert_eq!(error.to_string(), format!("the second address {in_use}: {}", error.source));
+    assert_eq!(error.to_string(), format!("listen on {in_use}: {}", error.source));
 }
 
 #[test]
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -55,7 +55,10 @@
             }
             Err(e) => {
                 // Most likely no descriptor is left (EMFILE): evicting a connection frees one.
-                log_throttled(&COUNTERS.accept_errors, || format!("accept: {e}"));
+                log_throttled(
+                    &COUNTERS.accept_errors,
+                    || tracing::warn!(error = %e, "accepting a client connection failed"),
+                );
                 self.evict_one();
                 coroutine::sleep(ACCEPT_RETRY_INTERVAL);
             }
@@ -70,7 +73,7 @@
             Ok(stream) => stream,
             Err(e) => {
                 return log_throttled(&COUNTERS.accept_errors, || {
-                    format!("a connection cannot be waited on: {e}")
+                    tracing::warn!(error = %e, "client connection cannot be polled");
                 });
             }
         };
@@ -78,7 +81,9 @@
         let id = self.next_id();
         sync::lock(&self.connections).insert(id, connection.clone());
         if let Err(e) = self.spawn_connection(id, connection, stream) {
-            log_throttled(&COUNTERS.accept_errors, || format!("no coroutine for a connection: {e}"));
+            log_throttled(&COUNTERS.accept_errors, || {
+                tracing::warn!(error = %e, "coroutine for a client connection cannot be started");
+            });
             sync::lock(&self.connections).remove(&id);
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -127,7 +127,7 @@
             None
         }
         Err(e) => {
-            tracing::warn!("no hand-over: {e}");
+            tracing::warn!(path = %path.display(), error = %e, "socket hand-over from predecessor failed");
             None
         }
     }
@@ -213,7 +213,7 @@
                 successor = Some(peer.clone());
                 on_taken_over(peer);
             }
-            Err(e) => tracing::warn!("no hand-over: {e}"),
+            Err(e) => tracing::warn!(error = %e, "socket hand-over to successor failed"),
         }
     }
 }
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -171,7 +171,10 @@
                 true
             }
             Err(error) => {
-                log_throttled(&COUNTERS.bad_frames, || format!("data node {}: {error}", peer_name(stream)));
+                log_throttled(&COUNTERS.bad_frames, || {
+                    let address = peer_name(stream);
+                    tracing::warn!(address, %error, "data node connection closed after a protocol error");
+                });
                 false
             }
         }
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -216,7 +216,10 @@
 ) -> bool {
     let mut state = connection.lock();
     if state.is_frame_overdue(now) && !state.corrupt {
-        log_throttled(&COUNTERS.bad_frames, || format!("data node {address:?}: a frame without its end"));
+        log_throttled(&COUNTERS.bad_frames, || {
+            let address = address.map(tracing::field::display);
+            tracing::warn!(address, "data node connection closed after an incomplete frame");
+        });
         state.close_corrupt();
     }
     if state.is_idle_for(idle_limit, now) && !state.closing {
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -170,14 +170,14 @@
             Ok(reloaded) => self.apply(reloaded, inputs),
             Err(e) => {
                 COUNTERS.bad_reloads.increment();
-                tracing::warn!("{e}");
+                e.log();
             }
         }
     }
 
     fn apply(&mut self, reloaded: Reloaded, inputs: &mut Vec<Input>) {
         COUNTERS.reloads.increment();
-        tracing::info!("{}", reloaded.message);
+        reloaded.change.log();
         if let Some(settings) = reloaded.settings {
             self.longest_deadline = longest_deadline(&settings.policy);
             self.upstream.reconfigure(&settings);
@@ -201,7 +201,8 @@
         self.clients.drain(successor_accepts);
         if just_requested {
             // Logged only once the health check fails: whoever waits for this line may ask at once.
-            tracing::info!("told to end: {} queries held", self.coordinator.pending_queries());
+            let pending_queries = self.coordinator.pending_queries();
+            tracing::info!(pending_queries, "graceful shutdown started");
         }
         let phase = schedule.phase(now);
         if phase.closes_connections() {
@@ -209,7 +210,8 @@
         }
         let exits = self.exits(phase, successor_accepts);
         if exits {
-            tracing::info!("ends: {} queries held", self.coordinator.pending_queries());
+            let pending_queries = self.coordinator.pending_queries();
+            tracing::info!(pending_queries, "shutdown complete");
         }
         exits
     }
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -44,12 +44,22 @@
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The platform's configuration file cannot be used.
-    #[error("the configuration stays as it was: {0}")]
+    #[error("configuration rejected: {0}")]
     Configuration(#[source] ConfigError),
     /// The inventory of feature servers cannot be used.
-    #[error("the inventory stays as it was: {0}")]
+    #[error("inventory rejected: {0}")]
     Inventory(#[source] EdgeConfigError),
 }
 
+impl ReloadError {
+    /// Logs that the reload was rejected and why.
+    pub(super) fn log(&self) {
+        match self {
+            ReloadError::Configuration(error) => tracing::warn!(%error, "configuration reload rejected"),
+            ReloadError::Inventory(error) => tracing::warn!(%error, "inventory reload rejected"),
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -58,11 +58,12 @@
 }
 
 fn offer(path: &Path, sockets: Vec<ListeningSocket<SharedListener>>, generations: Arc<ProcessGenerations>) {
+    let socket_count = sockets.len();
     let offered = handover::offer(path, sockets, move |successor| {
-        tracing::info!("the sockets are handed over to a new process");
+        tracing::info!(socket_count, "listening sockets handed over to successor");
         generations.set_successor(successor);
     });
     if let Err(e) = offered {
-        tracing::warn!("a new version cannot take the sockets over: {}: {e}", path.display());
+        tracing::warn!(path = %path.display(), error = %e, "listening sockets cannot be offered to a successor");
     }
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -58,7 +58,7 @@
     for service in running {
         service.coordinator.join().map_err(|_| ServerError::CoordinatorPanicked)?;
     }
-    tracing::info!("{COUNTERS}");
+    COUNTERS.log();
     Ok(())
 }
 
@@ -143,6 +143,6 @@
         max_callers: admin::reserved(config.max_descriptors) - 1,
     };
     if let Err(e) = admin::start(config.address, endpoint) {
-        tracing::warn!("operators are not answered: {e}");
+        tracing::warn!(error = %e, "admin endpoint not started");
     }
 }
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -21,14 +21,42 @@
 
 /// What a reload brought.
 pub(super) struct Reloaded {
-    /// The line to be logged.
-    pub(super) message: String,
+    /// What was loaded, for the log.
+    pub(super) change: ReloadedChange,
     /// The change for the coordinator: endpoints or settings.
     pub(super) input: Input,
     /// The new settings, unless only endpoints changed.
     pub(super) settings: Option<CoordinatorSettings>,
 }
 
+/// What a reload has loaded.
+pub(super) enum ReloadedChange {
+    /// The platform's configuration file.
+    Configuration {
+        /// The address of discovery in force.
+        discovery: SocketAddr,
+        /// The names of the query classes, separated by spaces.
+        classes: String,
+    },
+    /// The inventory of feature servers.
+    Inventory {
+        /// How many servers it lists.
+        servers: usize,
+    },
+}
+
+impl ReloadedChange {
+    /// Logs that the reload was applied.
+    pub(super) fn log(&self) {
+        match self {
+            ReloadedChange::Configuration { discovery, classes } => {
+                tracing::info!(%discovery, classes, "configuration reloaded");
+            }
+            ReloadedChange::Inventory { servers } => tracing::info!(servers, "inventory reloaded"),
+        }
+    }
+}
+
 /// Reloads the platform's configuration file: the address of discovery and the settings.
 pub(super) struct PlatformReload {
     file: ActiveConfig,
@@ -71,16 +99,13 @@
         self.source.set_max_poll_interval(settings.policy.max_poll_interval);
         *sync::lock(&self.catalog) = PlatformCatalog::new(&settings);
         let classes: Vec<_> = settings.policy.classes.iter().map(|c| c.name.as_str()).collect();
-        let message = format!(
-            "the configuration is read anew: discovery is at {}, classes {}",
-            self.source.address(),
-            classes.join(" ")
-        );
+        let change =
+            ReloadedChange::Configuration { discovery: self.source.address(), classes: classes.join(" ") };
         let input = Input::Settings {
             settings: Box::new(settings.policy.clone()),
             max_in_flight: settings.max_in_flight,
         };
-        Ok(Reloaded { message, input, settings: Some(settings) })
+        Ok(Reloaded { change, input, settings: Some(settings) })
     }
 }
 
@@ -100,7 +125,7 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError> {
         let servers = self.edge.load_inventory().map_err(ReloadError::Inventory)?;
         let update = sync::lock(&self.catalog).load(&servers, now);
-        let message = format!("the inventory is loaded anew: {} servers", update.endpoints.len());
-        Ok(Reloaded { message, input: Input::EndpointUpdate(update), settings: None })
+        let change = ReloadedChange::Inventory { servers: update.endpoints.len() };
+        Ok(Reloaded { change, input: Input::EndpointUpdate(update), settings: None })
     }
 }
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -81,9 +81,9 @@
         let clients = ClientConnections::new(self.front, listener, self.limits, self.inbox, process.clock);
         accept(clients.clone(), process.generations.clone())?;
         if process.generations.has_predecessor() {
-            tracing::info!("the sockets are taken over from the process before");
+            tracing::info!(service = self.name, "listening sockets received from predecessor");
         }
-        tracing::info!("{} listens on {address}", self.name);
+        tracing::info!(service = self.name, %address, "listening for client connections");
         let coordinator_loop = CoordinatorLoop {
             coordinator: self.coordinator,
             upstream: self.upstream,
--- a/src/net/server/signals.rs
+++ b/src/net/server/signals.rs
@@ -36,7 +36,7 @@
     fn handle(&self, signal: i32) {
         match signal {
             SIGTERM | SIGINT => self.shutdown_requested.store(true, Relaxed),
-            SIGUSR1 => tracing::info!("{COUNTERS}"),
+            SIGUSR1 => COUNTERS.log(),
             _ => {
                 self.reloads_requested.fetch_add(1, Relaxed);
             }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -66,7 +66,7 @@
             known.revision
         }
         Err(e) => {
-            tracing::warn!("the known list cannot be read: {e}");
+            tracing::warn!(error = %e, "cached endpoint list rejected");
             0
         }
     }
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -79,8 +79,8 @@
     fn log_end(&self, result: &Result<WatchEnd, WatchFailure>) {
         let revision = self.revision;
         log_throttled(&COUNTERS.watch_disconnects, || match result {
-            Ok(_) => format!("discovery: the watch ended at version {revision}"),
-            Err(e) => format!("discovery: the watch broke at version {revision}: {e}"),
+            Ok(_) => tracing::info!(revision, "discovery watch closed by the server"),
+            Err(e) => tracing::warn!(revision, error = %e, "discovery watch failed"),
         });
     }
 
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -34,7 +34,7 @@
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
     edge.signal("TERM");
     edge.signal("CONT");
-    edge.wait_for_log("told to end");
+    edge.wait_for_log("graceful shutdown started");
     half_request.write_all(b"st: x\r\nConnection: close\r\n\r\n").expect("written");
     assert!(read_until_close(half_request).starts_with("HTTP/1.1 503"), "the readiness check fails");
     for client in queued.into_iter().chain([persistent]) {
@@ -63,7 +63,7 @@
     edge.wait_for_counter("queries_accepted", 12);
     let started_at = std::time::Instant::now();
     edge.signal("TERM");
-    edge.wait_for_log("told to end");
+    edge.wait_for_log("graceful shutdown started");
     // On one connection after the other, each for as long as it stays open.
     let (mut answers, mut closed, mut n) = (0, 0, 0);
     while closed < 4 {
@@ -105,7 +105,7 @@
     edge.wait_for_counter("queries_accepted", 1);
     // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from here.
     edge.signal("TERM");
-    edge.wait_for_log("told to end");
+    edge.wait_for_log("graceful shutdown started");
     let longer_deadline = edge.configuration_with("/settings/classes/0/deadline", json!(8_000_000_000_u64));
     edge.write_configuration(&longer_deadline);
     edge.signal("HUP");
@@ -138,7 +138,7 @@
     }
     let (ids, mut first) = attempts.recv().expect("the first attempt");
     edge.signal("TERM");
-    edge.wait_for_log("told to end");
+    edge.wait_for_log("graceful shutdown started");
     write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("written");
     let (ids, mut second) = attempts.recv().expect("the next one");
     write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0])).expect("written");
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -197,14 +197,14 @@
         }
         edge.write_inventory("a,nowhere,devices,\n");
         edge.signal("HUP");
-        assert!(edge.wait_for_log("stays as it was").contains("i.csv:2: address: "));
+        assert!(edge.wait_for_log("inventory reload rejected").contains("i.csv:2: address: "));
         edge.write_inventory(
             &(inventory_row("a", &draining, "devices", "draining")
                 + &inventory_row("b", &healthy, "devices", "")
                 + &clock),
         );
         edge.signal("HUP");
-        edge.wait_for_log("loaded anew");
+        edge.wait_for_log("inventory reloaded");
         // This query times out after 400 ms: by then the grace period of draining is over.
         assert_eq!(edge.get_with_headers("/collections/hung/items", "X-Qos: brief\r\n").status, 504);
         opener.send(()).expect("the server waits");
@@ -249,7 +249,7 @@
             std::thread::yield_now();
         }
         edge.signal("TERM");
-        edge.wait_for_log("told to end");
+        edge.wait_for_log("graceful shutdown started");
         opener.send(()).expect("the server waits");
         // The connection is persistent: it ends with the program.
         assert_eq!(client.join().expect("a response").status, 200);
--- a/tests/ogc_run.rs
+++ b/tests/ogc_run.rs
@@ -170,7 +170,7 @@
     fn reload_inventory(&self, draining: Option<usize>) {
         self.edge.write_inventory(&inventory(&self.servers, draining));
         self.edge.signal("HUP");
-        self.edge.wait_for_log("loaded anew");
+        self.edge.wait_for_log("inventory reloaded");
     }
 
     /// How often each query of the non-idempotent class started at each shard, over all servers.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -35,7 +35,7 @@
     wait_for_lists(2);
     edge.write_configuration("{\"discovery\":\"nowhere\"}");
     edge.signal("HUP");
-    edge.wait_for_log("the configuration stays as it was: ");
+    edge.wait_for_log("configuration reload rejected error=");
     assert_eq!(query(&edge, "q0", "lookup", &[0, 1]).status, 200);
     // The new address sends a drain as a change to the version that the old one sent last.
     let new_discovery = Discovery::start(endpoint_list(2, false, &[terminating(0, nodes[0].address)]));
@@ -43,7 +43,7 @@
         &edge.configuration_with("/discovery", json!(new_discovery.address.to_string())),
     );
     edge.signal("HUP");
-    edge.wait_for_log("the configuration is read anew: discovery is at ");
+    edge.wait_for_log("configuration reloaded discovery=");
     wait_for_lists(3);
     assert!(new_discovery.requests()[0].contains("since=1"), "it resumes from the last version");
     let before = nodes[0].received_parts().len();
@@ -143,7 +143,7 @@
     for text in &invalid {
         edge.write_configuration(text);
         edge.signal("HUP");
-        edge.wait_for_log("the configuration stays as it was: ");
+        edge.wait_for_log("configuration reload rejected error=");
     }
     assert_eq!(query(&edge, "q0", "later", &[0]).status, 400);
     assert_eq!(query(&edge, "q1", "brief", &[0]).status, 200);
@@ -155,7 +155,7 @@
     config["settings"]["classes"][2]["effect"] = json!("read_like");
     edge.write_configuration(&config.to_string());
     edge.signal("HUP");
-    assert!(edge.wait_for_log("the configuration is read anew").ends_with("classes lookup later send"));
+    assert!(edge.wait_for_log("configuration reloaded").ends_with("classes=\"lookup later send\""));
     for (id, class, status) in
         [("q2", "brief", 400), ("q3", "send", 200), ("q4", "later", 200), ("q5", "lookup", 200)]
     {
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -112,7 +112,7 @@
                     + &inventory_row("d", &b, "more", "").replace(&b.address.to_string(), "127.0.0.1:9")),
             );
             edge.signal("HUP");
-            edge.wait_for_log("loaded anew");
+            edge.wait_for_log("inventory reloaded");
         }
     });
     each_once(ids, 3_000);
@@ -140,7 +140,7 @@
         &(inventory_row("e", &server(0..50), "devices/n", "") + &inventory_row("b", &south, "devices/s", "")),
     );
     edge.signal("HUP");
-    edge.wait_for_log("loaded anew");
+    edge.wait_for_log("inventory reloaded");
     expect_problem(&next, 410, "begin anew");
 }
 
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -280,7 +280,7 @@
     write!(kept, "GET /up HTTP/1.1\r\n").expect("written");
     edge.signal("HUP");
     edge.signal("TERM");
-    edge.wait_for_log("told to end");
+    edge.wait_for_log("graceful shutdown started");
     write!(kept, "\r\n").expect("written");
     let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
     write!(
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -215,7 +215,9 @@
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("back", &agent, &addresses);
     watch.send(&endpoint_list(7, false, &[terminating(0, addresses[0])]));
     watch.send(&endpoint_list(6, true, &all_in_service(&addresses)));
-    edge.wait_for_log("stale endpoint list of version 6 after 7");
+    edge.wait_for_log(
+        "stale endpoint list: only its drains, removals and restarts are applied version=6 current_version=7",
+    );
     edge.wait_for_counter("endpoint_updates", 4);
     assert_draining(&edge, &nodes[0], &[0, 1, 2, 3], 0);
     watch.reset();
@@ -236,7 +238,7 @@
         &addresses,
     );
     old.accept_watch().reset();
-    edge.wait_for_log("the watch broke");
+    edge.wait_for_log("discovery watch failed");
     edge.write_configuration(&edge.configuration_with("/discovery", json!(new.address().to_string())));
     edge.signal("HUP");
     let _watch = new.answer_watch(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -96,14 +96,14 @@
         });
         let (address, management) = (([127, 0, 0, 1], 0).into(), Mutex::default());
         let mut process = Process { child, address, folder, log: Mutex::new(log), management };
-        process.address = last_address(&process.wait_for_log("listens on"));
+        process.address = last_address(&process.wait_for_log("listening for client connections"));
         process
     }
 
     /// Where it answers operators.
     pub fn management_address(&self) -> SocketAddr {
         let mut known = self.management.lock().expect("known");
-        *known.get_or_insert_with(|| last_address(&self.wait_for_log("operators are answered on")))
+        *known.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
     }
 
     /// The next log line that contains this.
@@ -208,9 +208,9 @@
     folder
 }
 
-/// The address at the end of a log line.
+/// The address in the last field of a log line.
 fn last_address(line: &str) -> SocketAddr {
-    line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
+    line.rsplit(' ').next().and_then(|word| word.strip_prefix("address=")?.parse().ok()).expect("an address")
 }
 
 fn write_inventory(folder: &Path, rows: &str) {
