--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -62,7 +62,7 @@
 
 /// The listening sockets of a predecessor.
 #[derive(Debug)]
-pub struct TakenOver {
+pub struct Handover {
     /// The sockets.
     pub sockets: Vec<ListeningSocket<TcpListener>>,
     /// The process that they come from.
@@ -115,12 +115,12 @@
     }
 }
 
-/// Takes the listening sockets over from the process that waits at this path. `None`: there is no such process, or none
+/// Requests the listening sockets of the process that waits at this path. `None`: there is no such process, or none
 /// that can hand them over, which is logged.
 #[must_use]
-pub fn take_over(path: &Path) -> Option<TakenOver> {
-    match try_take_over(path) {
-        Ok(taken_over) => Some(taken_over),
+pub fn request_handover(path: &Path) -> Option<Handover> {
+    match try_request_handover(path) {
+        Ok(handover) => Some(handover),
         Err(HandoverError::Io(e))
             if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) =>
         {
@@ -133,13 +133,13 @@
     }
 }
 
-fn try_take_over(path: &Path) -> Result<TakenOver, HandoverError> {
+fn try_request_handover(path: &Path) -> Result<Handover, HandoverError> {
     let mut connection = UnixStream::connect(path)?;
     set_timeouts(&connection)?;
     writeln!(connection, "{HELLO}")?;
     let sockets = receive_sockets(&connection)?;
     connection.write_all(ACKNOWLEDGEMENT)?;
-    Ok(TakenOver { sockets, predecessor: PeerProcess::watch(connection)? })
+    Ok(Handover { sockets, predecessor: PeerProcess::watch(connection)? })
 }
 
 fn set_timeouts(connection: &UnixStream) -> io::Result<()> {
@@ -176,15 +176,15 @@
     Ok(addresses.split_whitespace().filter_map(|word| word.parse().ok()).collect())
 }
 
-/// Waits on a thread for successors, for as long as this process lives. `on_taken_over` is called for each that has taken
-/// the sockets over.
+/// Waits on a thread for successors, for as long as this process lives. `on_handed_over` is called for each that has
+/// acknowledged the sockets.
 ///
 /// # Errors
 /// The Unix socket cannot be created at this path, or the thread cannot be started.
 pub fn offer<S: AsFd + Send + 'static>(
     path: &Path,
     sockets: Vec<ListeningSocket<S>>,
-    on_taken_over: impl Fn(PeerProcess) + Send + 'static,
+    on_handed_over: impl Fn(PeerProcess) + Send + 'static,
 ) -> io::Result<()> {
     // Created under a name of its own and then moved: a stale socket, or a predecessor's, may stand at the path.
     let own_path = path.with_extension(std::process::id().to_string());
@@ -193,14 +193,14 @@
     std::fs::rename(&own_path, path)?;
     std::thread::Builder::new()
         .stack_size(STACK_BYTES)
-        .spawn(move || serve_successors(&listener, &sockets, on_taken_over))?;
+        .spawn(move || serve_successors(&listener, &sockets, on_handed_over))?;
     Ok(())
 }
 
 fn serve_successors<S: AsFd>(
     listener: &UnixListener,
     sockets: &[ListeningSocket<S>],
-    on_taken_over: impl Fn(PeerProcess),
+    on_handed_over: impl Fn(PeerProcess),
 ) {
     let mut successor: Option<PeerProcess> = None;
     for connection in listener.incoming().flatten() {
@@ -211,7 +211,7 @@
         match hand_over(connection, sockets) {
             Ok(peer) => {
                 successor = Some(peer.clone());
-                on_taken_over(peer);
+                on_handed_over(peer);
             }
             Err(e) => tracing::warn!(error = %e, "socket hand-over to successor failed"),
         }
@@ -253,7 +253,7 @@
     Ok(())
 }
 
-/// Opens a listening socket. `SO_REUSEPORT` lets a process that could not take the sockets over start beside this one.
+/// Opens a listening socket. `SO_REUSEPORT` lets a process that received no sockets start beside this one.
 ///
 /// # Errors
 /// The address cannot be bound.
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -21,18 +21,18 @@
     let path = unused_path("over");
     // A stale socket, which a killed process leaves, is no obstacle.
     drop(UnixListener::bind(&path));
-    assert!(take_over(&path).is_none(), "stale");
+    assert!(request_handover(&path).is_none(), "stale");
     let socket = listening_socket();
     let bound = socket.socket.local_addr().expect("bound");
     let (sender, successors) = channel();
     offer(&path, vec![socket], move |peer| drop(sender.send(peer))).expect("offered");
-    let taken_over = take_over(&path).expect("a predecessor waits");
+    let handover = request_handover(&path).expect("a predecessor waits");
     let successor = successors.recv().expect("the predecessor is notified");
-    let first = &taken_over.sockets[0];
+    let first = &handover.sockets[0];
     assert_eq!((first.address, first.socket.local_addr().expect("bound")), (ANY_PORT, bound));
-    assert!(taken_over.predecessor.is_alive() && successor.is_alive());
+    assert!(handover.predecessor.is_alive() && successor.is_alive());
     // A second successor gets no sockets while the first lives: limits are shared by two processes.
-    assert!(take_over(&path).is_none());
+    assert!(request_handover(&path).is_none());
     let _ = std::fs::remove_file(&path);
 }
 
@@ -41,7 +41,7 @@
     let path = unused_path("hung");
     let listener = UnixListener::bind(&path).expect("a socket");
     // The kernel accepts, and nothing answers.
-    assert!(take_over(&path).is_none());
+    assert!(request_handover(&path).is_none());
     let other_version = std::thread::spawn(move || {
         for _ in 0..2 {
             let (mut connection, _) = listener.accept().expect("a successor");
@@ -50,7 +50,7 @@
             let _ = connection.read_to_end(&mut Vec::new());
         }
     });
-    assert!(take_over(&path).is_none(), "of another version");
+    assert!(request_handover(&path).is_none(), "of another version");
     other_version.join().expect("it ends");
     let _ = std::fs::remove_file(&path);
 }
@@ -64,8 +64,8 @@
     writeln!(connection, "{HELLO}").expect("written");
     assert!(connection.read(&mut [0; MAX_MESSAGE]).expect("the sockets") > 0);
     drop(connection);
-    let taken_over = take_over(&path).expect("the next one is served");
-    assert!(successors.recv().expect("notified").is_alive() && taken_over.predecessor.is_alive());
+    let handover = request_handover(&path).expect("the next one is served");
+    assert!(successors.recv().expect("notified").is_alive() && handover.predecessor.is_alive());
     assert!(successors.try_recv().is_err(), "the first one never had them");
     let _ = std::fs::remove_file(&path);
 }
@@ -77,7 +77,7 @@
     let mut connection = UnixStream::connect(&path).expect("the predecessor waits");
     connection.write_all(&[b'x'; HELLO.len() + 1]).expect("written");
     assert_eq!(connection.read_to_end(&mut Vec::new()).ok(), Some(0));
-    assert!(take_over(&path).is_some(), "the next one is served");
+    assert!(request_handover(&path).is_some(), "the next one is served");
     let _ = std::fs::remove_file(&path);
 }
 
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -196,7 +196,7 @@
             self.shutdown = Some(schedule);
         }
         let Some(schedule) = self.shutdown else { return false };
-        // In each turn: the signal may come before the report that a successor has taken the sockets over.
+        // In each turn: the signal may come before the report that a successor has received the sockets.
         let successor_accepts = self.generation == Some(ProcessGeneration::Predecessor);
         self.clients.drain(successor_accepts);
         if just_requested {
--- a/src/net/server/generations.rs
+++ b/src/net/server/generations.rs
@@ -8,19 +8,19 @@
 /// The processes before and after this one.
 #[derive(Debug, Default)]
 pub(super) struct ProcessGenerations {
-    /// The process whose listening sockets this one took over.
+    /// The process that handed its listening sockets over to this one.
     predecessor: Option<PeerProcess>,
-    /// The process that took over this one's listening sockets.
+    /// The process that received this one's listening sockets.
     successor: Mutex<Option<PeerProcess>>,
 }
 
 impl ProcessGenerations {
-    /// This process after its start, with the predecessor that it took sockets over from.
+    /// This process after its start, with the predecessor that handed sockets over to it.
     pub(super) fn new(predecessor: Option<PeerProcess>) -> Self {
         ProcessGenerations { predecessor, successor: Mutex::default() }
     }
 
-    /// Whether this process took its listening sockets over from another one.
+    /// Whether this process received its listening sockets from another one.
     pub(super) fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
@@ -30,7 +30,7 @@
         self.predecessor.as_ref().is_some_and(PeerProcess::is_alive)
     }
 
-    /// Records the process that took over this one's listening sockets.
+    /// Records the process that received this one's listening sockets.
     pub(super) fn set_successor(&self, successor: PeerProcess) {
         *sync::lock(&self.successor) = Some(successor);
     }
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of the fronts: taken over from a predecessor, opened, and offered to a successor.
+//! The listening sockets of the fronts: received from a predecessor, opened, and offered to a successor.
 
 use super::coordinator_loop::MAX_SLEEP;
 use super::generations::ProcessGenerations;
@@ -15,14 +15,14 @@
 /// A listening socket that coroutines can wait on.
 pub(super) type Listener = Arc<CoIo<TcpListener>>;
 
-/// The listening socket for this address: the one taken over, or a new one.
+/// The listening socket for this address: the one received from a predecessor, or a new one.
 pub(super) fn listener_for(
     address: SocketAddr,
-    taken_over: &mut Vec<ListeningSocket<TcpListener>>,
+    inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<Listener, ServerError> {
     let fault = |source| ServerError::Listen { address, source };
-    let socket = match taken_over.iter().position(|s| s.address == address) {
-        Some(index) => taken_over.swap_remove(index).socket,
+    let socket = match inherited.iter().position(|s| s.address == address) {
+        Some(index) => inherited.swap_remove(index).socket,
         None => handover::listen(address).map_err(fault)?,
     };
     CoIo::new(socket).map(Arc::new).map_err(|e| fault(e.into()))
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -39,7 +39,7 @@
     let metrics = Arc::new(Metrics::default());
     let admin = admin_config(platform.as_ref(), edge.as_ref());
     // Before all else: a process with a predecessor is set up differently.
-    let mut inherited = take_over(platform.as_ref(), edge.as_ref());
+    let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
     let process = ProcessContext { clock, signals, generations: inherited.generations };
     let services = build_services(platform, edge, &process, &metrics)?;
     let listeners = open_listeners(&services, &mut inherited.sockets)?;
@@ -79,21 +79,21 @@
     })
 }
 
-/// What a process has from the one before it.
+/// The listening sockets and the peer process that a hand-over brought.
 struct Inheritance {
     /// Where it waits for its own successor.
     path: Option<PathBuf>,
-    /// The listening sockets taken over.
+    /// The listening sockets received from the predecessor.
     sockets: Vec<ListeningSocket<TcpListener>>,
     generations: Arc<ProcessGenerations>,
 }
 
-/// Takes the listening sockets over from a predecessor, if there is one.
-fn take_over(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
+/// Requests the listening sockets of a predecessor, if there is one.
+fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
     let address = platform.map(|config| config.listen).or(edge.map(|edge| edge.listen));
     let path = address.and_then(handover::socket_path);
-    let (sockets, predecessor) = match path.as_deref().and_then(handover::take_over) {
-        Some(taken_over) => (taken_over.sockets, Some(taken_over.predecessor)),
+    let (sockets, predecessor) = match path.as_deref().and_then(handover::request_handover) {
+        Some(handover) => (handover.sockets, Some(handover.predecessor)),
         None => (Vec::new(), None),
     };
     Inheritance { path, sockets, generations: Arc::new(ProcessGenerations::new(predecessor)) }
@@ -121,9 +121,9 @@
 
 fn open_listeners(
     services: &[Service],
-    taken_over: &mut Vec<ListeningSocket<TcpListener>>,
+    inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<Vec<Listener>, ServerError> {
-    services.iter().map(|service| listeners::listener_for(service.listen, taken_over)).collect()
+    services.iter().map(|service| listeners::listener_for(service.listen, inherited)).collect()
 }
 
 fn shared_listeners(services: &[Service], listeners: &[Listener]) -> Vec<ListeningSocket<SharedListener>> {
