--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -1,8 +1,8 @@
 //! The coroutine of one coordinator: it collects inputs, runs turns and carries out their commands.
 
+use super::process::ProcessContext;
 use super::reload::{Reload, Reloaded};
-use super::service::{longest_deadline, ProcessContext};
-use super::shutdown::{PendingWork, ShutdownPhase, ShutdownSchedule};
+use super::shutdown::{longest_deadline, PendingWork, ShutdownPhase, ShutdownSchedule};
 use crate::coordinator::{Command, Coordinator, Input, ProcessGeneration, COUNTERS};
 use crate::net::clients::ClientConnections;
 use crate::net::lifecycle::StartupPhase;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 /// The longest sleep of the coordinator: signals are checked this often.
-pub(super) const MAX_SLEEP: Micros = Micros::from_millis(50);
+const MAX_SLEEP: Micros = Micros::from_millis(50);
 /// Client connections are checked against their time limits this often.
 const REAP_CLIENTS_INTERVAL: Micros = Micros::from_millis(250);
 /// Connections to servers are checked this often: a part may be waiting for an answer that will never come.
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -1,6 +1,5 @@
 //! The listening sockets of the fronts: received from a predecessor, opened, and offered to a successor.
 
-use super::coordinator_loop::MAX_SLEEP;
 use super::generations::ProcessGenerations;
 use super::ServerError;
 use crate::net::handover::{self, ListeningSocket};
@@ -11,6 +10,10 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use std::time::Duration;
+
+/// How often a process checks whether its predecessor has exited.
+const PREDECESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A listening socket that coroutines can wait on.
 pub(super) type Listener = Arc<CoIo<TcpListener>>;
@@ -50,7 +53,7 @@
     }
     let offer_later = move || {
         while generations.predecessor_lives() {
-            coroutine::sleep(MAX_SLEEP.to_duration());
+            coroutine::sleep(PREDECESSOR_CHECK_INTERVAL);
         }
         offer(&path, sockets, generations);
     };
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -3,12 +3,11 @@
 use super::coordinator_loop::CoordinatorLoop;
 use super::generations::ProcessGenerations;
 use super::listeners::Listener;
+use super::process::ProcessContext;
 use super::reload::Reload;
-use super::signals::Signals;
 use super::ServerError;
 use crate::coordinator::{Coordinator, Input};
 use crate::front::Front;
-use crate::interface::Settings;
 use crate::net::clients::{ClientConnections, ClientLimits};
 use crate::net::timer::Timer;
 use crate::net::{spawn, Upstream, LARGE_STACK_WORDS, TURN_STACK_WORDS};
@@ -53,22 +52,6 @@
     pub(super) coordinator: JoinHandle<()>,
 }
 
-/// What all services of a process share.
-#[derive(Clone)]
-pub(super) struct ProcessContext {
-    /// The clock of all times.
-    pub(super) clock: Clock,
-    /// Requests for a reload or a shutdown.
-    pub(super) signals: Arc<Signals>,
-    /// The other process during an upgrade.
-    pub(super) generations: Arc<ProcessGenerations>,
-}
-
-/// The longest deadline of a class.
-pub(super) fn longest_deadline(settings: &Settings) -> Micros {
-    Micros::from_nanos(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
-}
-
 impl Service {
     /// Starts to accept connections and to run the coordinator.
     pub(super) fn start(
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -4,6 +4,7 @@
 //! Everything that is accepted is answered 0.2 s before that. Until 0.3 s before the last answers the process serves on as
 //! before, since its clients use their connections for as long as these are open.
 
+use crate::interface::Settings;
 use crate::time::Micros;
 
 /// The longest deadline that the platform waits for before it kills a process.
@@ -22,6 +23,11 @@
 /// The process exits this long after the signal, whatever is pending.
 const MAX_SHUTDOWN: Micros = Micros::from_secs(8);
 
+/// The longest deadline of a class: no query is pending for longer.
+pub(super) fn longest_deadline(settings: &Settings) -> Micros {
+    Micros::from_nanos(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+}
+
 /// A phase of a graceful shutdown, in the order of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -1,7 +1,8 @@
 //! Building the services that are configured.
 
 use super::reload::{InventoryReload, PlatformReload, Reload};
-use super::service::{longest_deadline, Service};
+use super::service::Service;
+use super::shutdown::longest_deadline;
 use super::ServerError;
 use crate::coordinator::{Coordinator, Input, Metrics};
 use crate::front::ogc::config::EdgeConfig;
