--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -1,16 +1,16 @@
 //! The coroutine of one coordinator: it collects inputs, runs turns and carries out their commands.
 
 use super::process::ProcessContext;
-use super::reload::{Reload, Reloaded};
-use super::shutdown::{longest_deadline, PendingWork, ShutdownPhase, ShutdownSchedule};
-use crate::coordinator::{Command, Coordinator, Input, ProcessGeneration, COUNTERS};
+use super::reload::{Reload, Reloaded, RequestedReloads};
+use super::shutdown::{longest_deadline, GracefulShutdown, PendingWork, ShutdownPhase};
+use super::startup::Startup;
+use crate::coordinator::{Command, Coordinator, Input, ProcessGeneration};
 use crate::net::clients::ClientConnections;
-use crate::net::lifecycle::StartupPhase;
 use crate::net::timer::Timer;
 use crate::net::Upstream;
 use crate::time::Micros;
 use may::sync::mpsc::Receiver;
-use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
 /// The longest sleep of the coordinator: signals are checked this often.
@@ -19,39 +19,37 @@
 const REAP_CLIENTS_INTERVAL: Micros = Micros::from_millis(250);
 /// Connections to servers are checked this often: a part may be waiting for an answer that will never come.
 const REAP_SERVERS_INTERVAL: Micros = MAX_SLEEP;
-/// Without a message from discovery, the process counts as ready with the cached endpoint list after this time.
-const MAX_WAIT_FOR_ENDPOINTS: Micros = Micros::from_millis(400);
-/// The health check waits this long for discovery: the platform starts coordinators while discovery is down, too.
-const MAX_WAIT_FOR_DISCOVERY: Micros = Micros::from_millis(3_000);
-
-/// A coordinator with everything that its turns act on.
-pub(super) struct CoordinatorLoop {
+/// A coordinator and the parts of its loop, as they are built before the start.
+pub(super) struct CoordinatorParts {
     /// Takes the inputs of each turn and gives the commands.
     pub(super) coordinator: Coordinator,
     /// Carries attempts to servers.
     pub(super) upstream: Box<dyn Upstream>,
-    /// Receive the answers.
-    pub(super) clients: Arc<ClientConnections>,
     /// The inputs that have arrived.
     pub(super) arrivals: Receiver<Input>,
-    /// Sends an input when a turn is due although none has arrived.
-    pub(super) timer: Timer,
     /// Set once the endpoint list is known.
     pub(super) endpoints_listed: Arc<AtomicBool>,
     /// The configuration, as far as it can be reloaded.
     pub(super) reload: Box<dyn Reload>,
-    /// How many of the requested reloads are done.
-    pub(super) reloads_done: u64,
-    /// The longest deadline of a query under the present settings.
+    /// The longest deadline of a query.
     pub(super) longest_deadline: Micros,
-    /// When the loop was started.
-    pub(super) started_at: Micros,
+}
+
+/// A coordinator with everything that its turns act on.
+pub(super) struct CoordinatorLoop {
+    coordinator: Coordinator,
+    upstream: Box<dyn Upstream>,
+    /// Receive the answers.
+    clients: Arc<ClientConnections>,
+    arrivals: Receiver<Input>,
+    /// Sends an input when a turn is due although none has arrived.
+    timer: Timer,
+    startup: Startup,
+    reloads: RequestedReloads,
+    shutdown: GracefulShutdown,
     /// Which of two processes this one is, as last seen.
-    pub(super) generation: Option<ProcessGeneration>,
-    /// The timetable of the shutdown, once it was requested.
-    pub(super) shutdown: Option<ShutdownSchedule>,
-    /// What it shares with the other services.
-    pub(super) process: ProcessContext,
+    generation: Option<ProcessGeneration>,
+    process: ProcessContext,
 }
 
 /// When connections were last checked.
@@ -61,6 +59,27 @@
 }
 
 impl CoordinatorLoop {
+    /// The loop of a service that starts now.
+    pub(super) fn new(
+        parts: CoordinatorParts,
+        clients: Arc<ClientConnections>,
+        timer: Timer,
+        process: ProcessContext,
+    ) -> Self {
+        CoordinatorLoop {
+            coordinator: parts.coordinator,
+            upstream: parts.upstream,
+            clients,
+            arrivals: parts.arrivals,
+            timer,
+            startup: Startup::new(parts.endpoints_listed, process.clock.now()),
+            reloads: RequestedReloads::new(parts.reload, process.signals.reloads_requested()),
+            shutdown: GracefulShutdown::new(parts.longest_deadline),
+            generation: None,
+            process,
+        }
+    }
+
     /// Runs turns until the process may exit.
     pub(super) fn run(mut self) {
         let mut inputs = Vec::new();
@@ -74,7 +93,7 @@
                 self.carry_out(now, command);
             }
             self.reap(now, &mut reaped_at);
-            self.advance_startup(now);
+            self.clients.lifecycle().advance_startup(self.startup.phase(now));
             self.update_generation();
             self.reload_if_requested(now, &mut inputs);
             if self.shut_down_if_requested(now) {
@@ -138,17 +157,6 @@
         }
     }
 
-    /// Moves the startup on once the endpoint list is known, or was waited for long enough.
-    fn advance_startup(&self, now: Micros) {
-        let listed = self.endpoints_listed.load(Relaxed);
-        let elapsed = now.since(self.started_at);
-        if listed || elapsed >= MAX_WAIT_FOR_DISCOVERY {
-            self.clients.lifecycle().advance_startup(StartupPhase::EndpointsKnown);
-        } else if elapsed >= MAX_WAIT_FOR_ENDPOINTS {
-            self.clients.lifecycle().advance_startup(StartupPhase::Ready);
-        }
-    }
-
     /// Shares the limits with another process that was started beside this one, or has them alone again.
     fn update_generation(&mut self) {
         let generation = self.process.generations.current();
@@ -159,27 +167,17 @@
         }
     }
 
-    /// Reloads the configuration if a signal asked for it. A bad one changes nothing and is logged.
+    /// Reloads the configuration if a signal asked for it.
     fn reload_if_requested(&mut self, now: Micros, inputs: &mut Vec<Input>) {
         let requested = self.process.signals.reloads_requested();
-        if requested == self.reloads_done {
-            return;
-        }
-        self.reloads_done = requested;
-        match self.reload.reload(now) {
-            Ok(reloaded) => self.apply(reloaded, inputs),
-            Err(e) => {
-                COUNTERS.bad_reloads.increment();
-                e.log();
-            }
+        if let Some(reloaded) = self.reloads.reload_if_requested(requested, now) {
+            self.apply(reloaded, inputs);
         }
     }
 
     fn apply(&mut self, reloaded: Reloaded, inputs: &mut Vec<Input>) {
-        COUNTERS.reloads.increment();
-        reloaded.change.log();
         if let Some(settings) = reloaded.settings {
-            self.longest_deadline = longest_deadline(&settings.policy);
+            self.shutdown.set_longest_deadline(longest_deadline(&settings.policy));
             self.upstream.reconfigure(&settings);
         }
         // Requests that were read under the old settings are submitted before the new ones apply.
@@ -189,17 +187,15 @@
 
     /// Shuts down as the timetable demands, once a signal has asked for it. Returns whether the process exits now.
     fn shut_down_if_requested(&mut self, now: Micros) -> bool {
-        let just_requested = self.shutdown.is_none() && self.process.signals.shutdown_requested();
-        if just_requested {
-            let schedule = ShutdownSchedule::new(now, self.longest_deadline);
+        let just_started = self.process.signals.shutdown_requested() && self.shutdown.start(now);
+        let Some(schedule) = self.shutdown.schedule() else { return false };
+        if just_started {
             self.coordinator.set_final_deadline(schedule.final_deadline());
-            self.shutdown = Some(schedule);
         }
-        let Some(schedule) = self.shutdown else { return false };
         // In each turn: the signal may come before the report that a successor has received the sockets.
         let successor_accepts = self.generation == Some(ProcessGeneration::Predecessor);
         self.clients.drain(successor_accepts);
-        if just_requested {
+        if just_started {
             // Logged only once the health check fails: whoever waits for this line may ask at once.
             let pending_queries = self.coordinator.pending_queries();
             tracing::info!(pending_queries, "graceful shutdown started");
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -9,6 +9,7 @@
 mod service;
 mod shutdown;
 mod signals;
+mod startup;
 mod wiring;
 
 pub use error::{ReloadError, ServerError};
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -1,7 +1,7 @@
 //! Reloading what may change while the process runs, on SIGHUP.
 
 use super::ReloadError;
-use crate::coordinator::{Input, Metrics};
+use crate::coordinator::{Input, Metrics, COUNTERS};
 use crate::front::ogc::config::EdgeConfig;
 use crate::front::ogc::SharedCatalog;
 use crate::front::platform::{PlatformCatalog, SharedPlatformCatalog};
@@ -19,18 +19,52 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError>;
 }
 
-/// What a reload brought.
+/// The reloads that signals request.
+pub(super) struct RequestedReloads {
+    reload: Box<dyn Reload>,
+    /// How many of the requested reloads are done.
+    done: u64,
+}
+
+impl RequestedReloads {
+    /// Reloads by `reload`, after so many requests that were made before.
+    pub(super) fn new(reload: Box<dyn Reload>, requested_before: u64) -> Self {
+        RequestedReloads { reload, done: requested_before }
+    }
+
+    /// Reloads if more reloads were requested than are done. A rejected reload changes nothing and is logged.
+    pub(super) fn reload_if_requested(&mut self, requested: u64, now: Micros) -> Option<Reloaded> {
+        if requested == self.done {
+            return None;
+        }
+        self.done = requested;
+        match self.reload.reload(now) {
+            Ok(reloaded) => {
+                COUNTERS.reloads.increment();
+                reloaded.change.log();
+                Some(reloaded)
+            }
+            Err(error) => {
+                COUNTERS.bad_reloads.increment();
+                error.log();
+                None
+            }
+        }
+    }
+}
+
+/// The result of a reload that was applied.
 pub(super) struct Reloaded {
-    /// What was loaded, for the log.
-    pub(super) change: ReloadedChange,
+    /// The change that was loaded, for the log.
+    change: ReloadedChange,
     /// The change for the coordinator: endpoints or settings.
     pub(super) input: Input,
     /// The new settings, unless only endpoints changed.
     pub(super) settings: Option<CoordinatorSettings>,
 }
 
-/// What a reload has loaded.
-pub(super) enum ReloadedChange {
+/// The change that a reload has loaded.
+enum ReloadedChange {
     /// The platform's configuration file.
     Configuration {
         /// The address of discovery in force.
@@ -47,7 +81,7 @@
 
 impl ReloadedChange {
     /// Logs that the reload was applied.
-    pub(super) fn log(&self) {
+    fn log(&self) {
         match self {
             ReloadedChange::Configuration { discovery, classes } => {
                 tracing::info!(%discovery, classes, "configuration reloaded");
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -1,21 +1,19 @@
 //! A service: a front with its coordinator, client connections and connections to servers.
 
-use super::coordinator_loop::CoordinatorLoop;
+use super::coordinator_loop::{CoordinatorLoop, CoordinatorParts};
 use super::generations::ProcessGenerations;
 use super::listeners::Listener;
 use super::process::ProcessContext;
-use super::reload::Reload;
 use super::ServerError;
-use crate::coordinator::{Coordinator, Input};
+use crate::coordinator::Input;
 use crate::front::Front;
 use crate::net::clients::{ClientConnections, ClientLimits};
 use crate::net::timer::Timer;
-use crate::net::{spawn, Upstream, LARGE_STACK_WORDS, TURN_STACK_WORDS};
-use crate::time::{Clock, Micros};
+use crate::net::{spawn, LARGE_STACK_WORDS, TURN_STACK_WORDS};
+use crate::time::Clock;
 use may::coroutine::JoinHandle;
-use may::sync::mpsc::{Receiver, Sender};
+use may::sync::mpsc::Sender;
 use std::net::SocketAddr;
-use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
 /// A service before its start.
@@ -26,22 +24,12 @@
     pub(super) listen: SocketAddr,
     /// The limits of its client connections.
     pub(super) limits: ClientLimits,
-    /// The longest deadline of a query.
-    pub(super) longest_deadline: Micros,
     /// Its protocol towards clients.
     pub(super) front: Box<dyn Front>,
-    /// Decides about its queries.
-    pub(super) coordinator: Coordinator,
-    /// Its connections to servers.
-    pub(super) upstream: Box<dyn Upstream>,
-    /// Where inputs of the coordinator are sent,
+    /// Where inputs of the coordinator are sent.
     pub(super) inbox: Sender<Input>,
-    /// and received.
-    pub(super) arrivals: Receiver<Input>,
-    /// Set once the endpoint list is known.
-    pub(super) endpoints_listed: Arc<AtomicBool>,
-    /// Its configuration, as far as it can be reloaded.
-    pub(super) reload: Box<dyn Reload>,
+    /// Its coordinator.
+    pub(super) coordinator: CoordinatorParts,
 }
 
 /// A service that was started.
@@ -67,21 +55,7 @@
             tracing::info!(service = self.name, "listening sockets received from predecessor");
         }
         tracing::info!(service = self.name, %address, "listening for client connections");
-        let coordinator_loop = CoordinatorLoop {
-            coordinator: self.coordinator,
-            upstream: self.upstream,
-            clients: clients.clone(),
-            arrivals: self.arrivals,
-            timer,
-            endpoints_listed: self.endpoints_listed,
-            reload: self.reload,
-            reloads_done: process.signals.reloads_requested(),
-            longest_deadline: self.longest_deadline,
-            started_at: process.clock.now(),
-            generation: None,
-            shutdown: None,
-            process,
-        };
+        let coordinator_loop = CoordinatorLoop::new(self.coordinator, clients.clone(), timer, process);
         let coordinator =
             spawn(TURN_STACK_WORDS, move || coordinator_loop.run()).map_err(ServerError::Coroutine)?;
         Ok(RunningService { clients, coordinator })
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -111,5 +111,39 @@
     }
 }
 
+/// The shutdown of a process, which may not have been requested yet.
+#[derive(Debug)]
+pub struct GracefulShutdown {
+    /// The longest deadline of a query under the present settings.
+    longest_deadline: Micros,
+    schedule: Option<ShutdownSchedule>,
+}
+
+impl GracefulShutdown {
+    /// A shutdown that has not been requested.
+    #[must_use]
+    pub fn new(longest_deadline: Micros) -> Self {
+        GracefulShutdown { longest_deadline, schedule: None }
+    }
+
+    /// Notes the longest deadline under new settings.
+    pub fn set_longest_deadline(&mut self, longest_deadline: Micros) {
+        self.longest_deadline = longest_deadline;
+    }
+
+    /// Starts the shutdown, as it was requested. Returns whether it had not started before.
+    pub fn start(&mut self, now: Micros) -> bool {
+        let starts = self.schedule.is_none();
+        self.schedule.get_or_insert_with(|| ShutdownSchedule::new(now, self.longest_deadline));
+        starts
+    }
+
+    /// The schedule, once the shutdown has started.
+    #[must_use]
+    pub fn schedule(&self) -> Option<ShutdownSchedule> {
+        self.schedule
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/server/startup.rs
@@ -0,0 +1,41 @@
+//! The startup of a service: it ends once the endpoint list is known, or was waited for long enough.
+
+use crate::net::lifecycle::StartupPhase;
+use crate::time::Micros;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::sync::Arc;
+
+/// Without a message from discovery, the process counts as ready with the cached endpoint list after this time.
+const MAX_WAIT_FOR_ENDPOINTS: Micros = Micros::from_millis(400);
+/// The health check waits this long for discovery: the platform starts coordinators while discovery is down, too.
+const MAX_WAIT_FOR_DISCOVERY: Micros = Micros::from_millis(3_000);
+
+/// The startup of one service.
+pub(super) struct Startup {
+    /// Set once the endpoint list is known.
+    endpoints_listed: Arc<AtomicBool>,
+    started_at: Micros,
+}
+
+impl Startup {
+    /// A startup that begins at this time.
+    pub(super) fn new(endpoints_listed: Arc<AtomicBool>, started_at: Micros) -> Self {
+        Startup { endpoints_listed, started_at }
+    }
+
+    /// The phase that the startup has reached at this time.
+    pub(super) fn phase(&self, now: Micros) -> StartupPhase {
+        let listed = self.endpoints_listed.load(Relaxed);
+        let elapsed = now.since(self.started_at);
+        if listed || elapsed >= MAX_WAIT_FOR_DISCOVERY {
+            StartupPhase::EndpointsKnown
+        } else if elapsed >= MAX_WAIT_FOR_ENDPOINTS {
+            StartupPhase::Ready
+        } else {
+            StartupPhase::Starting
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/server/startup/tests.rs
@@ -0,0 +1,28 @@
+//! Tests of the startup's phases.
+
+use super::*;
+
+#[test]
+fn a_startup_without_discovery_is_ready_with_the_cached_list_and_later_healthy() {
+    let started_at = Micros::from_secs(1);
+    let startup = Startup::new(Arc::default(), started_at);
+    let phase_after = |ms| startup.phase(started_at + Micros::from_millis(ms));
+    assert_eq!(
+        [0, 399, 400, 2_999, 3_000].map(phase_after),
+        [
+            StartupPhase::Starting,
+            StartupPhase::Starting,
+            StartupPhase::Ready,
+            StartupPhase::Ready,
+            StartupPhase::EndpointsKnown,
+        ]
+    );
+}
+
+#[test]
+fn a_startup_ends_once_discovery_has_sent_a_list() {
+    let listed: Arc<AtomicBool> = Arc::default();
+    let startup = Startup::new(listed.clone(), Micros::from_secs(1));
+    listed.store(true, Relaxed);
+    assert_eq!(startup.phase(Micros::from_secs(1)), StartupPhase::EndpointsKnown);
+}
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -1,5 +1,6 @@
 //! Building the services that are configured.
 
+use super::coordinator_loop::CoordinatorParts;
 use super::reload::{InventoryReload, PlatformReload, Reload};
 use super::service::Service;
 use super::shutdown::longest_deadline;
@@ -42,20 +43,22 @@
         name: config.name.clone(),
         listen: config.listen,
         limits: ClientLimits::new(config.max_descriptors, config.max_memory),
-        longest_deadline: longest_deadline(&settings.policy),
         front: Box::new(Platform::new(catalog.clone())),
-        coordinator: Coordinator::new(
-            settings.policy.clone(),
-            settings.max_in_flight,
-            seed,
-            clock.now(),
-            metrics.clone(),
-        ),
-        upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
+        coordinator: CoordinatorParts {
+            coordinator: Coordinator::new(
+                settings.policy.clone(),
+                settings.max_in_flight,
+                seed,
+                clock.now(),
+                metrics.clone(),
+            ),
+            upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
+            arrivals,
+            endpoints_listed,
+            reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
+            longest_deadline: longest_deadline(&settings.policy),
+        },
         inbox,
-        arrivals,
-        endpoints_listed,
-        reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
     })
 }
 
@@ -110,19 +113,21 @@
         name: "feature queries".to_owned(),
         listen: edge.listen,
         limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * 1024 * 1024),
-        longest_deadline: longest_deadline(&edge.settings()),
-        coordinator: Coordinator::new(
-            edge.settings(),
-            edge.max_in_flight,
-            seed,
-            clock.now(),
-            metrics.clone(),
-        ),
-        upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
+        coordinator: CoordinatorParts {
+            coordinator: Coordinator::new(
+                edge.settings(),
+                edge.max_in_flight,
+                seed,
+                clock.now(),
+                metrics.clone(),
+            ),
+            upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
+            arrivals,
+            endpoints_listed: Arc::new(AtomicBool::new(true)),
+            reload: Box::new(reload),
+            longest_deadline: longest_deadline(&edge.settings()),
+        },
         front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
         inbox,
-        arrivals,
-        endpoints_listed: Arc::new(AtomicBool::new(true)),
-        reload: Box::new(reload),
     })
 }
