--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -42,7 +42,7 @@
     front: Box<dyn Front>,
     inbox: Sender<Input>,
     clock: Clock,
-    lifecycle: Lifecycle,
+    lifecycle: Arc<Lifecycle>,
 }
 
 impl ClientConnections {
@@ -53,6 +53,7 @@
         limits: ClientLimits,
         inbox: Sender<Input>,
         clock: Clock,
+        lifecycle: Arc<Lifecycle>,
     ) -> Arc<Self> {
         Arc::new(ClientConnections {
             connections: Mutex::default(),
@@ -64,12 +65,12 @@
             front,
             inbox,
             clock,
-            lifecycle: Lifecycle::default(),
+            lifecycle,
         })
     }
 
     /// The phases of this front, which other threads may read.
-    pub fn lifecycle(&self) -> &Lifecycle {
+    pub fn lifecycle(&self) -> &Arc<Lifecycle> {
         &self.lifecycle
     }
 
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -26,8 +26,14 @@
 ) -> (Arc<ClientConnections>, Vec<Arc<Connection>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let listener = Arc::new(CoIo::new(listener).expect("a socket of the runtime"));
-    let clients =
-        ClientConnections::new(Box::new(NotFoundFront), listener, limits, channel().0, Clock::start());
+    let clients = ClientConnections::new(
+        Box::new(NotFoundFront),
+        listener,
+        limits,
+        channel().0,
+        Clock::start(),
+        Arc::default(),
+    );
     let connections: Vec<_> = states.into_iter().map(|state| Arc::new(Connection::new(state))).collect();
     sync::lock(&clients.connections).extend((0..).zip(connections.iter().cloned()));
     (clients, connections)
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,8 +1,9 @@
 //! The life cycle of the process as its clients and operators see it.
 //!
 //! Startup and shutdown are two independent state machines: a process may be told to exit before it knows the servers,
-//! and one that waits for its predecessor to exit still has to learn them. One coroutine per front makes the transitions;
-//! connections and the admin thread only read.
+//! and one that waits for its predecessor to exit still has to learn them. The coordinator's coroutine makes the
+//! transitions, except that the watch on discovery advances the startup to [`StartupPhase::EndpointsReceived`]; connections
+//! and the admin thread only read.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::Relaxed};
 use thiserror::Error;
@@ -14,7 +15,9 @@
     Starting,
     /// Requests are served, perhaps from the endpoint list that was cached at the start.
     Ready,
-    /// Discovery has sent its endpoint list, or was waited for as long as it may take.
+    /// Discovery's list is in the coordinator's inbox, ahead of all requests from now on.
+    EndpointsReceived,
+    /// The coordinator has the endpoint list, or has waited for it as long as it may take.
     EndpointsKnown,
 }
 
@@ -101,7 +104,7 @@
     EndpointsUnknown,
 }
 
-/// The present phases of one front, readable from any thread. The transitions are made by one coroutine.
+/// The present phases of one front, readable from any thread.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     /// A [`StartupPhase`] as its discriminant.
@@ -145,6 +148,11 @@
         self.startup.load(Relaxed) >= StartupPhase::Ready as u8 && !self.service_phase().is_draining()
     }
 
+    /// Whether discovery's list has been received.
+    pub fn endpoints_received(&self) -> bool {
+        self.startup.load(Relaxed) >= StartupPhase::EndpointsReceived as u8
+    }
+
     /// Whether discovery's endpoint list is known, or not waited for any more.
     pub fn endpoints_known(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::EndpointsKnown as u8
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -15,7 +15,9 @@
     let lifecycle = Lifecycle::default();
     assert!(!lifecycle.is_ready() && !lifecycle.endpoints_known());
     lifecycle.advance_startup(StartupPhase::Ready);
-    assert!(lifecycle.is_ready() && !lifecycle.endpoints_known());
+    assert!(lifecycle.is_ready() && !lifecycle.endpoints_received() && !lifecycle.endpoints_known());
+    lifecycle.advance_startup(StartupPhase::EndpointsReceived);
+    assert!(lifecycle.is_ready() && lifecycle.endpoints_received() && !lifecycle.endpoints_known());
     lifecycle.advance_startup(StartupPhase::EndpointsKnown);
     lifecycle.advance_startup(StartupPhase::Ready);
     assert!(lifecycle.is_ready() && lifecycle.endpoints_known());
@@ -63,8 +65,10 @@
 #[test]
 fn the_health_check_fails_while_endpoints_are_unknown_and_from_the_drain_on() {
     let lifecycle = Lifecycle::default();
-    lifecycle.advance_startup(StartupPhase::Ready);
-    assert_eq!(lifecycle.health(), Err(Unhealthy::EndpointsUnknown));
+    for phase in [StartupPhase::Ready, StartupPhase::EndpointsReceived] {
+        lifecycle.advance_startup(phase);
+        assert_eq!(lifecycle.health(), Err(Unhealthy::EndpointsUnknown));
+    }
     lifecycle.advance_startup(StartupPhase::EndpointsKnown);
     assert_eq!(lifecycle.health(), Ok(()));
     lifecycle.shut_down(DrainAlone);
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -10,7 +10,6 @@
 use crate::net::Upstream;
 use crate::time::Micros;
 use may::sync::mpsc::Receiver;
-use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
 /// The longest sleep of the coordinator: signals are checked this often.
@@ -27,8 +26,6 @@
     pub(super) upstream: Box<dyn Upstream>,
     /// The inputs that have arrived.
     pub(super) arrivals: Receiver<Input>,
-    /// Set once the endpoint list is known.
-    pub(super) endpoints_listed: Arc<AtomicBool>,
     /// The configuration, as far as it can be reloaded.
     pub(super) reload: Box<dyn Reload>,
     /// The longest deadline of a query.
@@ -66,13 +63,14 @@
         timer: Timer,
         process: ProcessContext,
     ) -> Self {
+        let lifecycle = clients.lifecycle().clone();
         CoordinatorLoop {
             coordinator: parts.coordinator,
             upstream: parts.upstream,
             clients,
             arrivals: parts.arrivals,
             timer,
-            startup: Startup::new(parts.endpoints_listed, process.clock.now()),
+            startup: Startup::new(lifecycle, process.clock.now()),
             reloads: RequestedReloads::new(parts.reload, process.signals.reloads_requested()),
             shutdown: GracefulShutdown::new(parts.longest_deadline),
             generation: None,
@@ -93,7 +91,7 @@
                 self.carry_out(now, command);
             }
             self.reap(now, &mut reaped_at);
-            self.clients.lifecycle().advance_startup(self.startup.phase(now));
+            self.startup.advance(now);
             self.update_generation();
             self.reload_if_requested(now, &mut inputs);
             if self.shut_down_if_requested(now) {
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -8,6 +8,7 @@
 use crate::coordinator::Input;
 use crate::front::Front;
 use crate::net::clients::{ClientConnections, ClientLimits};
+use crate::net::lifecycle::Lifecycle;
 use crate::net::timer::Timer;
 use crate::net::{spawn, LARGE_STACK_WORDS, TURN_STACK_WORDS};
 use crate::time::Clock;
@@ -26,6 +27,8 @@
     pub(super) limits: ClientLimits,
     /// Its protocol towards clients.
     pub(super) front: Box<dyn Front>,
+    /// The phases of its startup and shutdown.
+    pub(super) lifecycle: Arc<Lifecycle>,
     /// Where inputs of the coordinator are sent.
     pub(super) inbox: Sender<Input>,
     /// Its coordinator.
@@ -49,7 +52,14 @@
     ) -> Result<RunningService, ServerError> {
         let address = listener.inner().local_addr().map_err(ServerError::LocalAddress)?;
         let timer = self.start_timer(process.clock)?;
-        let clients = ClientConnections::new(self.front, listener, self.limits, self.inbox, process.clock);
+        let clients = ClientConnections::new(
+            self.front,
+            listener,
+            self.limits,
+            self.inbox,
+            process.clock,
+            self.lifecycle,
+        );
         accept(clients.clone(), process.generations.clone())?;
         if process.generations.has_predecessor() {
             tracing::info!(service = self.name, "listening sockets received from predecessor");
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -1,8 +1,7 @@
 //! The startup of a service: it ends once the endpoint list is known, or was waited for long enough.
 
-use crate::net::lifecycle::StartupPhase;
+use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::time::Micros;
-use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
 
 /// Without a message from discovery, the process counts as ready with the cached endpoint list after this time.
@@ -12,22 +11,24 @@
 
 /// The startup of one service.
 pub(super) struct Startup {
-    /// Set once the endpoint list is known.
-    endpoints_listed: Arc<AtomicBool>,
+    lifecycle: Arc<Lifecycle>,
     started_at: Micros,
 }
 
 impl Startup {
     /// A startup that begins at this time.
-    pub(super) fn new(endpoints_listed: Arc<AtomicBool>, started_at: Micros) -> Self {
-        Startup { endpoints_listed, started_at }
+    pub(super) fn new(lifecycle: Arc<Lifecycle>, started_at: Micros) -> Self {
+        Startup { lifecycle, started_at }
     }
 
-    /// The phase that the startup has reached at this time.
-    pub(super) fn phase(&self, now: Micros) -> StartupPhase {
-        let listed = self.endpoints_listed.load(Relaxed);
+    /// Moves on to the phase of this time, after a turn of the coordinator.
+    pub(super) fn advance(&self, now: Micros) {
+        self.lifecycle.advance_startup(self.phase(now));
+    }
+
+    fn phase(&self, now: Micros) -> StartupPhase {
         let elapsed = now.since(self.started_at);
-        if listed || elapsed >= MAX_WAIT_FOR_DISCOVERY {
+        if self.lifecycle.endpoints_received() || elapsed >= MAX_WAIT_FOR_DISCOVERY {
             StartupPhase::EndpointsKnown
         } else if elapsed >= MAX_WAIT_FOR_ENDPOINTS {
             StartupPhase::Ready
--- a/src/net/server/startup/tests.rs
+++ b/src/net/server/startup/tests.rs
@@ -21,8 +21,10 @@
 
 #[test]
 fn a_startup_ends_once_discovery_has_sent_a_list() {
-    let listed: Arc<AtomicBool> = Arc::default();
-    let startup = Startup::new(listed.clone(), Micros::from_secs(1));
-    listed.store(true, Relaxed);
-    assert_eq!(startup.phase(Micros::from_secs(1)), StartupPhase::EndpointsKnown);
+    let lifecycle: Arc<Lifecycle> = Arc::default();
+    let startup = Startup::new(lifecycle.clone(), Micros::from_secs(1));
+    lifecycle.advance_startup(StartupPhase::EndpointsReceived);
+    assert!(!lifecycle.endpoints_known());
+    startup.advance(Micros::from_secs(1));
+    assert!(lifecycle.endpoints_known());
 }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -14,12 +14,12 @@
 use crate::net::clients::ClientLimits;
 use crate::net::config::Config;
 use crate::net::feature_client::FeatureClient;
+use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::net::node_client::NodeClient;
 use crate::net::{spawn, watch, LARGE_STACK_WORDS};
 use crate::proto::discovery::parse_cached_endpoint_list;
 use crate::time::{unix_ms, Clock};
 use may::sync::mpsc::{channel, Sender};
-use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
 /// Builds the service that speaks the platform's protocol, and starts to watch discovery.
@@ -33,8 +33,8 @@
     let revision = load_known_endpoints(config, clock, &inbox);
     let settings = &config.settings;
     let source = watch::DiscoverySource::new(config.discovery, settings.policy.max_poll_interval);
-    let endpoints_listed = Arc::new(AtomicBool::new(false));
-    watch_discovery(config, clock, revision, &source, &inbox, &endpoints_listed)?;
+    let lifecycle = Arc::new(Lifecycle::default());
+    watch_discovery(config, clock, revision, &source, &inbox, &lifecycle)?;
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
     // In an upgrade both processes have one seed; with the same one they would choose the same servers in step.
     let seed =
@@ -54,10 +54,10 @@
             ),
             upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
             arrivals,
-            endpoints_listed,
             reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
             longest_deadline: longest_deadline(&settings.policy),
         },
+        lifecycle,
         inbox,
     })
 }
@@ -82,14 +82,14 @@
     revision: u64,
     source: &watch::DiscoverySource,
     inbox: &Sender<Input>,
-    endpoints_listed: &Arc<AtomicBool>,
+    lifecycle: &Arc<Lifecycle>,
 ) -> Result<(), ServerError> {
     let watcher = watch::Watcher {
         source: source.clone(),
         revision,
         inbox: inbox.clone(),
         clock,
-        endpoints_listed: endpoints_listed.clone(),
+        lifecycle: lifecycle.clone(),
         backoff: watch::Backoff::new(config.seed),
     };
     spawn(LARGE_STACK_WORDS, move || watcher.run()).map(drop).map_err(ServerError::Coroutine)
@@ -105,6 +105,8 @@
     let catalog = SharedCatalog::default();
     let mut reload = InventoryReload::new(edge.clone(), catalog.clone());
     let _ = inbox.send(reload.reload(clock.now())?.input);
+    let lifecycle = Arc::new(Lifecycle::default());
+    lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     let capacity = Arc::new(ServerCapacity::default());
     let key = CursorKey::new(&edge.cursor_key()?);
     // Two edges that start at the same time must not choose the same servers in step.
@@ -123,11 +125,11 @@
             ),
             upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
             arrivals,
-            endpoints_listed: Arc::new(AtomicBool::new(true)),
             reload: Box::new(reload),
             longest_deadline: longest_deadline(&edge.settings()),
         },
         front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
+        lifecycle,
         inbox,
     })
 }
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -7,6 +7,7 @@
 pub use backoff::Backoff;
 pub use source::DiscoverySource;
 
+use super::lifecycle::{Lifecycle, StartupPhase};
 use crate::coordinator::{log_throttled, Input, COUNTERS};
 use crate::proto::discovery::{EndpointListUpdate, WatchError, WatchResponse};
 use crate::time::{unix_ms, Clock, Micros};
@@ -14,7 +15,6 @@
 use may::sync::mpsc::Sender;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering::Release};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -52,8 +52,8 @@
     pub inbox: Sender<Input>,
     /// The time base of the lists.
     pub clock: Clock,
-    /// Set once discovery has sent a list.
-    pub endpoints_listed: Arc<AtomicBool>,
+    /// Moves on once discovery has sent a list.
+    pub lifecycle: Arc<Lifecycle>,
     /// The delays between two watches.
     pub backoff: Backoff,
 }
@@ -145,7 +145,7 @@
         // Discovery may go back to an older revision; changes since the newest one are requested.
         self.revision = list.revision.max(self.revision);
         let _ = self.inbox.send(Input::EndpointUpdate(list.update));
-        self.endpoints_listed.store(true, Release);
+        self.lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     }
 }
 
