--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -171,6 +171,20 @@
     std::fs::write(folder.join("i.csv"), text).expect("an inventory");
 }
 
+/// A command that runs another one with so many file descriptors at most.
+fn with_descriptors(descriptors: usize, command: &Command) -> Command {
+    let mut shell = Command::new("sh");
+    shell.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\" \"$@\""));
+    shell.arg(command.get_program()).args(command.get_args());
+    for (name, value) in command.get_envs() {
+        match value {
+            Some(value) => shell.env(name, value),
+            None => shell.env_remove(name),
+        };
+    }
+    shell
+}
+
 /// An address at which nothing listens.
 fn refusing_address() -> SocketAddr {
     bind_loopback().local_addr().expect("bound")
@@ -361,6 +375,22 @@
     error.assert("ERROR", json!({}));
 }
 
+#[test]
+fn a_client_connection_that_cannot_be_accepted_is_logged_with_its_error() {
+    let nodes = [DataNode::serving()];
+    let configuration = Deployment::BASIC.configuration(refusing_address(), &addresses_of(&nodes));
+    let folder = create_folder("descriptors");
+    let mut command = with_descriptors(32, &platform_command(&folder, &configuration));
+    command.env_remove("TMPDIR");
+    let process = LoggingProcess::spawn(command, folder);
+    let mut listening = process.wait_for("listening for client connections");
+    let address: SocketAddr = listening.take_field("address").parse().expect("an address");
+    let _clients: Vec<_> = (0..64).map(|_| TcpStream::connect(address).expect("in the backlog")).collect();
+    let mut failed = process.wait_for("accepting a client connection failed");
+    failed.take_field_containing("error", "Too many open files");
+    failed.assert("WARN", json!({}));
+}
+
 #[test]
 fn a_text_line_has_the_level_the_message_and_the_fields() {
     let server = FeatureServer::healthy(0..6, 2);
