--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -1,6 +1,5 @@
-//! The listening sockets of the fronts: taken over from a predecessor, opened, and offered to a successor.
+//! The listening sockets of the fronts: received from a predecessor, opened, and offered to a successor.
 
-use super::coordinator_loop::MAX_SLEEP;
 use super::generations::ProcessGenerations;
 use super::ServerError;
 use crate::net::handover::{self, ListeningSocket};
@@ -11,18 +10,22 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use std::time::Duration;
+
+/// How often a process checks whether its predecessor has exited.
+const PREDECESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A listening socket that coroutines can wait on.
 pub(super) type Listener = Arc<CoIo<TcpListener>>;
 
-/// The listening socket for this address: the one taken over, or a new one.
+/// The listening socket for this address: the one received from a predecessor, or a new one.
 pub(super) fn listener_for(
     address: SocketAddr,
-    taken_over: &mut Vec<ListeningSocket<TcpListener>>,
+    inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<Listener, ServerError> {
     let fault = |source| ServerError::Listen { address, source };
-    let socket = match taken_over.iter().position(|s| s.address == address) {
-        Some(index) => taken_over.swap_remove(index).socket,
+    let socket = match inherited.iter().position(|s| s.address == address) {
+        Some(index) => inherited.swap_remove(index).socket,
         None => handover::listen(address).map_err(fault)?,
     };
     CoIo::new(socket).map(Arc::new).map_err(|e| fault(e.into()))
@@ -50,7 +53,7 @@
     }
     let offer_later = move || {
         while generations.predecessor_lives() {
-            coroutine::sleep(MAX_SLEEP.to_duration());
+            coroutine::sleep(PREDECESSOR_CHECK_INTERVAL);
         }
         offer(&path, sockets, generations);
     };
@@ -58,11 +61,12 @@
 }
 
 fn offer(path: &Path, sockets: Vec<ListeningSocket<SharedListener>>, generations: Arc<ProcessGenerations>) {
+    let socket_count = sockets.len();
     let offered = handover::offer(path, sockets, move |successor| {
-        tracing::info!("the sockets are handed over to a new process");
+        tracing::info!(socket_count, "listening sockets handed over to successor");
         generations.set_successor(successor);
     });
     if let Err(e) = offered {
-        tracing::warn!("a new version cannot take the sockets over: {}: {e}", path.display());
+        tracing::warn!(path = %path.display(), error = %e, "listening sockets cannot be offered to a successor");
     }
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -4,10 +4,12 @@
 mod error;
 mod generations;
 mod listeners;
+mod process;
 mod reload;
 mod service;
 mod shutdown;
 mod signals;
+mod startup;
 mod wiring;
 
 pub use error::{ReloadError, ServerError};
@@ -20,7 +22,8 @@
 use crate::time::Clock;
 use generations::ProcessGenerations;
 use listeners::{Listener, SharedListener};
-use service::{ProcessContext, RunningService, Service};
+use process::ProcessContext;
+use service::{RunningService, Service};
 use signals::Signals;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -39,7 +42,7 @@
     let metrics = Arc::new(Metrics::default());
     let admin = admin_config(platform.as_ref(), edge.as_ref());
     // Before all else: a process with a predecessor is set up differently.
-    let mut inherited = take_over(platform.as_ref(), edge.as_ref());
+    let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
     let process = ProcessContext { clock, signals, generations: inherited.generations };
     let services = build_services(platform, edge, &process, &metrics)?;
     let listeners = open_listeners(&services, &mut inherited.sockets)?;
@@ -58,7 +61,7 @@
     for service in running {
         service.coordinator.join().map_err(|_| ServerError::CoordinatorPanicked)?;
     }
-    tracing::info!("{COUNTERS}");
+    COUNTERS.log();
     Ok(())
 }
 
@@ -79,21 +82,21 @@
     })
 }
 
-/// What a process has from the one before it.
+/// The listening sockets and the peer process that a hand-over brought.
 struct Inheritance {
     /// Where it waits for its own successor.
     path: Option<PathBuf>,
-    /// The listening sockets taken over.
+    /// The listening sockets received from the predecessor.
     sockets: Vec<ListeningSocket<TcpListener>>,
     generations: Arc<ProcessGenerations>,
 }
 
-/// Takes the listening sockets over from a predecessor, if there is one.
-fn take_over(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
+/// Requests the listening sockets of a predecessor, if there is one.
+fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
     let address = platform.map(|config| config.listen).or(edge.map(|edge| edge.listen));
     let path = address.and_then(handover::socket_path);
-    let (sockets, predecessor) = match path.as_deref().and_then(handover::take_over) {
-        Some(taken_over) => (taken_over.sockets, Some(taken_over.predecessor)),
+    let (sockets, predecessor) = match path.as_deref().and_then(handover::request_handover) {
+        Some(handover) => (handover.sockets, Some(handover.predecessor)),
         None => (Vec::new(), None),
     };
     Inheritance { path, sockets, generations: Arc::new(ProcessGenerations::new(predecessor)) }
@@ -121,9 +124,9 @@
 
 fn open_listeners(
     services: &[Service],
-    taken_over: &mut Vec<ListeningSocket<TcpListener>>,
+    inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<Vec<Listener>, ServerError> {
-    services.iter().map(|service| listeners::listener_for(service.listen, taken_over)).collect()
+    services.iter().map(|service| listeners::listener_for(service.listen, inherited)).collect()
 }
 
 fn shared_listeners(services: &[Service], listeners: &[Listener]) -> Vec<ListeningSocket<SharedListener>> {
@@ -143,6 +146,6 @@
         max_callers: admin::reserved(config.max_descriptors) - 1,
     };
     if let Err(e) = admin::start(config.address, endpoint) {
-        tracing::warn!("operators are not answered: {e}");
+        tracing::warn!(error = %e, "admin endpoint not started");
     }
 }
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -1,7 +1,7 @@
 //! Reloading what may change while the process runs, on SIGHUP.
 
 use super::ReloadError;
-use crate::coordinator::{Input, Metrics};
+use crate::coordinator::{Input, Metrics, COUNTERS};
 use crate::front::ogc::config::EdgeConfig;
 use crate::front::ogc::SharedCatalog;
 use crate::front::platform::{PlatformCatalog, SharedPlatformCatalog};
@@ -19,16 +19,78 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError>;
 }
 
-/// What a reload brought.
+/// The reloads that signals request.
+pub(super) struct RequestedReloads {
+    reload: Box<dyn Reload>,
+    /// How many of the requested reloads are done.
+    done: u64,
+}
+
+impl RequestedReloads {
+    /// Reloads by `reload`, after so many requests that were made before.
+    pub(super) fn new(reload: Box<dyn Reload>, requested_before: u64) -> Self {
+        RequestedReloads { reload, done: requested_before }
+    }
+
+    /// Reloads if more reloads were requested than are done. A rejected reload changes nothing and is logged.
+    pub(super) fn reload_if_requested(&mut self, requested: u64, now: Micros) -> Option<Reloaded> {
+        if requested == self.done {
+            return None;
+        }
+        self.done = requested;
+        match self.reload.reload(now) {
+            Ok(reloaded) => {
+                COUNTERS.reloads.increment();
+                reloaded.change.log();
+                Some(reloaded)
+            }
+            Err(error) => {
+                COUNTERS.bad_reloads.increment();
+                error.log();
+                None
+            }
+        }
+    }
+}
+
+/// The result of a reload that was applied.
 pub(super) struct Reloaded {
-    /// The line to be logged.
-    pub(super) message: String,
+    /// The change that was loaded, for the log.
+    change: ReloadedChange,
     /// The change for the coordinator: endpoints or settings.
     pub(super) input: Input,
     /// The new settings, unless only endpoints changed.
     pub(super) settings: Option<CoordinatorSettings>,
 }
 
+/// The change that a reload has loaded.
+enum ReloadedChange {
+    /// The platform's configuration file.
+    Configuration {
+        /// The address of discovery in force.
+        discovery: SocketAddr,
+        /// The names of the query classes, separated by spaces.
+        classes: String,
+    },
+    /// The inventory of feature servers.
+    Inventory {
+        /// How many servers it lists.
+        servers: usize,
+    },
+}
+
+impl ReloadedChange {
+    /// Logs that the reload was applied.
+    fn log(&self) {
+        match self {
+            ReloadedChange::Configuration { discovery, classes } => {
+                tracing::info!(%discovery, classes, "configuration reloaded");
+            }
+            ReloadedChange::Inventory { servers } => tracing::info!(servers, "inventory reloaded"),
+        }
+    }
+}
+
 /// Reloads the platform's configuration file: the address of discovery and the settings.
 pub(super) struct PlatformReload {
     file: ActiveConfig,
@@ -71,16 +133,13 @@
         self.source.set_max_poll_interval(settings.policy.max_poll_interval);
         *sync::lock(&self.catalog) = PlatformCatalog::new(&settings);
         let classes: Vec<_> = settings.policy.classes.iter().map(|c| c.name.as_str()).collect();
-        let message = format!(
-            "the configuration is read anew: discovery is at {}, classes {}",
-            self.source.address(),
-            classes.join(" ")
-        );
+        let change =
+            ReloadedChange::Configuration { discovery: self.source.address(), classes: classes.join(" ") };
         let input = Input::Settings {
             settings: Box::new(settings.policy.clone()),
             max_in_flight: settings.max_in_flight,
         };
-        Ok(Reloaded { message, input, settings: Some(settings) })
+        Ok(Reloaded { change, input, settings: Some(settings) })
     }
 }
 
@@ -100,7 +159,7 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError> {
         let servers = self.edge.load_inventory().map_err(ReloadError::Inventory)?;
         let update = sync::lock(&self.catalog).load(&servers, now);
-        let message = format!("the inventory is loaded anew: {} servers", update.endpoints.len());
-        Ok(Reloaded { message, input: Input::EndpointUpdate(update), settings: None })
+        let change = ReloadedChange::Inventory { servers: update.endpoints.len() };
+        Ok(Reloaded { change, input: Input::EndpointUpdate(update), settings: None })
     }
 }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -1,7 +1,9 @@
 //! Building the services that are configured.
 
+use super::coordinator_loop::CoordinatorParts;
 use super::reload::{InventoryReload, PlatformReload, Reload};
-use super::service::{longest_deadline, Service};
+use super::service::Service;
+use super::shutdown::longest_deadline;
 use super::ServerError;
 use crate::coordinator::{Coordinator, Input, Metrics};
 use crate::front::ogc::config::EdgeConfig;
@@ -12,12 +14,12 @@
 use crate::net::clients::ClientLimits;
 use crate::net::config::Config;
 use crate::net::feature_client::FeatureClient;
+use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::net::node_client::NodeClient;
 use crate::net::{spawn, watch, LARGE_STACK_WORDS};
 use crate::proto::discovery::parse_cached_endpoint_list;
 use crate::time::{unix_ms, Clock};
 use may::sync::mpsc::{channel, Sender};
-use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 
 /// Builds the service that speaks the platform's protocol, and starts to watch discovery.
@@ -31,8 +33,8 @@
     let revision = load_known_endpoints(config, clock, &inbox);
     let settings = &config.settings;
     let source = watch::DiscoverySource::new(config.discovery, settings.policy.max_poll_interval);
-    let endpoints_listed = Arc::new(AtomicBool::new(false));
-    watch_discovery(config, clock, revision, &source, &inbox, &endpoints_listed)?;
+    let lifecycle = Arc::new(Lifecycle::default());
+    watch_discovery(config, clock, revision, &source, &inbox, &lifecycle)?;
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
     // In an upgrade both processes have one seed; with the same one they would choose the same servers in step.
     let seed =
@@ -41,20 +43,22 @@
         name: config.name.clone(),
         listen: config.listen,
         limits: ClientLimits::new(config.max_descriptors, config.max_memory),
-        longest_deadline: longest_deadline(&settings.policy),
         front: Box::new(Platform::new(catalog.clone())),
-        coordinator: Coordinator::new(
-            settings.policy.clone(),
-            settings.max_in_flight,
-            seed,
-            clock.now(),
-            metrics.clone(),
-        ),
-        upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
+        coordinator: CoordinatorParts {
+            coordinator: Coordinator::new(
+                settings.policy.clone(),
+                settings.max_in_flight,
+                seed,
+                clock.now(),
+                metrics.clone(),
+            ),
+            upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
+            arrivals,
+            reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
+            longest_deadline: longest_deadline(&settings.policy),
+        },
+        lifecycle,
         inbox,
-        arrivals,
-        endpoints_listed,
-        reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
     })
 }
 
@@ -66,7 +70,7 @@
             known.revision
         }
         Err(e) => {
-            tracing::warn!("the known list cannot be read: {e}");
+            tracing::warn!(error = %e, "cached endpoint list rejected");
             0
         }
     }
@@ -78,14 +82,14 @@
     revision: u64,
     source: &watch::DiscoverySource,
     inbox: &Sender<Input>,
-    endpoints_listed: &Arc<AtomicBool>,
+    lifecycle: &Arc<Lifecycle>,
 ) -> Result<(), ServerError> {
     let watcher = watch::Watcher {
         source: source.clone(),
         revision,
         inbox: inbox.clone(),
         clock,
-        endpoints_listed: endpoints_listed.clone(),
+        lifecycle: lifecycle.clone(),
         backoff: watch::Backoff::new(config.seed),
     };
     spawn(LARGE_STACK_WORDS, move || watcher.run()).map(drop).map_err(ServerError::Coroutine)
@@ -101,6 +105,8 @@
     let catalog = SharedCatalog::default();
     let mut reload = InventoryReload::new(edge.clone(), catalog.clone());
     let _ = inbox.send(reload.reload(clock.now())?.input);
+    let lifecycle = Arc::new(Lifecycle::default());
+    lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     let capacity = Arc::new(ServerCapacity::default());
     let key = CursorKey::new(&edge.cursor_key()?);
     // Two edges that start at the same time must not choose the same servers in step.
@@ -109,19 +115,21 @@
         name: "feature queries".to_owned(),
         listen: edge.listen,
         limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * 1024 * 1024),
-        longest_deadline: longest_deadline(&edge.settings()),
-        coordinator: Coordinator::new(
-            edge.settings(),
-            edge.max_in_flight,
-            seed,
-            clock.now(),
-            metrics.clone(),
-        ),
-        upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
+        coordinator: CoordinatorParts {
+            coordinator: Coordinator::new(
+                edge.settings(),
+                edge.max_in_flight,
+                seed,
+                clock.now(),
+                metrics.clone(),
+            ),
+            upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
+            arrivals,
+            reload: Box::new(reload),
+            longest_deadline: longest_deadline(&edge.settings()),
+        },
         front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
+        lifecycle,
         inbox,
-        arrivals,
-        endpoints_listed: Arc::new(AtomicBool::new(true)),
-        reload: Box::new(reload),
     })
 }
--- a/tests/ogc_run.rs
+++ b/tests/ogc_run.rs
@@ -312,7 +312,7 @@
     fn reload_inventory(&self, draining: Option<usize>) {
         self.edge.write_inventory(&inventory(&self.servers, draining));
         self.edge.signal("HUP");
-        self.edge.wait_for_log("loaded anew");
+        self.edge.wait_for_log("inventory reloaded");
     }
 
     /// The starts so far of the queries that `matches` selects, over all servers.
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -101,14 +101,14 @@
         let address = ([127, 0, 0, 1], 0).into();
         let management = Mutex::default();
         let mut process = Process { child, address, folder, log: Mutex::new(log), management };
-        process.address = last_address(&process.wait_for_log("listens on"));
+        process.address = last_address(&process.wait_for_log("listening for client connections"));
         process
     }
 
     /// Returns the management address, as the log tells it.
     pub fn management_address(&self) -> SocketAddr {
         let mut known = self.management.lock().expect("known");
-        *known.get_or_insert_with(|| last_address(&self.wait_for_log("operators are answered on")))
+        *known.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
     }
 
     /// Waits for the next log line that contains this text and returns it.
@@ -213,9 +213,9 @@
     folder
 }
 
-/// Returns the address at the end of a log line.
+/// Returns the address in the last field of a log line.
 fn last_address(line: &str) -> SocketAddr {
-    line.rsplit(' ').next().and_then(|word| word.parse().ok()).expect("an address")
+    line.rsplit(' ').next().and_then(|word| word.strip_prefix("address=")?.parse().ok()).expect("an address")
 }
 
 fn write_inventory(folder: &Path, rows: &str) {
