--- a/src/bin/quinceflow.rs
+++ b/src/bin/quinceflow.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs the coordinator until it is told to end. `edge`: the edge file, if any.
+/// Runs the coordinator until a shutdown was requested and is complete. `edge`: the edge file, if any.
 fn serve(edge: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let edge = edge.map(|file| EdgeConfig::load(&file)).transpose()?;
     let platform = match std::env::var_os("NODE_CONFIG") {
--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -1,4 +1,4 @@
-//! Draining client connections once the process was told to exit.
+//! Draining client connections once a shutdown was requested.
 
 use super::ClientConnections;
 use crate::net::lifecycle::ShutdownEvent;
@@ -10,7 +10,7 @@
 const MIN_FIRST_REQUEST: Micros = Micros::from_millis(300);
 
 impl ClientConnections {
-    /// Drains, as the process was told to exit. Connections between requests stay open, since their clients may be about to
+    /// Drains, as a shutdown was requested. Connections between requests stay open, since their clients may be about to
     /// send one. Where a successor accepts at the listening socket, nothing is accepted here any more and each response
     /// closes its connection; if the successor exits first, the backlog is this process's again.
     pub fn drain(&self, successor_accepts: bool) {
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,9 +1,9 @@
 //! The life cycle of the process as its clients and operators see it.
 //!
-//! Startup and shutdown are two independent state machines: a process may be told to exit before it knows the servers,
-//! and one that waits for its predecessor to exit still has to learn them. The coordinator's coroutine makes the
-//! transitions, except that the watch on discovery advances the startup to [`StartupPhase::EndpointsReceived`]; connections
-//! and the admin thread only read.
+//! Startup and shutdown are two independent state machines: a shutdown may be requested before the servers
+//! are known, and a process that waits for its predecessor to exit still has to learn them. The coordinator's
+//! coroutine makes the transitions, except that the watch on discovery advances the startup to
+//! [`StartupPhase::EndpointsReceived`]; connections and the admin thread only read.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::Relaxed};
 use thiserror::Error;
@@ -24,12 +24,13 @@
 /// How far the shutdown has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServicePhase {
-    /// Not told to exit.
+    /// No shutdown was requested.
     Serving,
-    /// Told to exit: the health check fails, all else goes on as before.
+    /// A shutdown was requested: the health check fails, all else goes on as before.
     Draining,
-    /// Told to exit, and a successor accepts at the same listening socket: nothing is accepted here, and each response
-    /// closes its connection. Returns to [`ServicePhase::Draining`] if the successor exits first.
+    /// A shutdown was requested, and a successor accepts at the same listening socket: nothing is accepted
+    /// here, and each response closes its connection. Returns to [`ServicePhase::Draining`] if the successor
+    /// exits first.
     HandedOver,
     /// About to exit: connections are still accepted, since the kernel would reset those in the backlog, and each response
     /// closes its connection.
@@ -41,9 +42,9 @@
 /// What moves a process from one [`ServicePhase`] to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownEvent {
-    /// Told to exit, and no successor has the listening socket (any more).
+    /// A shutdown was requested, and no successor has the listening socket (any more).
     DrainAlone,
-    /// Told to exit, and a successor accepts at the same listening socket.
+    /// A shutdown was requested, and a successor accepts at the same listening socket.
     DrainWithSuccessor,
     /// The time for new requests on connections that are open is over.
     Close,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether the process was told to exit.
+    /// Whether a shutdown was requested.
     #[must_use]
     pub fn is_draining(self) -> bool {
         self != ServicePhase::Serving
@@ -96,7 +97,7 @@
 /// Why the health check fails; the texts are the reply to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unhealthy {
-    /// The process was told to exit.
+    /// A shutdown was requested.
     #[error("it is told to end")]
     Draining,
     /// No endpoint list has come from discovery.
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -81,7 +81,7 @@
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a process that was told to exit at this time, by its longest deadline then.
+    /// The schedule of a shutdown that was requested at this time, by its longest deadline then.
     #[must_use]
     pub fn new(signalled_at: Micros, longest_deadline: Micros) -> Self {
         let kill_time = longest_deadline.min(MAX_DEADLINE) + KILL_GRACE;
--- a/src/proto/admin.rs
+++ b/src/proto/admin.rs
@@ -1,4 +1,4 @@
-//! The admin protocol on the second address: one command a connection, a line each way.
+//! The protocol of the admin endpoint: one command a connection, a line each way.
 
 use super::buffer::Buffer;
 
