--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -26,7 +26,8 @@
     divan::main();
 }
 
-const FILTER: &str = "volts > 120 AND CASEI(name) LIKE 'meter%' AND S_INTERSECTS(geometry,POLYGON((-121 37,-120 37,-121 38,-121 37)))";
+const FILTER: &str = "volts > 120 AND CASEI(name) LIKE 'meter%' AND \
+                      S_INTERSECTS(geometry,POLYGON((-121 37,-120 37,-121 38,-121 37)))";
 
 fn area(points: usize) -> String {
     let ring: Vec<String> = (0..=points)
@@ -40,9 +41,10 @@
 
 fn body(count: usize) -> Vec<u8> {
     let texts: Vec<String> = devices(0..count).iter().map(ToString::to_string).collect();
+    let features = texts.join(",");
     format!(
-        "{{\"type\":\"FeatureCollection\",\"numberMatched\":{count},\"links\":[],\"features\":[{}]}}",
-        texts.join(",")
+        "{{\"type\":\"FeatureCollection\",\"numberMatched\":{count},\"links\":[],\
+         \"features\":[{features}]}}"
     )
     .into_bytes()
 }
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// Returns an error if the signal handler can't be set.
-    pub fn run_until_signal(&self) -> Result<(), RunError> {
+    pub fn wait_for_signal(&self) -> Result<(), RunError> {
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let address = self.process.address;
         println!("the front listens at http://{address}/");
--- a/testkit/src/fault_injection/faults/core.rs
+++ b/testkit/src/fault_injection/faults/core.rs
@@ -1,4 +1,5 @@
-//! Faults of Part 1, Core: the landing page, the API definition, the conformance page and the collections.
+//! Faults of Part 1, Core: the landing page, the API definition, the conformance page and the
+//! collections.
 
 use super::super::alteration::{Alteration, Scope};
 use super::super::edits::remove_link;
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -1,4 +1,5 @@
-//! Faults of Part 3 and CQL2: queryables, filter parameters, operators and functions; and searches by POST.
+//! Faults of Part 3 and CQL2: queryables, filter parameters, operators and functions; and searches
+//! by POST.
 
 use super::super::alteration::{Alteration, Scope};
 use super::super::InjectedFault;
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -58,7 +58,8 @@
         if offset > 0 {
             query.append_pair("offset", &offset.to_string());
         }
-        json!([{"rel": "next", "href": format!("{}?{}", self.path, query.finish()), "type": GEO_JSON}])
+        let href = format!("{}?{}", self.path, query.finish());
+        json!([{"rel": "next", "href": href, "type": GEO_JSON}])
     }
 }
 
@@ -106,9 +107,10 @@
         let links = items.links(next_offset, selected.len());
         let excess = if fault == Fault::UnstableCount { number % 7 + 1 } else { 0 };
         let matched = selected.len() as u64 + excess;
+        let features = texts.join(",\n");
         Document::geo_json(format!(
-            "{{\"type\":\"FeatureCollection\",\"numberMatched\":{matched},\"links\":{links},\"features\":[{}]}}",
-            texts.join(",\n")
+            "{{\"type\":\"FeatureCollection\",\"numberMatched\":{matched},\"links\":{links},\
+             \"features\":[{features}]}}"
         ))
     }
 }
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -177,7 +177,7 @@
     if arguments.once {
         return Ok(demo.check_once()?);
     }
-    demo.run_until_signal()?;
+    demo.wait_for_signal()?;
     Ok(true)
 }
 
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -82,11 +82,12 @@
 impl AnswerRow<'_> {
     fn write(&self, text: &mut String) {
         let AnswerRow { version, query, status, features, work, memory_kib, elapsed } = self;
+        let requests = work.requests;
         let read_kib = work.body_bytes / KIB;
         let _ = writeln!(
             text,
-            "| {version} | {query} | {status} | {features} | {} | {read_kib} | {memory_kib} | {elapsed} |",
-            work.requests,
+            "| {version} | {query} | {status} | {features} | {requests} | {read_kib} \
+             | {memory_kib} | {elapsed} |"
         );
     }
 }
@@ -234,8 +235,8 @@
     });
     let _ = writeln!(
         text,
-        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried directly \
-         ({:.0} answers a second):\n",
+        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried \
+         directly ({:.0} answers a second):\n",
         direct.served_per_second()
     );
     write_header(text, &SHARE_COLUMNS);
