--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -198,22 +198,32 @@
     if !listed_systems(suite)?.contains(&zone.uri) {
         return Err(Stop::not_applicable("UTM is not listed"));
     }
+    let projected = get_projected(suite, &zone)?;
+    let mut checked = projected.iter().take(CHECKED_FEATURES);
+    checked.try_for_each(|feature| require_near_estimate(suite, &zone, feature))
+}
+
+/// Requests features in the reference system of a zone, sorted by id if the service can sort.
+fn get_projected(suite: &mut Suite, zone: &UtmZone) -> Result<Vec<Json>, Stop> {
     let items = suite.items_path();
-    let sorted = suite.get_all(&format!("{items}?limit={CHECKED_FEATURES}&crs={}&sortby=id", zone.uri));
-    let projected = match sorted {
-        Ok(projected) => projected,
-        Err(_) => suite.get_all(&format!("{items}?limit=500&crs={}", zone.uri))?,
+    let uri = &zone.uri;
+    suite
+        .get_all(&format!("{items}?limit={CHECKED_FEATURES}&crs={uri}&sortby=id"))
+        .or_else(|_| suite.get_all(&format!("{items}?limit=500&crs={uri}")))
+}
+
+/// Requires a projected feature to lie near the estimate from its longitude and latitude.
+fn require_near_estimate(suite: &Suite, zone: &UtmZone, feature: &Json) -> Verdict {
+    let id = feature_id(feature);
+    let original = find_point(&suite.features, &id);
+    let (Some(found), Some(original)) = (point_of(feature), original) else {
+        return Err(Stop::Failed(format!("feature {id} is not found again")));
     };
-    projected.iter().take(CHECKED_FEATURES).try_for_each(|feature| {
-        let id = feature_id(feature);
-        let (Some(found), Some(original)) = (point_of(feature), find_point(&suite.features, &id)) else {
-            return Err(Stop::Failed(format!("feature {id} is not found again")));
-        };
-        let estimate = zone.estimate(original);
-        let is_close = (found.x - estimate.x).abs() < UTM_EASTING_TOLERANCE
-            && (found.y - estimate.y).abs() < UTM_NORTHING_TOLERANCE;
-        require(is_close, || {
-            format!("feature {id} lies at {} {}, not near {} {}", found.x, found.y, estimate.x, estimate.y)
-        })
+    let estimate = zone.estimate(original);
+    let is_close = (found.x - estimate.x).abs() < UTM_EASTING_TOLERANCE
+        && (found.y - estimate.y).abs() < UTM_NORTHING_TOLERANCE;
+    require(is_close, || {
+        let Point { x, y } = estimate;
+        format!("feature {id} lies at {} {}, not near {x} {y}", found.x, found.y)
     })
 }
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -17,8 +17,6 @@
 const NETWORK_MARGIN: Duration = Duration::from_millis(250);
 /// Number of network margins beyond its deadline that a client waits for a response.
 const MARGINS_WAITED: u32 = 4;
-/// Maximum number of page requests of a query, including retries.
-const MAX_PAGES: usize = 60;
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
 /// Interval between queries that follow their links to the end, in queries.
@@ -105,7 +103,7 @@
                     answers.violations.push(AnswerViolation::NoRetryAfter);
                 }
                 AnswerKind::Rejected | AnswerKind::Failed | AnswerKind::DeadlineExceeded => {
-                    if query.follows_links && query.class != Class::Once && pages > 0 && pages < MAX_PAGES {
+                    if query.retries_page(pages) {
                         std::thread::sleep(RETRY_BACKOFF);
                         next = Some(target);
                     }
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -5,6 +5,9 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
+/// Maximum number of page requests of a query, including retries.
+const MAX_PAGES: usize = 60;
+
 /// Class of a query, by the guarantees that the scenario checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
@@ -39,6 +42,11 @@
 }
 
 impl Query {
+    /// Returns whether a failed page is requested again after this number of page requests.
+    pub(super) fn retries_page(&self, pages: usize) -> bool {
+        self.follows_links && self.class != Class::Once && pages > 0 && pages < MAX_PAGES
+    }
+
     /// Returns the target of the first page, with the mark as the fraction of the northern
     /// latitude.
     pub(super) fn first_target(&self) -> String {
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -30,25 +30,35 @@
     servers: Vec<FeatureServer>,
 }
 
+/// Shards of the servers of a deployment.
+const SERVER_COLLECTIONS: [&str; 4] = ["devices/north", "devices/north", "devices/south", "devices/south"];
+
+fn start_servers() -> Vec<FeatureServer> {
+    let start_server = |from: usize, capabilities| {
+        let features = devices(from..from + FEATURES_PER_SHARD);
+        FeatureServer::start(features, capabilities).expect("a stand-in")
+    };
+    vec![
+        start_server(0, Capabilities::FiltersAndSorting),
+        start_server(0, Capabilities::SimpleFilters),
+        start_server(FEATURES_PER_SHARD, Capabilities::Core),
+        start_server(FEATURES_PER_SHARD, Capabilities::FiltersAndSorting),
+    ]
+}
+
+fn inventory_rows(servers: &[FeatureServer]) -> String {
+    let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
+        let name = format!("s{index}");
+        let state = InventoryState::Unspecified;
+        server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
+    };
+    servers.iter().zip(SERVER_COLLECTIONS).enumerate().map(row).collect()
+}
+
 impl Deployment {
     fn start() -> Deployment {
-        let start_server = |from: usize, capabilities| {
-            let features = devices(from..from + FEATURES_PER_SHARD);
-            FeatureServer::start(features, capabilities).expect("a stand-in")
-        };
-        let servers = vec![
-            start_server(0, Capabilities::FiltersAndSorting),
-            start_server(0, Capabilities::SimpleFilters),
-            start_server(FEATURES_PER_SHARD, Capabilities::Core),
-            start_server(FEATURES_PER_SHARD, Capabilities::FiltersAndSorting),
-        ];
-        let collections = ["devices/north", "devices/north", "devices/south", "devices/south"];
-        let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
-            let name = format!("s{index}");
-            let state = InventoryState::Unspecified;
-            server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
-        };
-        let rows: String = servers.iter().zip(collections).enumerate().map(row).collect();
+        let servers = start_servers();
+        let rows = inventory_rows(&servers);
         // Capabilities are discovered again every second: they must not change what queries return.
         let settings = "retry_after_ms = 50\nlearned_age_s = 1\npage_size = 100";
         let program = find_program().expect("the program is built with the workspace");
