--- a/testkit/benches/policy.rs
+++ b/testkit/benches/policy.rs
@@ -34,7 +34,7 @@
 /// The batches of one measured run.
 const MEASURED_BATCHES: u64 = 200;
 
-/// One replica of so many is silent.
+/// The number of replicas for each silent one.
 const SILENT_REPLICA_RATIO: u64 = 10;
 /// The time after which other replicas are silent: the policy ejects those that stay so.
 const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
@@ -169,7 +169,7 @@
         simulation
     }
 
-    /// Runs so many batches, each with a new query and the outcomes that are due.
+    /// Runs batches, each with a new query and the outcomes that are due.
     fn run(&mut self, batches: u64) {
         for _ in 0..batches {
             self.now += BATCH_INTERVAL;
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -105,37 +105,42 @@
     }
 }
 
-/// Runs a closed-loop load: each client sends one query after another until `duration` has passed.
-/// `target(client, number)` returns the target of a client's query.
-pub fn run_closed_loop(
-    address: SocketAddr,
-    clients: usize,
-    duration: Duration,
-    target: impl Fn(usize, u64) -> String + Sync,
-) -> LoadResult {
-    let recorder = Recorder::default();
-    let stopped = AtomicBool::new(false);
-    let started = Instant::now();
-    std::thread::scope(|scope| {
-        for client_number in 0..clients {
-            let target = &target;
-            let stopped = &stopped;
-            let recorder = &recorder;
-            scope.spawn(move || {
-                let mut client = Client::new(address);
-                let mut sent = 0;
-                while !stopped.load(Relaxed) {
-                    let sent_at = Instant::now();
-                    let response = client.get(&target(client_number, sent));
-                    sent += 1;
-                    recorder.record(response, sent_at.elapsed(), Duration::MAX);
-                }
-            });
+/// Closed-loop load: each client sends one query after another.
+#[derive(Debug, Clone, Copy)]
+pub struct ClosedLoop {
+    /// Address of the server.
+    pub address: SocketAddr,
+    /// Number of concurrent clients.
+    pub clients: usize,
+    /// Duration of the load.
+    pub duration: Duration,
+}
+
+impl ClosedLoop {
+    /// Runs the load with one target for all queries.
+    #[must_use]
+    pub fn run(&self, target: &str) -> LoadResult {
+        let recorder = Recorder::default();
+        let stopped = AtomicBool::new(false);
+        let started = Instant::now();
+        std::thread::scope(|scope| {
+            for _ in 0..self.clients {
+                scope.spawn(|| self.run_client(target, &stopped, &recorder));
+            }
+            std::thread::sleep(self.duration);
+            stopped.store(true, Relaxed);
+        });
+        recorder.finish(started.elapsed())
+    }
+
+    fn run_client(&self, target: &str, stopped: &AtomicBool, recorder: &Recorder) {
+        let mut client = Client::new(self.address);
+        while !stopped.load(Relaxed) {
+            let sent_at = Instant::now();
+            let response = client.get(target);
+            recorder.record(response, sent_at.elapsed(), Duration::MAX);
         }
-        std::thread::sleep(duration);
-        stopped.store(true, Relaxed);
-    });
-    recorder.finish(started.elapsed())
+    }
 }
 
 /// Open-loop load: queries are due at a constant rate, independent of their responses.
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -61,15 +61,14 @@
 pub(super) fn measure_overload(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let capacity = Capacity { slots: SERVER_SLOTS, base: PAGE_TIME, per_feature: Duration::ZERO };
     bed.servers.iter().for_each(|server| server.set_capacity(Some(capacity)));
-    let total_pages = PAGES_PER_SECOND * bed.servers.len() as f64;
-    write_introduction(text, total_pages);
+    write_introduction(text, total_pages_per_second(bed));
     write_header(text, &OVERLOAD_COLUMNS);
     for factor in LOAD_FACTORS {
         for version in &plan.versions {
             for limits in limits_of(version) {
-                let rate = total_pages * factor / PAGES_PER_QUERY;
-                let load = run_overload(plan, bed, version, limits, rate)?;
-                write_overload_row(text, version, limits, factor, &load);
+                let case = OverloadCase { version, limits, factor };
+                let load = case.run(plan, bed)?;
+                case.write_row(text, &load);
             }
         }
     }
@@ -96,36 +95,49 @@
     }
 }
 
-fn run_overload(
-    plan: &Plan,
-    bed: &TestBed,
-    version: &Version,
-    limits: &Limits,
-    rate: f64,
-) -> Result<LoadResult, RunError> {
-    let rows = bed.inventory();
-    let tables = format!("{SHORT_CLASSES}{}", limits.settings);
-    let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: &tables };
-    let process = EdgeProcess::start(&version.program, &configuration)?;
-    let load =
-        OpenLoop { address: process.address, rate, duration: plan.load_duration, timeout: OVERLOAD_TIMEOUT };
-    Ok(load.run(|number| {
-        let limit = if number % QUERIES_PER_LARGE == 0 { LARGE_LIMIT } else { SMALL_LIMIT };
-        format!("/collections/devices/items?limit={limit}")
-    }))
+/// Load on a version with named limits.
+struct OverloadCase<'a> {
+    version: &'a Version,
+    limits: &'a Limits,
+    /// Load as a multiple of the capacity of the servers.
+    factor: f64,
 }
 
-fn write_overload_row(text: &mut String, version: &Version, limits: &Limits, factor: f64, load: &LoadResult) {
-    let total = load.total();
-    let _ = writeln!(
-        text,
-        "| {} {} | {factor} | {total} | {} | {:.2} | {} | {} | {:.0} |",
-        version.name,
-        limits.name,
-        load.served,
-        load.served as f64 / total.max(1) as f64,
-        load.rejected,
-        load.failed,
-        load.quantile_ms(0.99)
-    );
+impl OverloadCase<'_> {
+    fn run(&self, plan: &Plan, bed: &TestBed) -> Result<LoadResult, RunError> {
+        let rows = bed.inventory();
+        let tables = format!("{SHORT_CLASSES}{}", self.limits.settings);
+        let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: &tables };
+        let process = EdgeProcess::start(&self.version.program, &configuration)?;
+        let open_loop = OpenLoop {
+            address: process.address,
+            rate: total_pages_per_second(bed) * self.factor / PAGES_PER_QUERY,
+            duration: plan.load_duration,
+            timeout: OVERLOAD_TIMEOUT,
+        };
+        Ok(open_loop.run(|number| {
+            let limit = if number % QUERIES_PER_LARGE == 0 { LARGE_LIMIT } else { SMALL_LIMIT };
+            format!("/collections/devices/items?limit={limit}")
+        }))
+    }
+
+    fn write_row(&self, text: &mut String, load: &LoadResult) {
+        let total = load.total();
+        let _ = writeln!(
+            text,
+            "| {} {} | {} | {total} | {} | {:.2} | {} | {} | {:.0} |",
+            self.version.name,
+            self.limits.name,
+            self.factor,
+            load.served,
+            load.served as f64 / total.max(1) as f64,
+            load.rejected,
+            load.failed,
+            load.quantile_ms(0.99)
+        );
+    }
+}
+
+fn total_pages_per_second(bed: &TestBed) -> f64 {
+    PAGES_PER_SECOND * bed.servers.len() as f64
 }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -4,13 +4,15 @@
 use super::{write_header, Plan, Version};
 use crate::client::Client;
 use crate::error::RunError;
-use crate::load::{run_closed_loop, LoadResult};
+use crate::load::{ClosedLoop, LoadResult};
 use crate::process::EdgeProcess;
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
 
 const KIB: u64 = 1024;
 const PAGE_TARGET: &str = "/collections/devices/items?limit=100";
+/// Target of the same page at a server.
+const SERVER_PAGE_TARGET: &str = "/collections/north/items?limit=100";
 const LARGE_PAGE_TARGET: &str = "/collections/devices/items?limit=5000";
 /// Target of the query that opens the connections before the measurement.
 const WARM_UP_TARGET: &str = "/collections/devices/items/d00001";
@@ -188,8 +190,8 @@
     for clients in CLIENTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
-            let load =
-                run_closed_loop(process.address, clients, plan.load_duration, |_, _| PAGE_TARGET.to_owned());
+            let closed_loop = ClosedLoop { address: process.address, clients, duration: plan.load_duration };
+            let load = closed_loop.run(PAGE_TARGET);
             let _ = writeln!(
                 text,
                 "| {name} | {clients} | {:.0} | {} | {} | {} |",
@@ -211,9 +213,9 @@
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let before_kib = memory_kib(&process, RESIDENT_MEMORY);
-        let load = run_closed_loop(process.address, MEMORY_CLIENTS, plan.load_duration, |_, _| {
-            LARGE_PAGE_TARGET.to_owned()
-        });
+        let closed_loop =
+            ClosedLoop { address: process.address, clients: MEMORY_CLIENTS, duration: plan.load_duration };
+        let load = closed_loop.run(LARGE_PAGE_TARGET);
         let _ = writeln!(
             text,
             "| {name} | {} | {} | {} | {} | {} |",
@@ -230,9 +232,9 @@
 
 /// Measures throughput as a share of that of one server without the program.
 pub(super) fn measure_share(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let direct = run_closed_loop(bed.servers[0].address, SHARE_CLIENTS, plan.load_duration, |_, _| {
-        "/collections/north/items?limit=100".to_owned()
-    });
+    let direct_loop =
+        ClosedLoop { address: bed.servers[0].address, clients: SHARE_CLIENTS, duration: plan.load_duration };
+    let direct = direct_loop.run(SERVER_PAGE_TARGET);
     let _ = writeln!(
         text,
         "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried \
@@ -242,9 +244,7 @@
     write_header(text, &SHARE_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
-        let load = run_closed_loop(process.address, SHARE_CLIENTS, plan.load_duration, |_, _| {
-            PAGE_TARGET.to_owned()
-        });
+        let load = ClosedLoop { address: process.address, ..direct_loop }.run(PAGE_TARGET);
         let share = load.served_per_second() / direct.served_per_second();
         let _ = writeln!(text, "| {name} | {:.0} | {share:.2} |", load.served_per_second());
     }
