--- a/testkit/benches/policy.rs
+++ b/testkit/benches/policy.rs
@@ -2,7 +2,7 @@
 //! `cargo bench -p quinceflow-testkit --bench policy`
 //!
 //! Uses the crate's public interface only. A simulated coordinator keeps the attempts in flight and
-//! reports their outcomes; its own share of the time is a map lookup per attempt.
+//! reports their outcomes; the time of its own maps is part of the measurement.
 
 use divan::counter::ItemsCount;
 use divan::Bencher;
@@ -16,27 +16,27 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// The number of shards, of cells, and of a query's parts.
+/// Number of shards, of cells, and of a query's parts.
 const SHARDS: u32 = 12;
 const CELLS_PER_SHARD: u32 = 2;
 const REPLICAS: u32 = 200;
 const ZONES: u32 = 3;
 
-/// The time between two batches; each submits one query.
+/// Time between two batches, each of which submits one query.
 const BATCH_INTERVAL: Nanos = MILLISECOND;
-/// The queries in progress once as many are answered as are submitted.
+/// Number of queries in progress in the steady state.
 const OPEN_QUERIES: u64 = 50;
-/// The time until a replica answers an attempt.
+/// Time until a replica answers an attempt.
 const RESPONSE_TIME: Nanos = OPEN_QUERIES * BATCH_INTERVAL;
 
-/// The batches before the measurement starts: enough to reach the steady state.
+/// Number of batches before the measurement, by which the steady state is reached.
 const WARM_UP_BATCHES: u64 = 4 * OPEN_QUERIES;
-/// The batches of one measured run.
+/// Number of batches of one measured run.
 const MEASURED_BATCHES: u64 = 200;
 
-/// The number of replicas for each silent one.
+/// Number of replicas for each silent one.
 const SILENT_REPLICA_RATIO: u64 = 10;
-/// The time after which other replicas are silent: the policy ejects those that stay so.
+/// Time after which other replicas are silent; the policy ejects those that stay silent.
 const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
 
 fn main() {
@@ -101,7 +101,7 @@
     }
 }
 
-/// The replicas that do not answer.
+/// Replicas that do not answer.
 #[derive(Clone, Copy, PartialEq)]
 enum SilentReplicas {
     None,
@@ -116,35 +116,37 @@
     }
 }
 
-/// The key of an attempt.
+/// Key of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptId {
     part: PartId,
     attempt: AttemptNo,
 }
 
-/// The end of an attempt, to be reported to the policy.
+/// End of an attempt, to be reported to the policy.
 #[derive(Clone, Copy)]
 struct AttemptEnd {
     id: AttemptId,
     outcome: Outcome,
 }
 
-/// A coordinator with a policy, and replicas that answer after [`RESPONSE_TIME`] or not at all.
+/// Coordinator with a policy, and replicas that answer after [`RESPONSE_TIME`] or not at all.
 struct Simulation {
     policy: DecisionPolicy,
     now: Nanos,
     silent: SilentReplicas,
-    /// The id of the next query or part.
-    next_id: u64,
-    next_group: u32,
-    /// The number of attempts sent so far, by part.
+    /// Id of the last query or part.
+    last_id: u64,
+    last_group: u32,
+    /// Number of attempts sent so far, by part.
     attempts_sent: BTreeMap<PartId, u16>,
-    /// When each attempt in flight was sent.
+    /// Time at which each attempt in flight was sent.
     sent_at: BTreeMap<AttemptId, Nanos>,
-    /// The ends of attempts by the time at which they are reported.
+    /// Ends of attempts by the time at which they are reported.
     ends: BTreeMap<Nanos, Vec<AttemptEnd>>,
+    /// Number of attempts after the first one of their part.
     retries: u64,
+    /// Number of answered queries.
     answers: u64,
 }
 
@@ -155,8 +157,8 @@
             policy: DecisionPolicy::new(settings(), 42, 0),
             now: 0,
             silent,
-            next_id: 0,
-            next_group: 0,
+            last_id: 0,
+            last_group: 0,
             attempts_sent: BTreeMap::new(),
             sent_at: BTreeMap::new(),
             ends: BTreeMap::new(),
@@ -180,14 +182,14 @@
     }
 
     fn next_id(&mut self) -> u64 {
-        self.next_id += 1;
-        self.next_id
+        self.last_id += 1;
+        self.last_id
     }
 
     /// Appends a query with one part on each shard.
     fn submit(&mut self, events: &mut Vec<Event>) {
-        self.next_group += 1;
-        let group = GroupId(self.next_group);
+        self.last_group += 1;
+        let group = GroupId(self.last_group);
         events.push(Event::Query {
             query: QueryId(self.next_id()),
             group,
