--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -32,6 +32,7 @@
 }
 
 impl Connection {
+    /// Connects to a server.
     pub(super) fn open(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, timeout)?;
         stream.set_nodelay(true)?;
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -38,6 +38,7 @@
 }
 
 impl Check {
+    /// Creates a check of a requirement that applies if `class` is claimed.
     pub(super) const fn new(id: &'static str, class: &'static str, run: fn(&mut Suite) -> Verdict) -> Check {
         Check { id, class, run }
     }
@@ -56,6 +57,7 @@
 }
 
 impl Stop {
+    /// Creates the reason of a check that does not apply.
     pub(super) fn not_applicable(reason: impl Into<String>) -> Stop {
         Stop::NotApplicable(reason.into())
     }
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -13,6 +13,7 @@
 /// Properties that a collection must have in common with its entry in the list of collections.
 const COLLECTION_PROPERTIES: [&str; 6] = ["id", "title", "description", "extent", "itemType", "crs"];
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/core/root-op", CORE, |suite| suite.get_json("/").map(drop)),
     Check::new("/conf/core/root-success", CORE, |suite| {
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -41,6 +41,7 @@
 /// Tolerance of the estimated UTM northing, in metres.
 const UTM_NORTHING_TOLERANCE: f64 = 30_000.0;
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/crs/crs-uri", CRS, |suite| {
         let systems = listed_systems(suite)?;
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -28,6 +28,7 @@
     "/collections/{collectionId}/items/{featureId}",
 ];
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/core/http", CORE, |suite| {
         let delete = suite.send(&Request::new("DELETE", "/collections", &[]))?;
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -30,6 +30,7 @@
 /// Limit of the search.
 const SEARCH_LIMIT: usize = 500;
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/req/advanced-comparison-operators/like-predicate", COMPARISON, |suite| {
         let Sample { name, value } = suite.text()?;
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -38,6 +38,7 @@
     Comparison { operator: ">=", holds: |left, right| left >= right },
 ];
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/req/queryables/queryables-link", QUERYABLES, |suite| {
         let collection = suite.get_collection()?;
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -12,6 +12,7 @@
 const INVALID_PARAMETERS: [&str; 5] =
     ["limit=0", "limit=many", "bbox=1,2,3", "bbox=a,b,c,d", "datetime=soon"];
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/core/fc-op", CORE, |suite| suite.get_json(&suite.items_path()).map(drop)),
     Check::new("/conf/core/fc-response", CORE, |suite| {
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -12,6 +12,7 @@
 /// Class of the checks that always apply.
 const ANY: &str = "";
 
+/// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/schemas/schema", SCHEMAS, |suite| {
         let path = suite.collection_path("schema");
--- a/testkit/src/fault_injection/faults/core.rs
+++ b/testkit/src/fault_injection/faults/core.rs
@@ -6,6 +6,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/core/root-success",
--- a/testkit/src/fault_injection/faults/crs.rs
+++ b/testkit/src/fault_injection/faults/crs.rs
@@ -6,6 +6,7 @@
 use crate::client::Header;
 use serde_json::json;
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/crs/fc-md-crs-list",
--- a/testkit/src/fault_injection/faults/encodings.rs
+++ b/testkit/src/fault_injection/faults/encodings.rs
@@ -5,6 +5,7 @@
 use crate::client::Header;
 use serde_json::Value as Json;
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/core/http",
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -5,6 +5,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/req/queryables/get-queryables-response",
--- a/testkit/src/fault_injection/faults/items.rs
+++ b/testkit/src/fault_injection/faults/items.rs
@@ -5,6 +5,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/core/fc-response",
--- a/testkit/src/fault_injection/faults/schemas.rs
+++ b/testkit/src/fault_injection/faults/schemas.rs
@@ -3,6 +3,7 @@
 use super::super::alteration::{Alteration, Scope};
 use super::super::InjectedFault;
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/schemas/properties",
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -53,6 +53,7 @@
 }
 
 impl<'a> ScenarioClient<'a> {
+    /// Creates a client that announces [`TIMEOUT_SECONDS`] and waits a few margins longer.
     pub(super) fn new(
         address: SocketAddr,
         seed: u64,
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -14,6 +14,7 @@
 pub(super) const FEATURES_PER_SHARD: usize = 900;
 /// Number of device numbers reserved for each shard.
 const NUMBERS_PER_SHARD: usize = 10_000;
+/// Names of the shards.
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
 const CAPABILITIES: [Capabilities; 3] =
     [Capabilities::FiltersAndSorting, Capabilities::SimpleFilters, Capabilities::Core];
@@ -51,6 +52,7 @@
 }
 
 impl Fleet {
+    /// Starts all servers, without a fault.
     pub(super) fn start() -> io::Result<Fleet> {
         let machines: [Machine; MACHINES] = Default::default();
         let mut servers = Vec::new();
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -20,6 +20,7 @@
 }
 
 impl Class {
+    /// All classes.
     pub(super) const ALL: [Class; 3] = [Class::Map, Class::Part, Class::Once];
 
     /// Returns the name of the class in the settings.
@@ -75,11 +76,13 @@
 }
 
 impl QueryLog {
+    /// Records a query before its first page is requested.
     pub(super) fn record_query(&self, query: &Query) {
         let sent = SentQuery { class: query.class, pages_requested_at: Vec::new() };
         lock(&self.sent).insert(query.mark, sent);
     }
 
+    /// Records the time at which a page of a recorded query is requested.
     pub(super) fn record_page(&self, mark: u64, requested_at: Instant) {
         if let Some(sent) = lock(&self.sent).get_mut(&mark) {
             sent.pages_requested_at.push(requested_at);
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -171,11 +171,13 @@
 }
 
 impl Report {
+    /// Counts an answer and its latency.
     pub(super) fn record_answer(&mut self, class: &'static str, kind: AnswerKind, latency: Duration) {
         *self.answers.entry(AnswerGroup { class, kind }).or_default() += 1;
         self.slowest = self.slowest.max(latency);
     }
 
+    /// Records the counters of the program, and a violation if one tells of a broken invariant.
     pub(super) fn record_counters(&mut self, counters: String) {
         if !counters.contains(" broken_invariants=0") {
             self.violations.push(Violation::Invariant);
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -24,6 +24,7 @@
 }
 
 impl WorkerSlots {
+    /// Sets the capacity, or removes it.
     pub(super) fn set_capacity(&self, capacity: Option<Capacity>) {
         *lock(&self.capacity) = capacity;
     }
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -17,6 +17,7 @@
 }
 
 impl Dataset {
+    /// Serializes features and keeps both forms.
     pub(super) fn new(features: Vec<Json>) -> Dataset {
         let texts = features.iter().map(Json::to_string).collect();
         Dataset { features, texts }
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -25,6 +25,7 @@
 }
 
 impl<'a> ItemsRequest<'a> {
+    /// Parses the query of a request; of parameters with the same name, the last one counts.
     pub(super) fn new(path: &'a str, query: &str) -> Self {
         let parameters = url::form_urlencoded::parse(query.as_bytes()).into_owned().collect();
         ItemsRequest { path, parameters }
