--- a/testkit/src/fault_injection/faults/core.rs
+++ b/testkit/src/fault_injection/faults/core.rs
@@ -1,10 +1,12 @@
-//! Faults of Part 1, Core: the landing page, the API definition, the conformance page and the collections.
+//! Faults of Part 1, Core: the landing page, the API definition, the conformance page and the
+//! collections.
 
 use super::super::alteration::{Alteration, Scope};
 use super::super::edits::remove_link;
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/conf/core/root-success",
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -1,9 +1,11 @@
-//! Faults of Part 3 and CQL2: queryables, filter parameters, operators and functions; and searches by POST.
+//! Faults of Part 3 and CQL2: queryables, filter parameters, operators and functions; and searches
+//! by POST.
 
 use super::super::alteration::{Alteration, Scope};
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
+/// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         found_by: "/req/queryables/get-queryables-response",
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -5,6 +5,9 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
+/// Maximum number of page requests of a query, including retries.
+const MAX_PAGES: usize = 60;
+
 /// Class of a query, by the guarantees that the scenario checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
@@ -17,6 +20,7 @@
 }
 
 impl Class {
+    /// All classes.
     pub(super) const ALL: [Class; 3] = [Class::Map, Class::Part, Class::Once];
 
     /// Returns the name of the class in the settings.
@@ -39,6 +43,11 @@
 }
 
 impl Query {
+    /// Returns whether a failed page is requested again after this number of page requests.
+    pub(super) fn retries_page(&self, pages: usize) -> bool {
+        self.follows_links && self.class != Class::Once && pages > 0 && pages < MAX_PAGES
+    }
+
     /// Returns the target of the first page, with the mark as the fraction of the northern
     /// latitude.
     pub(super) fn first_target(&self) -> String {
@@ -67,11 +76,13 @@
 }
 
 impl QueryLog {
+    /// Records a query before its first page is requested.
     pub(super) fn record_query(&self, query: &Query) {
         let sent = SentQuery { class: query.class, pages_requested_at: Vec::new() };
         lock(&self.sent).insert(query.mark, sent);
     }
 
+    /// Records the time at which a page of a recorded query is requested.
     pub(super) fn record_page(&self, mark: u64, requested_at: Instant) {
         if let Some(sent) = lock(&self.sent).get_mut(&mark) {
             sent.pages_requested_at.push(requested_at);
