--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -29,11 +29,10 @@
         .write_all(QueryRequest::new("kept", "look", &[0]).close_connection().to_http().as_bytes())
         .expect("written");
     let queued: Vec<_> = (0..5)
-        .map(|n| {
-            send_request(
-                &edge,
-                &QueryRequest::new(&format!("q{n}"), "once", &[0, 1]).close_connection().to_http(),
-            )
+        .map(|number| {
+            let id = format!("q{number}");
+            let request = QueryRequest::new(&id, "once", &[0, 1]).close_connection();
+            send_request(&edge, &request.to_http())
         })
         .collect();
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
--- a/tests/ogc.rs
+++ b/tests/ogc.rs
@@ -3,7 +3,9 @@
 
 mod standin;
 
-use standin::feature_server::{healthy_reply, inventory_row, query_parameter, FeatureServer, Reply};
+use standin::feature_server::{
+    healthy_reply, inventory_row, inventory_row_in_state, query_parameter, FeatureServer, Reply,
+};
 use standin::management::management_call;
 use standin::process::Process;
 use std::sync::mpsc::channel;
@@ -19,7 +21,7 @@
 fn pages_of_all_shards_are_merged_and_a_limited_response_continues() {
     let north = FeatureServer::healthy(0..7, 3);
     let south = FeatureServer::healthy(100..105, 2);
-    let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
+    let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let edge = Process::start_edge("pages", "", &rows);
     let complete = edge.get(ITEMS);
     let all: Vec<String> = expected(0..7).into_iter().chain(expected(100..105)).collect();
@@ -45,7 +47,7 @@
 #[test]
 fn core_resources_and_their_errors_are_served() {
     let server = FeatureServer::healthy(0..3, 10);
-    let edge = Process::start_edge("core", "", &inventory_row("a", &server, "devices", ""));
+    let edge = Process::start_edge("core", "", &inventory_row("a", &server, "devices"));
     let landing = edge.get("/");
     for rel in ["self", "service-desc", "conformance", "data"] {
         let target = landing.link(rel).unwrap_or_else(|| panic!("no {rel}"));
@@ -93,8 +95,7 @@
         [("errors", FeatureServer::start(|_| Reply::Status(500))), ("cut", FeatureServer::start(cut))]
     {
         let healthy = FeatureServer::healthy(0..6, 2);
-        let rows =
-            inventory_row("bad", &bad, "devices", "") + &inventory_row("good", &healthy, "devices", "");
+        let rows = inventory_row("bad", &bad, "devices") + &inventory_row("good", &healthy, "devices");
         let edge = Process::start_edge(test, "", &rows);
         for _ in 0..4 {
             let response = edge.get(ITEMS);
@@ -111,7 +112,7 @@
         Reply::Json(body) => Reply::CloseDelimited(body),
         other => other,
     });
-    let edge = Process::start_edge("close", "", &inventory_row("a", &server, "devices", ""));
+    let edge = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
     let response = edge.get(ITEMS);
     assert_eq!((response.status, response.ids()), (200, expected(0..6)));
     assert_eq!(server.count_requests(|_| true), 3);
@@ -125,7 +126,7 @@
     };
     let a = FeatureServer::start(cut);
     let b = FeatureServer::start(cut);
-    let rows = inventory_row("a", &a, "devices", "") + &inventory_row("b", &b, "devices", "");
+    let rows = inventory_row("a", &a, "devices") + &inventory_row("b", &b, "devices");
     let edge = Process::start_edge("once", "", &rows);
     assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: once\r\n").status, 502);
     assert_eq!(a.count_requests(|_| true) + b.count_requests(|_| true), 1);
@@ -136,7 +137,7 @@
 fn a_hanging_server_causes_a_timeout_or_a_partial_response() {
     let healthy = FeatureServer::healthy(0..3, 10);
     let hung = FeatureServer::start(|_| Reply::Hang);
-    let rows = inventory_row("a", &healthy, "devices/n", "") + &inventory_row("b", &hung, "devices/s", "");
+    let rows = inventory_row("a", &healthy, "devices/n") + &inventory_row("b", &hung, "devices/s");
     let edge = Process::start_edge("hang", "", &rows);
     let timed_out = edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
     assert_eq!((timed_out.status, timed_out.json()["status"].as_u64()), (504, Some(504)));
@@ -166,10 +167,10 @@
     });
     let large =
         FeatureServer::start(|_| Reply::Json(format!(r#"{{"features":[],"x":"{}"}}"#, "x".repeat(100_000))));
-    let rows = inventory_row("a", &away, "away", "")
-        + &inventory_row("b", &round, "round", "")
-        + &inventory_row("c", &endless, "endless", "")
-        + &inventory_row("d", &large, "large", "");
+    let rows = inventory_row("a", &away, "away")
+        + &inventory_row("b", &round, "round")
+        + &inventory_row("c", &endless, "endless")
+        + &inventory_row("d", &large, "large");
     let edge = Process::start_edge("links", "attempts = 1\nmost_pages = 7\nmost_bytes = 50000", &rows);
     for name in ["away", "round", "large"] {
         assert!(edge.get(&format!("/collections/{name}/items")).status >= 500, "{name}");
@@ -195,8 +196,8 @@
     });
     let healthy = FeatureServer::healthy(0..6, 2);
     let hung = FeatureServer::start(|_| Reply::Hang);
-    let clock = inventory_row("h", &hung, "hung", "");
-    let edge = Process::start_edge("drain", "", &(inventory_row("a", &draining, "devices", "") + &clock));
+    let clock = inventory_row("h", &hung, "hung");
+    let edge = Process::start_edge("drain", "", &(inventory_row("a", &draining, "devices") + &clock));
     std::thread::scope(|scope| {
         let client = scope.spawn(|| edge.get(ITEMS));
         while draining.count_requests(|_| true) == 0 {
@@ -206,8 +207,8 @@
         edge.signal("HUP");
         assert!(edge.wait_for_log("stays as it was").contains("i.csv:2: address: "));
         edge.write_inventory(
-            &(inventory_row("a", &draining, "devices", "draining")
-                + &inventory_row("b", &healthy, "devices", "")
+            &(inventory_row_in_state("a", &draining, "devices", "draining")
+                + &inventory_row("b", &healthy, "devices")
                 + &clock),
         );
         edge.signal("HUP");
@@ -229,7 +230,7 @@
     let edge = Process::start_edge(
         "burst",
         "most_held = 4\nretry_after_ms = 1500",
-        &inventory_row("a", &hung, "devices", ""),
+        &inventory_row("a", &hung, "devices"),
     );
     let statuses = std::thread::scope(|scope| {
         let send = || edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
@@ -249,7 +250,7 @@
         gate.lock().expect("gate").recv().expect("opened");
         healthy_reply(target, 0..2, 2)
     });
-    let mut edge = Process::start_edge("end", "", &inventory_row("a", &server, "devices", ""));
+    let mut edge = Process::start_edge("end", "", &inventory_row("a", &server, "devices"));
     std::thread::scope(|scope| {
         let client = scope.spawn(|| edge.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
         while server.count_requests(|_| true) == 0 {
@@ -268,7 +269,7 @@
 fn feature_queries_are_counted_by_class() {
     let server = FeatureServer::healthy(0..3, 2);
     let edge =
-        Process::start_edge("figures", "mgmt = \"127.0.0.1:0\"", &inventory_row("a", &server, "devices", ""));
+        Process::start_edge("figures", "mgmt = \"127.0.0.1:0\"", &inventory_row("a", &server, "devices"));
     let dump = |call: &str| management_call(edge.management_address(), call);
     while dump("HEALTH\n") != "YES\n" {}
     assert_eq!(edge.get(ITEMS).status, 200);
--- a/tests/ogc_run.rs
+++ b/tests/ogc_run.rs
@@ -5,7 +5,7 @@
 mod standin;
 
 use standin::client::Response;
-use standin::feature_server::{healthy_reply, inventory_row, query_parameter, FeatureServer, Reply};
+use standin::feature_server::{healthy_reply, inventory_row_in_state, query_parameter, FeatureServer, Reply};
 use standin::process::Process;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -348,7 +348,7 @@
         let [first, second] = shards_of(n).map(|shard| SHARDS[shard]);
         let shards = format!("devices/{first};devices/{second}");
         let state = if draining == Some(n) { "draining" } else { "in_service" };
-        inventory_row(&format!("s{n}"), server, &shards, state)
+        inventory_row_in_state(&format!("s{n}"), server, &shards, state)
     };
     servers.iter().enumerate().map(row).collect()
 }
--- a/tests/ordinary_path.rs
+++ b/tests/ordinary_path.rs
@@ -1,5 +1,5 @@
-//! The policy on the ordinary path: when queries are answered and admitted, quality, the controller,
-//! and parts that are omitted.
+//! The policy on the ordinary path: when queries are answered and admitted, quality, the
+//! controller, and parts that are omitted.
 
 mod common;
 use common::*;
@@ -223,8 +223,8 @@
 
 #[test]
 fn a_class_is_not_rejected_for_a_guess_at_its_work() {
-    // With a long objective the guess at the work of a query exceeds its client's short time-out. It
-    // must not be rejected for that: only answers correct the guess.
+    // With a long objective the guess at the work of a query exceeds its client's short time-out.
+    // It must not be rejected for that: only answers correct the guess.
     let mut harness = Harness::new(settings(Class {
         latency_objective: 20 * S,
         deadline: 30 * S,
@@ -264,8 +264,8 @@
 
 #[test]
 fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
-    // Parts of wide queries at slow nodes would be late, and would take the room of queries that need
-    // their parts there.
+    // Parts of wide queries at slow nodes would be late, and would take the room of queries that
+    // need their parts there.
     let mut settings = settings(Class { min_share: 0.6, ..class(Effect::Idempotent) });
     settings.cells = 10;
     settings.shards = 10;
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -81,7 +81,7 @@
 fn the_number_of_requests_follows_the_features_returned() {
     let north = server(0..20_000);
     let south = server(20_000..40_000);
-    let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
+    let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let edge = Process::start_edge("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
     let two = edge.get(&format!("{ITEMS}?limit=2"));
@@ -104,18 +104,18 @@
     let a = replica(&down[0], 0..2_000, |next| next);
     let b = replica(&down[1], 0..2_000, |next| 1_999 - next);
     let other = server(5_000..6_000);
-    let rows = inventory_row("a", &a, "devices/n", "")
-        + &inventory_row("b", &b, "devices/n", "")
-        + &inventory_row("c", &other, "devices/s", "");
+    let rows = inventory_row("a", &a, "devices/n")
+        + &inventory_row("b", &b, "devices/n")
+        + &inventory_row("c", &other, "devices/s");
     let edge = Process::start_edge("differ", "retry_after_ms = 50", &rows);
-    let (ids, _) = follow(&edge, &format!("{ITEMS}?limit=100"), |n| {
+    let (ids, _) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
         // Each is down before one response, and both are up again at the next.
-        down[0].store(n == 3, Relaxed);
-        down[1].store(n == 7, Relaxed);
-        if n == 5 {
+        down[0].store(response == 3, Relaxed);
+        down[1].store(response == 7, Relaxed);
+        if response == 5 {
             edge.write_inventory(
                 &(rows.clone()
-                    + &inventory_row("d", &b, "more", "").replace(&b.address.to_string(), "127.0.0.1:9")),
+                    + &inventory_row("d", &b, "more").replace(&b.address.to_string(), "127.0.0.1:9")),
             );
             edge.signal("HUP");
             edge.wait_for_log("loaded anew");
@@ -130,7 +130,7 @@
 fn forged_expired_and_foreign_cursors_are_rejected() {
     let north = server(0..50);
     let south = server(100..150);
-    let rows = inventory_row("a", &north, "devices/n", "") + &inventory_row("b", &south, "devices/s", "");
+    let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let edge = Process::start_edge("cursors", "", &rows);
     let next = edge.get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9")).link("next").expect("a next link");
     assert_eq!(edge.get(&next).status, 200);
@@ -144,7 +144,7 @@
     assert_eq!(edge.get(&next.replace("limit=10", "limit=20")).status, 200, "the limit may change");
     // The server that knows how its pages continue has been removed.
     edge.write_inventory(
-        &(inventory_row("e", &server(0..50), "devices/n", "") + &inventory_row("b", &south, "devices/s", "")),
+        &(inventory_row("e", &server(0..50), "devices/n") + &inventory_row("b", &south, "devices/s")),
     );
     edge.signal("HUP");
     edge.wait_for_log("loaded anew");
@@ -155,12 +155,12 @@
 fn servers_of_the_same_order_continue_the_pages_of_each_other() {
     let down: [Arc<AtomicBool>; 2] = Default::default();
     let [a, b] = [0, 1].map(|n| replica(&down[n], 0..1_000, |next| next));
-    let rows = inventory_row("a", &a, "devices/n", "") + &inventory_row("b", &b, "devices/n", "");
+    let rows = inventory_row("a", &a, "devices/n") + &inventory_row("b", &b, "devices/n");
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
     let edge = Process::start_edge("order", settings, &rows);
-    let (ids, responses) = follow(&edge, &format!("{ITEMS}?limit=100"), |n| {
-        down[0].store((2..5).contains(&n), Relaxed);
-        down[1].store((6..9).contains(&n), Relaxed);
+    let (ids, responses) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
+        down[0].store((2..5).contains(&response), Relaxed);
+        down[1].store((6..9).contains(&response), Relaxed);
     });
     each_once(ids, 1_000);
     assert_eq!(responses, 10, "no response failed");
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -122,7 +122,13 @@
     Reply::Json(format!(r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#))
 }
 
-/// Returns a line of the inventory: the server's name, the collections it serves, and its state.
-pub fn inventory_row(name: &str, server: &FeatureServer, collections: &str, state: &str) -> String {
+/// Returns a line of the inventory for a server in service: the server's name and the collections
+/// that it serves.
+pub fn inventory_row(name: &str, server: &FeatureServer, collections: &str) -> String {
+    inventory_row_in_state(name, server, collections, "")
+}
+
+/// Returns a line of the inventory for a server in a state; an empty state means in service.
+pub fn inventory_row_in_state(name: &str, server: &FeatureServer, collections: &str, state: &str) -> String {
     format!("{name},{},{collections},{state}\n", server.address)
 }
