--- a/tests/log_events.rs
+++ b/tests/log_events.rs
@@ -193,7 +193,7 @@
 #[test]
 fn an_edge_logs_its_start_reloads_counters_and_shutdown() {
     let server = FeatureServer::healthy(0..6, 2);
-    let row = inventory_row("a", &server, "devices", "");
+    let row = inventory_row("a", &server, "devices");
     let edge = LoggingProcess::start_edge("edge", &row);
     let mut listening = edge.wait_for("listening for client connections");
     listening.take_bound_address("address");
@@ -202,7 +202,7 @@
     admin.take_bound_address("address");
     admin.assert("INFO", json!({}));
     let second = FeatureServer::healthy(0..6, 2);
-    write_inventory(&edge.folder, &(row + &inventory_row("b", &second, "devices", "")));
+    write_inventory(&edge.folder, &(row + &inventory_row("b", &second, "devices")));
     edge.signal("HUP");
     edge.wait_for("inventory reloaded").assert("INFO", json!({"servers": 2}));
     write_inventory(&edge.folder, "a,nowhere,devices,\n");
@@ -395,7 +395,7 @@
 fn a_text_line_has_the_level_the_message_and_the_fields() {
     let server = FeatureServer::healthy(0..6, 2);
     let admin = "mgmt = \"127.0.0.1:0\"";
-    let edge = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices", ""));
+    let edge = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
     // A SIGHUP before that line may come before the process handles it.
     edge.management_address();
     edge.signal("HUP");
