--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 /// When the tests begin.
 pub const START: Nanos = 1_000 * S;
 
-/// A class that needs all parts within a second.
+/// Returns a class that needs all parts within a second.
 pub fn class(effect: Effect) -> Class {
     Class {
         name: "lookup".to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// One class, one shard a cell, three cells, each shard held by two of them.
+/// Returns settings of one class and three cells, with one shard a cell, each held by two of them.
 pub fn settings(class: Class) -> Settings {
     Settings {
         coordinators: 2,
@@ -51,17 +51,17 @@
     }
 }
 
-/// The id of replica `n`.
+/// Returns the id of replica `n`.
 pub fn replica(n: u8) -> ReplicaId {
     ReplicaId([10, 0, 0, n, 0, 80])
 }
 
-/// Replica `n`, in the cell of its number.
+/// Returns replica `n`, in the cell of its number.
 pub fn endpoint(n: u8, state: EndpointState, started_at: Nanos) -> Endpoint {
     Endpoint { replica: replica(n), zone: ZoneId(0), cell: CellId(u16::from(n)), state, started_at }
 }
 
-/// A query; its group has the number of its id.
+/// Returns the event of a query, whose group has the number of its id.
 pub fn query_event(id: u64, class: u16, tenant: u32, time_left: Nanos) -> Event {
     Event::Query {
         query: QueryId(id),
@@ -81,12 +81,13 @@
 }
 
 impl Harness {
-    /// A fleet of three ready replicas, one a cell: shard s is held by replicas s and s + 1.
+    /// Returns a harness with three ready replicas, one a cell: shard s is held by replicas s and
+    /// s + 1.
     pub fn new(set: Settings) -> Self {
         Self::with_seed(set, 7)
     }
 
-    /// The same with another seed for the policy's draws.
+    /// Returns a harness as [`Harness::new`] does, with another seed for the policy's draws.
     pub fn with_seed(set: Settings, seed: u64) -> Self {
         let mut harness = Self { policy: DecisionPolicy::new(set, seed, START), now: START, next: 1 };
         let members = (0..3).map(|n| endpoint(n, EndpointState::Ready, 0)).collect();
@@ -124,7 +125,7 @@
         self.submit_as(0, 0, shards)
     }
 
-    /// The same for another class and tenant.
+    /// Submits a query as [`Harness::submit`] does, for another class and tenant.
     pub fn submit_as(
         &mut self,
         class: u16,
@@ -158,7 +159,7 @@
     }
 }
 
-/// The attempts sent: part and replica.
+/// Returns the attempts sent: part and replica.
 pub fn sent_attempts(actions: &[Action]) -> Vec<(PartId, ReplicaId)> {
     let send = |a: &Action| match a {
         Action::Send { part, replica, .. } => Some((*part, *replica)),
@@ -179,7 +180,7 @@
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-/// Two classes: 0 of high priority, 1 of low.
+/// Returns settings of two classes: 0 of high priority, 1 of low.
 pub fn two_priorities() -> Settings {
     let mut settings = settings(Class { priority_weight: 3.0, ..class(Effect::Idempotent) });
     settings.classes.push(class(Effect::Idempotent));
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -45,7 +45,7 @@
     Coordinator::new(settings, MAX_IN_FLIGHT, 7, START, Arc::default())
 }
 
-/// A server whose number is that of its cell and its port.
+/// Returns a server whose number is that of its cell and its port.
 pub fn node(number: u16, state: EndpointState) -> NodeEndpoint {
     NodeEndpoint {
         name: format!("s{number}").into(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// The number of a server, from its id: ids are given in the order of the first list.
+/// Returns the number of a server, from its id: ids are given in the order of the first list.
 pub fn node_number(replica: ReplicaId) -> u8 {
     replica.0[3]
 }
@@ -71,13 +71,13 @@
     Input::EndpointUpdate(EndpointUpdate { kind, version, endpoints: endpoints.into_iter().collect() })
 }
 
-/// The list of all three servers.
+/// Returns the list of all three servers.
 pub fn fleet() -> Input {
     let nodes = (0..3).map(|number| node(number, EndpointState::Ready));
     endpoint_list(EndpointListKind::Cached, None, nodes)
 }
 
-/// A request of the class for the first `parts` shards. Its id is `q` and the token.
+/// Returns a request of the class for the first `parts` shards. The id is `q` and the token.
 pub fn submit(token: u64, class: u16, parts: u32, sent_at: Micros) -> Input {
     submit_with_id(&format!("q{token}"), token, class, parts, sent_at)
 }
@@ -110,7 +110,7 @@
     Input::AttemptEnded { key, end: AttemptEnd::Failed(outcome) }
 }
 
-/// The first attempt that a command dispatches.
+/// Returns the first attempt that a command dispatches.
 pub fn dispatched(command: &Command) -> Option<AttemptKey> {
     match command {
         Command::Dispatch { attempts, .. } => Some(attempts[0].key),
