--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -95,6 +95,11 @@
     assert_eq!((edge.max_filter_text, edge.max_pages, edge.max_bytes), (2001, 201, 4_194_305));
     assert_eq!((edge.max_connections, edge.dial_timeout_ms), (33, 251));
     assert_eq!((edge.idle_timeout_ms, edge.max_retry_after_ms), (4001, 2001));
+}
+
+#[test]
+fn every_table_of_an_earlier_file_is_read() {
+    let edge = parse(EVERY_KEY);
     assert_eq!((edge.limits.mode.as_str(), edge.limits.initial, edge.limits.min), ("fixed", 9, 3));
     assert_eq!((edge.limits.retry_ratio, edge.limits.admission), (0.5, false));
     let slow_start = edge.slow_start.as_ref().expect("a slow start");
@@ -203,6 +208,10 @@
     assert_eq!(swap("0e0f\"", "0e\""), key);
     assert_eq!(swap("page_size = 501", "page_size = 0"), "page_size: page_size must be above 0");
     assert_eq!(swap("attempts = 3", "attempts = 0"), "attempts: attempts must be above 0");
+}
+
+#[test]
+fn classes_are_named_once_and_one_is_needed() {
     let mut edge = parse(EVERY_KEY);
     edge.classes.push(edge.classes[0].clone());
     assert_eq!(edge.validate()[0].error.to_string(), "class \"map\": is there twice");
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -179,20 +179,21 @@
     assert_eq!(merge.resume_position().map(|p| p.shard), Some(1));
 }
 
+/// Returns a page whose features are the texts of eight characters in `text`.
+fn page(text: &str, next: Option<&str>, matched: Option<u64>) -> Option<Arc<FeaturePage>> {
+    let features = (0..text.len() / 8).map(|n| n * 8..n * 8 + 8).collect();
+    Some(Arc::new(FeaturePage {
+        server: "s".into(),
+        body: text.into(),
+        features,
+        returned_count: text.len() / 8,
+        next_target: next.map(str::to_owned),
+        number_matched: matched,
+    }))
+}
+
 #[test]
 fn duplicate_features_link_cycles_and_changing_counts_are_handled() {
-    let page = |text: &str, next: Option<&str>, matched| {
-        let features = (0..text.len() / 8).map(|n| n * 8..n * 8 + 8).collect();
-        let next = next.map(str::to_owned);
-        Some(Arc::new(FeaturePage {
-            server: "s".into(),
-            body: text.into(),
-            features,
-            returned_count: text.len() / 8,
-            next_target: next,
-            number_matched: matched,
-        }))
-    };
     let mut merge =
         ConcatMerge::new(PagingLimits { idempotent: false, ..limits(10) }, ResumePosition::START, 1);
     assert_eq!(
@@ -206,14 +207,21 @@
     // The response continues where the cycle was found: its features are in order.
     assert_eq!((merge.count(), merge.duplicates(), merge.number_matched()), (2, 1, None));
     assert!(merge.resume_position().is_some());
-    // The server returned one feature more than requested, a duplicate: nothing is left for the next response.
+}
+
+#[test]
+fn a_page_larger_than_requested_leaves_nothing_for_the_next_response() {
+    // The last of the features is a duplicate.
     let mut merge = ConcatMerge::new(limits(2), ResumePosition::START, 1);
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page("000000010000000200000001", Some("x"), None))], id),
         ConcatProgress::Complete
     );
     assert_eq!((merge.count(), merge.resume_position().map(|p| p.skip)), (2, Some(0)));
-    // New links each time, but no new features.
+}
+
+#[test]
+fn new_links_without_new_features_end_a_shard() {
     let mut merge = ConcatMerge::new(
         PagingLimits { min_shard_share: 0.5, idempotent: false, ..limits(10) },
         ResumePosition::START,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,7 +22,9 @@
 mod quality;
 mod replicas;
 
-use crate::interface::{Action, EndpointListKind, Event, Nanos, ReplicaId, Settings, TenantId};
+use crate::interface::{
+    Action, Endpoint, EndpointListKind, Event, Nanos, Outcome, QueryId, ReplicaId, Settings, TenantId,
+};
 use crate::queries::{AttemptKey, Part, Query, QueryNo, QueryTable, Stage};
 use admission::Admission;
 use answers::{due_ending, finish, Ending};
@@ -107,52 +109,66 @@
     }
 
     fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        let now = self.now;
         match event {
-            Event::Endpoints { kind, endpoints } => match kind {
-                EndpointListKind::Failed => {
-                    let max_interval = self.settings.max_poll_interval;
-                    self.poll.poll_failed(max_interval, self.now, &mut self.rng);
-                }
-                _ => {
-                    self.poll.list_received(*kind);
-                    self.replicas.apply_list(*kind, endpoints, &self.settings, &mut self.rng, self.now);
-                }
-            },
+            Event::Endpoints { kind, endpoints } => self.apply_list(*kind, endpoints),
             Event::Placement { replica, shards } => {
                 self.replicas.set_placement(*replica, shards, &mut self.rng);
             }
             Event::Query { query, group, class, tenant, expected_work, time_left } => {
-                let received = Query::new(*query, *class, *group, self.now);
+                let received = Query::new(*query, *class, *group, now);
                 let expected_work = expected_work.unwrap_or(0);
                 self.receive(received, *tenant, expected_work, *time_left, actions);
             }
             Event::Part { part, group, shard, weight } => {
-                self.attempts.record_received(self.now);
-                let part = Part::new(*part, *shard, *weight);
-                self.queries.add_part(*group, part);
+                self.attempts.record_received(now);
+                self.queries.add_part(*group, Part::new(*part, *shard, *weight));
             }
             Event::Outcome { part, attempt, outcome, elapsed } => {
                 let key = AttemptKey { part: *part, attempt: *attempt };
-                let was_in_flight = self.replicas.complete(key, *outcome, *elapsed, &self.settings, self.now);
-                if was_in_flight {
-                    self.queries.complete_attempt(*part, *attempt, *outcome, self.now);
-                }
-            }
-            Event::Abandoned(id) => {
-                let query = self.queries.abandon(*id);
-                if let Some(query) = query.filter(|_| self.settings.cancellation) {
-                    actions.extend(query.parts.iter().flat_map(Part::cancellations));
-                }
+                self.complete(key, *outcome, *elapsed);
             }
+            Event::Abandoned(query) => self.abandon(*query, actions),
             Event::Settings { settings, class_mapping } => {
                 self.settings = Settings::clone(settings);
-                self.admission.apply_settings(&self.settings, self.now);
-                self.replicas.apply_settings(&self.settings, class_mapping, &mut self.rng, self.now);
+                self.admission.apply_settings(settings, now);
+                let rng = &mut self.rng;
+                self.replicas.apply_settings(settings, class_mapping, rng, now);
             }
             Event::TimerFired => self.timer_at = 0,
         }
     }
 
+    /// Applies an endpoint list, or records that a poll for it failed.
+    fn apply_list(&mut self, kind: EndpointListKind, endpoints: &[Endpoint]) {
+        let now = self.now;
+        let rng = &mut self.rng;
+        if kind == EndpointListKind::Failed {
+            let max_interval = self.settings.max_poll_interval;
+            self.poll.poll_failed(max_interval, now, rng);
+        } else {
+            self.poll.list_received(kind);
+            self.replicas.apply_list(kind, endpoints, &self.settings, rng, now);
+        }
+    }
+
+    /// Records how an attempt ended, unless it is not in flight.
+    fn complete(&mut self, key: AttemptKey, outcome: Outcome, elapsed: Nanos) {
+        let now = self.now;
+        let settings = &self.settings;
+        if self.replicas.complete(key, outcome, elapsed, settings, now) {
+            self.queries.complete_attempt(key.part, key.attempt, outcome, now);
+        }
+    }
+
+    /// Closes a query whose client left, and cancels its attempts: their answers are of no use.
+    fn abandon(&mut self, query: QueryId, actions: &mut Vec<Action>) {
+        let abandoned = self.queries.abandon(query);
+        if let Some(query) = abandoned.filter(|_| self.settings.cancellation) {
+            actions.extend(query.parts.iter().flat_map(Part::cancellations));
+        }
+    }
+
     /// Adds a query that was received, or fails it if its class is unknown.
     fn receive(
         &mut self,
