--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //! * [`admission`]: who is admitted, and which parts an admitted query does without;
 //! * [`attempts`]: what may be sent; [`replicas`]: where to;
 //! * [`answers`]: what may be answered, and when to give up;
-//! * [`quality`]: sampling and measurement of answer quality, the input of the admission controller;
+//! * [`quality`]: sampling and measurement of answer quality, the admission controller's input;
 //! * [`polling`]: when to poll for the endpoint list; [`fleet`]: statistics over all replicas.
 //!
 //! The design follows "Obtaining and Managing Answer Quality for Online Data-Intensive Services"
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -181,6 +181,12 @@
     for shares in ["0.5", "1.5", "-1", "1e308"] {
         assert_eq!(asked(&format!("{{\"tablet\":0,\"fraction\":{shares}}}"), time, text), 400, "{shares}");
     }
+}
+
+#[test]
+fn malformed_http_requests_get_their_status() {
+    let (edge, _changes) = Deployment::BASIC.start("malformed-http", &[DataNode::hanging()]);
+    edge.wait_until_ready();
     assert_eq!(edge.get("/elsewhere").status, 404);
     assert_eq!(edge.get("/api").status, 405);
     assert_eq!(edge.send_request("POST /api HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n").status, 413);
