--- a/fuzz/fuzz_targets/query.rs
+++ b/fuzz/fuzz_targets/query.rs
@@ -9,11 +9,21 @@
 
 fuzz_target!(|text: &str| {
     let queryables = Queryables::unknown();
-    let limits = LimitRules { default_limit: 10, max_limit: 100 };
-    let rules = ParameterRules { limits, queryables: &queryables };
+    let limits = LimitRules {
+        default_limit: 10,
+        max_limit: 100,
+    };
+    let rules = ParameterRules {
+        limits,
+        queryables: &queryables,
+    };
     if let Ok(params) = parse_items_query(&decode_query(text), &rules) {
         assert!((1..=100).contains(&params.limit));
-        assert!(params.bbox.iter().flatten().all(|number| number.is_finite()));
+        assert!(params
+            .bbox
+            .iter()
+            .flatten()
+            .all(|number| number.is_finite()));
     }
     if let Ok(body) = parse_search_body(text.as_bytes()) {
         let _ = parse_search(&body, |_| Some(Queryables::unknown()), limits);
--- a/src/bin/quinceflow-sim-adapter/error.rs
+++ b/src/bin/quinceflow-sim-adapter/error.rs
@@ -10,10 +10,19 @@
 pub enum AdapterError {
     /// Fields of a frame or record reach beyond its end.
     #[error("{context}: {requested} bytes wanted at {offset}, {available} there")]
-    Truncated { context: &'static str, requested: usize, offset: usize, available: usize },
+    Truncated {
+        context: &'static str,
+        requested: usize,
+        offset: usize,
+        available: usize,
+    },
     /// A number that travels as a float is none.
     #[error("{context}: {value} at {offset} is no number")]
-    NotANumber { context: &'static str, value: f32, offset: usize },
+    NotANumber {
+        context: &'static str,
+        value: f32,
+        offset: usize,
+    },
     /// The input ends within a frame header.
     #[error("frame header: input ends after {received} bytes")]
     HeaderTruncated { received: usize },
@@ -34,7 +43,11 @@
     TrailingBytes { batch: u32, records: u32 },
     /// A record is malformed.
     #[error("batch {batch}, record {record}: {source}")]
-    Record { batch: u32, record: u32, source: Box<AdapterError> },
+    Record {
+        batch: u32,
+        record: u32,
+        source: Box<AdapterError>,
+    },
     /// A record of a code that there is none of.
     #[error("unknown event code {0}")]
     UnknownRecord(u8),
@@ -52,7 +65,10 @@
     SettingsEncoding(#[source] FromUtf8Error),
     /// The settings of an instance are malformed.
     #[error("batch {batch}: boot-info: {source}")]
-    Settings { batch: u32, source: Box<dyn Error + Send + Sync> },
+    Settings {
+        batch: u32,
+        source: Box<dyn Error + Send + Sync>,
+    },
     /// An event that is no instance's.
     #[error("batch {batch}: an event comes before any ON record")]
     NoCurrentInstance { batch: u32 },
--- a/src/bin/quinceflow-sim-adapter/fields.rs
+++ b/src/bin/quinceflow-sim-adapter/fields.rs
@@ -21,14 +21,21 @@
 
 impl<'a> Fields<'a> {
     pub fn new(bytes: &'a [u8], context: &'static str) -> Self {
-        Self { bytes, offset: 0, context }
+        Self {
+            bytes,
+            offset: 0,
+            context,
+        }
     }
 
     little_endian!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32);
 
     /// So many bytes as they are.
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], AdapterError> {
-        let end = self.offset.checked_add(count).filter(|end| *end <= self.bytes.len());
+        let end = self
+            .offset
+            .checked_add(count)
+            .filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
             return Err(AdapterError::Truncated {
                 context: self.context,
@@ -59,7 +66,11 @@
         let value = self.f32()?;
         if !value.is_finite() || value > u32::MAX as f32 {
             let offset = self.offset - size_of::<f32>();
-            return Err(AdapterError::NotANumber { context: self.context, value, offset });
+            return Err(AdapterError::NotANumber {
+                context: self.context,
+                value,
+                offset,
+            });
         }
         Ok((value >= 0.0).then_some(value as u32))
     }
--- a/src/bin/quinceflow-sim-adapter/frame.rs
+++ b/src/bin/quinceflow-sim-adapter/frame.rs
@@ -26,20 +26,36 @@
 impl Batch {
     /// Reads one batch; `None` at the end of the input.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
-        let Some(header) = read_header(input)? else { return Ok(None) };
+        let Some(header) = read_header(input)? else {
+            return Ok(None);
+        };
         let mut header = Fields::new(&header, "frame header");
         let (records, length) = (header.u32()?, header.u32()?);
         if length < FIXED_LENGTH {
-            return Err(AdapterError::FrameTooShort { length, minimum: FIXED_LENGTH });
+            return Err(AdapterError::FrameTooShort {
+                length,
+                minimum: FIXED_LENGTH,
+            });
         }
         let mut rest = Vec::new();
-        input.take(u64::from(length)).read_to_end(&mut rest).map_err(AdapterError::ReadFrame)?;
+        input
+            .take(u64::from(length))
+            .read_to_end(&mut rest)
+            .map_err(AdapterError::ReadFrame)?;
         if rest.len() < length as usize {
-            return Err(AdapterError::FrameTruncated { announced: length, received: rest.len() });
+            return Err(AdapterError::FrameTruncated {
+                announced: length,
+                received: rest.len(),
+            });
         }
         let mut fields = Fields::new(&rest, "frame header");
         let (now, number) = (fields.u64()?, fields.u32()?);
-        Ok(Some(Batch { records, now, number, body: rest.split_off(FIXED_LENGTH as usize) }))
+        Ok(Some(Batch {
+            records,
+            now,
+            number,
+            body: rest.split_off(FIXED_LENGTH as usize),
+        }))
     }
 }
 
--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -42,12 +42,21 @@
         batch: &Batch,
         inboxes: &mut Inboxes,
     ) -> Result<(), AdapterError> {
-        let instance = || current.ok_or(AdapterError::NoCurrentInstance { batch: batch.number });
+        let instance = || {
+            current.ok_or(AdapterError::NoCurrentInstance {
+                batch: batch.number,
+            })
+        };
         match record {
             Record::New { seed, settings } => {
-                let settings = settings::parse_policy_settings(&settings)
-                    .map_err(|error| AdapterError::Settings { batch: batch.number, source: error.into() })?;
-                self.instances.insert(instance()?, DecisionPolicy::new(settings, seed, batch.now));
+                let settings = settings::parse_policy_settings(&settings).map_err(|error| {
+                    AdapterError::Settings {
+                        batch: batch.number,
+                        source: error.into(),
+                    }
+                })?;
+                self.instances
+                    .insert(instance()?, DecisionPolicy::new(settings, seed, batch.now));
                 inboxes.insert(instance()?, Vec::new());
             }
             Record::Destroy => {
@@ -56,7 +65,10 @@
             }
             Record::EndpointList { kind, pool } => {
                 let endpoints = self.endpoints(kind, pool, batch)?;
-                inboxes.entry(instance()?).or_default().push(Event::Endpoints { kind, endpoints });
+                inboxes
+                    .entry(instance()?)
+                    .or_default()
+                    .push(Event::Endpoints { kind, endpoints });
             }
             Record::Event(event) => inboxes.entry(instance()?).or_default().push(event),
             Record::On(_) | Record::Pool { .. } | Record::Other => {
@@ -75,7 +87,13 @@
         if kind == EndpointListKind::Failed {
             return Ok(Vec::new());
         }
-        self.pools.get(&pool).cloned().ok_or(AdapterError::UnknownPool { batch: batch.number, pool })
+        self.pools
+            .get(&pool)
+            .cloned()
+            .ok_or(AdapterError::UnknownPool {
+                batch: batch.number,
+                pool,
+            })
     }
 
     /// Has each instance handle its events.
@@ -84,7 +102,10 @@
         let mut actions = Vec::new();
         for (instance, events) in inboxes {
             let Some(policy) = self.instances.get_mut(&instance) else {
-                return Err(AdapterError::UnknownInstance { batch: batch.number, instance });
+                return Err(AdapterError::UnknownInstance {
+                    batch: batch.number,
+                    instance,
+                });
             };
             actions.clear();
             policy.handle(batch.now, &events, &mut actions);
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -31,7 +31,10 @@
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|source| AdapterError::WriteReply { batch: batch.number, source })?;
+            .map_err(|source| AdapterError::WriteReply {
+                batch: batch.number,
+                source,
+            })?;
     }
     Ok(())
 }
--- a/src/bin/quinceflow-sim-adapter/record.rs
+++ b/src/bin/quinceflow-sim-adapter/record.rs
@@ -4,8 +4,8 @@
 use crate::fields::Fields;
 use crate::frame::Batch;
 use quinceflow::{
-    AttemptNo, CellId, ClassId, Endpoint, EndpointListKind, EndpointState, Event, GroupId, Outcome, PartId,
-    QueryId, ShardId, TenantId, ZoneId,
+    AttemptNo, CellId, ClassId, Endpoint, EndpointListKind, EndpointState, Event, GroupId, Outcome,
+    PartId, QueryId, ShardId, TenantId, ZoneId,
 };
 
 /// The codes of records, by their meaning.
@@ -62,7 +62,10 @@
             records.push(record);
         }
         if !body.is_empty() {
-            return Err(AdapterError::TrailingBytes { batch: batch.number, records: batch.records });
+            return Err(AdapterError::TrailingBytes {
+                batch: batch.number,
+                records: batch.records,
+            });
         }
         Ok(records)
     }
@@ -76,7 +79,9 @@
             code::MEMBERSHIP => read_endpoint_list(&mut fields("MEMBERSHIP")),
             code::REQUEST => read_query_or_part(&mut fields("ASK")).map(Record::Event),
             code::VERDICT => read_outcome(&mut fields("VERDICT")).map(Record::Event),
-            code::LAPSED => Ok(Record::Event(Event::Abandoned(QueryId(fields("LAPSED").u64()?)))),
+            code::LAPSED => Ok(Record::Event(Event::Abandoned(QueryId(
+                fields("LAPSED").u64()?,
+            )))),
             code::REMINDER => {
                 fields("REMINDER").u64()?;
                 Ok(Record::Event(Event::TimerFired))
@@ -114,12 +119,22 @@
 fn read_query_or_part(fields: &mut Fields<'_>) -> Result<Event, AdapterError> {
     let id = fields.u64()?;
     let group = GroupId(fields.integer()?.unwrap_or(0));
-    let (work, _key, marks, tenant) = (fields.u64()?, fields.u64()?, fields.u8()?, TenantId(fields.u32()?));
+    let (work, _key, marks, tenant) = (
+        fields.u64()?,
+        fields.u64()?,
+        fields.u8()?,
+        TenantId(fields.u32()?),
+    );
     let shard = fields.integer()?;
     let weight = f64::from(fields.f32()?);
     let (class, time_left) = (ClassId(u16::from(fields.u8()?)), fields.u64()?);
     Ok(match shard {
-        Some(shard) => Event::Part { part: PartId(id), group, shard: ShardId(shard), weight },
+        Some(shard) => Event::Part {
+            part: PartId(id),
+            group,
+            shard: ShardId(shard),
+            weight,
+        },
         None => Event::Query {
             query: QueryId(id),
             group,
@@ -138,7 +153,12 @@
     let elapsed = fields.u64()?;
     let _flags = fields.u8()?;
     fields.skip_load_report()?;
-    Ok(Event::Outcome { part, attempt, outcome, elapsed })
+    Ok(Event::Outcome {
+        part,
+        attempt,
+        outcome,
+        elapsed,
+    })
 }
 
 fn read_health_check(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
@@ -151,7 +171,9 @@
 
 fn read_pool(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
     let (pool, count) = (fields.u16()?, fields.u32()?);
-    let endpoints = (0..count).map(|_| read_endpoint(fields)).collect::<Result<_, _>>()?;
+    let endpoints = (0..count)
+        .map(|_| read_endpoint(fields))
+        .collect::<Result<_, _>>()?;
     Ok(Record::Pool { pool, endpoints })
 }
 
@@ -165,7 +187,13 @@
         other => return Err(AdapterError::UnknownState(other)),
     };
     let _weight = fields.f32()?;
-    Ok(Endpoint { replica, zone, cell, state, started_at: fields.u64()? })
+    Ok(Endpoint {
+        replica,
+        zone,
+        cell,
+        state,
+        started_at: fields.u64()?,
+    })
 }
 
 fn outcome(code: u8) -> Result<Outcome, AdapterError> {
--- a/src/bin/quinceflow-sim-adapter/reply.rs
+++ b/src/bin/quinceflow-sim-adapter/reply.rs
@@ -39,18 +39,35 @@
     /// Adds an action.
     pub fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { part, replica, timeout, .. } => {
-                self.record(code::SEND, &[&part.0.to_le_bytes(), &replica.0, &timeout.to_le_bytes()]);
+            Action::Send {
+                part,
+                replica,
+                timeout,
+                ..
+            } => {
+                self.record(
+                    code::SEND,
+                    &[&part.0.to_le_bytes(), &replica.0, &timeout.to_le_bytes()],
+                );
             }
             Action::Cancel { part, attempt } => {
-                self.record(code::CANCEL, &[&part.0.to_le_bytes(), &attempt.0.to_le_bytes()]);
+                self.record(
+                    code::CANCEL,
+                    &[&part.0.to_le_bytes(), &attempt.0.to_le_bytes()],
+                );
             }
             Action::Answer { query, complete } => {
-                self.record(code::ANSWER, &[&query.0.to_le_bytes(), &[u8::from(*complete)]]);
+                self.record(
+                    code::ANSWER,
+                    &[&query.0.to_le_bytes(), &[u8::from(*complete)]],
+                );
             }
             Action::Reject { query, retry_after } => {
                 let retry_after = retry_after.unwrap_or(0);
-                self.record(code::REJECT, &[&query.0.to_le_bytes(), &retry_after.to_le_bytes()]);
+                self.record(
+                    code::REJECT,
+                    &[&query.0.to_le_bytes(), &retry_after.to_le_bytes()],
+                );
             }
             Action::Fail(query) => self.record(code::FAIL, &[&query.0.to_le_bytes()]),
             Action::SetTimer(at) => {
@@ -72,6 +89,8 @@
         let length: usize = fields.iter().map(|field| field.len()).sum();
         self.bytes.push(code);
         self.bytes.extend((length as u32).to_le_bytes());
-        fields.iter().for_each(|field| self.bytes.extend_from_slice(field));
+        fields
+            .iter()
+            .for_each(|field| self.bytes.extend_from_slice(field));
     }
 }
--- a/src/coordinator/active_settings.rs
+++ b/src/coordinator/active_settings.rs
@@ -24,7 +24,11 @@
 impl ActiveSettings {
     /// The settings of a process that has the limits to itself.
     pub(super) fn new(settings: Settings, max_in_flight: usize) -> Self {
-        Self { settings: without_follow_ups(settings), max_in_flight, generation: None }
+        Self {
+            settings: without_follow_ups(settings),
+            max_in_flight,
+            generation: None,
+        }
     }
 
     /// Replaces the settings after a reload.
@@ -75,12 +79,17 @@
     /// as two coordinators, which halves its share of every limit; free retries stay with the predecessor,
     /// which may have used them.
     pub(super) fn for_policy(&self, classes: Vec<Class>) -> Settings {
-        let mut settings = Settings { classes, ..self.settings.clone() };
+        let mut settings = Settings {
+            classes,
+            ..self.settings.clone()
+        };
         if let Some(generation) = self.generation {
             settings.coordinators *= PROCESSES_IN_HANDOVER;
             if generation == ProcessGeneration::Successor {
-                settings.retry_budget =
-                    settings.retry_budget.map(|budget| RetryBudget { free: 0.0, ..budget });
+                settings.retry_budget = settings.retry_budget.map(|budget| RetryBudget {
+                    free: 0.0,
+                    ..budget
+                });
             }
         }
         with_response_margin(settings)
@@ -90,7 +99,9 @@
 /// Moves each latency objective ahead by the response margin, but by no more than half of it.
 fn with_response_margin(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
-        let ahead = class.latency_objective.saturating_sub(RESPONSE_MARGIN.to_nanos());
+        let ahead = class
+            .latency_objective
+            .saturating_sub(RESPONSE_MARGIN.to_nanos());
         class.latency_objective = ahead.max(class.latency_objective / 2);
     }
     settings
--- a/src/coordinator/active_settings/tests.rs
+++ b/src/coordinator/active_settings/tests.rs
@@ -8,7 +8,11 @@
 const MS: u64 = 1_000_000;
 
 fn settings() -> Settings {
-    let class = Class { latency_objective: 300 * MS, follow_up_parts: 3, ..test_fixtures::class("lookup") };
+    let class = Class {
+        latency_objective: 300 * MS,
+        follow_up_parts: 3,
+        ..test_fixtures::class("lookup")
+    };
     Settings {
         coordinators: 4,
         tick: 5 * MS,
@@ -21,7 +25,11 @@
         max_batch: 0,
         call_overhead: 0,
         max_poll_interval: None,
-        retry_budget: Some(RetryBudget { free: 5.0, ratio: 0.1, window: 1_000 * MS }),
+        retry_budget: Some(RetryBudget {
+            free: 5.0,
+            ratio: 0.1,
+            window: 1_000 * MS,
+        }),
         slow_start: None,
         cancellation: true,
         hedging: false,
@@ -33,10 +41,17 @@
 #[test]
 fn latency_objective_for_the_policy_is_ahead_by_the_response_margin_but_at_most_by_half() {
     let mut configured = settings();
-    let short = Class { latency_objective: 12 * MS, ..configured.classes[0].clone() };
+    let short = Class {
+        latency_objective: 12 * MS,
+        ..configured.classes[0].clone()
+    };
     configured.classes.push(short);
     let for_policy = ActiveSettings::new(configured, 10).for_new_policy();
-    let objectives: Vec<u64> = for_policy.classes.iter().map(|class| class.latency_objective).collect();
+    let objectives: Vec<u64> = for_policy
+        .classes
+        .iter()
+        .map(|class| class.latency_objective)
+        .collect();
     assert_eq!(objectives, [290 * MS, 6 * MS]);
 }
 
--- a/src/coordinator/batching.rs
+++ b/src/coordinator/batching.rs
@@ -19,9 +19,17 @@
 
 /// Appends the attempts of a dispatch to the first call to its server that has room for more.
 fn joins_a_batch(command: &Command, batched: &mut [Command], max_batch: usize) -> bool {
-    let Command::Dispatch { replica, attempts } = command else { return false };
+    let Command::Dispatch { replica, attempts } = command else {
+        return false;
+    };
     for earlier in batched {
-        let Command::Dispatch { replica: called, attempts: batch } = earlier else { continue };
+        let Command::Dispatch {
+            replica: called,
+            attempts: batch,
+        } = earlier
+        else {
+            continue;
+        };
         if called == replica && batch.len() < max_batch {
             batch.extend(attempts.iter().cloned());
             return true;
--- a/src/coordinator/batching/tests.rs
+++ b/src/coordinator/batching/tests.rs
@@ -12,7 +12,10 @@
 
 fn dispatch(server: u8, part: u64) -> Command {
     let attempt = AttemptRequest {
-        key: AttemptKey { part: PartId(part), attempt: AttemptNo(0) },
+        key: AttemptKey {
+            part: PartId(part),
+            attempt: AttemptNo(0),
+        },
         request_id: "q".into(),
         shard: ShardId(0),
         payload: Arc::from([]),
@@ -20,7 +23,10 @@
         timeout: Micros::ZERO,
         metrics: Arc::default(),
     };
-    Command::Dispatch { replica: replica(server), attempts: vec![attempt] }
+    Command::Dispatch {
+        replica: replica(server),
+        attempts: vec![attempt],
+    }
 }
 
 /// Each command as a word: the server and its parts, or the end of its idle connections.
@@ -51,12 +57,18 @@
 fn dispatches_to_one_server_share_calls_of_at_most_max_batch_attempts() {
     let mut batched = commands();
     batch_dispatches(&mut batched, 2);
-    assert_eq!(summary(&batched), ["1:[1, 3]", "3:idle", "2:[2, 5]", "1:[4]"]);
+    assert_eq!(
+        summary(&batched),
+        ["1:[1, 3]", "3:idle", "2:[2, 5]", "1:[4]"]
+    );
 }
 
 #[test]
 fn each_attempt_has_its_own_call_without_batching() {
     let mut batched = commands();
     batch_dispatches(&mut batched, 1);
-    assert_eq!(summary(&batched), ["1:[1]", "3:idle", "2:[2]", "1:[3]", "1:[4]", "2:[5]"]);
+    assert_eq!(
+        summary(&batched),
+        ["1:[1]", "3:idle", "2:[2]", "1:[3]", "1:[4]", "2:[5]"]
+    );
 }
--- a/src/coordinator/classes.rs
+++ b/src/coordinator/classes.rs
@@ -35,14 +35,20 @@
 impl Classes {
     /// The classes of the first configuration.
     pub(super) fn new(classes: &[Class], metrics: Arc<Metrics>) -> Self {
-        let mut all = Classes { slots: Vec::new(), metrics };
+        let mut all = Classes {
+            slots: Vec::new(),
+            metrics,
+        };
         all.replace(classes);
         all
     }
 
     /// The number of the active class of this name.
     pub(super) fn find(&self, name: &str) -> Option<ClassId> {
-        let index = self.slots.iter().position(|slot| slot.class.active && slot.class.name == name)?;
+        let index = self
+            .slots
+            .iter()
+            .position(|slot| slot.class.active && slot.class.name == name)?;
         Some(class_id(index))
     }
 
@@ -74,7 +80,8 @@
     pub(super) fn replace(&mut self, classes: &[Class]) -> Vec<ClassId> {
         // Compared before the first slot is reused: it may be that of a class that comes later in the
         // configuration.
-        let reloaded: Vec<ReloadedClass<'_>> = classes.iter().map(|class| self.compare(class)).collect();
+        let reloaded: Vec<ReloadedClass<'_>> =
+            classes.iter().map(|class| self.compare(class)).collect();
         self.keep_active(&reloaded);
         let mut predecessors: Vec<ClassId> = (0..self.slots.len()).map(class_id).collect();
         for class in reloaded.iter().filter(|class| !class.unchanged) {
@@ -99,7 +106,11 @@
     fn compare<'a>(&self, class: &'a Class) -> ReloadedClass<'a> {
         let current = self.find(&class.name);
         let unchanged = current.is_some_and(|id| *self.get(id) == activated(class));
-        ReloadedClass { class, current, unchanged }
+        ReloadedClass {
+            class,
+            current,
+            unchanged,
+        }
     }
 
     /// Deactivates all classes but those that the reload leaves unchanged.
@@ -107,22 +118,35 @@
         for slot in &mut self.slots {
             slot.class.active = false;
         }
-        for id in reloaded.iter().filter(|class| class.unchanged).filter_map(|class| class.current) {
+        for id in reloaded
+            .iter()
+            .filter(|class| class.unchanged)
+            .filter_map(|class| class.current)
+        {
             self.slots[usize::from(id.0)].class.active = true;
         }
     }
 
     fn new_slot(&self, class: &Class) -> ClassSlot {
-        ClassSlot { class: activated(class), metrics: self.metrics.class(&class.name), users: 0 }
+        ClassSlot {
+            class: activated(class),
+            metrics: self.metrics.class(&class.name),
+            users: 0,
+        }
     }
 
     fn free_slot(&self) -> Option<usize> {
-        self.slots.iter().position(|slot| !slot.class.active && slot.users == 0)
+        self.slots
+            .iter()
+            .position(|slot| !slot.class.active && slot.users == 0)
     }
 }
 
 fn activated(class: &Class) -> Class {
-    Class { active: true, ..class.clone() }
+    Class {
+        active: true,
+        ..class.clone()
+    }
 }
 
 fn class_id(index: usize) -> ClassId {
--- a/src/coordinator/classes/tests.rs
+++ b/src/coordinator/classes/tests.rs
@@ -6,14 +6,24 @@
 use std::sync::Arc;
 
 fn class(name: &str, max_attempts: u32) -> Class {
-    Class { max_attempts, ..test_fixtures::class(name) }
+    Class {
+        max_attempts,
+        ..test_fixtures::class(name)
+    }
 }
 
 /// The active classes: name, attempts, number.
 fn active_classes(classes: &Classes) -> Vec<(String, u32, u16)> {
     let listed = classes.all().into_iter().filter(|c| c.active);
-    let mut all: Vec<_> =
-        listed.map(|c| (c.name.clone(), c.max_attempts, classes.find(&c.name).expect("listed").0)).collect();
+    let mut all: Vec<_> = listed
+        .map(|c| {
+            (
+                c.name.clone(),
+                c.max_attempts,
+                classes.find(&c.name).expect("listed").0,
+            )
+        })
+        .collect();
     all.sort();
     all
 }
@@ -24,8 +34,18 @@
     // unchanged.
     let mut classes = Classes::new(&[class("a", 4), class("b", 4)], Arc::default());
     let predecessors = classes.replace(&[class("a", 2), class("b", 2), class("c", 2)]);
-    let names: Vec<_> = active_classes(&classes).into_iter().map(|c| (c.0, c.1)).collect();
-    assert_eq!(names, [("a".to_owned(), 2), ("b".to_owned(), 2), ("c".to_owned(), 2)]);
+    let names: Vec<_> = active_classes(&classes)
+        .into_iter()
+        .map(|c| (c.0, c.1))
+        .collect();
+    assert_eq!(
+        names,
+        [
+            ("a".to_owned(), 2),
+            ("b".to_owned(), 2),
+            ("c".to_owned(), 2)
+        ]
+    );
     let predecessor = |name: &str| predecessors[usize::from(classes.find(name).expect("active").0)];
     assert_eq!(
         (predecessor("a"), predecessor("b"), predecessor("c")),
@@ -39,12 +59,21 @@
     let a = classes.find("a").expect("active");
     classes.acquire(a);
     classes.replace(&[class("a", 1), class("b", 4)]);
-    assert_eq!((classes.get(a).max_attempts, classes.find("b")), (4, Some(ClassId(1))));
-    assert_eq!(classes.get(classes.find("a").expect("active")).max_attempts, 1);
+    assert_eq!(
+        (classes.get(a).max_attempts, classes.find("b")),
+        (4, Some(ClassId(1)))
+    );
+    assert_eq!(
+        classes.get(classes.find("a").expect("active")).max_attempts,
+        1
+    );
     // Class a is dropped while its first slot is in use, so c needs a third one; after the release the slot
     // is reused.
     classes.replace(&[class("b", 4), class("c", 1)]);
-    assert_eq!((classes.find("a"), classes.find("c")), (None, Some(ClassId(2))));
+    assert_eq!(
+        (classes.find("a"), classes.find("c")),
+        (None, Some(ClassId(2)))
+    );
     classes.release(a);
     classes.replace(&[class("b", 4), class("c", 1), class("d", 1)]);
     assert_eq!((classes.find("d"), classes.all().len()), (Some(a), 3));
--- a/src/coordinator/diagnostics.rs
+++ b/src/coordinator/diagnostics.rs
@@ -15,7 +15,9 @@
 pub fn check_invariant(holds: bool, description: &str) {
     debug_assert!(holds, "invariant: {description}");
     if !holds {
-        log_throttled(&COUNTERS.broken_invariants, || tracing::error!(description, "invariant broken"));
+        log_throttled(&COUNTERS.broken_invariants, || {
+            tracing::error!(description, "invariant broken")
+        });
     }
 }
 
--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -6,7 +6,9 @@
 use super::messages::{Command, EndpointUpdate, NodeEndpoint};
 use super::turn::Turn;
 
-use crate::interface::{CellId, Endpoint, EndpointListKind, EndpointState, Event, ReplicaId, ZoneId};
+use crate::interface::{
+    CellId, Endpoint, EndpointListKind, EndpointState, Event, ReplicaId, ZoneId,
+};
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -32,14 +34,17 @@
 impl KnownEndpoint {
     /// Whether a list speaks of a later incarnation than the known one.
     fn is_later_incarnation(&self, started_at: Option<Micros>) -> bool {
-        started_at
-            .is_some_and(|start| self.started_at.is_none_or(|known| start > known + START_TIME_TOLERANCE))
+        started_at.is_some_and(|start| {
+            self.started_at
+                .is_none_or(|known| start > known + START_TIME_TOLERANCE)
+        })
     }
 
     /// Whether a list speaks of an earlier incarnation than the known one.
     fn is_earlier_incarnation(&self, started_at: Option<Micros>) -> bool {
-        self.started_at
-            .is_some_and(|known| started_at.is_none_or(|start| start + START_TIME_TOLERANCE < known))
+        self.started_at.is_some_and(|known| {
+            started_at.is_none_or(|start| start + START_TIME_TOLERANCE < known)
+        })
     }
 
     /// Whether a line of a stale list is news. An incarnation that is draining or removed never becomes ready
@@ -47,7 +52,8 @@
     /// list knew better.
     fn accepts_stale(&self, node: &NodeEndpoint) -> bool {
         let stops = self.ready && node.state != EndpointState::Ready;
-        self.is_later_incarnation(node.started_at) || (stops && !self.is_earlier_incarnation(node.started_at))
+        self.is_later_incarnation(node.started_at)
+            || (stops && !self.is_earlier_incarnation(node.started_at))
     }
 }
 
@@ -70,7 +76,10 @@
 
     /// Endpoints that are listed now, draining ones included.
     pub(super) fn count_listed(&self) -> usize {
-        self.endpoints.values().filter(|endpoint| endpoint.removed_at.is_none()).count()
+        self.endpoints
+            .values()
+            .filter(|endpoint| endpoint.removed_at.is_none())
+            .count()
     }
 
     /// Applies a list or a change to it, and passes it on to the policy and the drivers.
@@ -84,17 +93,25 @@
             listed.insert(endpoint.replica);
             endpoints.push(endpoint);
         }
-        if matches!(update.kind, EndpointListKind::Full | EndpointListKind::Cached) {
+        if matches!(
+            update.kind,
+            EndpointListKind::Full | EndpointListKind::Cached
+        ) {
             self.remove_unlisted(&listed, turn);
         }
-        turn.events.push(Event::Endpoints { kind: update.kind, endpoints });
+        turn.events.push(Event::Endpoints {
+            kind: update.kind,
+            endpoints,
+        });
     }
 
     /// Discovery that was moved, or came back from an older copy, may send an older list than the current
     /// one: endpoints that it lacks may be newer than it, and those that it calls ready may have begun to
     /// drain since.
     fn filter_stale(&mut self, update: &mut EndpointUpdate) {
-        let Some(version) = update.version else { return };
+        let Some(version) = update.version else {
+            return;
+        };
         if version >= self.version {
             self.version = version;
             return;
@@ -109,7 +126,10 @@
         });
         update.kind = EndpointListKind::Delta;
         update.endpoints.retain(|node| {
-            let known = self.ids.get(&node.name).and_then(|replica| self.endpoints.get(replica));
+            let known = self
+                .ids
+                .get(&node.name)
+                .and_then(|replica| self.endpoints.get(replica));
             known.is_none_or(|known| known.accepts_stale(node))
         });
     }
@@ -123,12 +143,25 @@
         let ready = node.state == EndpointState::Ready;
         let known = self.endpoints.get(&replica);
         if known.is_none_or(|known| known.address != node.address || known.ready != ready) {
-            turn.commands.push(Command::UpdateServer { replica, address: node.address.clone(), ready });
+            turn.commands.push(Command::UpdateServer {
+                replica,
+                address: node.address.clone(),
+                ready,
+            });
         }
         let removed = node.state == EndpointState::Removed;
-        let removed_at = removed.then(|| known.and_then(|known| known.removed_at).unwrap_or(turn.now));
-        let started_at = node.started_at.max(known.and_then(|known| known.started_at));
-        let known = KnownEndpoint { name: node.name, address: node.address, ready, started_at, removed_at };
+        let removed_at =
+            removed.then(|| known.and_then(|known| known.removed_at).unwrap_or(turn.now));
+        let started_at = node
+            .started_at
+            .max(known.and_then(|known| known.started_at));
+        let known = KnownEndpoint {
+            name: node.name,
+            address: node.address,
+            ready,
+            started_at,
+            removed_at,
+        };
         self.endpoints.insert(replica, known);
         Endpoint {
             replica,
@@ -158,19 +191,33 @@
             endpoint.removed_at = endpoint.removed_at.or(Some(turn.now));
             if std::mem::take(&mut endpoint.ready) {
                 let address = endpoint.address.clone();
-                turn.commands.push(Command::UpdateServer { replica: *replica, address, ready: false });
+                turn.commands.push(Command::UpdateServer {
+                    replica: *replica,
+                    address,
+                    ready: false,
+                });
             }
         }
     }
 
     /// Forgets endpoints that were removed long ago and have no attempt in flight: servers are replaced by
     /// new ones with new names for as long as the program runs.
-    pub(super) fn purge_removed(&mut self, has_attempts: impl Fn(ReplicaId) -> bool, turn: &mut Turn<'_>) {
+    pub(super) fn purge_removed(
+        &mut self,
+        has_attempts: impl Fn(ReplicaId) -> bool,
+        turn: &mut Turn<'_>,
+    ) {
         let expired = |endpoint: &KnownEndpoint| {
-            endpoint.removed_at.is_some_and(|since| turn.now.since(since) > REMOVED_RETENTION)
+            endpoint
+                .removed_at
+                .is_some_and(|since| turn.now.since(since) > REMOVED_RETENTION)
         };
-        let candidates: Vec<ReplicaId> =
-            self.endpoints.iter().filter(|(_, endpoint)| expired(endpoint)).map(|(id, _)| *id).collect();
+        let candidates: Vec<ReplicaId> = self
+            .endpoints
+            .iter()
+            .filter(|(_, endpoint)| expired(endpoint))
+            .map(|(id, _)| *id)
+            .collect();
         for replica in candidates {
             if has_attempts(replica) {
                 continue;
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -21,8 +21,8 @@
 pub use counters::{Counter, Counters, COUNTERS};
 pub use diagnostics::{check_invariant, log_throttled};
 pub use messages::{
-    Answer, AttemptEnd, AttemptRequest, Command, EndpointUpdate, Input, NodeEndpoint, ProcessGeneration,
-    ServedPart,
+    Answer, AttemptEnd, AttemptRequest, Command, EndpointUpdate, Input, NodeEndpoint,
+    ProcessGeneration, ServedPart,
 };
 pub use metrics::{ClassMetrics, Gauge, Metrics};
 pub use request::{AttemptKey, PartRequest, Request, RequestContext, Token, Value};
@@ -108,7 +108,10 @@
         if !self.deferred_events.is_empty() {
             return Some(Micros::ZERO);
         }
-        [self.queries.next_expiry(), self.policy_timer].into_iter().flatten().min()
+        [self.queries.next_expiry(), self.policy_timer]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// The program shuts down: every pending query, and every later one, has its answer by then.
@@ -144,7 +147,9 @@
         self.deferred_events = turn.deferred_events;
         batch_dispatches(commands, self.settings.max_batch());
         self.reporter
-            .report(now, self.queries.pending_queries(), &self.policy, || self.endpoints.count_listed());
+            .report(now, self.queries.pending_queries(), &self.policy, || {
+                self.endpoints.count_listed()
+            });
     }
 
     fn handle_input(&mut self, input: Input, turn: &mut Turn<'_>) {
@@ -155,7 +160,10 @@
             Input::WriteStarted(key) => self.queries.write_started(key),
             Input::FullyWritten(key) => self.queries.fully_written(key),
             Input::AttemptEnded { key, end } => self.queries.attempt_ended(key, end, turn),
-            Input::Settings { settings, max_in_flight } => {
+            Input::Settings {
+                settings,
+                max_in_flight,
+            } => {
                 self.settings.replace(*settings, max_in_flight);
                 turn.events.push(self.settings_event());
             }
@@ -165,7 +173,8 @@
 
     fn update_endpoints(&mut self, update: EndpointUpdate, turn: &mut Turn<'_>) {
         self.endpoints.apply(update, turn);
-        self.endpoints.purge_removed(|replica| self.queries.has_attempts_at(replica), turn);
+        self.endpoints
+            .purge_removed(|replica| self.queries.has_attempts_at(replica), turn);
     }
 
     /// Brings the classes up to the active settings, and tells the policy both. A pending query keeps its
@@ -173,7 +182,10 @@
     fn settings_event(&mut self) -> Event {
         let class_mapping = self.queries.replace_classes(self.settings.classes());
         let settings = self.settings.for_policy(self.queries.classes());
-        Event::Settings { settings: Box::new(settings), class_mapping }
+        Event::Settings {
+            settings: Box::new(settings),
+            class_mapping,
+        }
     }
 
     fn fire_policy_timer(&mut self, turn: &mut Turn<'_>) {
@@ -185,7 +197,8 @@
 
     fn run_policy(&mut self, turn: &mut Turn<'_>) {
         let mut actions = Vec::new();
-        self.policy.handle(turn.now.to_nanos(), &turn.events, &mut actions);
+        self.policy
+            .handle(turn.now.to_nanos(), &turn.events, &mut actions);
         for action in actions {
             self.execute(action, turn);
         }
@@ -193,15 +206,29 @@
 
     fn execute(&mut self, action: Action, turn: &mut Turn<'_>) {
         match action {
-            Action::Send { part, replica, timeout, not_after } => {
-                let (timeout, write_by) = (Micros::from_nanos(timeout), Micros::from_nanos(not_after));
-                let order = DispatchOrder { part, replica, timeout, write_by };
+            Action::Send {
+                part,
+                replica,
+                timeout,
+                not_after,
+            } => {
+                let (timeout, write_by) =
+                    (Micros::from_nanos(timeout), Micros::from_nanos(not_after));
+                let order = DispatchOrder {
+                    part,
+                    replica,
+                    timeout,
+                    write_by,
+                };
                 self.queries.dispatch(&order, &self.settings, turn);
             }
-            Action::Cancel { part, attempt } => self.queries.cancel(AttemptKey { part, attempt }, turn),
+            Action::Cancel { part, attempt } => {
+                self.queries.cancel(AttemptKey { part, attempt }, turn)
+            }
             Action::Answer { query, complete } => self.queries.answer(query, complete, turn),
             Action::Reject { query, retry_after } => {
-                self.queries.reject(query, retry_after.map(Micros::from_nanos), turn);
+                self.queries
+                    .reject(query, retry_after.map(Micros::from_nanos), turn);
             }
             Action::Fail(query) => self.queries.fail(query, turn),
             Action::SetTimer(at) => self.set_policy_timer(at),
--- a/src/coordinator/queries/admission.rs
+++ b/src/coordinator/queries/admission.rs
@@ -20,10 +20,15 @@
         let Some(class) = self.classes.find(&request.class) else {
             // A reload dropped the class while the request was on its way here.
             COUNTERS.bad_requests.increment();
-            turn.commands.push(Command::Reply { token: request.token, answer: Answer::UnknownClass });
+            turn.commands.push(Command::Reply {
+                token: request.token,
+                answer: Answer::UnknownClass,
+            });
             return;
         };
-        let deadline = self.pending.bounded_deadline(request.sent_at + request.timeout);
+        let deadline = self
+            .pending
+            .bounded_deadline(request.sent_at + request.timeout);
         if let Some(answer) = self.rejection(&request, deadline, settings, turn.now) {
             self.reply(class, &request, answer, turn);
             return;
@@ -31,8 +36,10 @@
         COUNTERS.queries_accepted.increment();
         self.request_ids.acquire(&request.request_id);
         self.classes.acquire(class);
-        let objective = request.sent_at + Micros::from_nanos(self.classes.get(class).latency_objective);
-        self.pending.insert(PendingQuery::new(request, class, deadline, objective), turn);
+        let objective =
+            request.sent_at + Micros::from_nanos(self.classes.get(class).latency_objective);
+        self.pending
+            .insert(PendingQuery::new(request, class, deadline, objective), turn);
     }
 
     /// Why a request can't be accepted. Nothing of it was sent, so a retry does no harm.
@@ -46,12 +53,18 @@
         if deadline <= now + NETWORK_MARGIN {
             COUNTERS.rejected_expired.increment();
             COUNTERS.queries_rejected.increment();
-            return Some(Answer::Rejected { retry_after: None, late: true });
+            return Some(Answer::Rejected {
+                retry_after: None,
+                late: true,
+            });
         }
         if self.pending.reserved_slots() + slots(request) > settings.max_reserved_slots() {
             COUNTERS.rejected_over_capacity.increment();
             COUNTERS.queries_rejected.increment();
-            return Some(Answer::Rejected { retry_after: settings.max_retry_after(), late: false });
+            return Some(Answer::Rejected {
+                retry_after: settings.max_retry_after(),
+                late: false,
+            });
         }
         if self.request_ids.is_in_use(&request.request_id) {
             COUNTERS.duplicate_request_ids.increment();
--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -36,7 +36,10 @@
             return check_invariant(false, "an attempt at a part that has ended");
         };
         let no_attempt_in_flight = || !self.in_flight.contains_part(order.part);
-        check_invariant(settings.hedging() || no_attempt_in_flight(), "a part has two attempts in flight");
+        check_invariant(
+            settings.hedging() || no_attempt_in_flight(),
+            "a part has two attempts in flight",
+        );
         COUNTERS.attempts_dispatched.increment();
         let query = pending.query;
         let deadline = (turn.now + order.timeout).min(query.deadline);
@@ -64,7 +67,10 @@
         self.request_ids.acquire(&attempt.request_id);
         self.classes.acquire(attempt.class);
         self.in_flight.insert(key, attempt);
-        turn.commands.push(Command::Dispatch { replica: order.replica, attempts: vec![request] });
+        turn.commands.push(Command::Dispatch {
+            replica: order.replica,
+            attempts: vec![request],
+        });
     }
 
     /// Some of an attempt's request was written.
@@ -74,7 +80,9 @@
 
     /// An attempt's request was written to the last byte.
     pub(in crate::coordinator) fn fully_written(&mut self, key: AttemptKey) {
-        COUNTERS.attempts_fully_written.add(usize::from(self.is_in_flight(key)));
+        COUNTERS
+            .attempts_fully_written
+            .add(usize::from(self.is_in_flight(key)));
         self.in_flight.mark_write_started(key);
     }
 
@@ -85,7 +93,9 @@
         end: AttemptEnd,
         turn: &mut Turn<'_>,
     ) {
-        let Some(attempt) = self.remove_attempt(key) else { return };
+        let Some(attempt) = self.remove_attempt(key) else {
+            return;
+        };
         let outcome = match end {
             AttemptEnd::Served(value) => {
                 self.pending.store(key.part, value);
@@ -93,27 +103,48 @@
             }
             AttemptEnd::Failed(outcome) => outcome,
         };
-        turn.events.push(record_outcome(key, &attempt, outcome, turn.now));
+        turn.events
+            .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
     /// Ends the attempts that have timed out, or whose write has not started in time.
     pub(in crate::coordinator) fn expire_attempts(&mut self, turn: &mut Turn<'_>) {
         while let Some(key) = self.in_flight.next_expired(turn.now) {
-            let Some(attempt) = self.remove_attempt(key) else { continue };
-            turn.commands.push(Command::CancelAttempt { replica: attempt.replica, key });
+            let Some(attempt) = self.remove_attempt(key) else {
+                continue;
+            };
+            turn.commands.push(Command::CancelAttempt {
+                replica: attempt.replica,
+                key,
+            });
             // An attempt whose write never started is taken back, so it never ran, and a part that must not
             // be repeated may be sent again. One whose write has started goes on to its last byte, and runs.
-            let outcome = if attempt.write_started { Outcome::TimedOut } else { Outcome::ConnectFailed };
-            turn.events.push(record_outcome(key, &attempt, outcome, turn.now));
+            let outcome = if attempt.write_started {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            };
+            turn.events
+                .push(record_outcome(key, &attempt, outcome, turn.now));
         }
     }
 
     /// Cancels an attempt; the policy hears of its end in the next turn.
     pub(in crate::coordinator) fn cancel(&mut self, key: AttemptKey, turn: &mut Turn<'_>) {
-        let Some(attempt) = self.remove_attempt(key) else { return };
-        turn.commands.push(Command::CancelAttempt { replica: attempt.replica, key });
-        let outcome = if attempt.write_started { Outcome::Cancelled } else { Outcome::NotSent };
-        turn.deferred_events.push(record_outcome(key, &attempt, outcome, turn.now));
+        let Some(attempt) = self.remove_attempt(key) else {
+            return;
+        };
+        turn.commands.push(Command::CancelAttempt {
+            replica: attempt.replica,
+            key,
+        });
+        let outcome = if attempt.write_started {
+            Outcome::Cancelled
+        } else {
+            Outcome::NotSent
+        };
+        turn.deferred_events
+            .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
     /// Removes an attempt with all that it uses: after this it can have no second outcome.
@@ -126,10 +157,20 @@
 }
 
 /// Counts the outcome of an attempt and returns the policy's event of it.
-fn record_outcome(key: AttemptKey, attempt: &InFlightAttempt, outcome: Outcome, now: Micros) -> Event {
+fn record_outcome(
+    key: AttemptKey,
+    attempt: &InFlightAttempt,
+    outcome: Outcome,
+    now: Micros,
+) -> Event {
     outcome_counter(outcome).increment();
     let waited = now.since(attempt.dispatched_at).to_nanos();
-    Event::Outcome { part: key.part, attempt: key.attempt, outcome, elapsed: waited }
+    Event::Outcome {
+        part: key.part,
+        attempt: key.attempt,
+        outcome,
+        elapsed: waited,
+    }
 }
 
 fn outcome_counter(outcome: Outcome) -> &'static Counter {
--- a/src/coordinator/queries/completion.rs
+++ b/src/coordinator/queries/completion.rs
@@ -16,24 +16,42 @@
 impl QueryTracker {
     /// The client of a query closed its connection.
     pub(in crate::coordinator) fn abandon(&mut self, token: Token, turn: &mut Turn<'_>) {
-        let Some(query) = self.pending.find(token) else { return };
+        let Some(query) = self.pending.find(token) else {
+            return;
+        };
         COUNTERS.queries_abandoned.increment();
         turn.events.push(Event::Abandoned(query));
         self.remove_query(query, turn);
     }
 
     /// Answers a query from the parts that have a value.
-    pub(in crate::coordinator) fn answer(&mut self, query: QueryId, complete: bool, turn: &mut Turn<'_>) {
+    pub(in crate::coordinator) fn answer(
+        &mut self,
+        query: QueryId,
+        complete: bool,
+        turn: &mut Turn<'_>,
+    ) {
         let Some(mut pending) = self.remove_query(query, turn) else {
             return check_invariant(false, "an answer to a query that is not pending");
         };
         let class = self.classes.get(pending.class);
-        let min_weight = if complete { class.required_share } else { class.min_share };
+        let min_weight = if complete {
+            class.required_share
+        } else {
+            class.min_share
+        };
         let enough = pending.served_weight() + WEIGHT_TOLERANCE >= min_weight;
         check_invariant(enough, "an answer from too few parts");
-        let counter = if complete { &COUNTERS.queries_complete } else { &COUNTERS.queries_partial };
+        let counter = if complete {
+            &COUNTERS.queries_complete
+        } else {
+            &COUNTERS.queries_partial
+        };
         counter.increment();
-        let answer = Answer::Served { complete, parts: pending.take_served_parts() };
+        let answer = Answer::Served {
+            complete,
+            parts: pending.take_served_parts(),
+        };
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
@@ -48,7 +66,10 @@
             return check_invariant(false, "an end of a query that is not pending");
         };
         COUNTERS.queries_rejected.increment();
-        let answer = Answer::Rejected { retry_after, late: pending.is_late(turn.now) };
+        let answer = Answer::Rejected {
+            retry_after,
+            late: pending.is_late(turn.now),
+        };
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
@@ -58,7 +79,9 @@
             return check_invariant(false, "an end of a query that is not pending");
         };
         COUNTERS.queries_failed.increment();
-        let answer = Answer::Failed { late: pending.is_late(turn.now) };
+        let answer = Answer::Failed {
+            late: pending.is_late(turn.now),
+        };
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
@@ -70,7 +93,12 @@
                 let shut_down = self.pending.is_final(pending.deadline);
                 check_invariant(shut_down, "a query is pending after its deadline");
                 COUNTERS.queries_failed.increment();
-                self.reply(pending.class, &pending.request, Answer::Failed { late: true }, turn);
+                self.reply(
+                    pending.class,
+                    &pending.request,
+                    Answer::Failed { late: true },
+                    turn,
+                );
             }
             turn.deferred_events.push(Event::Abandoned(query));
         }
@@ -93,16 +121,27 @@
     }
 
     /// Gives a request its final answer. The metrics of its class are counted nowhere else.
-    pub(super) fn reply(&self, class: ClassId, request: &Request, answer: Answer, turn: &mut Turn<'_>) {
+    pub(super) fn reply(
+        &self,
+        class: ClassId,
+        request: &Request,
+        answer: Answer,
+        turn: &mut Turn<'_>,
+    ) {
         if request.counted {
             let metrics = self.classes.metrics(class);
             let counter = match answer {
                 Answer::Served { .. } => &metrics.ok,
                 Answer::Rejected { .. } => &metrics.shed,
-                Answer::Failed { .. } | Answer::DuplicateRequestId | Answer::UnknownClass => &metrics.errors,
+                Answer::Failed { .. } | Answer::DuplicateRequestId | Answer::UnknownClass => {
+                    &metrics.errors
+                }
             };
             counter.increment();
         }
-        turn.commands.push(Command::Reply { token: request.token, answer });
+        turn.commands.push(Command::Reply {
+            token: request.token,
+            answer,
+        });
     }
 }
--- a/src/coordinator/queries/in_flight.rs
+++ b/src/coordinator/queries/in_flight.rs
@@ -59,7 +59,9 @@
 
     /// Whether an attempt is in flight to this server.
     pub(super) fn contains_replica(&self, replica: ReplicaId) -> bool {
-        self.attempts.values().any(|attempt| attempt.replica == replica)
+        self.attempts
+            .values()
+            .any(|attempt| attempt.replica == replica)
     }
 
     /// When the next timer fires.
@@ -70,7 +72,10 @@
     /// The key of the next attempt at a part.
     pub(super) fn next_key(&mut self, part: PartId) -> AttemptKey {
         let number = self.next_numbers.entry(part).or_insert(0);
-        let key = AttemptKey { part, attempt: AttemptNo(*number) };
+        let key = AttemptKey {
+            part,
+            attempt: AttemptNo(*number),
+        };
         *number += 1;
         key
     }
@@ -82,14 +87,20 @@
 
     /// Adds a dispatched attempt and sets its timer.
     pub(super) fn insert(&mut self, key: AttemptKey, attempt: InFlightAttempt) {
-        self.timers.insert(AttemptTimer { at: attempt.timer_at, key });
+        self.timers.insert(AttemptTimer {
+            at: attempt.timer_at,
+            key,
+        });
         self.attempts.insert(key, attempt);
     }
 
     /// Removes an attempt and its timer: after this it can have no second outcome.
     pub(super) fn remove(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&key)?;
-        self.timers.remove(&AttemptTimer { at: attempt.timer_at, key });
+        self.timers.remove(&AttemptTimer {
+            at: attempt.timer_at,
+            key,
+        });
         Some(attempt)
     }
 
@@ -102,9 +113,15 @@
 
     /// The attempts at a part of which nothing was written yet.
     pub(super) fn unwritten_at(&self, part: PartId) -> Vec<AttemptKey> {
-        let key = |number| AttemptKey { part, attempt: AttemptNo(number) };
+        let key = |number| AttemptKey {
+            part,
+            attempt: AttemptNo(number),
+        };
         let attempts = self.attempts.range(key(0)..=key(u16::MAX));
-        attempts.filter(|(_, attempt)| !attempt.write_started).map(|(key, _)| *key).collect()
+        attempts
+            .filter(|(_, attempt)| !attempt.write_started)
+            .map(|(key, _)| *key)
+            .collect()
     }
 
     /// The first attempt that has expired: its deadline has passed, or its write has not started in time. One
@@ -112,12 +129,17 @@
     pub(super) fn next_expired(&mut self, now: Micros) -> Option<AttemptKey> {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= now) {
             self.timers.pop_first();
-            let Some(attempt) = self.attempts.get_mut(&timer.key) else { continue };
+            let Some(attempt) = self.attempts.get_mut(&timer.key) else {
+                continue;
+            };
             if !attempt.write_started || now >= attempt.deadline {
                 return Some(timer.key);
             }
             attempt.timer_at = attempt.deadline;
-            self.timers.insert(AttemptTimer { at: attempt.deadline, key: timer.key });
+            self.timers.insert(AttemptTimer {
+                at: attempt.deadline,
+                key: timer.key,
+            });
         }
         None
     }
--- a/src/coordinator/queries/pending.rs
+++ b/src/coordinator/queries/pending.rs
@@ -30,9 +30,20 @@
 
 impl PendingQuery {
     /// A query whose parts have no values yet.
-    pub(super) fn new(request: Request, class: ClassId, deadline: Micros, objective: Micros) -> Self {
+    pub(super) fn new(
+        request: Request,
+        class: ClassId,
+        deadline: Micros,
+        objective: Micros,
+    ) -> Self {
         let values = vec![None; request.parts.len()];
-        Self { request, class, deadline, objective, values }
+        Self {
+            request,
+            class,
+            deadline,
+            objective,
+            values,
+        }
     }
 
     /// Whether an end at this time counts as out of time.
@@ -43,14 +54,24 @@
     /// The weight of the parts that have a value.
     pub(super) fn served_weight(&self) -> f64 {
         let parts = self.request.parts.iter().zip(&self.values);
-        parts.filter(|(_, value)| value.is_some()).map(|(part, _)| part.weight).sum()
+        parts
+            .filter(|(_, value)| value.is_some())
+            .map(|(part, _)| part.weight)
+            .sum()
     }
 
     /// Takes the parts that have a value out of the query.
     pub(super) fn take_served_parts(&mut self) -> Vec<ServedPart> {
         let values = std::mem::take(&mut self.values);
         let parts = self.request.parts.iter().zip(values);
-        parts.filter_map(|(part, value)| Some(ServedPart { shard: part.shard, value: value? })).collect()
+        parts
+            .filter_map(|(part, value)| {
+                Some(ServedPart {
+                    shard: part.shard,
+                    value: value?,
+                })
+            })
+            .collect()
     }
 
     /// The sum of the parts' expected work, where each part states it.
@@ -59,7 +80,9 @@
         if parts.is_empty() {
             return None;
         }
-        parts.iter().try_fold(Micros::ZERO, |sum, part| part.expected_work.map(|work| sum + work))
+        parts.iter().try_fold(Micros::ZERO, |sum, part| {
+            part.expected_work.map(|work| sum + work)
+        })
     }
 }
 
@@ -149,7 +172,10 @@
     pub(super) fn part(&self, part: PartId) -> Option<PendingPart<'_>> {
         let location = self.parts.get(&part)?;
         let query = self.queries.get(&location.query)?;
-        Some(PendingPart { query, part: &query.request.parts[location.index] })
+        Some(PendingPart {
+            query,
+            part: &query.request.parts[location.index],
+        })
     }
 
     /// When the next query's deadline passes.
@@ -159,26 +185,36 @@
 
     /// The first query whose deadline has passed.
     pub(super) fn next_expired(&self, now: Micros) -> Option<QueryId> {
-        self.deadlines.first().filter(|deadline| deadline.at <= now).map(|deadline| deadline.query)
+        self.deadlines
+            .first()
+            .filter(|deadline| deadline.at <= now)
+            .map(|deadline| deadline.query)
     }
 
     /// The program shuts down: every pending query, and every later one, has its answer by then.
     pub(super) fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.final_deadline = Some(final_deadline);
-        let last_in_time = QueryDeadline { at: final_deadline, query: QueryId(u64::MAX) };
+        let last_in_time = QueryDeadline {
+            at: final_deadline,
+            query: QueryId(u64::MAX),
+        };
         let late: Vec<QueryDeadline> = self.deadlines.range(last_in_time..).copied().collect();
         for deadline in late {
             if let Some(query) = self.queries.get_mut(&deadline.query) {
                 query.deadline = final_deadline;
                 self.deadlines.remove(&deadline);
-                self.deadlines.insert(QueryDeadline { at: final_deadline, ..deadline });
+                self.deadlines.insert(QueryDeadline {
+                    at: final_deadline,
+                    ..deadline
+                });
             }
         }
     }
 
     /// A deadline, or the final one if that is earlier.
     pub(super) fn bounded_deadline(&self, deadline: Micros) -> Micros {
-        self.final_deadline.map_or(deadline, |last| deadline.min(last))
+        self.final_deadline
+            .map_or(deadline, |last| deadline.min(last))
     }
 
     /// Whether a deadline is that of the shutdown.
@@ -204,11 +240,20 @@
         });
         for (index, part) in query.request.parts.iter().enumerate() {
             let part_id = part_id(id, index);
-            self.parts.insert(part_id, PartLocation { query: id, index });
-            turn.events.push(Event::Part { part: part_id, group, shard: part.shard, weight: part.weight });
+            self.parts
+                .insert(part_id, PartLocation { query: id, index });
+            turn.events.push(Event::Part {
+                part: part_id,
+                group,
+                shard: part.shard,
+                weight: part.weight,
+            });
         }
         self.by_token.insert(query.request.token, id);
-        self.deadlines.insert(QueryDeadline { at: query.deadline, query: id });
+        self.deadlines.insert(QueryDeadline {
+            at: query.deadline,
+            query: id,
+        });
         self.queries.insert(id, query);
     }
 
@@ -216,7 +261,10 @@
     pub(super) fn remove(&mut self, id: QueryId) -> Option<PendingQuery> {
         let query = self.queries.remove(&id)?;
         self.reserved_slots -= slots(&query.request);
-        self.deadlines.remove(&QueryDeadline { at: query.deadline, query: id });
+        self.deadlines.remove(&QueryDeadline {
+            at: query.deadline,
+            query: id,
+        });
         self.by_token.remove(&query.request.token);
         for part in part_ids(id, &query.request) {
             self.parts.remove(&part);
@@ -226,8 +274,12 @@
 
     /// Stores what a server returned for a part, unless the query has ended.
     pub(super) fn store(&mut self, part: PartId, value: Value) {
-        let Some(location) = self.parts.get(&part) else { return };
-        let Some(query) = self.queries.get_mut(&location.query) else { return };
+        let Some(location) = self.parts.get(&part) else {
+            return;
+        };
+        let Some(query) = self.queries.get_mut(&location.query) else {
+            return;
+        };
         query.values[location.index] = Some(value);
     }
 }
--- a/src/coordinator/queries/request_ids.rs
+++ b/src/coordinator/queries/request_ids.rs
@@ -23,7 +23,9 @@
 
     /// One user less; with the last one the id is free again.
     pub(super) fn release(&mut self, id: &Arc<str>) {
-        let Some(users) = self.users.get_mut(id) else { return };
+        let Some(users) = self.users.get_mut(id) else {
+            return;
+        };
         *users -= 1;
         if *users == 0 {
             self.users.remove(id);
--- a/src/coordinator/reporting.rs
+++ b/src/coordinator/reporting.rs
@@ -51,7 +51,10 @@
         policy: &DecisionPolicy,
         count_listed: impl FnOnce() -> usize,
     ) {
-        let mut values = GaugeValues { active: pending_queries, ..self.reported };
+        let mut values = GaugeValues {
+            active: pending_queries,
+            ..self.reported
+        };
         if now.since(self.last_policy_poll) >= POLICY_POLL_INTERVAL {
             self.last_policy_poll = now;
             values.pool_size = count_listed();
@@ -61,17 +64,25 @@
     }
 
     fn count_ejected(&mut self, now: Micros, avoided: Vec<ReplicaId>) -> usize {
-        self.avoided_since.retain(|replica, _| avoided.contains(replica));
+        self.avoided_since
+            .retain(|replica, _| avoided.contains(replica));
         for replica in avoided {
             self.avoided_since.entry(replica).or_insert(now);
         }
-        self.avoided_since.values().filter(|since| now.since(**since) >= EJECTED_AFTER).count()
+        self.avoided_since
+            .values()
+            .filter(|since| now.since(**since) >= EJECTED_AFTER)
+            .count()
     }
 
     fn publish(&mut self, values: GaugeValues) {
         let previous = std::mem::replace(&mut self.reported, values);
         self.metrics.active.update(previous.active, values.active);
-        self.metrics.pool_size.update(previous.pool_size, values.pool_size);
-        self.metrics.pool_ejected.update(previous.pool_ejected, values.pool_ejected);
+        self.metrics
+            .pool_size
+            .update(previous.pool_size, values.pool_size);
+        self.metrics
+            .pool_ejected
+            .update(previous.pool_ejected, values.pool_ejected);
     }
 }
--- a/src/coordinator/turn.rs
+++ b/src/coordinator/turn.rs
@@ -20,6 +20,11 @@
 impl<'a> Turn<'a> {
     /// A turn that begins with the events that an earlier one deferred.
     pub(super) fn new(now: Micros, events: Vec<Event>, commands: &'a mut Vec<Command>) -> Self {
-        Self { now, events, deferred_events: Vec::new(), commands }
+        Self {
+            now,
+            events,
+            deferred_events: Vec::new(),
+            commands,
+        }
     }
 }
--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -42,8 +42,14 @@
 impl AdmittedQuery {
     fn new(state: &Arc<FrontState>, cost: QueryCost, bytes: f64) -> Self {
         AdmittedQuery {
-            _pages: PageReservation { state: state.clone(), cost },
-            memory: Arc::new(MemoryReservation { state: state.clone(), bytes }),
+            _pages: PageReservation {
+                state: state.clone(),
+                cost,
+            },
+            memory: Arc::new(MemoryReservation {
+                state: state.clone(),
+                bytes,
+            }),
         }
     }
 
@@ -56,15 +62,27 @@
     ) -> Result<Self, ApiError> {
         let edge = &state.edge;
         if !edge.limits.admission {
-            return Ok(Self::new(state, QueryCost { pages: 0.0, buffered_pages: 0.0 }, 0.0));
+            return Ok(Self::new(
+                state,
+                QueryCost {
+                    pages: 0.0,
+                    buffered_pages: 0.0,
+                },
+                0.0,
+            ));
         }
         let cost = cost(state, request, shards);
-        let objective =
-            Micros::from_millis(edge.classes[client.class].latency_objective_ms).min(client.timeout);
-        let admitted = state.admission().admit(cost, objective, state.server_capacity.total_throughput());
+        let objective = Micros::from_millis(edge.classes[client.class].latency_objective_ms)
+            .min(client.timeout);
+        let admitted =
+            state
+                .admission()
+                .admit(cost, objective, state.server_capacity.total_throughput());
         let bytes = admitted.map_err(|rejection| {
             COUNTERS.rejected_over_cost.increment();
-            ApiError::Overloaded { retry_after: Some(rejection.retry_after) }
+            ApiError::Overloaded {
+                retry_after: Some(rejection.retry_after),
+            }
         })?;
         Ok(Self::new(state, cost, bytes))
     }
--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -53,11 +53,14 @@
 
 impl Entry {
     fn is_fresh(&self, now: Micros, max_age: Micros) -> bool {
-        self.discovered.as_ref().is_some_and(|discovered| now.since(discovered.at) < max_age)
+        self.discovered
+            .as_ref()
+            .is_some_and(|discovered| now.since(discovered.at) < max_age)
     }
 
     fn in_flight(&self, now: Micros) -> bool {
-        self.in_flight_since.is_some_and(|since| now.since(since) < DISCOVERY_TIMEOUT)
+        self.in_flight_since
+            .is_some_and(|since| now.since(since) < DISCOVERY_TIMEOUT)
     }
 
     /// Counts a failure and begins its backoff. What was discovered before stays: a server that is down can do nothing
@@ -91,7 +94,10 @@
     /// An empty cache whose entries are stale after `max_age` at the latest.
     #[must_use]
     pub fn new(max_age: Micros) -> Self {
-        CapabilityCache { entries: HashMap::new(), max_age }
+        CapabilityCache {
+            entries: HashMap::new(),
+            max_age,
+        }
     }
 
     /// What a caller is to do that needs the capabilities of a server for a shard.
@@ -100,7 +106,10 @@
         let max_age = self.max_age - self.spread(key);
         let entry = self.entries.entry(key.clone()).or_default();
         entry.last_used = now;
-        let capabilities = entry.discovered.as_ref().map(|discovered| discovered.capabilities.clone());
+        let capabilities = entry
+            .discovered
+            .as_ref()
+            .map(|discovered| discovered.capabilities.clone());
         let must_wait = entry.in_flight(now) || now < entry.retry_at;
         match capabilities {
             Some(capabilities) if must_wait || entry.is_fresh(now, max_age) => {
@@ -134,17 +143,31 @@
 
     /// Records the result of a discovery; `None`: it failed.
     pub fn record(&mut self, key: &ReplicaKey, capabilities: Option<Capabilities>, now: Micros) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         entry.in_flight_since = None;
-        let Some(capabilities) = capabilities else { return entry.fail(now) };
-        entry.discovered = Some(Discovered { capabilities: Arc::new(capabilities), at: now });
+        let Some(capabilities) = capabilities else {
+            return entry.fail(now);
+        };
+        entry.discovered = Some(Discovered {
+            capabilities: Arc::new(capabilities),
+            at: now,
+        });
         entry.consecutive_failures = 0;
     }
 
     /// The queryables that any of these servers declares; `None` if none declares any.
-    pub fn any_queryables<'a>(&self, keys: impl Iterator<Item = &'a ReplicaKey>) -> Option<Queryables> {
-        let known = keys.filter_map(|key| self.known(key)).map(|capabilities| &capabilities.queryables);
-        let declared = known.filter(|queryables| !queryables.named.is_empty()).cloned();
+    pub fn any_queryables<'a>(
+        &self,
+        keys: impl Iterator<Item = &'a ReplicaKey>,
+    ) -> Option<Queryables> {
+        let known = keys
+            .filter_map(|key| self.known(key))
+            .map(|capabilities| &capabilities.queryables);
+        let declared = known
+            .filter(|queryables| !queryables.named.is_empty())
+            .cloned();
         declared.reduce(|all, more| all.union(&more))
     }
 
@@ -176,11 +199,21 @@
     max_filter_text: usize,
 ) -> Option<Capabilities> {
     let conformance: Json = serde_json::from_slice(conformance).ok()?;
-    let uris = conformance["conformsTo"].as_array()?.iter().filter_map(Json::as_str);
+    let uris = conformance["conformsTo"]
+        .as_array()?
+        .iter()
+        .filter_map(Json::as_str);
     let last_segment = |uri: &str| uri.rsplit('/').next().unwrap_or_default().to_owned();
     let schema = queryables.and_then(|document| serde_json::from_slice::<Json>(document).ok());
-    let queryables = schema.as_ref().and_then(Queryables::from_schema).unwrap_or_default();
-    Some(Capabilities { classes: uris.map(last_segment).collect(), queryables, max_filter_text })
+    let queryables = schema
+        .as_ref()
+        .and_then(Queryables::from_schema)
+        .unwrap_or_default();
+    Some(Capabilities {
+        classes: uris.map(last_segment).collect(),
+        queryables,
+        max_filter_text,
+    })
 }
 
 #[cfg(test)]
--- a/src/front/ogc/capabilities/tests.rs
+++ b/src/front/ogc/capabilities/tests.rs
@@ -5,7 +5,10 @@
 use std::sync::Arc;
 
 fn replica(n: usize) -> ReplicaKey {
-    ReplicaKey { address: format!("s{n}").into(), source: "north".into() }
+    ReplicaKey {
+        address: format!("s{n}").into(),
+        source: "north".into(),
+    }
 }
 
 fn secs(s: u64) -> Micros {
@@ -15,15 +18,23 @@
 #[test]
 fn one_caller_discovers_for_all_and_the_others_go_on() {
     let mut cache = CapabilityCache::new(secs(100));
-    assert_eq!(cache.lookup(&replica(1), secs(1)), CapabilityLookup::Discover(None));
-    assert_eq!(cache.lookup(&replica(1), secs(2)), CapabilityLookup::Unavailable, "another caller discovers");
+    assert_eq!(
+        cache.lookup(&replica(1), secs(1)),
+        CapabilityLookup::Discover(None)
+    );
+    assert_eq!(
+        cache.lookup(&replica(1), secs(2)),
+        CapabilityLookup::Unavailable,
+        "another caller discovers"
+    );
     assert_eq!(
         cache.lookup(&replica(1), secs(7)),
         CapabilityLookup::Discover(None),
         "the discovery was never finished"
     );
     let capabilities =
-        parse_capabilities(br#"{"conformsTo":["http://x/conf/basic-cql2"]}"#, None, 9).expect("a page");
+        parse_capabilities(br#"{"conformsTo":["http://x/conf/basic-cql2"]}"#, None, 9)
+            .expect("a page");
     cache.record(&replica(1), Some(capabilities.clone()), secs(8));
     let known = CapabilityLookup::Known(Arc::new(capabilities.clone()));
     assert_eq!(cache.lookup(&replica(1), secs(9)), known);
@@ -59,10 +70,17 @@
     let mut most = 0;
     for second in 70..=100 {
         let discoveries: Vec<_> = (0..200)
-            .filter(|n| matches!(cache.lookup(&replica(*n), secs(second)), CapabilityLookup::Discover(_)))
+            .filter(|n| {
+                matches!(
+                    cache.lookup(&replica(*n), secs(second)),
+                    CapabilityLookup::Discover(_)
+                )
+            })
             .collect();
         most = most.max(discoveries.len());
-        discoveries.into_iter().for_each(|n| cache.record(&replica(n), capabilities(), secs(second)));
+        discoveries
+            .into_iter()
+            .for_each(|n| cache.record(&replica(n), capabilities(), secs(second)));
     }
     assert!(most < 40, "{most} at once");
     for n in 0..10_000 {
@@ -79,19 +97,28 @@
         let schema = format!("{{\"properties\":{{{names}}}}}");
         parse_capabilities(page.as_bytes(), Some(schema.as_bytes()), 9)
     };
-    for (n, capabilities) in
-        [declared("\"c/a\",\"c/b\"", "\"x\":{},\"y\":{}"), declared("\"d/b\"", "\"y\":{}")]
-            .into_iter()
-            .enumerate()
+    for (n, capabilities) in [
+        declared("\"c/a\",\"c/b\"", "\"x\":{},\"y\":{}"),
+        declared("\"d/b\"", "\"y\":{}"),
+    ]
+    .into_iter()
+    .enumerate()
     {
         cache.lookup(&replica(n), secs(0));
         cache.record(&replica(n), capabilities, secs(0));
     }
-    let both = cache.common([replica(0), replica(1)].iter()).expect("known");
+    let both = cache
+        .common([replica(0), replica(1)].iter())
+        .expect("known");
     assert_eq!((both.classes.len(), both.queryables.named.len()), (1, 1));
     assert_eq!(cache.common([replica(0), replica(2)].iter()), None);
-    let either = cache.any_queryables([replica(0), replica(1), replica(2)].iter()).expect("declared");
+    let either = cache
+        .any_queryables([replica(0), replica(1), replica(2)].iter())
+        .expect("declared");
     assert_eq!(either.named.into_keys().collect::<Vec<_>>(), ["x", "y"]);
     assert_eq!(cache.any_queryables([replica(2)].iter()), None);
-    assert!(parse_capabilities(b"<html>", None, 9).is_none() && parse_capabilities(b"{}", None, 9).is_none());
+    assert!(
+        parse_capabilities(b"<html>", None, 9).is_none()
+            && parse_capabilities(b"{}", None, 9).is_none()
+    );
 }
--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -97,10 +97,20 @@
         let mut history = HashMap::new();
         for server in servers {
             let shards = self.assign_shards(server, servers);
-            let entry = ServerEntry { name: server.name.clone(), state: server.state };
-            self.servers_by_address.insert(server.address.to_string(), entry);
+            let entry = ServerEntry {
+                name: server.name.clone(),
+                state: server.state,
+            };
+            self.servers_by_address
+                .insert(server.address.to_string(), entry);
             let started = self.started(server, now);
-            history.insert(server.name.clone(), ServerHistory { state: server.state, started });
+            history.insert(
+                server.name.clone(),
+                ServerHistory {
+                    state: server.state,
+                    started,
+                },
+            );
             nodes.push(NodeEndpoint {
                 name: server.name.as_str().into(),
                 address: server.address.to_string().into(),
@@ -114,7 +124,11 @@
         self.sort_live_shards();
         self.history = history;
         self.loaded = true;
-        EndpointUpdate { kind: EndpointListKind::Full, version: None, endpoints: nodes }
+        EndpointUpdate {
+            kind: EndpointListKind::Full,
+            version: None,
+            endpoints: nodes,
+        }
     }
 
     /// Drops what only the previous inventory said, and the identifiers of servers that `servers` doesn't name.
@@ -123,8 +137,10 @@
         self.servers_by_address.clear();
         self.active_sticky_ids.clear();
         let names: HashSet<&str> = servers.iter().map(|server| server.name.as_str()).collect();
-        self.sticky_ids.retain(|key, _| names.contains(key.server.as_str()));
-        self.excluding_ids.retain(|key, _| names.contains(key.server.as_str()));
+        self.sticky_ids
+            .retain(|key, _| names.contains(key.server.as_str()));
+        self.excluding_ids
+            .retain(|key, _| names.contains(key.server.as_str()));
     }
 
     /// The identifiers under which a server holds its shards: each shard's own, the sticky one, and one for each other
@@ -132,17 +148,32 @@
     fn assign_shards(&mut self, server: &Server, servers: &[Server]) -> Vec<ShardId> {
         let mut assigned = Vec::new();
         for shard in &server.shards {
-            let id = self.ids.get_or_assign(&mut self.shard_ids, shard.clone(), shard);
-            let at = |server: &Server| ShardAtServer { shard: id, server: server.name.clone() };
-            let sticky = self.ids.get_or_assign(&mut self.sticky_ids, at(server), shard);
+            let id = self
+                .ids
+                .get_or_assign(&mut self.shard_ids, shard.clone(), shard);
+            let at = |server: &Server| ShardAtServer {
+                shard: id,
+                server: server.name.clone(),
+            };
+            let sticky = self
+                .ids
+                .get_or_assign(&mut self.sticky_ids, at(server), shard);
             self.active_sticky_ids.insert(sticky);
             assigned.extend([id, sticky]);
-            let others = servers.iter().filter(|s| s.name != server.name && s.shards.contains(shard));
+            let others = servers
+                .iter()
+                .filter(|s| s.name != server.name && s.shards.contains(shard));
             for other in others.take(MAX_EXCLUDED_HOLDERS) {
-                assigned.push(self.ids.get_or_assign(&mut self.excluding_ids, at(other), shard));
+                assigned.push(
+                    self.ids
+                        .get_or_assign(&mut self.excluding_ids, at(other), shard),
+                );
             }
             if server.state != EndpointState::Removed {
-                let live = self.live_shards.entry(shard.collection.clone()).or_default();
+                let live = self
+                    .live_shards
+                    .entry(shard.collection.clone())
+                    .or_default();
                 if !live.contains(&id) {
                     live.push(id);
                 }
@@ -154,7 +185,10 @@
     /// When a server last started, as far as the inventories tell; `None`: before this process.
     fn started(&self, server: &Server, now: Micros) -> Option<Micros> {
         match self.history.get(&server.name) {
-            Some(ServerHistory { state: EndpointState::Ready, started }) => *started,
+            Some(ServerHistory {
+                state: EndpointState::Ready,
+                started,
+            }) => *started,
             None if !self.loaded => None,
             _ => (server.state == EndpointState::Ready).then_some(now),
         }
@@ -184,17 +218,32 @@
     #[must_use]
     pub fn excluding_server(&self, shard: ShardId, address: &str) -> Option<ShardId> {
         let server = self.servers_by_address.get(address)?;
-        if self.ready_holders(shard).iter().all(|holder| holder.address == address) {
+        if self
+            .ready_holders(shard)
+            .iter()
+            .all(|holder| holder.address == address)
+        {
             return None;
         }
-        self.excluding_ids.get(&ShardAtServer { shard, server: server.name.clone() }).copied()
+        self.excluding_ids
+            .get(&ShardAtServer {
+                shard,
+                server: server.name.clone(),
+            })
+            .copied()
     }
 
     /// The identifier of a shard at the server of this address alone, if that takes new work and holds it.
     #[must_use]
     pub fn sticky_shard(&self, shard: ShardId, address: &str) -> Option<ShardId> {
-        let server = self.servers_by_address.get(address).filter(|s| s.state == EndpointState::Ready)?;
-        let key = ShardAtServer { shard, server: server.name.clone() };
+        let server = self
+            .servers_by_address
+            .get(address)
+            .filter(|s| s.state == EndpointState::Ready)?;
+        let key = ShardAtServer {
+            shard,
+            server: server.name.clone(),
+        };
         let sticky = self.sticky_ids.get(&key).copied()?;
         self.active_sticky_ids.contains(&sticky).then_some(sticky)
     }
@@ -202,10 +251,16 @@
     /// The servers that take new work and hold a shard, ordered by the shard's identifier there.
     #[must_use]
     pub fn ready_holders(&self, shard: ShardId) -> Vec<ShardHolder<'_>> {
-        let ready = self.servers_by_address.iter().filter(|(_, s)| s.state == EndpointState::Ready);
+        let ready = self
+            .servers_by_address
+            .iter()
+            .filter(|(_, s)| s.state == EndpointState::Ready);
         let mut holders: Vec<_> = ready
             .filter_map(|(address, _)| {
-                Some(ShardHolder { sticky_shard: self.sticky_shard(shard, address)?, address })
+                Some(ShardHolder {
+                    sticky_shard: self.sticky_shard(shard, address)?,
+                    address,
+                })
             })
             .collect();
         holders.sort_unstable_by_key(|holder| holder.sticky_shard.0);
@@ -215,13 +270,18 @@
     /// The name of the server at an address.
     #[must_use]
     pub fn server_name(&self, address: &str) -> Option<&str> {
-        self.servers_by_address.get(address).map(|server| server.name.as_str())
+        self.servers_by_address
+            .get(address)
+            .map(|server| server.name.as_str())
     }
 
     /// The address of a server, by its name.
     #[must_use]
     pub fn server_address(&self, name: &str) -> Option<String> {
-        let found = self.servers_by_address.iter().find(|(_, server)| server.name == name);
+        let found = self
+            .servers_by_address
+            .iter()
+            .find(|(_, server)| server.name == name);
         found.map(|(address, _)| address.clone())
     }
 
--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -32,7 +32,11 @@
 impl From<InventoryError> for Fault {
     fn from(error: InventoryError) -> Self {
         let message = error.message();
-        Fault { file: error.file, line: error.line, message }
+        Fault {
+            file: error.file,
+            line: error.line,
+            message,
+        }
     }
 }
 
@@ -48,20 +52,40 @@
 /// Checks an edge file and the inventory that it names. No connection is opened and no address is listened at.
 #[must_use]
 pub fn check_edge_file(path: &Path) -> Report {
-    let file = path.file_name().unwrap_or(path.as_os_str()).to_string_lossy().into_owned();
+    let file = path
+        .file_name()
+        .unwrap_or(path.as_os_str())
+        .to_string_lossy()
+        .into_owned();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(error) => {
-            let fault = Fault { file, line: 0, message: error.to_string() };
-            return Report { faults: vec![fault], summary: String::new() };
+            let fault = Fault {
+                file,
+                line: 0,
+                message: error.to_string(),
+            };
+            return Report {
+                faults: vec![fault],
+                summary: String::new(),
+            };
         }
     };
     let (edge, faults) = parse_with_recovery(&text);
-    let in_file =
-        |fault: recovery::LineFault| Fault { file: file.clone(), line: fault.line, message: fault.message };
-    let mut report = Report { faults: faults.into_iter().map(in_file).collect(), summary: String::new() };
+    let in_file = |fault: recovery::LineFault| Fault {
+        file: file.clone(),
+        line: fault.line,
+        message: fault.message,
+    };
+    let mut report = Report {
+        faults: faults.into_iter().map(in_file).collect(),
+        summary: String::new(),
+    };
     // The inventory's name may be readable in a file that is otherwise faulty.
-    let inventory = edge.as_ref().map(|edge| edge.inventory.clone()).or_else(|| inventory_name(&text));
+    let inventory = edge
+        .as_ref()
+        .map(|edge| edge.inventory.clone())
+        .or_else(|| inventory_name(&text));
     if let Some(inventory) = inventory {
         let inventory = path.parent().unwrap_or(Path::new("")).join(inventory);
         match read_file_with_all_errors(&inventory) {
@@ -75,10 +99,20 @@
 
 impl Report {
     /// Checks the collections of an edge file against its servers and sums both up.
-    fn add_servers(&mut self, file: &str, text: &str, edge: Option<&EdgeConfig>, servers: &[Server]) {
+    fn add_servers(
+        &mut self,
+        file: &str,
+        text: &str,
+        edge: Option<&EdgeConfig>,
+        servers: &[Server],
+    ) {
         let shards: BTreeSet<_> = servers.iter().flat_map(|server| &server.shards).collect();
-        let collections = edge.map(|edge| edge.collections.as_slice()).unwrap_or_default();
-        let unheld = collections.iter().filter(|collection| !has_shard(collection, &shards));
+        let collections = edge
+            .map(|edge| edge.collections.as_slice())
+            .unwrap_or_default();
+        let unheld = collections
+            .iter()
+            .filter(|collection| !has_shard(collection, &shards));
         self.faults.extend(unheld.map(|collection| Fault {
             file: file.to_owned(),
             line: line_with(text, &format!("\"{}\"", collection.id)),
--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -46,15 +46,21 @@
 fn add_value_faults(text: &str, edge: &EdgeConfig, faults: &mut Vec<LineFault>) {
     let substituted: Vec<usize> = faults.iter().map(|fault| fault.line).collect();
     let issues = edge.validate().into_iter();
-    let values = issues
-        .map(|issue| LineFault { line: line_with(text, &issue.anchor), message: issue.error.to_string() });
+    let values = issues.map(|issue| LineFault {
+        line: line_with(text, &issue.anchor),
+        message: issue.error.to_string(),
+    });
     faults.extend(values.filter(|fault| !substituted.contains(&fault.line)));
 }
 
 /// Gives a faulty line a value that can be read, or blanks it, so that the lines after it are read too. False: the line
 /// was blank already.
 fn repair(text: &mut String, line: usize) -> bool {
-    let start: usize = text.split_inclusive('\n').take(line - 1).map(str::len).sum();
+    let start: usize = text
+        .split_inclusive('\n')
+        .take(line - 1)
+        .map(str::len)
+        .sum();
     let faulty = text[line_range(text, start)].to_owned();
     if let Some((key, _)) = faulty.split_once('=') {
         for value in SUBSTITUTES {
@@ -78,7 +84,9 @@
 
 /// The line that begins at `start`, without its end.
 fn line_range(text: &str, start: usize) -> Range<usize> {
-    let end = text[start..].find('\n').map_or(text.len(), |length| start + length);
+    let end = text[start..]
+        .find('\n')
+        .map_or(text.len(), |length| start + length);
     start..end
 }
 
@@ -90,5 +98,7 @@
 /// The first line that has `part` outside of a comment; 1 if none has.
 pub(super) fn line_with(text: &str, part: &str) -> usize {
     let has_part = |line: &str| line.split('#').next().unwrap_or_default().contains(part);
-    text.lines().position(has_part).map_or(1, |position| position + 1)
+    text.lines()
+        .position(has_part)
+        .map_or(1, |position| position + 1)
 }
--- a/src/front/ogc/check/tests.rs
+++ b/src/front/ogc/check/tests.rs
@@ -26,5 +26,8 @@
 fn the_shipped_files_have_no_fault() {
     let report = check_edge_file(Path::new("deploy/edge.toml"));
     assert_eq!(report.faults, []);
-    assert_eq!(report.summary, "edge.toml is sound: 3 servers, 2 shards, 3 classes");
+    assert_eq!(
+        report.summary,
+        "edge.toml is sound: 3 servers, 2 shards, 3 classes"
+    );
 }
--- a/src/front/ogc/client_request.rs
+++ b/src/front/ogc/client_request.rs
@@ -33,27 +33,43 @@
     ) -> Result<Self, ApiError> {
         let class = match request.headers.get("X-Qos") {
             None => 0,
-            Some(name) => edge.classes.iter().position(|c| c.name == name).ok_or(ApiError::UnknownClass)?,
+            Some(name) => edge
+                .classes
+                .iter()
+                .position(|c| c.name == name)
+                .ok_or(ApiError::UnknownClass)?,
         };
         let deadline = Micros::from_millis(edge.classes[class].deadline_ms);
         let timeout = match request.headers.get("X-Expires-In") {
             None => deadline,
-            Some(text) => parse_timeout(text).ok_or(ApiError::InvalidTimeout)?.min(deadline),
+            Some(text) => parse_timeout(text)
+                .ok_or(ApiError::InvalidTimeout)?
+                .min(deadline),
         };
-        Ok(ClientContext { token, class, timeout, sent_at })
+        Ok(ClientContext {
+            token,
+            class,
+            timeout,
+            sent_at,
+        })
     }
 }
 
 /// A number of seconds, not negative.
 fn parse_timeout(text: &str) -> Option<Micros> {
-    let seconds = text.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0)?;
+    let seconds = text
+        .parse::<f64>()
+        .ok()
+        .filter(|s| s.is_finite() && *s >= 0.0)?;
     Some(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
 /// The base of the links in a response: where the client reaches this front, as its `Host` header says.
 pub(super) fn base_url(request: &HttpRequest, edge: &EdgeConfig) -> String {
     let is_plain = |host: &&str| {
-        host.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b)) && !host.is_empty()
+        host.bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b))
+            && !host.is_empty()
     };
     match request.headers.get("Host").filter(is_plain) {
         Some(host) => format!("http://{host}"),
--- a/src/front/ogc/config/defaults.rs
+++ b/src/front/ogc/config/defaults.rs
@@ -4,7 +4,13 @@
 
 impl Default for LimitsConfig {
     fn default() -> Self {
-        LimitsConfig { mode: "adaptive".to_owned(), initial: 8, min: 2, retry_ratio: 0.25, admission: true }
+        LimitsConfig {
+            mode: "adaptive".to_owned(),
+            initial: 8,
+            min: 2,
+            retry_ratio: 0.25,
+            admission: true,
+        }
     }
 }
 
--- a/src/front/ogc/config/mod.rs
+++ b/src/front/ogc/config/mod.rs
@@ -203,7 +203,10 @@
             Err(source) => return Err(EdgeConfigError::Syntax { file, source }),
         };
         if let Some(issue) = edge.validate().into_iter().next() {
-            return Err(EdgeConfigError::Value { file, source: issue.error });
+            return Err(EdgeConfigError::Value {
+                file,
+                source: issue.error,
+            });
         }
         edge.inventory = path.parent().unwrap_or(Path::new("")).join(&edge.inventory);
         Ok(edge)
@@ -229,7 +232,8 @@
         };
         let byte = |start: usize| u8::from_str_radix(text.get(start..start + 2)?, 16).ok();
         let key: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
-        key.filter(|key| key.len() >= MIN_CURSOR_KEY).ok_or(CursorKeyError::Malformed)
+        key.filter(|key| key.len() >= MIN_CURSOR_KEY)
+            .ok_or(CursorKeyError::Malformed)
     }
 }
 
@@ -240,9 +244,14 @@
         if self.queryables.is_empty() {
             return None;
         }
-        let known =
-            self.queryables.iter().filter_map(|(name, kind)| Some((name.clone(), queryable_type(kind)?)));
-        Some(Queryables { named: known.collect(), open: false })
+        let known = self
+            .queryables
+            .iter()
+            .filter_map(|(name, kind)| Some((name.clone(), queryable_type(kind)?)));
+        Some(Queryables {
+            named: known.collect(),
+            open: false,
+        })
     }
 }
 
--- a/src/front/ogc/config/settings.rs
+++ b/src/front/ogc/config/settings.rs
@@ -22,7 +22,10 @@
     /// The bounds of a query's `limit`.
     #[must_use]
     pub fn limit_rules(&self) -> LimitRules {
-        LimitRules { default_limit: self.default_limit, max_limit: self.max_limit }
+        LimitRules {
+            default_limit: self.default_limit,
+            max_limit: self.max_limit,
+        }
     }
 
     /// How the requests in flight at a server are limited.
@@ -49,7 +52,11 @@
         Settings {
             coordinators: self.coordinators,
             tick: nanos(TICK_MS),
-            classes: self.classes.iter().map(|class| class.settings(self.max_attempts)).collect(),
+            classes: self
+                .classes
+                .iter()
+                .map(|class| class.settings(self.max_attempts))
+                .collect(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
             // Shards and their holders come with the inventory.
@@ -77,7 +84,11 @@
             latency_objective: nanos(self.latency_objective_ms),
             objective_stretch: 0.0,
             deadline: nanos(self.deadline_ms),
-            effect: if self.effect == "unsafe" { Effect::NonIdempotent } else { Effect::Idempotent },
+            effect: if self.effect == "unsafe" {
+                Effect::NonIdempotent
+            } else {
+                Effect::Idempotent
+            },
             priority_weight: self.priority_weight,
             late_weight: self.late_weight,
             required_share: 1.0,
--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -76,7 +76,10 @@
 }
 
 fn syntax_error(text: &str) -> String {
-    toml::from_str::<EdgeConfig>(text).expect_err("no edge file").message().to_owned()
+    toml::from_str::<EdgeConfig>(text)
+        .expect_err("no edge file")
+        .message()
+        .to_owned()
 }
 
 #[test]
@@ -84,35 +87,91 @@
     let edge = parse(EVERY_KEY);
     assert_eq!(edge.validate().len(), 0);
     assert_eq!(edge.listen.to_string(), "127.0.0.1:8080");
-    assert_eq!(edge.mgmt.map(|a| a.to_string()).as_deref(), Some("127.0.0.1:8081"));
+    assert_eq!(
+        edge.mgmt.map(|a| a.to_string()).as_deref(),
+        Some("127.0.0.1:8081")
+    );
     assert_eq!(edge.inventory, Path::new("servers.csv"));
     assert_eq!((edge.coordinators, edge.max_attempts), (2, 3));
-    assert_eq!((edge.max_in_flight, edge.max_descriptors, edge.memory_mb), (401, 1025, 193));
-    assert_eq!((edge.default_limit, edge.max_limit, edge.page_size), (101, 5001, 501));
+    assert_eq!(
+        (edge.max_in_flight, edge.max_descriptors, edge.memory_mb),
+        (401, 1025, 193)
+    );
+    assert_eq!(
+        (edge.default_limit, edge.max_limit, edge.page_size),
+        (101, 5001, 501)
+    );
     assert_eq!(edge.max_initial_shards, 9);
-    assert_eq!(edge.cursor_key().expect("a key"), (0..16).collect::<Vec<u8>>());
-    assert_eq!((edge.cursor_max_age_s, edge.capability_max_age_s), (3601, 601));
-    assert_eq!((edge.max_filter_text, edge.max_pages, edge.max_bytes), (2001, 201, 4_194_305));
+    assert_eq!(
+        edge.cursor_key().expect("a key"),
+        (0..16).collect::<Vec<u8>>()
+    );
+    assert_eq!(
+        (edge.cursor_max_age_s, edge.capability_max_age_s),
+        (3601, 601)
+    );
+    assert_eq!(
+        (edge.max_filter_text, edge.max_pages, edge.max_bytes),
+        (2001, 201, 4_194_305)
+    );
     assert_eq!((edge.max_connections, edge.dial_timeout_ms), (33, 251));
-    assert_eq!((edge.idle_timeout_ms, edge.max_retry_after_ms), (4001, 2001));
+    assert_eq!(
+        (edge.idle_timeout_ms, edge.max_retry_after_ms),
+        (4001, 2001)
+    );
 }
 
 #[test]
 fn every_table_of_an_earlier_file_is_read() {
     let edge = parse(EVERY_KEY);
-    assert_eq!((edge.limits.mode.as_str(), edge.limits.initial, edge.limits.min), ("fixed", 9, 3));
-    assert_eq!((edge.limits.retry_ratio, edge.limits.admission), (0.5, false));
+    assert_eq!(
+        (
+            edge.limits.mode.as_str(),
+            edge.limits.initial,
+            edge.limits.min
+        ),
+        ("fixed", 9, 3)
+    );
+    assert_eq!(
+        (edge.limits.retry_ratio, edge.limits.admission),
+        (0.5, false)
+    );
     let slow_start = edge.slow_start.as_ref().expect("a slow start");
-    assert_eq!((slow_start.initial_capacity, slow_start.warm_up_ms), (0.2, 17_000));
-    assert_eq!((slow_start.overload_factor, slow_start.overload_window_ms), (2.5, 1_500));
-    let [class] = edge.classes.as_slice() else { panic!("one class") };
-    assert_eq!((class.name.as_str(), class.effect.as_str()), ("map", "unsafe"));
-    assert_eq!((class.latency_objective_ms, class.deadline_ms), (2_000, 6_000));
-    assert_eq!((class.min_share, class.priority_weight, class.late_weight), (0.8, 2.0, 0.1));
-    let [collection] = edge.collections.as_slice() else { panic!("one collection") };
-    assert_eq!((collection.id.as_str(), collection.same_order), ("devices", true));
+    assert_eq!(
+        (slow_start.initial_capacity, slow_start.warm_up_ms),
+        (0.2, 17_000)
+    );
+    assert_eq!(
+        (slow_start.overload_factor, slow_start.overload_window_ms),
+        (2.5, 1_500)
+    );
+    let [class] = edge.classes.as_slice() else {
+        panic!("one class")
+    };
+    assert_eq!(
+        (class.name.as_str(), class.effect.as_str()),
+        ("map", "unsafe")
+    );
+    assert_eq!(
+        (class.latency_objective_ms, class.deadline_ms),
+        (2_000, 6_000)
+    );
+    assert_eq!(
+        (class.min_share, class.priority_weight, class.late_weight),
+        (0.8, 2.0, 0.1)
+    );
+    let [collection] = edge.collections.as_slice() else {
+        panic!("one collection")
+    };
+    assert_eq!(
+        (collection.id.as_str(), collection.same_order),
+        ("devices", true)
+    );
     assert_eq!(collection.title.as_deref(), Some("Customer devices"));
-    assert_eq!(collection.description.as_deref(), Some("Devices that can be sent alerts"));
+    assert_eq!(
+        collection.description.as_deref(),
+        Some("Devices that can be sent alerts")
+    );
     assert_eq!(collection.bbox, Some([-121.0, 37.0, -119.0, 39.0]));
     assert_eq!(collection.queryables().expect("queryables").named.len(), 7);
 }
@@ -121,18 +180,46 @@
 fn keys_that_are_left_out_have_their_defaults() {
     let edge = parse(REQUIRED_KEYS);
     assert_eq!(edge.validate().len(), 0);
-    assert_eq!((edge.mgmt, edge.slow_start.is_none(), edge.collections.len()), (None, true, 0));
+    assert_eq!(
+        (edge.mgmt, edge.slow_start.is_none(), edge.collections.len()),
+        (None, true, 0)
+    );
     assert_eq!((edge.coordinators, edge.max_attempts), (1, 4));
-    assert_eq!((edge.max_in_flight, edge.max_descriptors, edge.memory_mb), (400, 1024, 192));
-    assert_eq!((edge.default_limit, edge.max_limit, edge.page_size), (100, 5000, 500));
+    assert_eq!(
+        (edge.max_in_flight, edge.max_descriptors, edge.memory_mb),
+        (400, 1024, 192)
+    );
+    assert_eq!(
+        (edge.default_limit, edge.max_limit, edge.page_size),
+        (100, 5000, 500)
+    );
     assert_eq!(edge.max_initial_shards, 8);
     assert_eq!(edge.cursor_key().expect("a drawn key").len(), 32);
-    assert_eq!((edge.cursor_max_age_s, edge.capability_max_age_s), (3600, 600));
-    assert_eq!((edge.max_filter_text, edge.max_pages, edge.max_bytes), (2000, 200, 4_194_304));
+    assert_eq!(
+        (edge.cursor_max_age_s, edge.capability_max_age_s),
+        (3600, 600)
+    );
+    assert_eq!(
+        (edge.max_filter_text, edge.max_pages, edge.max_bytes),
+        (2000, 200, 4_194_304)
+    );
     assert_eq!((edge.max_connections, edge.dial_timeout_ms), (32, 250));
-    assert_eq!((edge.idle_timeout_ms, edge.max_retry_after_ms), (4000, 2000));
-    assert_eq!((edge.limits.mode.as_str(), edge.limits.initial, edge.limits.min), ("adaptive", 8, 2));
-    assert_eq!((edge.limits.retry_ratio, edge.limits.admission), (0.25, true));
+    assert_eq!(
+        (edge.idle_timeout_ms, edge.max_retry_after_ms),
+        (4000, 2000)
+    );
+    assert_eq!(
+        (
+            edge.limits.mode.as_str(),
+            edge.limits.initial,
+            edge.limits.min
+        ),
+        ("adaptive", 8, 2)
+    );
+    assert_eq!(
+        (edge.limits.retry_ratio, edge.limits.admission),
+        (0.25, true)
+    );
     let class = &edge.classes[0];
     assert_eq!((class.effect.as_str(), class.min_share), ("safe", 1.0));
     assert_eq!((class.priority_weight, class.late_weight), (1.0, 0.0));
@@ -143,26 +230,56 @@
     let edge = parse(EVERY_KEY);
     assert!(matches!(edge.concurrency_rule(), LimitRule::Fixed(33)));
     let adaptive = parse(REQUIRED_KEYS).concurrency_rule();
-    assert!(matches!(adaptive, LimitRule::Adaptive { initial: 8, min: 2, max: 32 }));
+    assert!(matches!(
+        adaptive,
+        LimitRule::Adaptive {
+            initial: 8,
+            min: 2,
+            max: 32
+        }
+    ));
     let settings = edge.settings();
-    assert_eq!((settings.coordinators, settings.tick, settings.shards), (2, 5_000_000, 0));
+    assert_eq!(
+        (settings.coordinators, settings.tick, settings.shards),
+        (2, 5_000_000, 0)
+    );
     assert_eq!(settings.max_retry_after, Some(2_001_000_000));
     let budget = settings.retry_budget.expect("a retry budget");
-    assert_eq!((budget.ratio, budget.free, budget.window), (0.5, 10.0, 10_000_000_000));
+    assert_eq!(
+        (budget.ratio, budget.free, budget.window),
+        (0.5, 10.0, 10_000_000_000)
+    );
     let slow_start = settings.slow_start.expect("a slow start");
-    assert_eq!((slow_start.initial_capacity, slow_start.warm_up), (0.2, 17_000_000_000));
-    assert_eq!((slow_start.overload_factor, slow_start.overload_window), (2.5, 1_500_000_000));
+    assert_eq!(
+        (slow_start.initial_capacity, slow_start.warm_up),
+        (0.2, 17_000_000_000)
+    );
+    assert_eq!(
+        (slow_start.overload_factor, slow_start.overload_window),
+        (2.5, 1_500_000_000)
+    );
     let class = &settings.classes[0];
-    assert_eq!((class.latency_objective, class.deadline), (2_000_000_000, 6_000_000_000));
-    assert_eq!((class.effect, class.max_attempts), (Effect::NonIdempotent, 3));
-    assert_eq!((class.min_share, class.priority_weight, class.late_weight), (0.8, 2.0, 0.1));
+    assert_eq!(
+        (class.latency_objective, class.deadline),
+        (2_000_000_000, 6_000_000_000)
+    );
+    assert_eq!(
+        (class.effect, class.max_attempts),
+        (Effect::NonIdempotent, 3)
+    );
+    assert_eq!(
+        (class.min_share, class.priority_weight, class.late_weight),
+        (0.8, 2.0, 0.1)
+    );
 }
 
 #[test]
 fn unknown_keys_and_wrong_types_are_rejected_in_the_words_of_earlier_versions() {
     let unknown = syntax_error(&format!("most_hold = 1\n{REQUIRED_KEYS}"));
     assert!(
-        unknown.starts_with("unknown field `most_hold`, expected one of `listen`, `mgmt`, `inventory`,"),
+        unknown.starts_with(
+            "unknown field `most_hold`, expected one of `listen`, `mgmt`, `inventory`,"
+        ),
         "{unknown}"
     );
     let without = |key: &str| {
@@ -176,10 +293,16 @@
         ("collection = [1]", "struct Collection"),
     ] {
         let text = syntax_error(&format!("{line}\n{REQUIRED_KEYS}"));
-        assert_eq!(text, format!("invalid type: integer `1`, expected {expected}"));
+        assert_eq!(
+            text,
+            format!("invalid type: integer `1`, expected {expected}")
+        );
     }
     let class = syntax_error("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\nclass = [1]\n");
-    assert_eq!(class, "invalid type: integer `1`, expected struct EdgeClass");
+    assert_eq!(
+        class,
+        "invalid type: integer `1`, expected struct EdgeClass"
+    );
 }
 
 #[test]
@@ -188,44 +311,90 @@
         let text = EVERY_KEY.replacen(from, to, 1);
         assert_ne!(text, EVERY_KEY, "{from}");
         let issues = parse(&text).validate();
-        issues.iter().map(|i| format!("{}: {}", i.anchor, i.error)).collect::<Vec<_>>().join("; ")
+        issues
+            .iter()
+            .map(|i| format!("{}: {}", i.anchor, i.error))
+            .collect::<Vec<_>>()
+            .join("; ")
     };
     let class = |why: &str| format!("\"map\": class \"map\": {why}");
-    assert_eq!(swap("name = \"map\"", "name = \"\""), "\"\": class \"\": its name is empty");
-    assert_eq!(swap("aim_ms = 2000", "aim_ms = 0"), class("aim_ms must be above 0 and at most deadline_ms"));
+    assert_eq!(
+        swap("name = \"map\"", "name = \"\""),
+        "\"\": class \"\": its name is empty"
+    );
+    assert_eq!(
+        swap("aim_ms = 2000", "aim_ms = 0"),
+        class("aim_ms must be above 0 and at most deadline_ms")
+    );
     assert_eq!(
         swap("deadline_ms = 6000", "deadline_ms = 1"),
         class("aim_ms must be above 0 and at most deadline_ms")
     );
-    assert_eq!(swap("floor = 0.8", "floor = 1.1"), class("floor must be above 0 and at most 1"));
-    assert_eq!(swap("effect = \"unsafe\"", "effect = \"x\""), class("effect must be safe or unsafe"));
-    let queryable = "volts: collection \"devices\": queryable \"volts\" is of no kind that is known";
+    assert_eq!(
+        swap("floor = 0.8", "floor = 1.1"),
+        class("floor must be above 0 and at most 1")
+    );
+    assert_eq!(
+        swap("effect = \"unsafe\"", "effect = \"x\""),
+        class("effect must be safe or unsafe")
+    );
+    let queryable =
+        "volts: collection \"devices\": queryable \"volts\" is of no kind that is known";
     assert_eq!(swap("volts = \"number\"", "volts = \"x\""), queryable);
-    assert_eq!(swap("mode = \"fixed\"", "mode = \"x\""), "mode: limits: mode must be adaptive or fixed");
-    assert_eq!(swap("least = 3", "least = 10"), "least: limits: least must be above 0 and at most start");
-    assert_eq!(swap("repeats = 0.5", "repeats = 10.5"), "repeats: limits: repeats must be from 0 to 10");
+    assert_eq!(
+        swap("mode = \"fixed\"", "mode = \"x\""),
+        "mode: limits: mode must be adaptive or fixed"
+    );
+    assert_eq!(
+        swap("least = 3", "least = 10"),
+        "least: limits: least must be above 0 and at most start"
+    );
+    assert_eq!(
+        swap("repeats = 0.5", "repeats = 10.5"),
+        "repeats: limits: repeats must be from 0 to 10"
+    );
     let key = "cursor_key: cursor_key must be 32 hexadecimal digits or more, an even number";
     assert_eq!(swap("0e0f\"", "0e\""), key);
-    assert_eq!(swap("page_size = 501", "page_size = 0"), "page_size: page_size must be above 0");
-    assert_eq!(swap("attempts = 3", "attempts = 0"), "attempts: attempts must be above 0");
+    assert_eq!(
+        swap("page_size = 501", "page_size = 0"),
+        "page_size: page_size must be above 0"
+    );
+    assert_eq!(
+        swap("attempts = 3", "attempts = 0"),
+        "attempts: attempts must be above 0"
+    );
 }
 
 #[test]
 fn classes_are_named_once_and_one_is_needed() {
     let mut edge = parse(EVERY_KEY);
     edge.classes.push(edge.classes[0].clone());
-    assert_eq!(edge.validate()[0].error.to_string(), "class \"map\": is there twice");
+    assert_eq!(
+        edge.validate()[0].error.to_string(),
+        "class \"map\": is there twice"
+    );
     edge.classes.clear();
     assert!(matches!(edge.validate()[0].error, ValueError::NoClass));
-    assert_eq!(edge.validate()[0].error.to_string(), "a [[class]] is needed");
+    assert_eq!(
+        edge.validate()[0].error.to_string(),
+        "a [[class]] is needed"
+    );
 }
 
 #[test]
 fn errors_of_a_file_begin_with_its_path() {
     let missing = EdgeConfig::load(Path::new("deploy/none.toml")).expect_err("there is none");
     assert!(matches!(missing, EdgeConfigError::Io { .. }));
-    assert!(missing.to_string().starts_with("deploy/none.toml: "), "{missing}");
+    assert!(
+        missing.to_string().starts_with("deploy/none.toml: "),
+        "{missing}"
+    );
     let other = EdgeConfig::load(Path::new("Cargo.toml")).expect_err("it is another file");
     assert!(matches!(other, EdgeConfigError::Syntax { .. }));
-    assert!(other.to_string().starts_with("Cargo.toml: TOML parse error at line "), "{other}");
+    assert!(
+        other
+            .to_string()
+            .starts_with("Cargo.toml: TOML parse error at line "),
+        "{other}"
+    );
 }
--- a/src/front/ogc/config/validation.rs
+++ b/src/front/ogc/config/validation.rs
@@ -18,7 +18,10 @@
 
 impl ValueIssue {
     fn new(anchor: &str, error: ValueError) -> Self {
-        ValueIssue { anchor: anchor.to_owned(), error }
+        ValueIssue {
+            anchor: anchor.to_owned(),
+            error,
+        }
     }
 }
 
@@ -33,7 +36,10 @@
         for (position, class) in self.classes.iter().enumerate() {
             let anchor = format!("\"{}\"", class.name);
             for source in class.validate(&self.classes[..position]) {
-                let error = ValueError::Class { name: class.name.clone(), source };
+                let error = ValueError::Class {
+                    name: class.name.clone(),
+                    source,
+                };
                 issues.push(ValueIssue::new(&anchor, error));
             }
         }
@@ -88,9 +94,15 @@
 
 impl CollectionConfig {
     fn validate(&self) -> impl Iterator<Item = ValueIssue> + '_ {
-        let unknown = self.queryables.iter().filter(|(_, kind)| queryable_type(kind).is_none());
+        let unknown = self
+            .queryables
+            .iter()
+            .filter(|(_, kind)| queryable_type(kind).is_none());
         unknown.map(|(name, _)| {
-            let error = ValueError::QueryableType { collection: self.id.clone(), queryable: name.clone() };
+            let error = ValueError::QueryableType {
+                collection: self.id.clone(),
+                queryable: name.clone(),
+            };
             ValueIssue::new(name, error)
         })
     }
--- a/src/front/ogc/cql2/conformance.rs
+++ b/src/front/ogc/cql2/conformance.rs
@@ -41,7 +41,11 @@
         }
         Filter::Temporal(_, left, right) => {
             classes.insert("temporal-functions");
-            add_operand_class(left, is_constant(right) && !has_property_end(right), classes);
+            add_operand_class(
+                left,
+                is_constant(right) && !has_property_end(right),
+                classes,
+            );
         }
         Filter::Array(_, left, right) => {
             classes.insert("array-functions");
@@ -85,7 +89,10 @@
 
 /// Whether a value is neither a property nor calculated.
 fn is_constant(value: &Value) -> bool {
-    !matches!(value, Value::Property(_) | Value::Arithmetic(..) | Value::Casei(_) | Value::Accenti(_))
+    !matches!(
+        value,
+        Value::Property(_) | Value::Arithmetic(..) | Value::Casei(_) | Value::Accenti(_)
+    )
 }
 
 /// Whether an end of an interval is a property.
--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -71,7 +71,9 @@
             Some(satisfies(*operator, order))
         }
         Filter::Like(text, pattern) => match (operand(text)?, operand(pattern)?) {
-            (Operand::Text(text), Operand::Text(pattern)) => Some(pattern::matches(&text, &pattern)),
+            (Operand::Text(text), Operand::Text(pattern)) => {
+                Some(pattern::matches(&text, &pattern))
+            }
             _ => None,
         },
         Filter::Between(value, low, high) => {
@@ -81,7 +83,12 @@
         }
         Filter::In(value, items) => {
             let value = operand(value)?;
-            decide(items.iter().map(|item| Some(value.compare(&operand(item)?)? == Ordering::Equal)), true)
+            decide(
+                items
+                    .iter()
+                    .map(|item| Some(value.compare(&operand(item)?)? == Ordering::Equal)),
+                true,
+            )
         }
         Filter::IsNull(Value::Property(name)) => Some(feature.value(name).is_none()),
         Filter::IsNull(value) => Some(operand(value).is_none()),
@@ -93,11 +100,15 @@
             let (left, right) = (geometry(left, feature)?, geometry(right, feature)?);
             Some(spatial::relates(*relation, &left, &right))
         }
-        Filter::Temporal(relation, left, right) => {
-            Some(time_span::relates(*relation, time_span(left, feature)?, time_span(right, feature)?))
-        }
+        Filter::Temporal(relation, left, right) => Some(time_span::relates(
+            *relation,
+            time_span(left, feature)?,
+            time_span(right, feature)?,
+        )),
         Filter::Array(relation, left, right) => match (operand(left)?, operand(right)?) {
-            (Operand::Array(left), Operand::Array(right)) => Some(operand::relates(*relation, &left, &right)),
+            (Operand::Array(left), Operand::Array(right)) => {
+                Some(operand::relates(*relation, &left, &right))
+            }
             _ => None,
         },
     }
--- a/src/front/ogc/cql2/eval/operand.rs
+++ b/src/front/ogc/cql2/eval/operand.rs
@@ -102,7 +102,9 @@
 
 /// The result of an operator on two numbers; `None`: they are no numbers, or the result is no finite one.
 fn calculate(operator: ArithmeticOperator, left: &Operand<'_>, right: &Operand<'_>) -> Option<f64> {
-    let (Operand::Number(left), Operand::Number(right)) = (left, right) else { return None };
+    let (Operand::Number(left), Operand::Number(right)) = (left, right) else {
+        return None;
+    };
     let result = match operator {
         ArithmeticOperator::Add => left + right,
         ArithmeticOperator::Subtract => left - right,
@@ -117,5 +119,8 @@
 
 /// A text without the accents of its letters (Unicode combining marks).
 fn without_accents(text: &str) -> String {
-    text.nfd().filter(|character| !is_combining_mark(*character)).nfc().collect()
+    text.nfd()
+        .filter(|character| !is_combining_mark(*character))
+        .nfc()
+        .collect()
 }
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -49,7 +49,10 @@
         let Some(last) = backtrack else { return false };
         character = last.character + 1;
         piece = last.piece + 1;
-        backtrack = Some(Backtrack { piece: last.piece, character });
+        backtrack = Some(Backtrack {
+            piece: last.piece,
+            character,
+        });
     }
     pieces[piece..].iter().all(|piece| *piece == Piece::AnyText)
 }
--- a/src/front/ogc/cql2/eval/spatial.rs
+++ b/src/front/ogc/cql2/eval/spatial.rs
@@ -30,8 +30,9 @@
         [west, south, _, east, north, _] => (west, south, east, north),
         _ => (bbox[0], bbox[1], bbox[2], bbox[3]),
     };
-    let polygon =
-        |west: f64, east: f64| -> Polygon<f64> { Rect::new((west, south), (east, north)).to_polygon() };
+    let polygon = |west: f64, east: f64| -> Polygon<f64> {
+        Rect::new((west, south), (east, north)).to_polygon()
+    };
     if west <= east {
         polygon(west, east).into()
     } else {
--- a/src/front/ogc/cql2/eval/time_span.rs
+++ b/src/front/ogc/cql2/eval/time_span.rs
@@ -30,10 +30,18 @@
     if text.len() == DATE_LENGTH {
         let midnight = OffsetDateTime::parse(&format!("{text}T00:00:00Z"), &Rfc3339).ok()?;
         let from = midnight.unix_timestamp_nanos();
-        return Some(TimeSpan { from, to: from + DAY - 1 });
+        return Some(TimeSpan {
+            from,
+            to: from + DAY - 1,
+        });
     }
-    let instant = OffsetDateTime::parse(text, &Rfc3339).ok()?.unix_timestamp_nanos();
-    Some(TimeSpan { from: instant, to: instant })
+    let instant = OffsetDateTime::parse(text, &Rfc3339)
+        .ok()?
+        .unix_timestamp_nanos();
+    Some(TimeSpan {
+        from: instant,
+        to: instant,
+    })
 }
 
 /// Whether a temporal relation holds between two spans (OGC 21-065r2, clause 7.8; relations after Allen).
--- a/src/front/ogc/cql2/geometry.rs
+++ b/src/front/ogc/cql2/geometry.rs
@@ -2,8 +2,8 @@
 
 use super::{fault, FilterError};
 use geo::{
-    BoundingRect, Coord, CoordsIter, Geometry, GeometryCollection, LineString, MultiLineString, MultiPoint,
-    MultiPolygon, Point, Polygon, Rect,
+    BoundingRect, Coord, CoordsIter, Geometry, GeometryCollection, LineString, MultiLineString,
+    MultiPoint, MultiPolygon, Point, Polygon, Rect,
 };
 use serde_json::{json, Value as Json};
 use std::fmt::Write as _;
@@ -33,7 +33,9 @@
 /// A polygon of its outer ring and its holes.
 pub fn polygon(rings: Vec<LineString<f64>>) -> Result<Polygon<f64>, FilterError> {
     let mut rings = rings.into_iter();
-    let Some(outer) = rings.next() else { return fault("a polygon needs a ring") };
+    let Some(outer) = rings.next() else {
+        return fault("a polygon needs a ring");
+    };
     Ok(Polygon::new(outer, rings.collect()))
 }
 
@@ -46,7 +48,9 @@
 }
 
 fn position(json: &Json) -> Result<Coord<f64>, FilterError> {
-    let numbers: Option<Vec<f64>> = json.as_array().and_then(|a| a.iter().map(Json::as_f64).collect());
+    let numbers: Option<Vec<f64>> = json
+        .as_array()
+        .and_then(|a| a.iter().map(Json::as_f64).collect());
     match numbers.as_deref() {
         // Heights are of no consequence to any relation here.
         Some([x, y] | [x, y, _]) => Ok(Coord { x: *x, y: *y }),
@@ -54,7 +58,10 @@
     }
 }
 
-fn list<T>(json: &Json, read: impl Fn(&Json) -> Result<T, FilterError>) -> Result<Vec<T>, FilterError> {
+fn list<T>(
+    json: &Json,
+    read: impl Fn(&Json) -> Result<T, FilterError>,
+) -> Result<Vec<T>, FilterError> {
     match json.as_array() {
         Some(items) => items.iter().map(read).collect(),
         None => fault("coordinates must be an array"),
@@ -80,7 +87,9 @@
     let at = &json["coordinates"];
     Ok(match json["type"].as_str() {
         Some("Point") => Point(position(at)?).into(),
-        Some("MultiPoint") => MultiPoint(list(at, position)?.into_iter().map(Point).collect()).into(),
+        Some("MultiPoint") => {
+            MultiPoint(list(at, position)?.into_iter().map(Point).collect()).into()
+        }
         Some("LineString") => line(list(at, position)?)?.into(),
         Some("MultiLineString") => MultiLineString(list(at, |l| line(list(l, position)?))?).into(),
         Some("Polygon") => rings(at)?.into(),
@@ -98,7 +107,12 @@
     let at = |c: &Coord<f64>| json!([c.x, c.y]);
     let line = |l: &LineString<f64>| Json::Array(l.0.iter().map(at).collect());
     let rings = |p: &Polygon<f64>| {
-        Json::Array(std::iter::once(p.exterior()).chain(p.interiors()).map(line).collect())
+        Json::Array(
+            std::iter::once(p.exterior())
+                .chain(p.interiors())
+                .map(line)
+                .collect(),
+        )
     };
     let of = |kind: &str, coordinates: Json| json!({"type": kind, "coordinates": coordinates});
     match geometry {
@@ -121,23 +135,30 @@
 /// Writes a geometry as well-known text.
 pub fn to_wkt(geometry: &Geometry<f64>) -> String {
     let at = |c: &Coord<f64>| format!("{} {}", c.x, c.y);
-    let line = |l: &LineString<f64>| format!("({})", l.0.iter().map(at).collect::<Vec<_>>().join(","));
+    let line =
+        |l: &LineString<f64>| format!("({})", l.0.iter().map(at).collect::<Vec<_>>().join(","));
     let rings = |p: &Polygon<f64>| {
-        let all: Vec<_> = std::iter::once(p.exterior()).chain(p.interiors()).map(line).collect();
+        let all: Vec<_> = std::iter::once(p.exterior())
+            .chain(p.interiors())
+            .map(line)
+            .collect();
         format!("({})", all.join(","))
     };
     let many = |parts: Vec<String>| format!("({})", parts.join(","));
     let mut text = String::new();
     let (kind, inner) = match geometry {
         Geometry::Point(p) => ("POINT", format!("({})", at(&p.0))),
-        Geometry::MultiPoint(m) => {
-            ("MULTIPOINT", many(m.0.iter().map(|p| format!("({})", at(&p.0))).collect()))
-        }
+        Geometry::MultiPoint(m) => (
+            "MULTIPOINT",
+            many(m.0.iter().map(|p| format!("({})", at(&p.0))).collect()),
+        ),
         Geometry::LineString(l) => ("LINESTRING", line(l)),
         Geometry::MultiLineString(m) => ("MULTILINESTRING", many(m.0.iter().map(line).collect())),
         Geometry::Polygon(p) => ("POLYGON", rings(p)),
         Geometry::MultiPolygon(m) => ("MULTIPOLYGON", many(m.0.iter().map(rings).collect())),
-        Geometry::GeometryCollection(c) => ("GEOMETRYCOLLECTION", many(c.0.iter().map(to_wkt).collect())),
+        Geometry::GeometryCollection(c) => {
+            ("GEOMETRYCOLLECTION", many(c.0.iter().map(to_wkt).collect()))
+        }
         Geometry::Line(l) => ("LINESTRING", format!("({},{})", at(&l.start), at(&l.end))),
         Geometry::Rect(r) => ("POLYGON", rings(&r.to_polygon())),
         Geometry::Triangle(t) => ("POLYGON", rings(&t.to_polygon())),
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -3,8 +3,8 @@
 use super::geometry::{parse_geojson, to_geojson};
 use super::text::{flatten, Junction};
 use super::{
-    fault, ArithmeticOperator, ArrayRelation, ComparisonOperator, Filter, FilterError, SpatialRelation,
-    TemporalRelation, Value, MAX_DEPTH,
+    fault, ArithmeticOperator, ArrayRelation, ComparisonOperator, Filter, FilterError,
+    SpatialRelation, TemporalRelation, Value, MAX_DEPTH,
 };
 use serde_json::{json, Map, Value as Json};
 
@@ -47,8 +47,12 @@
     if json.get("property").is_some() {
         return Ok(Filter::Test(value(json, depth)?));
     }
-    let Some(op) = json["op"].as_str() else { return fault("a condition needs op and args") };
-    let Some(args) = json["args"].as_array() else { return fault(format!("{op} needs args")) };
+    let Some(op) = json["op"].as_str() else {
+        return fault("a condition needs op and args");
+    };
+    let Some(args) = json["args"].as_array() else {
+        return fault(format!("{op} needs args"));
+    };
     let call = Call { op, args, depth };
     match op {
         "and" => Ok(Filter::And(flatten(call.conditions()?, Junction::And))),
@@ -57,7 +61,9 @@
             let [inner] = call.exactly::<1>()?;
             Ok(Filter::Not(Box::new(condition(inner, depth + 1)?)))
         }
-        "like" => call.two_values().map(|(text, pattern)| Filter::Like(text, pattern)),
+        "like" => call
+            .two_values()
+            .map(|(text, pattern)| Filter::Like(text, pattern)),
         "isNull" => {
             let [operand] = call.values::<1>()?;
             Ok(Filter::IsNull(operand))
@@ -81,14 +87,21 @@
 impl<'a> Call<'a> {
     /// The arguments, if there are `N`.
     fn exactly<const N: usize>(&self) -> Read<&'a [Json; N]> {
-        self.args.try_into().or_else(|_| fault(format!("{} needs {N} args", self.op)))
+        self.args
+            .try_into()
+            .or_else(|_| fault(format!("{} needs {N} args", self.op)))
     }
 
     /// The arguments as `N` values.
     fn values<const N: usize>(&self) -> Read<[Value; N]> {
-        let values = self.exactly::<N>()?.iter().map(|arg| value(arg, self.depth + 1));
+        let values = self
+            .exactly::<N>()?
+            .iter()
+            .map(|arg| value(arg, self.depth + 1));
         let values = values.collect::<Read<Vec<_>>>()?;
-        values.try_into().or_else(|_| fault(format!("{} needs {N} args", self.op)))
+        values
+            .try_into()
+            .or_else(|_| fault(format!("{} needs {N} args", self.op)))
     }
 
     fn two_values(&self) -> Read<(Value, Value)> {
@@ -101,7 +114,10 @@
         if self.args.len() < 2 {
             return fault(format!("{} needs two args or more", self.op));
         }
-        self.args.iter().map(|arg| condition(arg, self.depth + 1)).collect()
+        self.args
+            .iter()
+            .map(|arg| condition(arg, self.depth + 1))
+            .collect()
     }
 
     fn in_list(&self) -> Read<Filter> {
@@ -109,23 +125,46 @@
         let Some(list) = list.as_array().filter(|list| !list.is_empty()) else {
             return fault("in needs a list that is not empty");
         };
-        let list = list.iter().map(|item| value(item, self.depth + 1)).collect::<Read<_>>()?;
+        let list = list
+            .iter()
+            .map(|item| value(item, self.depth + 1))
+            .collect::<Read<_>>()?;
         Ok(Filter::In(value(operand, self.depth + 1)?, list))
     }
 
     /// A comparison, or a spatial, temporal or array relation.
     fn relation(&self) -> Read<Filter> {
-        if let Some(operator) = ComparisonOperator::ALL.iter().find(|known| known.json() == self.op) {
-            return self.two_values().map(|(left, right)| Filter::Compare(*operator, left, right));
+        if let Some(operator) = ComparisonOperator::ALL
+            .iter()
+            .find(|known| known.json() == self.op)
+        {
+            return self
+                .two_values()
+                .map(|(left, right)| Filter::Compare(*operator, left, right));
         }
-        if let Some(relation) = SpatialRelation::ALL.iter().find(|known| known.json() == self.op) {
-            return self.two_values().map(|(left, right)| Filter::Spatial(*relation, left, right));
+        if let Some(relation) = SpatialRelation::ALL
+            .iter()
+            .find(|known| known.json() == self.op)
+        {
+            return self
+                .two_values()
+                .map(|(left, right)| Filter::Spatial(*relation, left, right));
         }
-        if let Some(relation) = TemporalRelation::ALL.iter().find(|known| known.json() == self.op) {
-            return self.two_values().map(|(left, right)| Filter::Temporal(*relation, left, right));
+        if let Some(relation) = TemporalRelation::ALL
+            .iter()
+            .find(|known| known.json() == self.op)
+        {
+            return self
+                .two_values()
+                .map(|(left, right)| Filter::Temporal(*relation, left, right));
         }
-        if let Some(relation) = ArrayRelation::ALL.iter().find(|known| known.json() == self.op) {
-            return self.two_values().map(|(left, right)| Filter::Array(*relation, left, right));
+        if let Some(relation) = ArrayRelation::ALL
+            .iter()
+            .find(|known| known.json() == self.op)
+        {
+            return self
+                .two_values()
+                .map(|(left, right)| Filter::Array(*relation, left, right));
         }
         fault(format!("the operator {:?} is not known", self.op))
     }
@@ -183,14 +222,18 @@
 
 fn interval(ends: &Json, depth: usize) -> Read<Value> {
     match ends.as_array().map(Vec::as_slice) {
-        Some([from, to]) => Ok(Value::Interval(interval_end(from, depth)?, interval_end(to, depth)?)),
+        Some([from, to]) => Ok(Value::Interval(
+            interval_end(from, depth)?,
+            interval_end(to, depth)?,
+        )),
         _ => fault("an interval needs two ends"),
     }
 }
 
 fn bbox(numbers: &Json) -> Read<Value> {
-    let numbers =
-        numbers.as_array().and_then(|list| list.iter().map(Json::as_f64).collect::<Option<Vec<_>>>());
+    let numbers = numbers
+        .as_array()
+        .and_then(|list| list.iter().map(Json::as_f64).collect::<Option<Vec<_>>>());
     match numbers {
         Some(numbers) if matches!(numbers.len(), 4 | 6) => Ok(Value::Bbox(numbers)),
         _ => fault("a bbox needs four or six numbers"),
@@ -206,10 +249,17 @@
     match op {
         "casei" => call.values().map(|[text]| Value::Casei(Box::new(text))),
         "accenti" => call.values().map(|[text]| Value::Accenti(Box::new(text))),
-        op => match ArithmeticOperator::ALL.iter().find(|known| known.json() == op) {
+        op => match ArithmeticOperator::ALL
+            .iter()
+            .find(|known| known.json() == op)
+        {
             Some(operator) => {
                 let (left, right) = call.two_values()?;
-                Ok(Value::Arithmetic(*operator, Box::new(left), Box::new(right)))
+                Ok(Value::Arithmetic(
+                    *operator,
+                    Box::new(left),
+                    Box::new(right),
+                ))
             }
             None => fault(format!("the function {op:?} is not known")),
         },
@@ -239,13 +289,27 @@
         Filter::Or(parts) => op("or", parts.iter().map(to_json).collect()),
         Filter::Not(inner) => op("not", vec![to_json(inner)]),
         Filter::Constant(truth) => json!(truth),
-        Filter::Compare(operator, a, b) => op(operator.json(), vec![value_to_json(a), value_to_json(b)]),
-        Filter::Spatial(relation, a, b) => op(relation.json(), vec![value_to_json(a), value_to_json(b)]),
-        Filter::Temporal(relation, a, b) => op(relation.json(), vec![value_to_json(a), value_to_json(b)]),
-        Filter::Array(relation, a, b) => op(relation.json(), vec![value_to_json(a), value_to_json(b)]),
+        Filter::Compare(operator, a, b) => {
+            op(operator.json(), vec![value_to_json(a), value_to_json(b)])
+        }
+        Filter::Spatial(relation, a, b) => {
+            op(relation.json(), vec![value_to_json(a), value_to_json(b)])
+        }
+        Filter::Temporal(relation, a, b) => {
+            op(relation.json(), vec![value_to_json(a), value_to_json(b)])
+        }
+        Filter::Array(relation, a, b) => {
+            op(relation.json(), vec![value_to_json(a), value_to_json(b)])
+        }
         Filter::Like(a, b) => op("like", vec![value_to_json(a), value_to_json(b)]),
-        Filter::Between(a, b, c) => op("between", vec![value_to_json(a), value_to_json(b), value_to_json(c)]),
-        Filter::In(a, list) => op("in", vec![value_to_json(a), list.iter().map(value_to_json).collect()]),
+        Filter::Between(a, b, c) => op(
+            "between",
+            vec![value_to_json(a), value_to_json(b), value_to_json(c)],
+        ),
+        Filter::In(a, list) => op(
+            "in",
+            vec![value_to_json(a), list.iter().map(value_to_json).collect()],
+        ),
         Filter::IsNull(a) => op("isNull", vec![value_to_json(a)]),
         Filter::Test(a) => value_to_json(a),
     }
--- a/src/front/ogc/cql2/print.rs
+++ b/src/front/ogc/cql2/print.rs
@@ -10,7 +10,8 @@
             Filter::And(_) | Filter::Or(_) => format!("({part})"),
             part => part.to_string(),
         };
-        let joined = |parts: &[Filter], by: &str| parts.iter().map(inner).collect::<Vec<_>>().join(by);
+        let joined =
+            |parts: &[Filter], by: &str| parts.iter().map(inner).collect::<Vec<_>>().join(by);
         match self {
             Filter::And(parts) => f.write_str(&joined(parts, " AND ")),
             Filter::Or(parts) => f.write_str(&joined(parts, " OR ")),
@@ -82,7 +83,11 @@
                     Value::Arithmetic(op, a, b) => format!("{a} {} {b}", op.text()),
                     v => v.to_string(),
                 };
-                write!(f, "({})", list.iter().map(element).collect::<Vec<_>>().join(","))
+                write!(
+                    f,
+                    "({})",
+                    list.iter().map(element).collect::<Vec<_>>().join(",")
+                )
             }
             Value::Arithmetic(op, a, b) => write!(f, "({a} {} {b})", op.text()),
             Value::Casei(a) => write!(f, "CASEI({a})"),
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -36,7 +36,8 @@
     /// Whether a server of these capabilities can apply a filter.
     fn can_filter(&self, filter: &Filter) -> bool {
         let declares = |class: &str| self.classes.contains(class);
-        let has_name = |name: &str| self.queryables.open || self.queryables.named.contains_key(name);
+        let has_name =
+            |name: &str| self.queryables.open || self.queryables.named.contains_key(name);
         if !declares("cql2-text") || !declares("features-filter") {
             return false;
         }
@@ -65,19 +66,31 @@
         Filter::And(parts) => parts.as_slice(),
         other => std::slice::from_ref(other),
     };
-    let (mut pushed_down, mut residual): (Vec<&Filter>, Vec<&Filter>) =
-        conditions.iter().partition(|condition| capabilities.can_filter(condition));
-    let mut lengths: Vec<usize> =
-        pushed_down.iter().map(|condition| condition.to_string().len() + JOINT_LENGTH).collect();
+    let (mut pushed_down, mut residual): (Vec<&Filter>, Vec<&Filter>) = conditions
+        .iter()
+        .partition(|condition| capabilities.can_filter(condition));
+    let mut lengths: Vec<usize> = pushed_down
+        .iter()
+        .map(|condition| condition.to_string().len() + JOINT_LENGTH)
+        .collect();
     // The longest conditions stay here if the request's head would grow too long.
     while lengths.iter().sum::<usize>() > capabilities.max_filter_text {
-        let Some(longest) = (0..lengths.len()).max_by_key(|index| lengths[*index]) else { break };
+        let Some(longest) = (0..lengths.len()).max_by_key(|index| lengths[*index]) else {
+            break;
+        };
         lengths.remove(longest);
         residual.push(pushed_down.remove(longest));
     }
-    let envelope = residual.iter().filter_map(|condition| bounds(condition)).reduce(intersection);
+    let envelope = residual
+        .iter()
+        .filter_map(|condition| bounds(condition))
+        .reduce(intersection);
     let join = |conditions: Vec<&Filter>| Filter::all(conditions.into_iter().cloned().collect());
-    FilterSplit { pushed_down: join(pushed_down), residual: join(residual), envelope }
+    FilterSplit {
+        pushed_down: join(pushed_down),
+        residual: join(residual),
+        envelope,
+    }
 }
 
 /// The box of what can pass a filter that relates the feature's geometry to a constant one.
@@ -111,7 +124,12 @@
 
 /// The box that two boxes share. If they are apart nothing can pass, and either box will do.
 fn intersection(a: Envelope, b: Envelope) -> Envelope {
-    let [west, south, east, north] = [a[0].max(b[0]), a[1].max(b[1]), a[2].min(b[2]), a[3].min(b[3])];
+    let [west, south, east, north] = [
+        a[0].max(b[0]),
+        a[1].max(b[1]),
+        a[2].min(b[2]),
+        a[3].min(b[3]),
+    ];
     if west <= east && south <= north {
         [west, south, east, north]
     } else {
--- a/src/front/ogc/cql2/queryables.rs
+++ b/src/front/ogc/cql2/queryables.rs
@@ -27,8 +27,9 @@
     /// The type that a property's JSON schema declares.
     fn from_schema(schema: &Json) -> Self {
         let format = schema["format"].as_str().unwrap_or_default();
-        let refers_to_geojson =
-            schema.get("$ref").is_some_and(|reference| reference.to_string().contains("geojson"));
+        let refers_to_geojson = schema
+            .get("$ref")
+            .is_some_and(|reference| reference.to_string().contains("geojson"));
         if format.starts_with("geometry-") || refers_to_geojson {
             return QueryableType::Geometry;
         }
@@ -68,23 +69,33 @@
     /// The queryables of a collection that declares none: any name may be used.
     #[must_use]
     pub fn unknown() -> Self {
-        Queryables { named: BTreeMap::new(), open: true }
+        Queryables {
+            named: BTreeMap::new(),
+            open: true,
+        }
     }
 
     /// Reads the queryables of a JSON schema, as servers declare them. `None`: it has no properties.
     #[must_use]
     pub fn from_schema(schema: &Json) -> Option<Self> {
         let properties = schema["properties"].as_object()?;
-        let typed = |(name, schema): (&String, &Json)| (name.clone(), QueryableType::from_schema(schema));
+        let typed =
+            |(name, schema): (&String, &Json)| (name.clone(), QueryableType::from_schema(schema));
         let named = properties.iter().map(typed).collect();
-        Some(Queryables { named, open: schema["additionalProperties"].as_bool() == Some(true) })
+        Some(Queryables {
+            named,
+            open: schema["additionalProperties"].as_bool() == Some(true),
+        })
     }
 
     /// Writes the queryables as a JSON schema.
     #[must_use]
     pub fn to_schema(&self) -> Json {
-        let properties: Map<String, Json> =
-            self.named.iter().map(|(name, kind)| (name.clone(), kind.to_schema())).collect();
+        let properties: Map<String, Json> = self
+            .named
+            .iter()
+            .map(|(name, kind)| (name.clone(), kind.to_schema()))
+            .collect();
         json!({"type": "object", "properties": properties, "additionalProperties": self.open})
     }
 
@@ -96,11 +107,21 @@
             Some(_) => Some(QueryableType::Any),
             None => other.open.then_some(kind),
         };
-        let ours =
-            self.named.iter().filter_map(|(name, kind)| Some((name.clone(), common_type(name, *kind)?)));
-        let theirs = other.named.iter().filter(|(name, _)| self.open && !self.named.contains_key(*name));
-        let named = ours.chain(theirs.map(|(name, kind)| (name.clone(), *kind))).collect();
-        Queryables { named, open: self.open && other.open }
+        let ours = self
+            .named
+            .iter()
+            .filter_map(|(name, kind)| Some((name.clone(), common_type(name, *kind)?)));
+        let theirs = other
+            .named
+            .iter()
+            .filter(|(name, _)| self.open && !self.named.contains_key(*name));
+        let named = ours
+            .chain(theirs.map(|(name, kind)| (name.clone(), *kind)))
+            .collect();
+        Queryables {
+            named,
+            open: self.open && other.open,
+        }
     }
 
     /// The names that either has, with their type if both agree on it.
--- a/src/front/ogc/cql2/tests.rs
+++ b/src/front/ogc/cql2/tests.rs
@@ -15,7 +15,10 @@
         ("geometry", QueryableType::Geometry),
         ("tags", QueryableType::Array),
     ];
-    Queryables { named: kinds.map(|(n, k)| (n.to_owned(), k)).into(), open: false }
+    Queryables {
+        named: kinds.map(|(n, k)| (n.to_owned(), k)).into(),
+        open: false,
+    }
 }
 
 fn feature() -> serde_json::Value {
@@ -26,7 +29,11 @@
 fn holds(text: &str) -> bool {
     let filter = parse_text(text).unwrap_or_else(|e| panic!("{text}: {e}"));
     let printed = filter.to_string();
-    assert_eq!(parse_text(&printed).as_ref(), Ok(&filter), "{text} as {printed}");
+    assert_eq!(
+        parse_text(&printed).as_ref(),
+        Ok(&filter),
+        "{text} as {printed}"
+    );
     let json = to_json(&filter).to_string();
     assert_eq!(parse_json(&json).as_ref(), Ok(&filter), "{text} as {json}");
     Matcher::new(filter).matches(&feature())
@@ -103,7 +110,10 @@
     let chain = vec!["volts"; 5_000].join("+") + " = 1";
     let nots = "NOT ".repeat(5_000) + "live";
     let wide = vec!["live"; 5_000].join(" OR ");
-    let points = format!("S_INTERSECTS(geometry,LINESTRING({}))", vec!["1 1"; 30_000].join(","));
+    let points = format!(
+        "S_INTERSECTS(geometry,LINESTRING({}))",
+        vec!["1 1"; 30_000].join(",")
+    );
     let bad = [
         "",
         " ",
@@ -136,15 +146,25 @@
     let strict = queryables();
     for text in bad {
         let read = parse_text(text).and_then(|f| check(&f, &strict));
-        let why = read.expect_err(&text.chars().take(60).collect::<String>()).to_string();
+        let why = read
+            .expect_err(&text.chars().take(60).collect::<String>())
+            .to_string();
         assert!(!why.is_empty() && why.len() < 400, "{why}");
     }
-    for json in
-        ["", "{}", "[]", "1", r#"{"op":"and","args":[true]}"#, r#"{"op":"x","args":[]}"#, &"[".repeat(9_000)]
-    {
+    for json in [
+        "",
+        "{}",
+        "[]",
+        "1",
+        r#"{"op":"and","args":[true]}"#,
+        r#"{"op":"x","args":[]}"#,
+        &"[".repeat(9_000),
+    ] {
         assert!(parse_json(json).is_err(), "{json}");
     }
-    assert!(parse_json(&(r#"{"op":"not","args":["#.repeat(60) + "true" + &"]}".repeat(60))).is_err());
+    assert!(
+        parse_json(&(r#"{"op":"not","args":["#.repeat(60) + "true" + &"]}".repeat(60))).is_err()
+    );
 }
 
 #[test]
@@ -187,8 +207,10 @@
     let schema = queryables().to_schema();
     assert_eq!(Queryables::from_schema(&schema), Some(queryables()));
     assert_eq!(Queryables::from_schema(&json!([])), None);
-    let fewer =
-        Queryables { named: BTreeMap::from([("volts".to_owned(), QueryableType::Text)]), open: false };
+    let fewer = Queryables {
+        named: BTreeMap::from([("volts".to_owned(), QueryableType::Text)]),
+        open: false,
+    };
     assert_eq!(
         queryables().intersection(&fewer).named,
         BTreeMap::from([("volts".to_owned(), QueryableType::Any)])
@@ -197,7 +219,9 @@
 }
 
 fn capabilities(classes: &[&str]) -> Capabilities {
-    let all = ["cql2-text", "features-filter", "basic-cql2"].iter().chain(classes);
+    let all = ["cql2-text", "features-filter", "basic-cql2"]
+        .iter()
+        .chain(classes);
     Capabilities {
         classes: all.map(|c| (*c).to_owned()).collect(),
         queryables: queryables(),
@@ -213,20 +237,39 @@
     let of = |able: &Capabilities| {
         let split = split(&filter, able);
         let text = |f: Option<Filter>| f.map(|f| f.to_string()).unwrap_or_default();
-        (text(split.pushed_down), text(split.residual), split.envelope)
+        (
+            text(split.pushed_down),
+            text(split.residual),
+            split.envelope,
+        )
     };
     let (pushed_down, residual, envelope) = of(&capabilities(&[]));
     assert_eq!(pushed_down, "\"volts\" > 1");
-    assert!(residual.contains("POLYGON") && residual.contains("LIKE") && residual.contains("other"));
+    assert!(
+        residual.contains("POLYGON") && residual.contains("LIKE") && residual.contains("other")
+    );
     assert_eq!(envelope, Some([0.0, 0.0, 4.0, 4.0]));
-    let (pushed_down, residual, envelope) =
-        of(&capabilities(&["basic-spatial-functions-plus", "advanced-comparison-operators"]));
+    let (pushed_down, residual, envelope) = of(&capabilities(&[
+        "basic-spatial-functions-plus",
+        "advanced-comparison-operators",
+    ]));
     assert!(pushed_down.contains("POLYGON") && pushed_down.contains("LIKE"));
     assert_eq!((residual.as_str(), envelope), ("\"other\" = 1", None));
-    assert_eq!(of(&Capabilities::default()).0, "", "a server that says nothing is asked nothing");
+    assert_eq!(
+        of(&Capabilities::default()).0,
+        "",
+        "a server that says nothing is asked nothing"
+    );
     let odd = parse_json(r#"{"op":"=","args":[{"property":"name"},"x\\"]}"#).expect("a filter");
-    assert_eq!(split(&odd, &capabilities(&[])).pushed_down, None, "text cannot say it");
-    let short = Capabilities { max_filter_text: 30, ..capabilities(&["basic-spatial-functions-plus"]) };
+    assert_eq!(
+        split(&odd, &capabilities(&[])).pushed_down,
+        None,
+        "text cannot say it"
+    );
+    let short = Capabilities {
+        max_filter_text: 30,
+        ..capabilities(&["basic-spatial-functions-plus"])
+    };
     assert_eq!(of(&short).0, "\"volts\" > 1");
     // What is joined by OR goes whole or not at all.
     let either = parse_text("volts > 1 OR other = 1").expect("a filter");
@@ -236,14 +279,26 @@
 fn value() -> impl Strategy<Value = Value> {
     let plain = prop_oneof![
         "[a-zA-Z_ .%é-]{1,8}".prop_map(Value::Property),
-        any::<String>().prop_filter("printable", |t| pushdown::is_printable(t)).prop_map(Value::Text),
-        prop_oneof![-1e6..1e6_f64, any::<i32>().prop_map(f64::from), Just(1e300), Just(-5e-324)]
-            .prop_map(Value::Number),
+        any::<String>()
+            .prop_filter("printable", |t| pushdown::is_printable(t))
+            .prop_map(Value::Text),
+        prop_oneof![
+            -1e6..1e6_f64,
+            any::<i32>().prop_map(f64::from),
+            Just(1e300),
+            Just(-5e-324)
+        ]
+        .prop_map(Value::Number),
         any::<bool>().prop_map(Value::Bool),
-        (1900..2100, 1..13, 1..29).prop_map(|(y, m, d)| Value::Date(format!("{y:04}-{m:02}-{d:02}"))),
+        (1900..2100, 1..13, 1..29)
+            .prop_map(|(y, m, d)| Value::Date(format!("{y:04}-{m:02}-{d:02}"))),
     ];
     plain.prop_recursive(3, 8, 2, |inner| {
-        let two = (proptest::sample::select(ArithmeticOperator::ALL), inner.clone(), inner.clone());
+        let two = (
+            proptest::sample::select(ArithmeticOperator::ALL),
+            inner.clone(),
+            inner.clone(),
+        );
         prop_oneof![
             two.prop_map(|(op, a, b)| Value::Arithmetic(op, Box::new(a), Box::new(b))),
             inner.clone().prop_map(|v| Value::Casei(Box::new(v))),
@@ -256,10 +311,12 @@
     let n = || -180.0..180.0_f64;
     let wkt = prop_oneof![
         (n(), n()).prop_map(|(x, y)| format!("POINT({x} {y})")),
-        (n(), n(), n())
-            .prop_map(|(a, b, c)| format!("POLYGON(({a} {b},{c} {b},{c} {a},{a} {b}),(0 0,1 0,1 1,0 0))")),
+        (n(), n(), n()).prop_map(|(a, b, c)| format!(
+            "POLYGON(({a} {b},{c} {b},{c} {a},{a} {b}),(0 0,1 0,1 1,0 0))"
+        )),
         (n(), n()).prop_map(|(a, b)| format!("MULTILINESTRING(({a} 1,2 {b}),(3 3,4 4))")),
-        (n(), n()).prop_map(|(a, b)| format!("GEOMETRYCOLLECTION(POINT({a} {b}),MULTIPOINT({b} 1,2 2))")),
+        (n(), n())
+            .prop_map(|(a, b)| format!("GEOMETRYCOLLECTION(POINT({a} {b}),MULTIPOINT({b} 1,2 2))")),
     ];
     let read = |text: String| match parse_text(&format!("S_EQUALS(g,{text})")) {
         Ok(Filter::Spatial(_, _, value)) => value,
@@ -277,33 +334,41 @@
     let time = prop_oneof![
         Just(Value::Timestamp("2026-01-02T03:04:05Z".into())),
         Just(Value::Interval(None, date())),
-        Just(Value::Interval(date(), Some(Box::new(Value::Property("t".into()))))),
+        Just(Value::Interval(
+            date(),
+            Some(Box::new(Value::Property("t".into())))
+        )),
     ];
     let list = || proptest::collection::vec(value(), 1..4);
-    let leaf =
-        prop_oneof![
-            any::<bool>().prop_map(Filter::Constant),
-            (proptest::sample::select(ComparisonOperator::ALL), value(), value())
-                .prop_map(|(o, a, b)| Filter::Compare(o, a, b)),
-            (value(), value()).prop_map(|(a, b)| Filter::Like(a, b)),
-            (value(), value(), value()).prop_map(|(a, b, c)| Filter::Between(a, b, c)),
-            (value(), list()).prop_map(|(a, list)| Filter::In(a, list)),
-            value().prop_map(Filter::IsNull),
-            (proptest::sample::select(SpatialRelation::ALL), spatial_operand(), spatial_operand())
-                .prop_map(|(o, a, b)| Filter::Spatial(o, a, b)),
-            (proptest::sample::select(TemporalRelation::ALL), time).prop_map(|(o, b)| Filter::Temporal(
-                o,
-                Value::Property("t".into()),
-                b
-            )),
-            (proptest::sample::select(ArrayRelation::ALL), list(), list())
-                .prop_map(|(o, a, b)| Filter::Array(o, Value::Array(a), Value::Array(b))),
-            "[a-z]{1,6}x".prop_map(|n| Filter::Test(Value::Property(n))),
-        ];
+    let leaf = prop_oneof![
+        any::<bool>().prop_map(Filter::Constant),
+        (
+            proptest::sample::select(ComparisonOperator::ALL),
+            value(),
+            value()
+        )
+            .prop_map(|(o, a, b)| Filter::Compare(o, a, b)),
+        (value(), value()).prop_map(|(a, b)| Filter::Like(a, b)),
+        (value(), value(), value()).prop_map(|(a, b, c)| Filter::Between(a, b, c)),
+        (value(), list()).prop_map(|(a, list)| Filter::In(a, list)),
+        value().prop_map(Filter::IsNull),
+        (
+            proptest::sample::select(SpatialRelation::ALL),
+            spatial_operand(),
+            spatial_operand()
+        )
+            .prop_map(|(o, a, b)| Filter::Spatial(o, a, b)),
+        (proptest::sample::select(TemporalRelation::ALL), time)
+            .prop_map(|(o, b)| Filter::Temporal(o, Value::Property("t".into()), b)),
+        (proptest::sample::select(ArrayRelation::ALL), list(), list())
+            .prop_map(|(o, a, b)| Filter::Array(o, Value::Array(a), Value::Array(b))),
+        "[a-z]{1,6}x".prop_map(|n| Filter::Test(Value::Property(n))),
+    ];
     leaf.prop_recursive(3, 16, 3, |inner| {
         let many = proptest::collection::vec(inner.clone(), 2..4);
         prop_oneof![
-            many.clone().prop_map(|p| Filter::And(flatten(p, Junction::And))),
+            many.clone()
+                .prop_map(|p| Filter::And(flatten(p, Junction::And))),
             many.prop_map(|p| Filter::Or(flatten(p, Junction::Or))),
             inner.prop_map(|f| Filter::Not(Box::new(f))),
         ]
@@ -351,6 +416,14 @@
     // Left by the fuzz target: what of it is text. Marks, control characters, and backslashes before an escaped mark.
     let text = "a = '= ''''''=2\0\0\0z\0/\\\\'/t\0'";
     let filter = parse_text(text).expect("it is a filter");
-    assert_eq!(parse_text(&filter.to_string()).as_ref(), Ok(&filter), "{filter}");
-    assert_eq!(parse_json(&to_json(&filter).to_string()).as_ref(), Ok(&filter), "{filter}");
+    assert_eq!(
+        parse_text(&filter.to_string()).as_ref(),
+        Ok(&filter),
+        "{filter}"
+    );
+    assert_eq!(
+        parse_json(&to_json(&filter).to_string()).as_ref(),
+        Ok(&filter),
+        "{filter}"
+    );
 }
--- a/src/front/ogc/cql2/text/condition.rs
+++ b/src/front/ogc/cql2/text/condition.rs
@@ -1,6 +1,8 @@
 //! Conditions: junctions, relations and predicates.
 
-use super::super::{ArrayRelation, ComparisonOperator, Filter, SpatialRelation, TemporalRelation, Value};
+use super::super::{
+    ArrayRelation, ComparisonOperator, Filter, SpatialRelation, TemporalRelation, Value,
+};
 use super::geometry::spatial_operand;
 use super::lexer::{
     boolean, is_name_character, keyword, nested, property, required_sign, sign, Input, Parsed,
@@ -16,14 +18,23 @@
 /// A condition: conjunctions joined by OR.
 pub(super) fn condition(input: &mut Input<'_>) -> Parsed<Filter> {
     nested(|input| {
-        let mut parts: Vec<Filter> = separated(1.., conjunction, keyword("OR")).parse_next(input)?;
-        Ok(if parts.len() == 1 { parts.swap_remove(0) } else { Filter::Or(flatten(parts, Junction::Or)) })
+        let mut parts: Vec<Filter> =
+            separated(1.., conjunction, keyword("OR")).parse_next(input)?;
+        Ok(if parts.len() == 1 {
+            parts.swap_remove(0)
+        } else {
+            Filter::Or(flatten(parts, Junction::Or))
+        })
     })(input)
 }
 
 fn conjunction(input: &mut Input<'_>) -> Parsed<Filter> {
     let mut parts: Vec<Filter> = separated(1.., factor, keyword("AND")).parse_next(input)?;
-    Ok(if parts.len() == 1 { parts.swap_remove(0) } else { Filter::And(flatten(parts, Junction::And)) })
+    Ok(if parts.len() == 1 {
+        parts.swap_remove(0)
+    } else {
+        Filter::And(flatten(parts, Junction::And))
+    })
 }
 
 /// A primary condition, negated or not.
@@ -41,25 +52,40 @@
         return Ok(found);
     }
     let in_brackets = delimited(sign("("), condition, required_sign(")"));
-    alt((in_brackets, boolean.map(Filter::Constant), property.map(Filter::Test)))
-        .context(StrContext::Label("a condition"))
-        .parse_next(input)
+    alt((
+        in_brackets,
+        boolean.map(Filter::Constant),
+        property.map(Filter::Test),
+    ))
+    .context(StrContext::Label("a condition"))
+    .parse_next(input)
 }
 
 /// `S_...`, `T_...` and `A_...` with two operands.
 fn relation(input: &mut Input<'_>) -> Parsed<Filter> {
-    let name =
-        preceded(multispace0, take_while(3.., is_name_character)).verify(|n: &str| n.get(1..2) == Some("_"));
-    let name = terminated(name, sign("(")).parse_next(input)?.to_ascii_uppercase();
-    if let Some(relation) = SpatialRelation::ALL.iter().find(|relation| relation.text() == name) {
+    let name = preceded(multispace0, take_while(3.., is_name_character))
+        .verify(|n: &str| n.get(1..2) == Some("_"));
+    let name = terminated(name, sign("("))
+        .parse_next(input)?
+        .to_ascii_uppercase();
+    if let Some(relation) = SpatialRelation::ALL
+        .iter()
+        .find(|relation| relation.text() == name)
+    {
         let (left, right) = operands(input, spatial_operand)?;
         return Ok(Filter::Spatial(*relation, left, right));
     }
-    if let Some(relation) = TemporalRelation::ALL.iter().find(|relation| relation.text() == name) {
+    if let Some(relation) = TemporalRelation::ALL
+        .iter()
+        .find(|relation| relation.text() == name)
+    {
         let (left, right) = operands(input, temporal_operand)?;
         return Ok(Filter::Temporal(*relation, left, right));
     }
-    if let Some(relation) = ArrayRelation::ALL.iter().find(|relation| relation.text() == name) {
+    if let Some(relation) = ArrayRelation::ALL
+        .iter()
+        .find(|relation| relation.text() == name)
+    {
         let (left, right) = operands(input, array_operand)?;
         return Ok(Filter::Array(*relation, left, right));
     }
@@ -67,7 +93,10 @@
 }
 
 /// Two operands with a comma between them, and the closing bracket.
-fn operands(input: &mut Input<'_>, operand: fn(&mut Input<'_>) -> Parsed<Value>) -> Parsed<(Value, Value)> {
+fn operands(
+    input: &mut Input<'_>,
+    operand: fn(&mut Input<'_>) -> Parsed<Value>,
+) -> Parsed<(Value, Value)> {
     let left = cut_err(operand).parse_next(input)?;
     required_sign(",")(input)?;
     let right = cut_err(operand).parse_next(input)?;
@@ -79,17 +108,26 @@
 fn predicate(input: &mut Input<'_>) -> Parsed<Filter> {
     let left = scalar(input)?;
     if let Some(operator) = opt(comparison_operator).parse_next(input)? {
-        let right = cut_err(scalar).context(StrContext::Label("a value")).parse_next(input)?;
+        let right = cut_err(scalar)
+            .context(StrContext::Label("a value"))
+            .parse_next(input)?;
         return Ok(Filter::Compare(operator, left, right));
     }
     if opt(keyword("IS")).parse_next(input)?.is_some() {
         let negated = opt(keyword("NOT")).parse_next(input)?.is_some();
-        cut_err(keyword("NULL")).context(StrContext::Label("NULL")).parse_next(input)?;
+        cut_err(keyword("NULL"))
+            .context(StrContext::Label("NULL"))
+            .parse_next(input)?;
         return Ok(negate(Filter::IsNull(left), negated));
     }
     let negated = opt(keyword("NOT")).parse_next(input)?.is_some();
     let found = if opt(keyword("LIKE")).parse_next(input)?.is_some() {
-        Filter::Like(left, cut_err(scalar).context(StrContext::Label("a pattern")).parse_next(input)?)
+        Filter::Like(
+            left,
+            cut_err(scalar)
+                .context(StrContext::Label("a pattern"))
+                .parse_next(input)?,
+        )
     } else if opt(keyword("BETWEEN")).parse_next(input)?.is_some() {
         between(input, left)?
     } else {
@@ -110,17 +148,24 @@
 
 /// What follows `BETWEEN`.
 fn between(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
-    let low = cut_err(scalar).context(StrContext::Label("a number")).parse_next(input)?;
-    cut_err(keyword("AND")).context(StrContext::Label("AND")).parse_next(input)?;
-    let high = cut_err(scalar).context(StrContext::Label("a number")).parse_next(input)?;
+    let low = cut_err(scalar)
+        .context(StrContext::Label("a number"))
+        .parse_next(input)?;
+    cut_err(keyword("AND"))
+        .context(StrContext::Label("AND"))
+        .parse_next(input)?;
+    let high = cut_err(scalar)
+        .context(StrContext::Label("a number"))
+        .parse_next(input)?;
     Ok(Filter::Between(value, low, high))
 }
 
 /// What follows `IN`.
 fn in_list(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
     required_sign("(")(input)?;
-    let list: Vec<Value> =
-        cut_err(separated(1.., scalar, sign(","))).context(StrContext::Label("a value")).parse_next(input)?;
+    let list: Vec<Value> = cut_err(separated(1.., scalar, sign(",")))
+        .context(StrContext::Label("a value"))
+        .parse_next(input)?;
     required_sign(")")(input)?;
     Ok(Filter::In(value, list))
 }
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -4,8 +4,8 @@
 use super::super::{FilterError, Value};
 use super::lexer::{fatal, keyword, nested, number, property, required_sign, sign, Input, Parsed};
 use geo::{
-    Coord, Geometry, GeometryCollection, LineString, MultiLineString, MultiPoint, MultiPolygon, Point,
-    Polygon,
+    Coord, Geometry, GeometryCollection, LineString, MultiLineString, MultiPoint, MultiPolygon,
+    Point, Polygon,
 };
 use winnow::combinator::{alt, cut_err, delimited, opt, peek, separated};
 use winnow::error::{ContextError, ErrMode, StrContext};
@@ -50,8 +50,12 @@
     mut coordinates: impl FnMut(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<T> {
     move |input| {
-        (keyword(name), opt(keyword("Z")), peek(sign("("))).void().parse_next(input)?;
-        cut_err(&mut coordinates).context(StrContext::Label("the coordinates")).parse_next(input)
+        (keyword(name), opt(keyword("Z")), peek(sign("(")))
+            .void()
+            .parse_next(input)?;
+        cut_err(&mut coordinates)
+            .context(StrContext::Label("the coordinates"))
+            .parse_next(input)
     }
 }
 
@@ -62,8 +66,17 @@
 }
 
 /// Items in brackets, with commas between them.
-fn list<'a, T>(item: fn(&mut Input<'a>) -> Parsed<T>) -> impl FnMut(&mut Input<'a>) -> Parsed<Vec<T>> {
-    move |input| delimited(sign("("), separated(1.., item, sign(",")), required_sign(")")).parse_next(input)
+fn list<'a, T>(
+    item: fn(&mut Input<'a>) -> Parsed<T>,
+) -> impl FnMut(&mut Input<'a>) -> Parsed<Vec<T>> {
+    move |input| {
+        delimited(
+            sign("("),
+            separated(1.., item, sign(",")),
+            required_sign(")"),
+        )
+        .parse_next(input)
+    }
 }
 
 /// The result of a check of what was parsed.
@@ -88,5 +101,7 @@
 
 /// A position of a multipoint. Both forms are in use: with brackets round each position and without.
 fn multipoint_position(input: &mut Input<'_>) -> Parsed<Point<f64>> {
-    alt((delimited(sign("("), position, sign(")")), position)).map(Point).parse_next(input)
+    alt((delimited(sign("("), position, sign(")")), position))
+        .map(Point)
+        .parse_next(input)
 }
--- a/src/front/ogc/cql2/text/lexer.rs
+++ b/src/front/ogc/cql2/text/lexer.rs
@@ -12,8 +12,9 @@
 pub(super) const DEPTH_CONTEXT: &str = "depth";
 
 /// Words that are no names.
-const RESERVED: [&str; 11] =
-    ["AND", "OR", "NOT", "IN", "IS", "LIKE", "BETWEEN", "NULL", "TRUE", "FALSE", "DIV"];
+const RESERVED: [&str; 11] = [
+    "AND", "OR", "NOT", "IN", "IS", "LIKE", "BETWEEN", "NULL", "TRUE", "FALSE", "DIV",
+];
 
 /// How deep the parser is nested at present.
 #[derive(Debug, Clone, Copy, Default)]
@@ -51,12 +52,24 @@
 
 /// A sign that has to come next.
 pub(super) fn required_sign<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
-    move |input| cut_err(sign(text)).context(StrContext::Label(text)).parse_next(input)
+    move |input| {
+        cut_err(sign(text))
+            .context(StrContext::Label(text))
+            .parse_next(input)
+    }
 }
 
 /// A keyword in any case, which is not merely the beginning of a name.
 pub(super) fn keyword<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
-    move |input| (multispace0, Caseless(text), not(peek(one_of(is_name_character)))).void().parse_next(input)
+    move |input| {
+        (
+            multispace0,
+            Caseless(text),
+            not(peek(one_of(is_name_character))),
+        )
+            .void()
+            .parse_next(input)
+    }
 }
 
 /// Whether a character can stand within a name or a keyword.
@@ -72,7 +85,11 @@
 /// A text in quotation marks; a mark within it is doubled or escaped by a backslash.
 pub(super) fn text_literal(input: &mut Input<'_>) -> Parsed<String> {
     (multispace0, '\'').parse_next(input)?;
-    let character = alt(("''".value('\''), "\\'".value('\''), any.verify(|c: &char| *c != '\'')));
+    let character = alt((
+        "''".value('\''),
+        "\\'".value('\''),
+        any.verify(|c: &char| *c != '\''),
+    ));
     let characters = repeat(0.., character).fold(String::new, |mut text, character: char| {
         text.push(character);
         text
@@ -88,15 +105,25 @@
         (
             opt(one_of(['+', '-'])),
             alt((
-                (take_while(1.., is_digit), opt(('.', take_while(0.., is_digit)))).void(),
+                (
+                    take_while(1.., is_digit),
+                    opt(('.', take_while(0.., is_digit))),
+                )
+                    .void(),
                 ('.', take_while(1.., is_digit)).void(),
             )),
-            opt((one_of(['e', 'E']), opt(one_of(['+', '-'])), take_while(1.., is_digit))),
+            opt((
+                one_of(['e', 'E']),
+                opt(one_of(['+', '-'])),
+                take_while(1.., is_digit),
+            )),
         )
             .take(),
     );
     literal
-        .verify_map(|(_, text): (_, &str)| text.parse::<f64>().ok().filter(|number| number.is_finite()))
+        .verify_map(|(_, text): (_, &str)| {
+            text.parse::<f64>().ok().filter(|number| number.is_finite())
+        })
         .parse_next(input)
 }
 
@@ -105,9 +132,16 @@
     let is_first = |c: char| c.is_alphabetic() || c == '_' || c == ':';
     let is_further = |c: char| is_name_character(c) || c == '.' || c == ':';
     let plain = (one_of(is_first), take_while(0.., is_further)).take();
-    let plain =
-        plain.verify(|name: &str| !RESERVED.iter().any(|reserved| reserved.eq_ignore_ascii_case(name)));
-    let quoted = delimited('"', take_while(1.., |c| c != '"'), cut_err('"').context(StrContext::Label("\"")));
+    let plain = plain.verify(|name: &str| {
+        !RESERVED
+            .iter()
+            .any(|reserved| reserved.eq_ignore_ascii_case(name))
+    });
+    let quoted = delimited(
+        '"',
+        take_while(1.., |c| c != '"'),
+        cut_err('"').context(StrContext::Label("\"")),
+    );
     let name = preceded(multispace0, alt((quoted, plain))).parse_next(input)?;
     // A name before a bracket is a function, and only those of the standard are known.
     if opt(peek(sign("("))).parse_next(input)?.is_some() {
--- a/src/front/ogc/cql2/text/mod.rs
+++ b/src/front/ogc/cql2/text/mod.rs
@@ -20,7 +20,10 @@
 /// # Errors
 /// The text is no filter, or one beyond the bounds.
 pub fn parse_text(text: &str) -> Result<Filter, FilterError> {
-    let mut input = Stateful { input: LocatingSlice::new(text), state: Depth::default() };
+    let mut input = Stateful {
+        input: LocatingSlice::new(text),
+        state: Depth::default(),
+    };
     let parsed = condition.parse_next(&mut input);
     let rest = rest(&input, text);
     match parsed {
@@ -34,7 +37,11 @@
 /// The beginning of what was not parsed.
 fn rest(input: &Input<'_>, text: &str) -> String {
     let start = input.input.current_token_start().min(text.len());
-    text[start..].trim_start().chars().take(MAX_QUOTED).collect()
+    text[start..]
+        .trim_start()
+        .chars()
+        .take(MAX_QUOTED)
+        .collect()
 }
 
 /// What is wrong, by the first label of an error and the text that it occurred at.
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -2,8 +2,8 @@
 
 use super::super::{ArithmeticOperator, Value, MAX_DEPTH};
 use super::lexer::{
-    boolean, fatal, keyword, nested, number, property, required_sign, sign, text_literal, Input, Parsed,
-    DEPTH_CONTEXT,
+    boolean, fatal, keyword, nested, number, property, required_sign, sign, text_literal, Input,
+    Parsed, DEPTH_CONTEXT,
 };
 use winnow::combinator::{alt, cut_err, delimited, opt, peek, separated, terminated};
 use winnow::error::{ContextError, ErrMode, StrContext};
@@ -18,7 +18,9 @@
     nested(|input| {
         let mut left = product(input)?;
         while let Some(operator) = opt(one_operator(&SUM)).parse_next(input)? {
-            let right = cut_err(product).context(StrContext::Label("a number")).parse_next(input)?;
+            let right = cut_err(product)
+                .context(StrContext::Label("a number"))
+                .parse_next(input)?;
             left = arithmetic(input, operator, left, right)?;
         }
         Ok(left)
@@ -34,7 +36,9 @@
     ];
     let mut left = power(input)?;
     while let Some(operator) = opt(one_operator(&PRODUCT)).parse_next(input)? {
-        let right = cut_err(power).context(StrContext::Label("a number")).parse_next(input)?;
+        let right = cut_err(power)
+            .context(StrContext::Label("a number"))
+            .parse_next(input)?;
         left = arithmetic(input, operator, left, right)?;
     }
     Ok(left)
@@ -42,16 +46,27 @@
 
 fn power(input: &mut Input<'_>) -> Parsed<Value> {
     let left = atom(input)?;
-    if opt(one_operator(&[ArithmeticOperator::Power])).parse_next(input)?.is_none() {
+    if opt(one_operator(&[ArithmeticOperator::Power]))
+        .parse_next(input)?
+        .is_none()
+    {
         return Ok(left);
     }
-    let right =
-        nested(|input| cut_err(power).context(StrContext::Label("a number")).parse_next(input))(input)?;
+    let right = nested(|input| {
+        cut_err(power)
+            .context(StrContext::Label("a number"))
+            .parse_next(input)
+    })(input)?;
     arithmetic(input, ArithmeticOperator::Power, left, right)
 }
 
 /// An operator with its two operands. Chains of operators nest on the left, so that their depth is the tree's.
-fn arithmetic(input: &Input<'_>, operator: ArithmeticOperator, left: Value, right: Value) -> Parsed<Value> {
+fn arithmetic(
+    input: &Input<'_>,
+    operator: ArithmeticOperator,
+    left: Value,
+    right: Value,
+) -> Parsed<Value> {
     if input.state.0 + arithmetic_depth(&left) > MAX_DEPTH {
         return Err(fatal(DEPTH_CONTEXT));
     }
@@ -60,7 +75,9 @@
 
 fn arithmetic_depth(value: &Value) -> usize {
     match value {
-        Value::Arithmetic(_, left, right) => 1 + arithmetic_depth(left).max(arithmetic_depth(right)),
+        Value::Arithmetic(_, left, right) => {
+            1 + arithmetic_depth(left).max(arithmetic_depth(right))
+        }
         _ => 0,
     }
 }
@@ -103,7 +120,9 @@
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Value> {
     move |input| {
         (keyword(name), sign("(")).parse_next(input)?;
-        let inner = cut_err(scalar).context(StrContext::Label("text")).parse_next(input)?;
+        let inner = cut_err(scalar)
+            .context(StrContext::Label("text"))
+            .parse_next(input)?;
         required_sign(")")(input)?;
         Ok(make(Box::new(inner)))
     }
@@ -111,15 +130,26 @@
 
 /// `DATE(...)` or `TIMESTAMP(...)`.
 fn instant(input: &mut Input<'_>) -> Parsed<Value> {
-    let date = delimited((keyword("DATE"), sign("(")), text_literal, required_sign(")")).map(Value::Date);
-    let timestamp =
-        delimited((keyword("TIMESTAMP"), sign("(")), text_literal, required_sign(")")).map(Value::Timestamp);
+    let date = delimited(
+        (keyword("DATE"), sign("(")),
+        text_literal,
+        required_sign(")"),
+    )
+    .map(Value::Date);
+    let timestamp = delimited(
+        (keyword("TIMESTAMP"), sign("(")),
+        text_literal,
+        required_sign(")"),
+    )
+    .map(Value::Timestamp);
     alt((date, timestamp)).parse_next(input)
 }
 
 /// An interval, an instant or a property.
 pub(super) fn temporal_operand(input: &mut Input<'_>) -> Parsed<Value> {
-    alt((interval, instant, property)).context(StrContext::Label("a time")).parse_next(input)
+    alt((interval, instant, property))
+        .context(StrContext::Label("a time"))
+        .parse_next(input)
 }
 
 /// `INTERVAL(...)`.
@@ -147,7 +177,9 @@
 
 /// An array or a property.
 pub(super) fn array_operand(input: &mut Input<'_>) -> Parsed<Value> {
-    element.context(StrContext::Label("an array")).parse_next(input)
+    element
+        .context(StrContext::Label("an array"))
+        .parse_next(input)
 }
 
 /// An element of an array. Brackets round all of an element are those of an array, others belong to arithmetic.
@@ -158,8 +190,8 @@
 
 fn array(input: &mut Input<'_>) -> Parsed<Value> {
     let items = |input: &mut Input<'_>| {
-        let items: Vec<Value> =
-            delimited(sign("("), separated(0.., element, sign(",")), sign(")")).parse_next(input)?;
+        let items: Vec<Value> = delimited(sign("("), separated(0.., element, sign(",")), sign(")"))
+            .parse_next(input)?;
         Ok(Value::Array(items))
     };
     nested(items)(input)
--- a/src/front/ogc/cql2/validation.rs
+++ b/src/front/ogc/cql2/validation.rs
@@ -21,15 +21,20 @@
 impl Checker<'_> {
     fn check(self, filter: &Filter) -> Result<(), FilterError> {
         match filter {
-            Filter::And(parts) | Filter::Or(parts) => parts.iter().try_for_each(|part| self.check(part)),
+            Filter::And(parts) | Filter::Or(parts) => {
+                parts.iter().try_for_each(|part| self.check(part))
+            }
             Filter::Not(part) => self.check(part),
             Filter::Constant(_) => Ok(()),
-            Filter::Compare(_, left, right) => self.check_comparable(left, self.type_of(left)?, right),
+            Filter::Compare(_, left, right) => {
+                self.check_comparable(left, self.type_of(left)?, right)
+            }
             Filter::Like(text, pattern) => self.check_like(text, pattern),
             Filter::Between(value, low, high) => self.check_between(value, [low, high]),
             Filter::In(value, list) => {
                 let value_type = self.type_of(value)?;
-                list.iter().try_for_each(|item| self.check_comparable(value, value_type, item))
+                list.iter()
+                    .try_for_each(|item| self.check_comparable(value, value_type, item))
             }
             Filter::IsNull(value) => self.check_property(value).map(drop),
             Filter::Test(value) => match self.check_property(value)? {
@@ -49,7 +54,12 @@
     }
 
     /// Checks that a value has a type or may have it; `name` is the type's name in the message.
-    fn check_type(self, value: &Value, expected: QueryableType, name: &str) -> Result<(), FilterError> {
+    fn check_type(
+        self,
+        value: &Value,
+        expected: QueryableType,
+        name: &str,
+    ) -> Result<(), FilterError> {
         let found = self.type_of(value)?;
         if found == expected || found == QueryableType::Any {
             Ok(())
@@ -83,7 +93,10 @@
 
     fn check_like(self, text: &Value, pattern: &Value) -> Result<(), FilterError> {
         self.check_type(text, QueryableType::Text, "text")?;
-        if !matches!(pattern, Value::Text(_) | Value::Casei(_) | Value::Accenti(_)) {
+        if !matches!(
+            pattern,
+            Value::Text(_) | Value::Casei(_) | Value::Accenti(_)
+        ) {
             return fault(format!("{pattern} is no pattern"));
         }
         self.check_type(pattern, QueryableType::Text, "text")
@@ -91,10 +104,15 @@
 
     fn check_between(self, value: &Value, bounds: [&Value; 2]) -> Result<(), FilterError> {
         let value_type = self.type_of(value)?;
-        if !matches!(value_type, QueryableType::Number | QueryableType::Time | QueryableType::Any) {
+        if !matches!(
+            value_type,
+            QueryableType::Number | QueryableType::Time | QueryableType::Any
+        ) {
             return fault(format!("{value} is neither a number nor a time"));
         }
-        bounds.into_iter().try_for_each(|bound| self.check_comparable(value, value_type, bound))
+        bounds
+            .into_iter()
+            .try_for_each(|bound| self.check_comparable(value, value_type, bound))
     }
 
     /// Checks that a value is a property, and returns its type.
@@ -116,9 +134,10 @@
         let is_instant = |value: &&Value| matches!(value, Value::Date(_) | Value::Timestamp(_));
         match [left, right].into_iter().find(is_instant) {
             // A date is an interval of a day.
-            Some(instant @ Value::Timestamp(_)) if !relation.takes_instants() => {
-                fault(format!("{} needs two intervals; {instant} is none", relation.text()))
-            }
+            Some(instant @ Value::Timestamp(_)) if !relation.takes_instants() => fault(format!(
+                "{} needs two intervals; {instant} is none",
+                relation.text()
+            )),
             _ => Ok(()),
         }
     }
@@ -135,7 +154,9 @@
             Value::Interval(from, to) => self.interval(from.as_deref(), to.as_deref()),
             Value::Geometry(_) | Value::Bbox(_) => Ok(QueryableType::Geometry),
             Value::Array(items) => {
-                items.iter().try_for_each(|item| self.type_of(item).map(drop))?;
+                items
+                    .iter()
+                    .try_for_each(|item| self.type_of(item).map(drop))?;
                 Ok(QueryableType::Array)
             }
             Value::Arithmetic(_, left, right) => {
@@ -151,7 +172,11 @@
     }
 
     /// Checks the ends of an interval; an absent one is open.
-    fn interval(self, from: Option<&Value>, to: Option<&Value>) -> Result<QueryableType, FilterError> {
+    fn interval(
+        self,
+        from: Option<&Value>,
+        to: Option<&Value>,
+    ) -> Result<QueryableType, FilterError> {
         for end in from.into_iter().chain(to) {
             self.check_type(end, QueryableType::Time, "time")?;
         }
@@ -166,7 +191,10 @@
 
 /// Whether values of a type can be compared by order or equality.
 fn is_scalar(queryable_type: QueryableType) -> bool {
-    !matches!(queryable_type, QueryableType::Geometry | QueryableType::Array)
+    !matches!(
+        queryable_type,
+        QueryableType::Geometry | QueryableType::Array
+    )
 }
 
 /// The time of a date or a timestamp; `None`: it is known with a feature only.
--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -46,18 +46,29 @@
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.trim_start_matches('[').trim_end_matches(']');
-        if matches!(text, CRS84 | CRS84H | "OGC:CRS84" | "OGC:CRS84h" | "urn:ogc:def:crs:OGC:1.3:CRS84") {
+        if matches!(
+            text,
+            CRS84 | CRS84H | "OGC:CRS84" | "OGC:CRS84h" | "urn:ogc:def:crs:OGC:1.3:CRS84"
+        ) {
             return Some(Crs::Crs84);
         }
         let code = match text.strip_prefix(EPSG) {
             Some(rest) => rest.split_once('/')?.1,
-            None => text.strip_prefix("EPSG:").or_else(|| text.strip_prefix("urn:ogc:def:crs:EPSG::"))?,
+            None => text
+                .strip_prefix("EPSG:")
+                .or_else(|| text.strip_prefix("urn:ogc:def:crs:EPSG::"))?,
         };
         match code.parse::<u32>().ok()? {
             4326 => Some(Crs::Wgs84),
             3857 => Some(Crs::Mercator),
-            code @ 32_601..=32_660 => Some(Crs::Utm { zone: (code - 32_600) as u8, north: true }),
-            code @ 32_701..=32_760 => Some(Crs::Utm { zone: (code - 32_700) as u8, north: false }),
+            code @ 32_601..=32_660 => Some(Crs::Utm {
+                zone: (code - 32_600) as u8,
+                north: true,
+            }),
+            code @ 32_701..=32_760 => Some(Crs::Utm {
+                zone: (code - 32_700) as u8,
+                north: false,
+            }),
             _ => None,
         }
     }
@@ -70,7 +81,10 @@
             Crs::Wgs84 => format!("{EPSG}0/4326"),
             Crs::Mercator => format!("{EPSG}0/3857"),
             Crs::Utm { zone, north } => {
-                format!("{EPSG}0/{}", if north { 32_600 } else { 32_700 } + u32::from(zone))
+                format!(
+                    "{EPSG}0/{}",
+                    if north { 32_600 } else { 32_700 } + u32::from(zone)
+                )
             }
         }
     }
@@ -88,7 +102,10 @@
     /// All systems that are served, CRS84 first.
     pub fn all() -> impl Iterator<Item = Crs> {
         let zones = |north| (1..=60).map(move |zone| Crs::Utm { zone, north });
-        [Crs::Crs84, Crs::Wgs84, Crs::Mercator].into_iter().chain(zones(true)).chain(zones(false))
+        [Crs::Crs84, Crs::Wgs84, Crs::Mercator]
+            .into_iter()
+            .chain(zones(true))
+            .chain(zones(false))
     }
 
     /// The projection; `None`: the system is geographic.
@@ -147,7 +164,12 @@
             (None, _) => Some((longitude, latitude)),
             (Some(projection), _) => {
                 let mut at = (longitude.to_radians(), latitude.to_radians(), 0.0);
-                proj4rs::transform::transform(&projection.geographic, &projection.projected, &mut at).ok()?;
+                proj4rs::transform::transform(
+                    &projection.geographic,
+                    &projection.projected,
+                    &mut at,
+                )
+                .ok()?;
                 (at.0.is_finite() && at.1.is_finite()).then_some((at.0, at.1))
             }
         }
@@ -161,7 +183,12 @@
             (None, _) => Some((first, second)),
             (Some(projection), _) => {
                 let mut at = (first, second, 0.0);
-                proj4rs::transform::transform(&projection.projected, &projection.geographic, &mut at).ok()?;
+                proj4rs::transform::transform(
+                    &projection.projected,
+                    &projection.geographic,
+                    &mut at,
+                )
+                .ok()?;
                 let (x, y) = (at.0.to_degrees(), at.1.to_degrees());
                 (x.is_finite() && y.is_finite()).then_some((x, y))
             }
@@ -177,13 +204,26 @@
             let (east, north) = self.to_crs84(max_x, max_y)?;
             return Some([west, south, east, north]);
         }
-        let mut bounds = [f64::INFINITY, f64::INFINITY, f64::NEG_INFINITY, f64::NEG_INFINITY];
+        let mut bounds = [
+            f64::INFINITY,
+            f64::INFINITY,
+            f64::NEG_INFINITY,
+            f64::NEG_INFINITY,
+        ];
         for step in 0..=EDGE_STEPS {
             let share = step as f64 / EDGE_STEPS as f64;
-            let (x, y) = (min_x + (max_x - min_x) * share, min_y + (max_y - min_y) * share);
+            let (x, y) = (
+                min_x + (max_x - min_x) * share,
+                min_y + (max_y - min_y) * share,
+            );
             for (x, y) in [(x, min_y), (x, max_y), (min_x, y), (max_x, y)] {
                 let (x, y) = self.to_crs84(x, y)?;
-                bounds = [bounds[0].min(x), bounds[1].min(y), bounds[2].max(x), bounds[3].max(y)];
+                bounds = [
+                    bounds[0].min(x),
+                    bounds[1].min(y),
+                    bounds[2].max(x),
+                    bounds[3].max(y),
+                ];
             }
         }
         Some(bounds)
@@ -194,7 +234,9 @@
     #[must_use]
     pub fn bbox_to_crs84(&self, numbers: &[f64]) -> Option<Vec<f64>> {
         match *numbers {
-            [min_x, min_y, max_x, max_y] => Some(self.box_to_crs84([min_x, min_y, max_x, max_y])?.to_vec()),
+            [min_x, min_y, max_x, max_y] => {
+                Some(self.box_to_crs84([min_x, min_y, max_x, max_y])?.to_vec())
+            }
             [min_x, min_y, low, max_x, max_y, high] => {
                 let [west, south, east, north] = self.box_to_crs84([min_x, min_y, max_x, max_y])?;
                 Some(vec![west, south, low, east, north, high])
@@ -206,7 +248,11 @@
     /// A geometry of the system in CRS84. `None`: a point lies outside of where the system is defined.
     #[must_use]
     pub fn geometry_to_crs84(&self, geometry: &Geometry<f64>) -> Option<Geometry<f64>> {
-        let transformed = |at: Coord<f64>| self.to_crs84(at.x, at.y).map(|(x, y)| Coord { x, y }).ok_or(());
+        let transformed = |at: Coord<f64>| {
+            self.to_crs84(at.x, at.y)
+                .map(|(x, y)| Coord { x, y })
+                .ok_or(())
+        };
         geometry.try_map_coords(transformed).ok()
     }
 
@@ -214,9 +260,12 @@
     pub fn geojson_from_crs84(&self, geometry: &mut Json) -> bool {
         match geometry {
             Json::Object(members) => {
-                let coordinates = members.get_mut("coordinates").is_none_or(|c| self.positions_from_crs84(c));
+                let coordinates = members
+                    .get_mut("coordinates")
+                    .is_none_or(|c| self.positions_from_crs84(c));
                 let parts = members.get_mut("geometries").and_then(Json::as_array_mut);
-                coordinates && parts.is_none_or(|p| p.iter_mut().all(|g| self.geojson_from_crs84(g)))
+                coordinates
+                    && parts.is_none_or(|p| p.iter_mut().all(|g| self.geojson_from_crs84(g)))
             }
             _ => true,
         }
@@ -224,23 +273,30 @@
 
     /// Transforms a position, or an array of positions at any depth.
     fn positions_from_crs84(&self, at: &mut Json) -> bool {
-        let Some(list) = at.as_array_mut() else { return true };
+        let Some(list) = at.as_array_mut() else {
+            return true;
+        };
         if let [Json::Number(x), Json::Number(y), ..] = list.as_slice() {
-            let (Some(x), Some(y)) = (x.as_f64(), y.as_f64()) else { return false };
-            let Some((first, second)) = self.from_crs84(x, y) else { return false };
+            let (Some(x), Some(y)) = (x.as_f64(), y.as_f64()) else {
+                return false;
+            };
+            let Some((first, second)) = self.from_crs84(x, y) else {
+                return false;
+            };
             (list[0], list[1]) = (json!(first), json!(second));
             return true;
         }
-        list.iter_mut().all(|inner| self.positions_from_crs84(inner))
+        list.iter_mut()
+            .all(|inner| self.positions_from_crs84(inner))
     }
 }
 
 /// Transforms the geometries and boxes of a filter to CRS84. `None`: a point lies outside of where the system is defined.
 pub fn filter_to_crs84(filter: &mut Filter, transform: &Transform) -> Option<()> {
     match filter {
-        Filter::And(parts) | Filter::Or(parts) => {
-            parts.iter_mut().try_for_each(|p| filter_to_crs84(p, transform))
-        }
+        Filter::And(parts) | Filter::Or(parts) => parts
+            .iter_mut()
+            .try_for_each(|p| filter_to_crs84(p, transform)),
         Filter::Not(part) => filter_to_crs84(part, transform),
         Filter::Spatial(_, a, b) => [a, b].into_iter().try_for_each(|value| {
             match value {
--- a/src/front/ogc/cursor.rs
+++ b/src/front/ogc/cursor.rs
@@ -73,7 +73,11 @@
 
 impl From<(String, String, usize)> for CursorLink {
     fn from((server, target, page_size): (String, String, usize)) -> Self {
-        CursorLink { server, target, page_size }
+        CursorLink {
+            server,
+            target,
+            page_size,
+        }
     }
 }
 
@@ -145,9 +149,13 @@
         if token.len() > MAX_TOKEN_CHARS {
             return Err(CursorError::NotAuthentic);
         }
-        let bytes = URL_SAFE_NO_PAD.decode(token).map_err(|_| CursorError::NotAuthentic)?;
+        let bytes = URL_SAFE_NO_PAD
+            .decode(token)
+            .map_err(|_| CursorError::NotAuthentic)?;
         let authenticated = self.verified(&bytes)?;
-        let (version, fields) = authenticated.split_first().ok_or(CursorError::NotAuthentic)?;
+        let (version, fields) = authenticated
+            .split_first()
+            .ok_or(CursorError::NotAuthentic)?;
         if *version != VERSION {
             return Err(CursorError::Expired);
         }
@@ -171,10 +179,14 @@
     /// The bytes before the authentication code. The code is compared in constant time, so that it cannot be found out
     /// byte by byte.
     fn verified<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], CursorError> {
-        let split = bytes.len().checked_sub(CODE_BYTES).ok_or(CursorError::NotAuthentic)?;
+        let split = bytes
+            .len()
+            .checked_sub(CODE_BYTES)
+            .ok_or(CursorError::NotAuthentic)?;
         let (authenticated, code) = bytes.split_at(split);
         let mac = self.0.clone().chain_update(authenticated);
-        mac.verify_truncated_left(code).map_err(|_| CursorError::NotAuthentic)?;
+        mac.verify_truncated_left(code)
+            .map_err(|_| CursorError::NotAuthentic)?;
         Ok(authenticated)
     }
 }
@@ -207,7 +219,11 @@
     pub fn advanced_from(mut self, previous: Option<&Cursor>) -> Result<Self, CursorError> {
         let position = self.position_hash();
         let Some(previous) = previous else {
-            return Ok(Cursor { link_checkpoint: position, response_count: 1, ..self });
+            return Ok(Cursor {
+                link_checkpoint: position,
+                response_count: 1,
+                ..self
+            });
         };
         self.issued_at_s = previous.issued_at_s;
         self.response_count = previous.response_count.saturating_add(1);
@@ -215,7 +231,11 @@
             return Err(CursorError::LinkCycle);
         }
         let is_checkpoint = self.response_count.is_power_of_two();
-        self.link_checkpoint = if is_checkpoint { position } else { previous.link_checkpoint };
+        self.link_checkpoint = if is_checkpoint {
+            position
+        } else {
+            previous.link_checkpoint
+        };
         Ok(self)
     }
 
--- a/src/front/ogc/cursor/tests.rs
+++ b/src/front/ogc/cursor/tests.rs
@@ -3,7 +3,11 @@
 use super::*;
 
 fn link(target: &str) -> Option<CursorLink> {
-    Some(CursorLink { server: "a".to_owned(), target: target.to_owned(), page_size: 50 })
+    Some(CursorLink {
+        server: "a".to_owned(),
+        target: target.to_owned(),
+        page_size: 50,
+    })
 }
 
 fn cursor(target: &str) -> Cursor {
@@ -29,7 +33,12 @@
         skip: 3,
         link: link("/x?offset=50"),
         filtered_locally: true,
-        after_values: Some(vec![1.5.into(), "b".into(), serde_json::Value::Null, "d9".into()]),
+        after_values: Some(vec![
+            1.5.into(),
+            "b".into(),
+            serde_json::Value::Null,
+            "d9".into(),
+        ]),
         response_count: 5,
         link_checkpoint: 11,
     };
@@ -61,7 +70,10 @@
 fn link_checkpoints_are_those_of_an_earlier_release() {
     let checkpoints =
         earlier_tokens().map(|(_, cursor)| cursor.advanced_from(None).map(|c| c.link_checkpoint));
-    assert_eq!(checkpoints, [Ok(7_573_812_884_547_551_149), Ok(2_975_487_154_951_754_334)]);
+    assert_eq!(
+        checkpoints,
+        [Ok(7_573_812_884_547_551_149), Ok(2_975_487_154_951_754_334)]
+    );
 }
 
 #[test]
@@ -71,7 +83,10 @@
     assert_eq!(key.open(&token, 7, 1_010, 60), Ok(cursor("/x?offset=50")));
     assert_eq!(key.open(&token, 8, 1_010, 60), Err(CursorError::WrongQuery));
     assert_eq!(key.open(&token, 7, 1_061, 60), Err(CursorError::Expired));
-    assert_eq!(CursorKey::new(b"another").open(&token, 7, 1_010, 60), Err(CursorError::NotAuthentic));
+    assert_eq!(
+        CursorKey::new(b"another").open(&token, 7, 1_010, 60),
+        Err(CursorError::NotAuthentic)
+    );
     for n in 0..token.len() {
         let mut altered = token.clone().into_bytes();
         altered[n] = if altered[n] == b'A' { b'B' } else { b'A' };
@@ -101,12 +116,18 @@
                 Err(e) => e == CursorError::LinkCycle,
             }
         });
-        assert!(found.is_some_and(|n| n <= 4 * length + 4), "{length}: {found:?}");
+        assert!(
+            found.is_some_and(|n| n <= 4 * length + 4),
+            "{length}: {found:?}"
+        );
     }
     let mut previous: Option<Cursor> = None;
     for n in 0..1_000 {
-        previous =
-            Some(cursor(&format!("/x?offset={n}")).advanced_from(previous.as_ref()).expect("no cycle"));
+        previous = Some(
+            cursor(&format!("/x?offset={n}"))
+                .advanced_from(previous.as_ref())
+                .expect("no cycle"),
+        );
     }
     assert_eq!(
         previous.map(|c| (c.response_count, c.issued_at_s)),
--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -66,7 +66,9 @@
     fn matches(&self, tag: &str) -> bool {
         let opaque = |tag: &str| tag.trim().trim_start_matches("W/").to_owned();
         let matches_one = |listed: &str| listed.trim() == "*" || opaque(listed) == opaque(tag);
-        self.if_none_match.as_ref().is_some_and(|list| list.split(',').any(matches_one))
+        self.if_none_match
+            .as_ref()
+            .is_some_and(|list| list.split(',').any(matches_one))
     }
 }
 
@@ -74,7 +76,10 @@
 fn accepts_gzip(element: &str) -> bool {
     let mut words = element.split(';').map(str::trim);
     let named = matches!(words.next(), Some("gzip" | "x-gzip" | "*"));
-    let excluded = words.any(|word| word.strip_prefix("q=").is_some_and(|weight| weight.parse() == Ok(0.0)));
+    let excluded = words.any(|word| {
+        word.strip_prefix("q=")
+            .is_some_and(|weight| weight.parse() == Ok(0.0))
+    });
     named && !excluded
 }
 
@@ -90,11 +95,19 @@
 
 /// Compresses a body, for speed rather than size: one thread serves all requests.
 fn compress(response: &mut Response) {
-    let mut encoder = GzEncoder::new(Vec::with_capacity(response.body.len() / 4), Compression::fast());
-    let written = response.body.chunks().try_for_each(|chunk| encoder.write_all(chunk));
+    let mut encoder = GzEncoder::new(
+        Vec::with_capacity(response.body.len() / 4),
+        Compression::fast(),
+    );
+    let written = response
+        .body
+        .chunks()
+        .try_for_each(|chunk| encoder.write_all(chunk));
     if let (Ok(()), Ok(compressed)) = (written, encoder.finish()) {
         response.body = compressed.into();
-        response.headers.push(("Content-Encoding", "gzip".to_owned()));
+        response
+            .headers
+            .push(("Content-Encoding", "gzip".to_owned()));
     }
 }
 
@@ -103,7 +116,10 @@
     let mut state = Sha256::new();
     chunks.for_each(|chunk| state.update(chunk));
     let hash = state.finalize();
-    let hex: String = hash[..TAG_BYTES].iter().map(|byte| format!("{byte:02x}")).collect();
+    let hex: String = hash[..TAG_BYTES]
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect();
     format!("W/\"{hex}\"")
 }
 
--- a/src/front/ogc/discovery.rs
+++ b/src/front/ogc/discovery.rs
@@ -30,11 +30,19 @@
     fn new(shard: ShardId, key: ReplicaKey) -> Self {
         let document = |path: String| Arc::new(PageRequest::new(RequestKind::Document, path));
         let queryables = document(format!("/collections/{}/queryables", key.source));
-        Discovery { shard, key, conformance: document("/conformance".to_owned()), queryables }
+        Discovery {
+            shard,
+            key,
+            conformance: document("/conformance".to_owned()),
+            queryables,
+        }
     }
 
     fn requests(&self) -> [ShardRequest; 2] {
-        let part = |request: &Arc<PageRequest>| ShardRequest { shard: self.shard, request: request.clone() };
+        let part = |request: &Arc<PageRequest>| ShardRequest {
+            shard: self.shard,
+            request: request.clone(),
+        };
         [part(&self.conformance), part(&self.queryables)]
     }
 
@@ -43,21 +51,29 @@
         let conformance = self.conformance.last_page();
         let queryables = self.queryables.last_page();
         let queryables = queryables.as_ref().map(|page| page.body.as_slice());
-        let capabilities = conformance
-            .and_then(|page| parse_capabilities(&page.body, queryables, state.edge.max_filter_text));
+        let capabilities = conformance.and_then(|page| {
+            parse_capabilities(&page.body, queryables, state.edge.max_filter_text)
+        });
         state.capabilities().record(&self.key, capabilities, now);
     }
 }
 
 /// The queryables of a collection: those that the edge file declares, otherwise those of any of its servers, since what one
 /// of them cannot filter is filtered here.
-pub(super) fn queryables(state: &FrontState, collection: &str, shards: &[ShardSource]) -> Queryables {
+pub(super) fn queryables(
+    state: &FrontState,
+    collection: &str,
+    shards: &[ShardSource],
+) -> Queryables {
     if let Some(declared) = state.declared_queryables(collection) {
         return declared;
     }
     let replicas = replicas(state, shards);
     let keys = replicas.iter().flatten().map(|replica| &replica.key);
-    state.capabilities().any_queryables(keys).unwrap_or_else(Queryables::unknown)
+    state
+        .capabilities()
+        .any_queryables(keys)
+        .unwrap_or_else(Queryables::unknown)
 }
 
 /// Discovers the capabilities of the shards' servers where that is due and no other query does, then continues.
@@ -71,13 +87,18 @@
     if discoveries.is_empty() {
         return then(state);
     }
-    let client = ClientContext { timeout: discovery_timeout(&state, client), ..client.clone() };
+    let client = ClientContext {
+        timeout: discovery_timeout(&state, client),
+        ..client.clone()
+    };
     let parts: Vec<_> = discoveries.iter().flat_map(Discovery::requests).collect();
     let request = core_request(&state, &client, parts.into_iter());
     Reaction::Submit(
         request,
         Box::new(move |_| {
-            discoveries.iter().for_each(|discovery| discovery.record(&state, client.sent_at));
+            discoveries
+                .iter()
+                .for_each(|discovery| discovery.record(&state, client.sent_at));
             then(state)
         }),
     )
--- a/src/front/ogc/error.rs
+++ b/src/front/ogc/error.rs
@@ -62,10 +62,15 @@
     pub fn from_answer(answer: &Answer) -> Option<Self> {
         match answer {
             Answer::Served { .. } => None,
-            Answer::Rejected { late: true, .. } | Answer::Failed { late: true } => Some(ApiError::Timeout),
-            Answer::Rejected { retry_after, late: false } => {
-                Some(ApiError::Overloaded { retry_after: *retry_after })
+            Answer::Rejected { late: true, .. } | Answer::Failed { late: true } => {
+                Some(ApiError::Timeout)
             }
+            Answer::Rejected {
+                retry_after,
+                late: false,
+            } => Some(ApiError::Overloaded {
+                retry_after: *retry_after,
+            }),
             Answer::UnknownClass => Some(ApiError::UnknownClass),
             Answer::DuplicateRequestId => Some(ApiError::DuplicateRequestId),
             Answer::Failed { late: false } => Some(ApiError::ServersFailed),
@@ -82,13 +87,17 @@
             | ApiError::UnknownClass
             | ApiError::InvalidTimeout
             | ApiError::TooManyFeaturesToSort => 400,
-            ApiError::NoSuchResource | ApiError::NoSuchCollection(_) | ApiError::NoSuchFeature => 404,
+            ApiError::NoSuchResource | ApiError::NoSuchCollection(_) | ApiError::NoSuchFeature => {
+                404
+            }
             ApiError::OnlyGetAndHead | ApiError::OnlyPost => 405,
             ApiError::DuplicateRequestId => 409,
             ApiError::ShardRemoved | ApiError::ServerRemoved => 410,
             ApiError::UnsupportedMediaType => 415,
             ApiError::NoAnswer => 500,
-            ApiError::ServersFailed | ApiError::InvalidFeature | ApiError::FeatureLookupIncomplete => 502,
+            ApiError::ServersFailed
+            | ApiError::InvalidFeature
+            | ApiError::FeatureLookupIncomplete => 502,
             ApiError::Overloaded { .. } => 503,
             ApiError::Timeout => 504,
             ApiError::Cursor(error) => match error {
--- a/src/front/ogc/error/tests.rs
+++ b/src/front/ogc/error/tests.rs
@@ -44,6 +44,9 @@
         (CursorError::LinkCycle.into(), 502, "the server's pages go in a circle"),
     ];
     for (error, status, message) in expected {
-        assert_eq!((error.status(), error.to_string().as_str()), (status, message));
+        assert_eq!(
+            (error.status(), error.to_string().as_str()),
+            (status, message)
+        );
     }
 }
--- a/src/front/ogc/filter_bounds.rs
+++ b/src/front/ogc/filter_bounds.rs
@@ -7,7 +7,9 @@
 pub(super) fn is_on_globe(filter: &Filter) -> bool {
     let mut on_globe = true;
     filter.each_value(&mut |value| match value {
-        Value::Geometry(geometry) => on_globe &= geometry.coords_iter().all(|c| is_position(c.x, c.y)),
+        Value::Geometry(geometry) => {
+            on_globe &= geometry.coords_iter().all(|c| is_position(c.x, c.y))
+        }
         Value::Bbox(bbox) => on_globe &= is_box(bbox),
         _ => {}
     });
