--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -34,7 +34,10 @@
     fn restrict(self, queryables: &mut Queryables) {
         if self == SchemaKind::Sortables {
             queryables.named.retain(|_, queryable_type| {
-                !matches!(queryable_type, QueryableType::Geometry | QueryableType::Array)
+                !matches!(
+                    queryable_type,
+                    QueryableType::Geometry | QueryableType::Array
+                )
             });
         }
     }
@@ -64,19 +67,31 @@
 }
 
 pub(super) fn openapi(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
-    respond(request, openapi::openapi(&request.document, &request.incoming.state.edge))
+    respond(
+        request,
+        openapi::openapi(&request.document, &request.incoming.state.edge),
+    )
 }
 
 pub(super) fn collections(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
     let state = request.incoming.state;
-    let ids: Vec<String> = lock(&state.catalog).collections().map(str::to_owned).collect();
-    respond(request, documents::collections(&request.document, &ids, &state.edge))
+    let ids: Vec<String> = lock(&state.catalog)
+        .collections()
+        .map(str::to_owned)
+        .collect();
+    respond(
+        request,
+        documents::collections(&request.document, &ids, &state.edge),
+    )
 }
 
 pub(super) fn collection(request: &ResourceRequest<'_>, id: &str) -> Result<Reaction, ApiError> {
     let state = request.incoming.state;
     shards_of(state, id)?;
-    respond(request, documents::collection(&request.document, id, &state.edge))
+    respond(
+        request,
+        documents::collection(&request.document, id, &state.edge),
+    )
 }
 
 /// A schema of a collection, after the discovery of what its servers can do.
@@ -90,10 +105,15 @@
     let shards = shards_of(incoming.state, id)?;
     let client = incoming.client()?;
     let (id, document, discovered) = (id.to_owned(), request.document.clone(), shards.clone());
-    Ok(discover_then(incoming.state.clone(), &client, &discovered, move |state| {
-        let mut queryables = queryables(&state, &id, &shards);
-        kind.restrict(&mut queryables);
-        let title = format!("{} of {id}", kind.name());
-        Reaction::Respond(documents::schema(&document, &title, &queryables))
-    }))
+    Ok(discover_then(
+        incoming.state.clone(),
+        &client,
+        &discovered,
+        move |state| {
+            let mut queryables = queryables(&state, &id, &shards);
+            kind.restrict(&mut queryables);
+            let title = format!("{} of {id}", kind.name());
+            Reaction::Respond(documents::schema(&document, &title, &queryables))
+        },
+    ))
 }
--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -61,7 +61,10 @@
     let shard_request = |source: &ShardSource| {
         let target = format!("/collections/{}/items/{escaped_id}", source.name);
         let request = Arc::new(PageRequest::new(RequestKind::Feature, target));
-        ShardRequest { shard: source.shard, request }
+        ShardRequest {
+            shard: source.shard,
+            request,
+        }
     };
     shards.iter().map(shard_request).collect()
 }
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -13,8 +13,16 @@
 use std::sync::Arc;
 
 /// Parameters that mean the same whatever the capabilities of the servers are.
-const CAPABILITY_INDEPENDENT: [&str; 8] =
-    ["limit", "bbox", "bbox-crs", "datetime", "crs", "properties", "cursor", "f"];
+const CAPABILITY_INDEPENDENT: [&str; 8] = [
+    "limit",
+    "bbox",
+    "bbox-crs",
+    "datetime",
+    "crs",
+    "properties",
+    "cursor",
+    "f",
+];
 
 /// Starts a query, after capability discovery if its parameters depend on capabilities.
 pub(super) fn items(request: &ResourceRequest<'_>, collection: &str) -> Result<Reaction, ApiError> {
@@ -22,7 +30,9 @@
     let shards = shards_of(incoming.state, collection)?;
     let client = incoming.client()?;
     let parameters = request.parameters.clone();
-    let needs_discovery = !parameters.iter().all(|(name, _)| CAPABILITY_INDEPENDENT.contains(&name.as_str()));
+    let needs_discovery = !parameters
+        .iter()
+        .all(|(name, _)| CAPABILITY_INDEPENDENT.contains(&name.as_str()));
     let document = request.document.clone();
     let (collection, query_string) = (collection.to_owned(), request.query_string.to_owned());
     let (query_client, query_shards) = (client.clone(), shards.clone());
@@ -31,7 +41,10 @@
             true => queryables(&state, &collection, &query_shards),
             false => Queryables::unknown(),
         };
-        let rules = ParameterRules { limits: state.edge.limit_rules(), queryables: &queryables };
+        let rules = ParameterRules {
+            limits: state.edge.limit_rules(),
+            queryables: &queryables,
+        };
         let params = parse_items_query(&parameters, &rules)?;
         let request = ItemsRequest {
             base_url: document.base_url,
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -46,7 +46,11 @@
 impl IncomingRequest<'_> {
     /// Handles the request.
     pub fn handle(&self) -> Result<Reaction, ApiError> {
-        let (path, query_string) = self.http.target.split_once('?').unwrap_or((&self.http.target, ""));
+        let (path, query_string) = self
+            .http
+            .target
+            .split_once('?')
+            .unwrap_or((&self.http.target, ""));
         let segments = decode_segments(path)?;
         let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
         if segments == ["search"] {
@@ -69,8 +73,17 @@
         let format = negotiate_format(requested, self.http.headers.get("Accept"))?;
         let path = path.trim_end_matches('/');
         let path = if path.is_empty() { "/" } else { path };
-        let document = DocumentContext { base_url: self.base_url(), path: path.to_owned(), format };
-        Ok(ResourceRequest { incoming: self, document, query_string, parameters })
+        let document = DocumentContext {
+            base_url: self.base_url(),
+            path: path.to_owned(),
+            format,
+        };
+        Ok(ResourceRequest {
+            incoming: self,
+            document,
+            query_string,
+            parameters,
+        })
     }
 
     fn base_url(&self) -> String {
@@ -106,7 +119,9 @@
             ["api"] => documents::openapi(self),
             ["collections"] => documents::collections(self),
             ["collections", id] => documents::collection(self, id),
-            ["collections", id, "queryables"] => documents::schema(self, id, SchemaKind::Queryables),
+            ["collections", id, "queryables"] => {
+                documents::schema(self, id, SchemaKind::Queryables)
+            }
             ["collections", id, "sortables"] => documents::schema(self, id, SchemaKind::Sortables),
             ["collections", id, "schema"] => documents::schema(self, id, SchemaKind::Schema),
             ["collections", id, "items"] => items::items(self, id),
@@ -129,7 +144,12 @@
 fn decode_segments(path: &str) -> Result<Vec<String>, ApiError> {
     let decode = |segment: &str| {
         let decoded = percent_encoding::percent_decode_str(segment).decode_utf8();
-        decoded.map(Cow::into_owned).map_err(|_| ApiError::PathNotUtf8)
+        decoded
+            .map(Cow::into_owned)
+            .map_err(|_| ApiError::PathNotUtf8)
     };
-    path.split('/').filter(|segment| !segment.is_empty()).map(decode).collect()
+    path.split('/')
+        .filter(|segment| !segment.is_empty())
+        .map(decode)
+        .collect()
 }
--- a/src/front/ogc/handlers/search.rs
+++ b/src/front/ogc/handlers/search.rs
@@ -4,7 +4,9 @@
 use crate::front::ogc::client_request::ItemsRequest;
 use crate::front::ogc::discovery::queryables;
 use crate::front::ogc::error::ApiError;
-use crate::front::ogc::params::{parse_search, parse_search_body, search_collection, Format, Search};
+use crate::front::ogc::params::{
+    parse_search, parse_search_body, search_collection, Format, Search,
+};
 use crate::front::ogc::query::ItemsQuery;
 use crate::front::ogc::shards::shards_of;
 use crate::front::ogc::state::FrontState;
@@ -28,7 +30,8 @@
     let (query_client, query_shards) = (client.clone(), shards.clone());
     let start = move |state: Arc<FrontState>| {
         let queryables_of = |id: &str| Some(queryables(&state, id, &query_shards));
-        let Search { collection, params } = parse_search(&body, queryables_of, state.edge.limit_rules())?;
+        let Search { collection, params } =
+            parse_search(&body, queryables_of, state.edge.limit_rules())?;
         let request = ItemsRequest {
             base_url,
             collection,
--- a/src/front/ogc/inventory/csv_reader.rs
+++ b/src/front/ogc/inventory/csv_reader.rs
@@ -17,15 +17,22 @@
 }
 
 /// Reads CSV with a header, or returns every fault.
-pub(super) fn read_with_all_errors(file: &str, text: &str) -> Result<Vec<Server>, Vec<InventoryError>> {
+pub(super) fn read_with_all_errors(
+    file: &str,
+    text: &str,
+) -> Result<Vec<Server>, Vec<InventoryError>> {
     let locator = Locator { file };
     let mut rows = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .comment(Some(b'#'))
         .flexible(false)
         .from_reader(text.as_bytes());
-    let malformed = |error: csv::Error| locator.error(line_of(&error), "", InventoryErrorKind::Csv(error));
-    let header = rows.headers().map_err(|error| vec![malformed(error)])?.clone();
+    let malformed =
+        |error: csv::Error| locator.error(line_of(&error), "", InventoryErrorKind::Csv(error));
+    let header = rows
+        .headers()
+        .map_err(|error| vec![malformed(error)])?
+        .clone();
     let lacks = |column: &&&str| !header.iter().any(|name| name == **column);
     let missing = |column: &&str| locator.error(1, column, InventoryErrorKind::MissingColumn);
     let mut errors: Vec<_> = REQUIRED_COLUMNS.iter().filter(lacks).map(missing).collect();
@@ -44,13 +51,24 @@
 
 /// The entry of a row. An empty field counts as left out.
 fn entry(header: &StringRecord, row: &StringRecord) -> Entry {
-    let line = row.position().map_or(0, |position| position.line() as usize);
-    let mut entry = Entry { line, ..Entry::default() };
+    let line = row
+        .position()
+        .map_or(0, |position| position.line() as usize);
+    let mut entry = Entry {
+        line,
+        ..Entry::default()
+    };
     for (column, text) in header.iter().zip(row.iter()) {
         if column == "name" {
             entry.name = text.to_owned();
         } else if !text.is_empty() {
-            entry.fields.insert(column.to_owned(), Field { text: text.to_owned(), line });
+            entry.fields.insert(
+                column.to_owned(),
+                Field {
+                    text: text.to_owned(),
+                    line,
+                },
+            );
         }
     }
     entry
@@ -58,5 +76,7 @@
 
 /// The line that an error is in, from 1.
 fn line_of(error: &csv::Error) -> usize {
-    error.position().map_or(1, |position| position.line() as usize)
+    error
+        .position()
+        .map_or(1, |position| position.line() as usize)
 }
--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -42,8 +42,18 @@
 
 impl Locator<'_> {
     /// An error at a line, in a field or, if `field` is empty, of the whole line.
-    pub(super) fn error(&self, line: usize, field: &str, kind: InventoryErrorKind) -> InventoryError {
-        InventoryError { file: self.file.to_owned(), line, field: field.to_owned(), kind }
+    pub(super) fn error(
+        &self,
+        line: usize,
+        field: &str,
+        kind: InventoryErrorKind,
+    ) -> InventoryError {
+        InventoryError {
+            file: self.file.to_owned(),
+            line,
+            field: field.to_owned(),
+            kind,
+        }
     }
 
     /// The servers that entries stand for, or every error: `errors` of the reader and those of the entries, by line.
@@ -54,7 +64,10 @@
     ) -> Result<Vec<Server>, Vec<InventoryError>> {
         let mut servers: Vec<Server> = Vec::new();
         for entry in entries {
-            match self.server(entry).and_then(|server| self.unique(server, entry, &servers)) {
+            match self
+                .server(entry)
+                .and_then(|server| self.unique(server, entry, &servers))
+            {
                 Ok(server) => servers.push(server),
                 Err(error) => errors.push(error),
             }
@@ -72,9 +85,18 @@
     }
 
     /// The server, if none of the earlier ones has its name or its address.
-    fn unique(&self, server: Server, entry: &Entry, earlier: &[Server]) -> Result<Server, InventoryError> {
+    fn unique(
+        &self,
+        server: Server,
+        entry: &Entry,
+        earlier: &[Server],
+    ) -> Result<Server, InventoryError> {
         if earlier.iter().any(|other| other.name == server.name) {
-            return Err(self.error(entry.line, "name", InventoryErrorKind::DuplicateName(server.name)));
+            return Err(self.error(
+                entry.line,
+                "name",
+                InventoryErrorKind::DuplicateName(server.name),
+            ));
         }
         if earlier.iter().any(|other| other.address == server.address) {
             let kind = InventoryErrorKind::DuplicateAddress(server.address);
@@ -91,7 +113,12 @@
         let address = address(entry).map_err(|kind| in_field("address", kind))?;
         let shards = shards(entry).map_err(|kind| in_field("collections", kind))?;
         let state = state(entry).map_err(|kind| in_field("state", kind))?;
-        Ok(Server { name: entry.name.clone(), address, shards, state })
+        Ok(Server {
+            name: entry.name.clone(),
+            address,
+            shards,
+            state,
+        })
     }
 }
 
@@ -104,20 +131,28 @@
         (None, Some(host), Some(port)) => format!("{host}:{port}"),
         (None, _, _) => return Err(InventoryErrorKind::MissingField),
     };
-    let resolved = address.to_socket_addrs().ok().and_then(|mut addresses| addresses.next());
+    let resolved = address
+        .to_socket_addrs()
+        .ok()
+        .and_then(|mut addresses| addresses.next());
     resolved.ok_or(InventoryErrorKind::Address(address))
 }
 
 /// The shards of a server, each once, in the order of the file.
 fn shards(entry: &Entry) -> Result<Vec<CollectionShard>, InventoryErrorKind> {
-    let text = entry.text("collections").ok_or(InventoryErrorKind::MissingField)?;
+    let text = entry
+        .text("collections")
+        .ok_or(InventoryErrorKind::MissingField)?;
     let mut shards = Vec::new();
     for word in text.split([';', ',', ' ']).filter(|word| !word.is_empty()) {
         let (collection, source) = word.split_once('/').unwrap_or((word, word));
         if !is_name(collection) || !is_name(source) {
             return Err(InventoryErrorKind::Shard(word.to_owned()));
         }
-        let shard = CollectionShard { collection: collection.to_owned(), source: source.to_owned() };
+        let shard = CollectionShard {
+            collection: collection.to_owned(),
+            source: source.to_owned(),
+        };
         if !shards.contains(&shard) {
             shards.push(shard);
         }
@@ -130,7 +165,10 @@
 
 /// Whether a text can be the name of a collection or a shard.
 fn is_name(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
 /// The state of a server by any of the words that configuration tools use.
--- a/src/front/ogc/inventory/error.rs
+++ b/src/front/ogc/inventory/error.rs
@@ -20,7 +20,12 @@
 impl InventoryError {
     /// A fault of the file as a whole.
     pub(super) fn of_file(file: &str, kind: InventoryErrorKind) -> Self {
-        InventoryError { file: file.to_owned(), line: 0, field: String::new(), kind }
+        InventoryError {
+            file: file.to_owned(),
+            line: 0,
+            field: String::new(),
+            kind,
+        }
     }
 
     /// What is wrong, after the field that it is wrong with; without file and line.
--- a/src/front/ogc/inventory/mod.rs
+++ b/src/front/ogc/inventory/mod.rs
@@ -52,15 +52,27 @@
 /// # Errors
 /// Every fault of the inventory, at least one.
 pub fn read_file_with_all_errors(path: &Path) -> Result<Vec<Server>, Vec<InventoryError>> {
-    let file = path.file_name().unwrap_or(path.as_os_str()).to_string_lossy().into_owned();
+    let file = path
+        .file_name()
+        .unwrap_or(path.as_os_str())
+        .to_string_lossy()
+        .into_owned();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(error) => return Err(vec![InventoryError::of_file(&file, InventoryErrorKind::Io(error))]),
+        Err(error) => {
+            return Err(vec![InventoryError::of_file(
+                &file,
+                InventoryErrorKind::Io(error),
+            )])
+        }
     };
     match path.extension().and_then(|extension| extension.to_str()) {
         Some("csv") => csv_reader::read_with_all_errors(&file, &text),
         Some("yaml" | "yml") => yaml_reader::read_with_all_errors(&file, &text),
-        _ => Err(vec![InventoryError::of_file(&file, InventoryErrorKind::UnknownFormat)]),
+        _ => Err(vec![InventoryError::of_file(
+            &file,
+            InventoryErrorKind::UnknownFormat,
+        )]),
     }
 }
 
--- a/src/front/ogc/inventory/tests.rs
+++ b/src/front/ogc/inventory/tests.rs
@@ -16,7 +16,10 @@
         hosts:\n        a: {ansible_host: 127.0.0.1, ansible_port: 9001}\n    zones:\n      hosts:\n        a:\n          \
         collections: [zones]\n          ansible_host: 127.0.0.1\n          ansible_port: 9001\n    south:\n      hosts:\n        b:\n          \
         address: 127.0.0.1:9002\n          collections: devices/south\n          state: draining\n";
-    let (a, b) = (read_csv("i.csv", csv).expect("csv"), read_yaml("i.yaml", yaml).expect("yaml"));
+    let (a, b) = (
+        read_csv("i.csv", csv).expect("csv"),
+        read_yaml("i.yaml", yaml).expect("yaml"),
+    );
     assert_eq!(a, b);
     assert_eq!(a[0].shards.len(), 2);
     assert_eq!(a[1].state, EndpointState::Draining);
@@ -52,11 +55,20 @@
     assert!(matches!(&duplicate.kind, InventoryErrorKind::DuplicateName(name) if name == "a"));
     assert_eq!(duplicate.to_string(), "i.csv:3: name: \"a\" is there twice");
     let duplicate = error("b,127.0.0.1:1,x,");
-    assert!(matches!(duplicate.kind, InventoryErrorKind::DuplicateAddress(_)));
-    assert_eq!(duplicate.to_string(), "i.csv:3: address: 127.0.0.1:1 is there twice");
+    assert!(matches!(
+        duplicate.kind,
+        InventoryErrorKind::DuplicateAddress(_)
+    ));
+    assert_eq!(
+        duplicate.to_string(),
+        "i.csv:3: address: 127.0.0.1:1 is there twice"
+    );
     let state = error("b,127.0.0.1:2,x,asleep");
     assert!(matches!(&state.kind, InventoryErrorKind::State(state) if state == "asleep"));
-    assert_eq!(state.message(), "state: \"asleep\" is none of in_service, draining, gone");
+    assert_eq!(
+        state.message(),
+        "state: \"asleep\" is none of in_service, draining, gone"
+    );
     let empty = read_csv("i.csv", "name,address,collections\n").expect_err("it is empty");
     assert!(matches!(empty.kind, InventoryErrorKind::NoServer));
     assert_eq!(empty.to_string(), "i.csv:1: no server is named");
--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -16,14 +16,20 @@
 }
 
 /// Reads YAML with groups, or returns every fault.
-pub(super) fn read_with_all_errors(file: &str, text: &str) -> Result<Vec<Server>, Vec<InventoryError>> {
+pub(super) fn read_with_all_errors(
+    file: &str,
+    text: &str,
+) -> Result<Vec<Server>, Vec<InventoryError>> {
     let locator = Locator { file };
     let options = LoaderOptions::default().error_on_duplicate_keys(true);
     let root = match marked_yaml::parse_yaml_with_options(0, text, options) {
         Ok(root) => root,
         Err(error) => return Err(vec![malformed(locator, error)]),
     };
-    let mut reader = GroupReader { locator, entries: Vec::new() };
+    let mut reader = GroupReader {
+        locator,
+        entries: Vec::new(),
+    };
     let mut errors = Vec::new();
     if let Some(root) = root.as_mapping() {
         for (name, group) in root.iter() {
@@ -71,34 +77,52 @@
         match node {
             Node::Mapping(mapping) => Ok(Some(mapping)),
             Node::Scalar(scalar) if matches!(scalar.as_str(), "" | "~" | "null") => Ok(None),
-            _ => Err(self.locator.error(line_of(node), field, InventoryErrorKind::NoMapping)),
+            _ => Err(self
+                .locator
+                .error(line_of(node), field, InventoryErrorKind::NoMapping)),
         }
     }
 
     /// Adds the vars of a node to `fields`, in place of those of the same names.
     fn vars(&self, node: &Node, field: &str, fields: &mut Fields) -> Result<(), InventoryError> {
-        let Some(vars) = self.mapping(node, field)? else { return Ok(()) };
+        let Some(vars) = self.mapping(node, field)? else {
+            return Ok(());
+        };
         for (key, value) in vars.iter() {
             let text = match value {
                 Node::Scalar(scalar) => scalar.as_str().to_owned(),
                 Node::Sequence(items) => {
-                    let words = items.iter().map(|item| item.as_scalar().map(MarkedScalarNode::as_str));
+                    let words = items
+                        .iter()
+                        .map(|item| item.as_scalar().map(MarkedScalarNode::as_str));
                     let words = words.collect::<Option<Vec<_>>>().ok_or_else(|| {
-                        self.locator.error(line_of(value), key.as_str(), InventoryErrorKind::NoWordList)
+                        self.locator.error(
+                            line_of(value),
+                            key.as_str(),
+                            InventoryErrorKind::NoWordList,
+                        )
                     })?;
                     words.join(";")
                 }
                 // A tool's own structured vars don't concern this program.
                 Node::Mapping(_) => continue,
             };
-            fields.insert(key.as_str().to_owned(), Field { text, line: line_of(value) });
+            fields.insert(
+                key.as_str().to_owned(),
+                Field {
+                    text,
+                    line: line_of(value),
+                },
+            );
         }
         Ok(())
     }
 
     /// Reads a group; `outer`: the vars of the groups around it.
     fn group(&mut self, name: &str, node: &Node, outer: &Fields) -> Result<(), InventoryError> {
-        let Some(group) = self.mapping(node, name)? else { return Ok(()) };
+        let Some(group) = self.mapping(node, name)? else {
+            return Ok(());
+        };
         let mut vars = outer.clone();
         if let Some(own) = group.get_node("vars") {
             self.vars(own, "vars", &mut vars)?;
@@ -110,7 +134,11 @@
                 "children" => self.children(value, &vars)?,
                 other => {
                     let line = key.span().start().map_or(0, Marker::line);
-                    return Err(self.locator.error(line, other, InventoryErrorKind::UnknownGroupKey));
+                    return Err(self.locator.error(
+                        line,
+                        other,
+                        InventoryErrorKind::UnknownGroupKey,
+                    ));
                 }
             }
         }
@@ -118,18 +146,26 @@
     }
 
     fn hosts(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
-        let Some(hosts) = self.mapping(node, "hosts")? else { return Ok(()) };
+        let Some(hosts) = self.mapping(node, "hosts")? else {
+            return Ok(());
+        };
         for (host, own) in hosts.iter() {
             let mut fields = vars.clone();
             self.vars(own, host.as_str(), &mut fields)?;
             let line = host.span().start().map_or(0, Marker::line);
-            self.merge(Entry { name: host.as_str().to_owned(), line, fields });
+            self.merge(Entry {
+                name: host.as_str().to_owned(),
+                line,
+                fields,
+            });
         }
         Ok(())
     }
 
     fn children(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
-        let Some(children) = self.mapping(node, "children")? else { return Ok(()) };
+        let Some(children) = self.mapping(node, "children")? else {
+            return Ok(());
+        };
         for (name, group) in children.iter() {
             self.group(name.as_str(), group, vars)?;
         }
@@ -138,12 +174,18 @@
 
     /// Adds a host, or its fields to those that an earlier group gave it.
     fn merge(&mut self, entry: Entry) {
-        let Some(known) = self.entries.iter_mut().find(|known| known.name == entry.name) else {
+        let Some(known) = self
+            .entries
+            .iter_mut()
+            .find(|known| known.name == entry.name)
+        else {
             return self.entries.push(entry);
         };
         for (key, field) in entry.fields {
             match known.fields.get_mut(&key) {
-                Some(known) if key == "collections" => known.text = format!("{};{}", known.text, field.text),
+                Some(known) if key == "collections" => {
+                    known.text = format!("{};{}", known.text, field.text)
+                }
                 Some(known) => *known = field,
                 None => {
                     known.fields.insert(key, field);
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -66,20 +66,33 @@
         server_capacity: Arc<ServerCapacity>,
     ) -> Self {
         let state = FrontState::new(edge, catalog, cursor_key, metrics, server_capacity);
-        OgcFront { state: Arc::new(state) }
+        OgcFront {
+            state: Arc::new(state),
+        }
     }
 }
 
 impl Front for OgcFront {
     fn handle(&self, request: HttpRequest, token: Token, sent: Micros, ready: bool) -> Reaction {
         let delivery = DeliveryOptions::of(&request);
-        let incoming = IncomingRequest { state: &self.state, http: &request, token, sent_at: sent, ready };
-        let reaction = incoming.handle().unwrap_or_else(|error| reject(&request, &error));
+        let incoming = IncomingRequest {
+            state: &self.state,
+            http: &request,
+            token,
+            sent_at: sent,
+            ready,
+        };
+        let reaction = incoming
+            .handle()
+            .unwrap_or_else(|error| reject(&request, &error));
         delivery.wrap(reaction)
     }
 
     fn malformed_response(&self, error: HttpError) -> Response {
-        problem(error.status(), &format!("the request cannot be read: {error:?}"))
+        problem(
+            error.status(),
+            &format!("the request cannot be read: {error:?}"),
+        )
     }
 
     fn max_body(&self) -> usize {
@@ -98,7 +111,10 @@
     let mut response = error_response(error);
     if response.status == 405 {
         let search = request.target.starts_with("/search");
-        response.headers.push(("Allow", if search { "POST" } else { "GET, HEAD" }.to_owned()));
+        response.headers.push((
+            "Allow",
+            if search { "POST" } else { "GET, HEAD" }.to_owned(),
+        ));
     }
     Reaction::Respond(response)
 }
--- a/src/front/ogc/page_request.rs
+++ b/src/front/ogc/page_request.rs
@@ -77,9 +77,10 @@
                 parse_page(fetched.body, host, &self.target, self.predicate.as_ref())
             }
             (200, RequestKind::Feature) => parse_feature(fetched.body),
-            (200, RequestKind::Document) => {
-                Some(FeaturePage { body: fetched.body, ..FeaturePage::default() })
-            }
+            (200, RequestKind::Document) => Some(FeaturePage {
+                body: fetched.body,
+                ..FeaturePage::default()
+            }),
             (404, RequestKind::Feature) => Some(FeaturePage::default()),
             // A server without such a document has answered: that must not end the discoveries at others.
             (status, RequestKind::Document) if status != 429 => Some(FeaturePage::default()),
@@ -87,9 +88,14 @@
             (429, _) => return AttemptEnd::Failed(Outcome::Rejected),
             _ => None,
         };
-        let Some(page) = page else { return AttemptEnd::Failed(Outcome::Error) };
+        let Some(page) = page else {
+            return AttemptEnd::Failed(Outcome::Error);
+        };
         let mut pages = self.pages();
-        pages.push(Arc::new(FeaturePage { server: server.into(), ..page }));
+        pages.push(Arc::new(FeaturePage {
+            server: server.into(),
+            ..page
+        }));
         let index = pages.len() as u32 - 1;
         AttemptEnd::Served(Value::from(index.to_be_bytes().as_slice()))
     }
@@ -102,7 +108,9 @@
     /// The page that a value of the core refers to.
     pub fn page(&self, value: &Value) -> Option<Arc<FeaturePage>> {
         let index: [u8; 4] = value.as_ref().try_into().ok()?;
-        self.pages().get(u32::from_be_bytes(index) as usize).cloned()
+        self.pages()
+            .get(u32::from_be_bytes(index) as usize)
+            .cloned()
     }
 }
 
--- a/src/front/ogc/page_request/page.rs
+++ b/src/front/ogc/page_request/page.rs
@@ -46,17 +46,29 @@
         return None;
     }
     let returned_count = collection.features.len();
-    let ranges = collection.features.iter().map(|feature| range_in(&body, feature));
+    let ranges = collection
+        .features
+        .iter()
+        .map(|feature| range_in(&body, feature));
     let features: Vec<_> = match predicate {
         None => ranges.collect(),
-        Some(predicate) => ranges.filter(|range| predicate(&body[range.clone()])).collect(),
+        Some(predicate) => ranges
+            .filter(|range| predicate(&body[range.clone()]))
+            .collect(),
     };
     let next_target = match collection.links.iter().find(|link| link.rel == "next") {
         None => None,
         Some(link) => Some(resolve_link(host, target, &link.href)?),
     };
     let number_matched = collection.number_matched;
-    Some(FeaturePage { server: Arc::default(), features, returned_count, next_target, number_matched, body })
+    Some(FeaturePage {
+        server: Arc::default(),
+        features,
+        returned_count,
+        next_target,
+        number_matched,
+        body,
+    })
 }
 
 /// Parses a single feature as a page of one. `None`: the body is no JSON object.
@@ -65,7 +77,12 @@
         let feature: &RawValue = serde_json::from_slice(&body).ok()?;
         is_object(feature).then(|| range_in(&body, feature))?
     };
-    Some(FeaturePage { features: vec![range], returned_count: 1, body, ..FeaturePage::default() })
+    Some(FeaturePage {
+        features: vec![range],
+        returned_count: 1,
+        body,
+        ..FeaturePage::default()
+    })
 }
 
 fn is_object(value: &RawValue) -> bool {
@@ -82,7 +99,8 @@
 fn resolve_link(host: &str, target: &str, href: &str) -> Option<String> {
     let page = Url::parse(&format!("http://{host}{target}")).ok()?;
     let link = page.join(href).ok()?;
-    let same_server = link.scheme() == "http" && link.host() == page.host() && link.port() == page.port();
+    let same_server =
+        link.scheme() == "http" && link.host() == page.host() && link.port() == page.port();
     let has_credentials = !link.username().is_empty() || link.password().is_some();
     let path = link[Position::BeforePath..Position::AfterQuery].to_owned();
     let same_page = page[Position::BeforePath..Position::AfterQuery] == path;
--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -104,7 +104,10 @@
             lookahead: INITIAL_LOOKAHEAD,
             hasher: RandomState::new(),
             seen_ids: HashSet::new(),
-            shard_checkpoint: at_shard_start.then_some(ShardCheckpoint { slices: 0, count: 0 }),
+            shard_checkpoint: at_shard_start.then_some(ShardCheckpoint {
+                slices: 0,
+                count: 0,
+            }),
             restarts: 0,
             interrupted: None,
             followed_links: HashSet::new(),
@@ -158,7 +161,11 @@
         if self.limits.min_shard_share >= 1.0 {
             // The features before the missing shard are a valid response, whose next link leads to that shard.
             let empty = self.count == 0;
-            return Some(if empty { ConcatProgress::Failed } else { ConcatProgress::Complete });
+            return Some(if empty {
+                ConcatProgress::Failed
+            } else {
+                ConcatProgress::Complete
+            });
         }
         self.advance_shard();
         None
@@ -167,8 +174,8 @@
     /// A shard that was fetched ahead with pages too small for what is needed is started again with larger ones, by this
     /// response or by the next. Parts that are not idempotent are not: they continue in the pages that they have.
     fn discard_small_first_page(&self, requested: &RequestedPage) -> Option<ConcatProgress> {
-        let started =
-            self.position.location != PageLocation::ShardStart || self.position.shard == self.start.shard;
+        let started = self.position.location != PageLocation::ShardStart
+            || self.position.shard == self.start.shard;
         let last_page = requested.page.next_target.is_none();
         if started || last_page || self.limits.filtered_locally || !self.limits.idempotent {
             return None;
@@ -220,7 +227,9 @@
             return true;
         };
         let shard = self.position.shard;
-        let link = self.hasher.hash_one((shard, &page.server, &page.next_target));
+        let link = self
+            .hasher
+            .hash_one((shard, &page.server, &page.next_target));
         if !self.followed_links.insert(link) {
             self.shards[shard].missing = true;
             return false;
@@ -234,7 +243,9 @@
         if self.remaining() == 0 && !self.is_exhausted() {
             return true;
         }
-        let PageLocation::NextLink { page_size, .. } = &self.position.location else { return false };
+        let PageLocation::NextLink { page_size, .. } = &self.position.location else {
+            return false;
+        };
         *page_size > self.remaining() && !self.limits.filtered_locally && self.count > 0
     }
 
@@ -265,13 +276,22 @@
             end += 1;
         }
         self.append_slice(page, slice_start, end);
-        check_invariant(self.count <= self.limits.limit, "an answer beyond its limit");
-        Appended { end, new_features: self.count - count_before }
+        check_invariant(
+            self.count <= self.limits.limit,
+            "an answer beyond its limit",
+        );
+        Appended {
+            end,
+            new_features: self.count - count_before,
+        }
     }
 
     fn append_slice(&mut self, page: &Arc<FeaturePage>, start: usize, end: usize) {
         if start < end {
-            self.slices.push(PageSlice { page: page.clone(), features: start..end });
+            self.slices.push(PageSlice {
+                page: page.clone(),
+                features: start..end,
+            });
         }
     }
 
@@ -280,10 +300,17 @@
     /// any feature of the shard. `false`: it is not possible.
     fn restart_shard(&mut self) -> bool {
         let may_restart = self.limits.idempotent && self.restarts == 0;
-        let Some(checkpoint) = self.shard_checkpoint.filter(|_| may_restart) else { return false };
-        let PageLocation::NextLink { server, .. } = &self.position.location else { return false };
+        let Some(checkpoint) = self.shard_checkpoint.filter(|_| may_restart) else {
+            return false;
+        };
+        let PageLocation::NextLink { server, .. } = &self.position.location else {
+            return false;
+        };
         let shard = self.position.shard;
-        self.interrupted = Some(InterruptedShard { shard, server: server.clone() });
+        self.interrupted = Some(InterruptedShard {
+            shard,
+            server: server.clone(),
+        });
         self.restarts += 1;
         self.slices.truncate(checkpoint.slices);
         self.count = checkpoint.count;
@@ -296,14 +323,17 @@
 
     fn advance_shard(&mut self) {
         self.position = ResumePosition::shard_start(self.position.shard + 1);
-        self.shard_checkpoint = Some(ShardCheckpoint { slices: self.slices.len(), count: self.count });
+        self.shard_checkpoint = Some(ShardCheckpoint {
+            slices: self.slices.len(),
+            count: self.count,
+        });
         self.seen_ids.clear();
     }
 
     /// The progress when the page at the current position has not arrived.
     fn progress_without_page(&self) -> ConcatProgress {
-        let bounds_reached =
-            self.fetched_pages >= self.limits.max_pages || self.fetched_bytes >= self.limits.max_bytes;
+        let bounds_reached = self.fetched_pages >= self.limits.max_pages
+            || self.fetched_bytes >= self.limits.max_bytes;
         if self.remaining() == 0 {
             return ConcatProgress::Complete;
         }
@@ -349,22 +379,29 @@
     /// The indexes of the shards that could not be fetched, of those that the response passed or needed.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
-        (0..self.shards.len()).filter(|shard| self.shards[*shard].missing).collect()
+        (0..self.shards.len())
+            .filter(|shard| self.shards[*shard].missing)
+            .collect()
     }
 
     /// Whether enough of the shards are there. Missing shards count that the response passed, not the one that it ends at.
     #[must_use]
     pub fn has_enough_shards(&self) -> bool {
         let all = self.shards.len() as f64;
-        let passed =
-            self.missing_shards().iter().filter(|shard| **shard < self.position.shard).count() as f64;
+        let passed = self
+            .missing_shards()
+            .iter()
+            .filter(|shard| **shard < self.position.shard)
+            .count() as f64;
         (all - passed) / all.max(1.0) + SHARE_TOLERANCE >= self.limits.min_shard_share
     }
 
     /// Whether the response has the features of all shards that it passed.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        self.missing_shards().iter().all(|shard| *shard >= self.position.shard)
+        self.missing_shards()
+            .iter()
+            .all(|shard| *shard >= self.position.shard)
     }
 
     /// Where the next response starts; `None` after the last feature.
@@ -376,11 +413,16 @@
     /// The number of features that match in all shards; `None` unless every server reported it or returned all it has.
     #[must_use]
     pub fn number_matched(&self) -> Option<u64> {
-        if self.start != ResumePosition::START || self.limits.filtered_locally || self.duplicates > 0 {
+        if self.start != ResumePosition::START
+            || self.limits.filtered_locally
+            || self.duplicates > 0
+        {
             return None;
         }
         let states = self.shards.iter().enumerate();
-        states.map(|(shard, state)| state.total(shard < self.position.shard)).sum()
+        states
+            .map(|(shard, state)| state.total(shard < self.position.shard))
+            .sum()
     }
 }
 
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -31,7 +31,11 @@
             PageLocation::ShardStart => self.limits.initial_page_size(self.remaining()),
             PageLocation::NextLink { page_size, .. } => *page_size,
         };
-        Some(PageFetch { shard, location: self.position.location.clone(), page_size })
+        Some(PageFetch {
+            shard,
+            location: self.position.location.clone(),
+            page_size,
+        })
     }
 
     /// The first pages of all further shards: small data sets are then complete after one round, and of large ones the
@@ -39,7 +43,11 @@
     fn add_initial_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let shards = self.shards.len();
         let even_share = self.limits.limit.div_ceil(shards);
-        let wanted = if self.limits.filtered_locally { self.limits.page_size } else { even_share };
+        let wanted = if self.limits.filtered_locally {
+            self.limits.page_size
+        } else {
+            even_share
+        };
         let page_size = wanted.min(self.limits.page_size);
         let further_shards = self.position.shard + 1..shards;
         fetches.extend(further_shards.map(|shard| PageFetch::shard_start(shard, page_size)));
--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -36,7 +36,10 @@
         self.inconsistent_count |=
             self.number_matched.is_some() && reported.is_some() && self.number_matched != reported;
         self.number_matched = reported.or(self.number_matched);
-        self.unused_page = Some(RequestedPage { page, page_size: fetched.page_size });
+        self.unused_page = Some(RequestedPage {
+            page,
+            page_size: fetched.page_size,
+        });
     }
 
     /// The number of its features that match, if it is known. `passed`: the response has used all of its pages.
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -15,11 +15,19 @@
 }
 
 fn id(bytes: &[u8]) -> u64 {
-    std::str::from_utf8(bytes).expect("text").parse::<u64>().expect("a number") + 1
+    std::str::from_utf8(bytes)
+        .expect("text")
+        .parse::<u64>()
+        .expect("a number")
+        + 1
 }
 
 fn fetched(shard: usize, page_size: usize, page: Option<Arc<FeaturePage>>) -> FetchedPage {
-    FetchedPage { shard, page_size, page }
+    FetchedPage {
+        shard,
+        page_size,
+        page,
+    }
 }
 
 impl Model {
@@ -29,13 +37,20 @@
             PageLocation::ShardStart => (0, fetch.page_size.min(self.max_page_size)),
             PageLocation::NextLink { target, .. } => {
                 let (from, size) = target.split_once(' ').expect("a link");
-                (from.parse().expect("a number"), size.parse().expect("a number"))
+                (
+                    from.parse().expect("a number"),
+                    size.parse().expect("a number"),
+                )
             }
         };
         let all = self.shards[fetch.shard];
         let to = (from + size).min(all);
-        let text: String = (from..to).map(|n| format!("{:08}", fetch.shard * 1_000_000 + n)).collect();
-        let features: Vec<_> = (0..to.saturating_sub(from)).map(|n| n * 8..n * 8 + 8).collect();
+        let text: String = (from..to)
+            .map(|n| format!("{:08}", fetch.shard * 1_000_000 + n))
+            .collect();
+        let features: Vec<_> = (0..to.saturating_sub(from))
+            .map(|n| n * 8..n * 8 + 8)
+            .collect();
         Arc::new(FeaturePage {
             server: format!("s{}", fetch.shard).into(),
             body: text.into_bytes(),
@@ -50,7 +65,10 @@
         let mut merge = ConcatMerge::new(limits, from, self.shards.len());
         for _ in 0..10_000 {
             let fetches = merge.next_fetches();
-            let pages = fetches.iter().map(|fetch| fetch.fetched(Some(self.page(fetch)))).collect();
+            let pages = fetches
+                .iter()
+                .map(|fetch| fetch.fetched(Some(self.page(fetch))))
+                .collect();
             if merge.accept(pages, id) == ConcatProgress::Complete {
                 return merge;
             }
@@ -69,7 +87,10 @@
             }
             responses += 1;
             at = merge.resume_position().cloned();
-            assert!(at.is_none() || merge.count() > 0, "an empty response that continues");
+            assert!(
+                at.is_none() || merge.count() > 0,
+                "an empty response that continues"
+            );
         }
         (features, responses)
     }
@@ -89,11 +110,20 @@
 }
 
 fn model(shards: &[usize]) -> Model {
-    Model { shards: shards.to_vec(), reports_count: true, max_page_size: 10_000, requests: 0 }
+    Model {
+        shards: shards.to_vec(),
+        reports_count: true,
+        max_page_size: 10_000,
+        requests: 0,
+    }
 }
 
 fn expected(shards: &[usize]) -> Vec<u64> {
-    shards.iter().enumerate().flat_map(|(s, n)| (0..*n).map(move |n| (s * 1_000_000 + n) as u64)).collect()
+    shards
+        .iter()
+        .enumerate()
+        .flat_map(|(s, n)| (0..*n).map(move |n| (s * 1_000_000 + n) as u64))
+        .collect()
 }
 
 #[test]
@@ -101,7 +131,10 @@
     let shards = [20_000, 20_000];
     let mut servers = model(&shards);
     let merge = servers.response(limits(2), ResumePosition::START);
-    assert_eq!((merge.count(), merge.number_matched(), servers.requests), (2, Some(40_000), 2));
+    assert_eq!(
+        (merge.count(), merge.number_matched(), servers.requests),
+        (2, Some(40_000), 2)
+    );
     for limit in [100, 300, 500, 700, 1_000, 5_000] {
         let mut servers = model(&shards);
         let (features, responses) = servers.all(limits(limit));
@@ -109,8 +142,15 @@
         // Pages of the largest size that divides the limit evenly.
         let size = limit.div_ceil(limit.div_ceil(500));
         let pages = 40_000_usize.div_ceil(size);
-        assert!(servers.requests * 10 <= pages * 12, "limit {limit}: {} for {pages} pages", servers.requests);
-        assert!(responses * 10 <= 40_000_usize.div_ceil(limit) * 12, "limit {limit}: {responses} responses");
+        assert!(
+            servers.requests * 10 <= pages * 12,
+            "limit {limit}: {} for {pages} pages",
+            servers.requests
+        );
+        assert!(
+            responses * 10 <= 40_000_usize.div_ceil(limit) * 12,
+            "limit {limit}: {responses} responses"
+        );
     }
 }
 
@@ -119,10 +159,20 @@
     let shards = [3, 0, 7, 40, 1];
     let mut servers = model(&shards);
     let merge = servers.response(limits(100), ResumePosition::START);
-    assert_eq!((merge.count(), merge.resume_position(), merge.number_matched()), (51, None, Some(51)));
+    assert_eq!(
+        (
+            merge.count(),
+            merge.resume_position(),
+            merge.number_matched()
+        ),
+        (51, None, Some(51))
+    );
     assert!(servers.requests <= 6, "{}", servers.requests);
     let many = [5; 100];
-    let mut servers = Model { reports_count: false, ..model(&many) };
+    let mut servers = Model {
+        reports_count: false,
+        ..model(&many)
+    };
     let merge = servers.response(limits(1_000), ResumePosition::START);
     assert_eq!((merge.count(), merge.resume_position()), (500, None));
     assert!(servers.requests <= 100);
@@ -131,16 +181,27 @@
 #[test]
 fn non_idempotent_parts_are_fetched_once() {
     let mut servers = model(&[40, 300, 300]);
-    let mut merge =
-        ConcatMerge::new(PagingLimits { idempotent: false, ..limits(100) }, ResumePosition::START, 3);
+    let mut merge = ConcatMerge::new(
+        PagingLimits {
+            idempotent: false,
+            ..limits(100)
+        },
+        ResumePosition::START,
+        3,
+    );
     let mut requested = HashSet::new();
     loop {
         let fetches = merge.next_fetches();
         assert!(
-            fetches.iter().all(|a| requested.insert(format!("{} {:?}", a.shard, a.location))),
+            fetches
+                .iter()
+                .all(|a| requested.insert(format!("{} {:?}", a.shard, a.location))),
             "{fetches:?}"
         );
-        let pages = fetches.iter().map(|fetch| fetch.fetched(Some(servers.page(fetch)))).collect();
+        let pages = fetches
+            .iter()
+            .map(|fetch| fetch.fetched(Some(servers.page(fetch))))
+            .collect();
         if merge.accept(pages, id) == ConcatProgress::Complete {
             break;
         }
@@ -152,12 +213,20 @@
 fn a_missing_shard_is_reported_and_skipped_only_above_the_minimum_share() {
     let run = |min_shard_share: f64, missing: usize| {
         let mut servers = model(&[10, 10, 10]);
-        let mut merge =
-            ConcatMerge::new(PagingLimits { min_shard_share, ..limits(100) }, ResumePosition::START, 3);
+        let mut merge = ConcatMerge::new(
+            PagingLimits {
+                min_shard_share,
+                ..limits(100)
+            },
+            ResumePosition::START,
+            3,
+        );
         loop {
             let fetches = merge.next_fetches();
-            let pages =
-                fetches.iter().map(|a| a.fetched((a.shard != missing).then(|| servers.page(a)))).collect();
+            let pages = fetches
+                .iter()
+                .map(|a| a.fetched((a.shard != missing).then(|| servers.page(a))))
+                .collect();
             match merge.accept(pages, id) {
                 ConcatProgress::NeedsPages => {}
                 progress => return (progress, merge),
@@ -166,16 +235,26 @@
     };
     let (progress, merge) = run(0.5, 1);
     assert_eq!(
-        (progress, merge.count(), merge.missing_shards(), merge.is_complete()),
+        (
+            progress,
+            merge.count(),
+            merge.missing_shards(),
+            merge.is_complete()
+        ),
         (ConcatProgress::Complete, 20, vec![1], false)
     );
     assert!(
-        merge.has_enough_shards() && merge.number_matched().is_none() && merge.resume_position().is_none()
+        merge.has_enough_shards()
+            && merge.number_matched().is_none()
+            && merge.resume_position().is_none()
     );
     assert_eq!(run(1.0, 0).0, ConcatProgress::Failed);
     // The features before the missing shard are a complete response, which continues at that shard.
     let (progress, merge) = run(1.0, 1);
-    assert_eq!((progress, merge.count(), merge.is_complete()), (ConcatProgress::Complete, 10, true));
+    assert_eq!(
+        (progress, merge.count(), merge.is_complete()),
+        (ConcatProgress::Complete, 10, true)
+    );
     assert_eq!(merge.resume_position().map(|p| p.shard), Some(1));
 }
 
@@ -194,18 +273,33 @@
 
 #[test]
 fn duplicate_features_link_cycles_and_changing_counts_are_handled() {
-    let mut merge =
-        ConcatMerge::new(PagingLimits { idempotent: false, ..limits(10) }, ResumePosition::START, 1);
+    let mut merge = ConcatMerge::new(
+        PagingLimits {
+            idempotent: false,
+            ..limits(10)
+        },
+        ResumePosition::START,
+        1,
+    );
     assert_eq!(
-        merge.accept(vec![fetched(0, 2, page("0000000100000001", Some("x"), Some(9)))], id),
+        merge.accept(
+            vec![fetched(0, 2, page("0000000100000001", Some("x"), Some(9)))],
+            id
+        ),
         ConcatProgress::NeedsPages
     );
     assert_eq!(
-        merge.accept(vec![fetched(0, 2, page("00000002", Some("x"), Some(8)))], id),
+        merge.accept(
+            vec![fetched(0, 2, page("00000002", Some("x"), Some(8)))],
+            id
+        ),
         ConcatProgress::Complete
     );
     // The response continues where the cycle was found: its features are in order.
-    assert_eq!((merge.count(), merge.duplicates(), merge.number_matched()), (2, 1, None));
+    assert_eq!(
+        (merge.count(), merge.duplicates(), merge.number_matched()),
+        (2, 1, None)
+    );
     assert!(merge.resume_position().is_some());
 }
 
@@ -214,16 +308,30 @@
     // The last of the features is a duplicate.
     let mut merge = ConcatMerge::new(limits(2), ResumePosition::START, 1);
     assert_eq!(
-        merge.accept(vec![fetched(0, 2, page("000000010000000200000001", Some("x"), None))], id),
+        merge.accept(
+            vec![fetched(
+                0,
+                2,
+                page("000000010000000200000001", Some("x"), None)
+            )],
+            id
+        ),
         ConcatProgress::Complete
     );
-    assert_eq!((merge.count(), merge.resume_position().map(|p| p.skip)), (2, Some(0)));
+    assert_eq!(
+        (merge.count(), merge.resume_position().map(|p| p.skip)),
+        (2, Some(0))
+    );
 }
 
 #[test]
 fn new_links_without_new_features_end_a_shard() {
     let mut merge = ConcatMerge::new(
-        PagingLimits { min_shard_share: 0.5, idempotent: false, ..limits(10) },
+        PagingLimits {
+            min_shard_share: 0.5,
+            idempotent: false,
+            ..limits(10)
+        },
         ResumePosition::START,
         1,
     );
@@ -235,7 +343,10 @@
         merge.accept(vec![fetched(0, 2, page("00000001", Some("y"), None))], id),
         ConcatProgress::Complete
     );
-    assert_eq!((merge.count(), merge.is_complete(), merge.missing_shards()), (1, false, vec![0]));
+    assert_eq!(
+        (merge.count(), merge.is_complete(), merge.missing_shards()),
+        (1, false, vec![0])
+    );
 }
 
 #[test]
@@ -245,16 +356,28 @@
         (false, [ConcatProgress::Complete, ConcatProgress::Complete]),
     ] {
         let mut servers = model(&[700]);
-        let mut merge =
-            ConcatMerge::new(PagingLimits { idempotent, ..limits(1_000) }, ResumePosition::START, 1);
+        let mut merge = ConcatMerge::new(
+            PagingLimits {
+                idempotent,
+                ..limits(1_000)
+            },
+            ResumePosition::START,
+            1,
+        );
         let mut round = |merge: &mut ConcatMerge, served: bool| {
             let fetches = merge.next_fetches();
-            let pages =
-                fetches.iter().map(|fetch| fetch.fetched(served.then(|| servers.page(fetch)))).collect();
+            let pages = fetches
+                .iter()
+                .map(|fetch| fetch.fetched(served.then(|| servers.page(fetch))))
+                .collect();
             merge.accept(pages, id)
         };
         assert_eq!(round(&mut merge, true), ConcatProgress::NeedsPages);
-        assert_eq!(round(&mut merge, false), expected[0], "the shard was interrupted");
+        assert_eq!(
+            round(&mut merge, false),
+            expected[0],
+            "the shard was interrupted"
+        );
         assert_eq!(merge.count(), if idempotent { 0 } else { 500 });
         if idempotent {
             assert_eq!(merge.next_fetches()[0].location, PageLocation::ShardStart);
--- a/src/front/ogc/paging/page.rs
+++ b/src/front/ogc/paging/page.rs
@@ -67,7 +67,11 @@
 
     /// The start of a shard.
     pub(super) const fn shard_start(shard: usize) -> Self {
-        ResumePosition { shard, location: PageLocation::ShardStart, skip: 0 }
+        ResumePosition {
+            shard,
+            location: PageLocation::ShardStart,
+            skip: 0,
+        }
     }
 }
 
@@ -84,13 +88,21 @@
 
 impl PageFetch {
     pub(super) fn shard_start(shard: usize, page_size: usize) -> Self {
-        PageFetch { shard, location: PageLocation::ShardStart, page_size }
+        PageFetch {
+            shard,
+            location: PageLocation::ShardStart,
+            page_size,
+        }
     }
 
     /// The result of this fetch.
     #[must_use]
     pub fn fetched(&self, page: Option<Arc<FeaturePage>>) -> FetchedPage {
-        FetchedPage { shard: self.shard, page_size: self.page_size, page }
+        FetchedPage {
+            shard: self.shard,
+            page_size: self.page_size,
+            page,
+        }
     }
 }
 
@@ -123,7 +135,9 @@
 
     /// The features as their server wrote them.
     pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
-        self.ranges().iter().map(|range| &self.page.body[range.clone()])
+        self.ranges()
+            .iter()
+            .map(|range| &self.page.body[range.clone()])
     }
 
     /// The bytes of the page from the first feature to the last.
--- a/src/front/ogc/paging/sort_key.rs
+++ b/src/front/ogc/paging/sort_key.rs
@@ -21,7 +21,9 @@
 
 impl fmt::Debug for BoundSortKeys<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_list().entries(self.0.iter().map(BoundSortKey)).finish()
+        f.debug_list()
+            .entries(self.0.iter().map(BoundSortKey))
+            .finish()
     }
 }
 
@@ -29,8 +31,14 @@
 
 impl fmt::Debug for BoundSortKey<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let SortKey { property, descending } = self.0;
-        f.debug_struct("By").field("name", property).field("descending", descending).finish()
+        let SortKey {
+            property,
+            descending,
+        } = self.0;
+        f.debug_struct("By")
+            .field("name", property)
+            .field("descending", descending)
+            .finish()
     }
 }
 
@@ -48,13 +56,22 @@
 
 impl SortValues {
     /// The position of a feature. `None`: it is no JSON.
-    pub fn of(feature: &[u8], keys: &[SortKey], descending: &Arc<[bool]>, shard: usize) -> Option<Self> {
+    pub fn of(
+        feature: &[u8],
+        keys: &[SortKey],
+        descending: &Arc<[bool]>,
+        shard: usize,
+    ) -> Option<Self> {
         let json: Json = serde_json::from_slice(feature).ok()?;
         let feature = Feature(&json);
         let value = |key: &SortKey| feature.value(&key.property).cloned().unwrap_or(Json::Null);
         let mut values: Vec<Json> = keys.iter().map(value).collect();
         values.push(identifier(&json["id"]));
-        Some(SortValues { values, descending: descending.clone(), shard })
+        Some(SortValues {
+            values,
+            descending: descending.clone(),
+            shard,
+        })
     }
 }
 
@@ -88,7 +105,9 @@
                 order
             }
         });
-        orders.fold(Ordering::Equal, Ordering::then).then(self.shard.cmp(&other.shard))
+        orders
+            .fold(Ordering::Equal, Ordering::then)
+            .then(self.shard.cmp(&other.shard))
     }
 }
 
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -58,7 +58,12 @@
 
 impl ShardState {
     fn new(sorted: bool) -> Self {
-        ShardState { location: Some(PageLocation::ShardStart), sorted, last_seen: None, missing: false }
+        ShardState {
+            location: Some(PageLocation::ShardStart),
+            sorted,
+            last_seen: None,
+            missing: false,
+        }
     }
 
     fn mark_missing(&mut self) {
@@ -117,7 +122,10 @@
             page_size: query.page_size,
             pages_left: query.max_pages,
             min_shard_share: query.min_shard_share,
-            shards: sorted_shards.iter().map(|sorted| ShardState::new(*sorted)).collect(),
+            shards: sorted_shards
+                .iter()
+                .map(|sorted| ShardState::new(*sorted))
+                .collect(),
             selected: BTreeMap::new(),
             dropped: false,
         }
@@ -126,9 +134,15 @@
     /// The pages to fetch next.
     #[must_use]
     pub fn next_fetches(&self) -> Vec<PageFetch> {
-        let contributing = self.shards.iter().enumerate().filter(|(_, state)| self.can_contribute(state));
+        let contributing = self
+            .shards
+            .iter()
+            .enumerate()
+            .filter(|(_, state)| self.can_contribute(state));
         let fetches = contributing.take(MAX_CONCURRENT_SHARDS.min(self.pages_left.max(1)));
-        fetches.filter_map(|(shard, state)| self.next_fetch(shard, state)).collect()
+        fetches
+            .filter_map(|(shard, state)| self.next_fetch(shard, state))
+            .collect()
     }
 
     fn next_fetch(&self, shard: usize, state: &ShardState) -> Option<PageFetch> {
@@ -138,7 +152,11 @@
             PageLocation::ShardStart => self.page_size,
             PageLocation::NextLink { page_size, .. } => *page_size,
         };
-        Some(PageFetch { shard, location, page_size })
+        Some(PageFetch {
+            shard,
+            location,
+            page_size,
+        })
     }
 
     /// Whether a further page of the shard can have one of the first features.
@@ -191,13 +209,20 @@
 
     /// Selects a feature if it is among the first. One that is no JSON is left out.
     fn insert(&mut self, shard: usize, feature: &[u8]) {
-        let Some(values) = SortValues::of(feature, &self.keys, &self.descending, shard) else { return };
+        let Some(values) = SortValues::of(feature, &self.keys, &self.descending, shard) else {
+            return;
+        };
         self.shards[shard].record(&values);
         if self.after.as_ref().is_some_and(|after| values <= *after) {
             return;
         }
         let full = self.selected.len() >= self.limit;
-        if full && self.selected.last_key_value().is_some_and(|(last, _)| values > *last) {
+        if full
+            && self
+                .selected
+                .last_key_value()
+                .is_some_and(|(last, _)| values > *last)
+        {
             self.dropped = true;
             return;
         }
@@ -232,7 +257,9 @@
     /// The indexes of the shards that could not be fetched.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
-        (0..self.shards.len()).filter(|shard| self.shards[*shard].missing).collect()
+        (0..self.shards.len())
+            .filter(|shard| self.shards[*shard].missing)
+            .collect()
     }
 
     /// The number of features selected so far; never more than the limit.
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -21,7 +21,11 @@
 
     /// Features without a key come last in either direction.
     fn sort_key(&self, descending: bool) -> (bool, Option<i64>, usize) {
-        (self.key.is_none(), self.key.map(|key| if descending { -key } else { key }), self.id)
+        (
+            self.key.is_none(),
+            self.key.map(|key| if descending { -key } else { key }),
+            self.id,
+        )
     }
 }
 
@@ -32,12 +36,26 @@
 }
 
 fn query(limit: usize, page_size: usize, max_pages: usize, min_shard_share: f64) -> SortedQuery {
-    let keys = vec![SortKey { property: "k".into(), descending: false }];
-    SortedQuery { keys, limit, page_size, max_pages, min_shard_share, after_values: None }
+    let keys = vec![SortKey {
+        property: "k".into(),
+        descending: false,
+    }];
+    SortedQuery {
+        keys,
+        limit,
+        page_size,
+        max_pages,
+        min_shard_share,
+        after_values: None,
+    }
 }
 
 fn fetched(shard: usize, page_size: usize, page: Option<Arc<FeaturePage>>) -> FetchedPage {
-    FetchedPage { shard, page_size, page }
+    FetchedPage {
+        shard,
+        page_size,
+        page,
+    }
 }
 
 fn page_of(texts: impl Iterator<Item = String>) -> FeaturePage {
@@ -60,31 +78,48 @@
     let rest = &features[start.min(features.len())..];
     let count = fetch.page_size.min(rest.len());
     let next_target = (count < rest.len()).then(|| (start + count).to_string());
-    FeaturePage { next_target, ..page_of(rest[..count].iter().map(ModelFeature::text)) }
+    FeaturePage {
+        next_target,
+        ..page_of(rest[..count].iter().map(ModelFeature::text))
+    }
 }
 
 fn ids(page: &FeaturePage) -> Vec<usize> {
     let id = |range: &std::ops::Range<usize>| {
         let json: Json = serde_json::from_slice(&page.body[range.clone()]).expect("JSON");
-        json["id"].as_str().expect("an id")[1..].parse::<usize>().expect("a number")
+        json["id"].as_str().expect("an id")[1..]
+            .parse::<usize>()
+            .expect("a number")
     };
     page.features.iter().map(id).collect()
 }
 
 /// Follows the responses to the end.
 fn run(shards: &[Vec<ModelFeature>], sorted: &[bool], query: &SortedQuery) -> Run {
-    let mut run = Run { ids: Vec::new(), features_read: 0 };
+    let mut run = Run {
+        ids: Vec::new(),
+        features_read: 0,
+    };
     let mut after_values = None;
     loop {
-        let mut merge = SortedMerge::new(SortedQuery { after_values, ..query.clone() }, sorted);
+        let mut merge = SortedMerge::new(
+            SortedQuery {
+                after_values,
+                ..query.clone()
+            },
+            sorted,
+        );
         loop {
             let serve_fetch = |fetch: &PageFetch| {
                 let page = serve(&shards[fetch.shard], fetch);
                 fetch.fetched(Some(Arc::new(page)))
             };
             let pages: Vec<_> = merge.next_fetches().iter().map(serve_fetch).collect();
-            run.features_read +=
-                pages.iter().flat_map(|f| f.page.as_ref()).map(|p| p.returned_count).sum::<usize>();
+            run.features_read += pages
+                .iter()
+                .flat_map(|f| f.page.as_ref())
+                .map(|p| p.returned_count)
+                .sum::<usize>();
             assert!(merge.selected_count() <= query.limit);
             match merge.accept(pages) {
                 SortedProgress::NeedsPages => {}
@@ -149,17 +184,31 @@
         key: Some(n as i64 * 4 + shard as i64),
         id: shard * 1_000 + n,
     };
-    let shards: Vec<Vec<_>> = (0..4).map(|shard| (0..1_000).map(|n| feature(shard, n)).collect()).collect();
+    let shards: Vec<Vec<_>> = (0..4)
+        .map(|shard| (0..1_000).map(|n| feature(shard, n)).collect())
+        .collect();
     let merge = SortedMerge::new(query(20, 500, 10, 1.0), &[true; 4]);
-    assert_eq!(merge.next_fetches().iter().map(|fetch| fetch.page_size).sum::<usize>(), 80);
+    assert_eq!(
+        merge
+            .next_fetches()
+            .iter()
+            .map(|fetch| fetch.page_size)
+            .sum::<usize>(),
+        80
+    );
     let run = run(&shards, &[true; 4], &query(4_000, 500, 100_000, 1.0));
     assert_eq!((run.ids.len(), run.features_read), (4_000, 4_000));
 }
 
 /// A page of features with these keys, which are their identifiers too.
 fn page(next: Option<&str>, keys: &[i64]) -> Option<Arc<FeaturePage>> {
-    let texts = keys.iter().map(|key| format!(r#"{{"id":{key},"properties":{{"k":{key}}}}}"#));
-    Some(Arc::new(FeaturePage { next_target: next.map(str::to_owned), ..page_of(texts) }))
+    let texts = keys
+        .iter()
+        .map(|key| format!(r#"{{"id":{key},"properties":{{"k":{key}}}}}"#));
+    Some(Arc::new(FeaturePage {
+        next_target: next.map(str::to_owned),
+        ..page_of(texts)
+    }))
 }
 
 #[test]
@@ -169,14 +218,35 @@
     assert_eq!(merge.accept(one_missing()), SortedProgress::TooFewShards);
     let mut merge = SortedMerge::new(query(5, 10, 10, 0.5), &[true, true]);
     assert_eq!(merge.accept(one_missing()), SortedProgress::Complete);
-    assert_eq!((merge.missing_shards(), merge.resume_after()), (vec![1], None));
+    assert_eq!(
+        (merge.missing_shards(), merge.resume_after()),
+        (vec![1], None)
+    );
     let mut merge = SortedMerge::new(query(1, 10, 3, 1.0), &[false]);
-    assert_eq!(merge.accept(vec![fetched(0, 5, page(Some("a"), &[3]))]), SortedProgress::NeedsPages);
-    assert_eq!(merge.accept(vec![fetched(0, 5, page(Some("b"), &[2]))]), SortedProgress::NeedsPages);
-    assert_eq!(merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]), SortedProgress::TooManyPages);
+    assert_eq!(
+        merge.accept(vec![fetched(0, 5, page(Some("a"), &[3]))]),
+        SortedProgress::NeedsPages
+    );
+    assert_eq!(
+        merge.accept(vec![fetched(0, 5, page(Some("b"), &[2]))]),
+        SortedProgress::NeedsPages
+    );
+    assert_eq!(
+        merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]),
+        SortedProgress::TooManyPages
+    );
     // The server is said to return features in order and does not: its shard is read on.
     let mut merge = SortedMerge::new(query(2, 10, 9, 1.0), &[true]);
-    assert_eq!(merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]), SortedProgress::NeedsPages);
-    assert_eq!(merge.accept(vec![fetched(0, 2, page(None, &[1, 2]))]), SortedProgress::Complete);
-    assert_eq!(merge.resume_after().map(|values| values[0].clone()), Some(2.into()));
+    assert_eq!(
+        merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]),
+        SortedProgress::NeedsPages
+    );
+    assert_eq!(
+        merge.accept(vec![fetched(0, 2, page(None, &[1, 2]))]),
+        SortedProgress::Complete
+    );
+    assert_eq!(
+        merge.resume_after().map(|values| values[0].clone()),
+        Some(2.into())
+    );
 }
--- a/src/front/ogc/params/bbox.rs
+++ b/src/front/ogc/params/bbox.rs
@@ -8,7 +8,11 @@
     if !matches!(numbers.len(), 4 | 6) || !numbers.iter().all(|number| number.is_finite()) {
         return Err(RequestError::BboxCount);
     }
-    let bbox = if crs == Crs::Crs84 { numbers } else { transformed(&numbers, crs)? };
+    let bbox = if crs == Crs::Crs84 {
+        numbers
+    } else {
+        transformed(&numbers, crs)?
+    };
     if is_on_globe(&bbox) {
         Ok(bbox)
     } else {
@@ -35,6 +39,10 @@
 }
 
 fn in_range(longitudes: &[f64], latitudes: &[f64]) -> bool {
-    longitudes.iter().all(|longitude| (-180.0..=180.0).contains(longitude))
-        && latitudes.iter().all(|latitude| (-90.0..=90.0).contains(latitude))
+    longitudes
+        .iter()
+        .all(|longitude| (-180.0..=180.0).contains(longitude))
+        && latitudes
+            .iter()
+            .all(|latitude| (-90.0..=90.0).contains(latitude))
 }
--- a/src/front/ogc/params/filter.rs
+++ b/src/front/ogc/params/filter.rs
@@ -32,14 +32,25 @@
     let queryable = queryables.named.get(name);
     let queryable = queryable.ok_or_else(|| RequestError::UnknownParameter(name.to_owned()))?;
     let value = match queryable {
-        QueryableType::Number => {
-            text.parse().ok().filter(|number: &f64| number.is_finite()).map(Value::Number)
-        }
+        QueryableType::Number => text
+            .parse()
+            .ok()
+            .filter(|number: &f64| number.is_finite())
+            .map(Value::Number),
         QueryableType::Bool => text.parse().ok().map(Value::Bool),
-        QueryableType::Text | QueryableType::Time | QueryableType::Any => Some(Value::Text(text.to_owned())),
+        QueryableType::Text | QueryableType::Time | QueryableType::Any => {
+            Some(Value::Text(text.to_owned()))
+        }
         QueryableType::Geometry | QueryableType::Array => None,
     };
-    let wrong_type = || RequestError::ValueType { name: name.to_owned(), value: text.to_owned() };
+    let wrong_type = || RequestError::ValueType {
+        name: name.to_owned(),
+        value: text.to_owned(),
+    };
     let value = value.ok_or_else(wrong_type)?;
-    Ok(Filter::Compare(ComparisonOperator::Equal, Value::Property(name.to_owned()), value))
+    Ok(Filter::Compare(
+        ComparisonOperator::Equal,
+        Value::Property(name.to_owned()),
+        value,
+    ))
 }
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -41,9 +41,18 @@
 
 impl Preference {
     fn consider(&mut self, weight: f32, specificity: Option<Specificity>) {
-        let Some(specificity) = specificity else { return };
-        if self.best.as_ref().is_none_or(|best| specificity >= best.specificity) {
-            self.best = Some(MatchedRange { weight, specificity });
+        let Some(specificity) = specificity else {
+            return;
+        };
+        if self
+            .best
+            .as_ref()
+            .is_none_or(|best| specificity >= best.specificity)
+        {
+            self.best = Some(MatchedRange {
+                weight,
+                specificity,
+            });
         }
     }
 
@@ -65,9 +74,15 @@
         Some(other) => return Err(RequestError::UnsupportedFormat(other.to_owned())),
         None => {}
     }
-    let Some(accept) = accept else { return Ok(Format::Json) };
+    let Some(accept) = accept else {
+        return Ok(Format::Json);
+    };
     let (mut json, mut html) = (Preference::default(), Preference::default());
-    for range in accept.split(',').take(MAX_MEDIA_RANGES).map(parse_media_range) {
+    for range in accept
+        .split(',')
+        .take(MAX_MEDIA_RANGES)
+        .map(parse_media_range)
+    {
         json.consider(range.weight, range.json);
         html.consider(range.weight, range.html);
     }
@@ -93,7 +108,9 @@
         "application/*" => (Some(ANY_SUBTYPE), None),
         "text/*" => (None, Some(ANY_SUBTYPE)),
         "text/html" | "application/xhtml+xml" => (None, Some(EXACT)),
-        other if other.starts_with("application/") && other.ends_with("json") => (Some(EXACT), None),
+        other if other.starts_with("application/") && other.ends_with("json") => {
+            (Some(EXACT), None)
+        }
         _ => (None, None),
     };
     MediaRange { weight, json, html }
--- a/src/front/ogc/params/items.rs
+++ b/src/front/ogc/params/items.rs
@@ -22,7 +22,9 @@
 /// The decoded names and values of a query string.
 #[must_use]
 pub fn decode_query(query: &str) -> Vec<(String, String)> {
-    url::form_urlencoded::parse(query.as_bytes()).into_owned().collect()
+    url::form_urlencoded::parse(query.as_bytes())
+        .into_owned()
+        .collect()
 }
 
 /// Parses the parameters of `/items`, given as names and values.
@@ -52,7 +54,11 @@
             "properties" => params.properties = Some(values::properties(value)?),
             "cursor" => params.cursor = Some(value.clone()),
             "f" => {}
-            other => dependent.conditions.push(queryable_condition(other, value, rules.queryables)?),
+            other => {
+                dependent
+                    .conditions
+                    .push(queryable_condition(other, value, rules.queryables)?)
+            }
         }
     }
     params.bbox = dependent.parse_bbox()?;
@@ -62,9 +68,15 @@
 
 impl Dependent<'_> {
     fn parse_bbox(&self) -> Result<Option<Vec<f64>>, RequestError> {
-        let Some(text) = self.bbox else { return Ok(None) };
-        let numbers = text.split(',').map(|number| number.trim().parse::<f64>().ok());
-        let numbers = numbers.collect::<Option<_>>().ok_or(RequestError::BboxNumbers)?;
+        let Some(text) = self.bbox else {
+            return Ok(None);
+        };
+        let numbers = text
+            .split(',')
+            .map(|number| number.trim().parse::<f64>().ok());
+        let numbers = numbers
+            .collect::<Option<_>>()
+            .ok_or(RequestError::BboxNumbers)?;
         bbox_to_crs84(numbers, self.bbox_crs.unwrap_or(Crs::Crs84)).map(Some)
     }
 
@@ -76,12 +88,20 @@
             (Some(text), None | Some("cql2-text")) => Some(cql2::parse_text(text)?),
             (Some(text), Some("cql2-json")) => Some(cql2::parse_json(text)?),
             (Some(_), Some(other)) => {
-                return Err(RequestError::UnsupportedFilterLanguage(format!("{other:?}")))
+                return Err(RequestError::UnsupportedFilterLanguage(format!(
+                    "{other:?}"
+                )))
             }
         };
         if let Some(filter) = &mut filter {
-            prepare_filter(filter, self.filter_crs.unwrap_or(Crs::Crs84), rules.queryables)?;
+            prepare_filter(
+                filter,
+                self.filter_crs.unwrap_or(Crs::Crs84),
+                rules.queryables,
+            )?;
         }
-        Ok(Filter::all(filter.into_iter().chain(self.conditions).collect()))
+        Ok(Filter::all(
+            filter.into_iter().chain(self.conditions).collect(),
+        ))
     }
 }
--- a/src/front/ogc/params/mod.rs
+++ b/src/front/ogc/params/mod.rs
@@ -92,7 +92,12 @@
     #[must_use]
     pub fn bbox_text(&self) -> Option<String> {
         let bbox = self.bbox.as_ref()?;
-        Some(bbox.iter().map(f64::to_string).collect::<Vec<_>>().join(","))
+        Some(
+            bbox.iter()
+                .map(f64::to_string)
+                .collect::<Vec<_>>()
+                .join(","),
+        )
     }
 }
 
--- a/src/front/ogc/params/search.rs
+++ b/src/front/ogc/params/search.rs
@@ -30,7 +30,9 @@
 /// # Errors
 /// The body names none or several.
 pub fn search_collection(body: &Json) -> Result<String, RequestError> {
-    let collections = body["collections"].as_array().ok_or(RequestError::CollectionsList)?;
+    let collections = body["collections"]
+        .as_array()
+        .ok_or(RequestError::CollectionsList)?;
     match collections.as_slice() {
         [Json::String(collection)] => Ok(collection.clone()),
         _ => Err(RequestError::CollectionsCount),
@@ -48,8 +50,8 @@
 ) -> Result<Search, RequestError> {
     let members = body.as_object().ok_or(RequestError::BodyObject)?;
     let collection = search_collection(body)?;
-    let queryables =
-        queryables_of(&collection).ok_or_else(|| RequestError::UnknownCollection(collection.clone()))?;
+    let queryables = queryables_of(&collection)
+        .ok_or_else(|| RequestError::UnknownCollection(collection.clone()))?;
     let filter_crs = match members.get("filter-crs") {
         None => Crs::Crs84,
         Some(value) => values::crs("filter-crs", text("filter-crs", value)?)?,
@@ -62,7 +64,9 @@
             "bbox" => params.bbox = Some(parse_bbox(value)?),
             "datetime" => params.datetime = Some(values::datetime(text(name, value)?)?),
             "filter-lang" if value == "cql2-json" || value == "cql2-text" => {}
-            "filter-lang" => return Err(RequestError::UnsupportedFilterLanguage(value.to_string())),
+            "filter-lang" => {
+                return Err(RequestError::UnsupportedFilterLanguage(value.to_string()))
+            }
             "filter" => params.filter = Some(parse_filter(value, filter_crs, &queryables)?),
             "sortby" => params.sortby = parse_sort_list(value, &queryables)?,
             "crs" => params.crs = values::crs(name, text(name, value)?)?,
@@ -75,11 +79,15 @@
 
 /// The text of member `name`.
 fn text<'a>(name: &str, value: &'a Json) -> Result<&'a str, RequestError> {
-    value.as_str().ok_or_else(|| RequestError::MemberText(name.to_owned()))
+    value
+        .as_str()
+        .ok_or_else(|| RequestError::MemberText(name.to_owned()))
 }
 
 fn parse_bbox(value: &Json) -> Result<Vec<f64>, RequestError> {
-    let numbers = value.as_array().and_then(|list| list.iter().map(Json::as_f64).collect::<Option<_>>());
+    let numbers = value
+        .as_array()
+        .and_then(|list| list.iter().map(Json::as_f64).collect::<Option<_>>());
     bbox_to_crs84(numbers.ok_or(RequestError::BboxNumbers)?, Crs::Crs84)
 }
 
--- a/src/front/ogc/params/sorting.rs
+++ b/src/front/ogc/params/sorting.rs
@@ -9,7 +9,10 @@
 const MAX_SORT_KEYS: usize = 8;
 
 /// Sort keys as a parameter has them: names with commas between them, with a minus for a descending order.
-pub(super) fn parse_sortby(value: &str, queryables: &Queryables) -> Result<Vec<SortKey>, RequestError> {
+pub(super) fn parse_sortby(
+    value: &str,
+    queryables: &Queryables,
+) -> Result<Vec<SortKey>, RequestError> {
     check_sort_keys(value.split(',').map(parse_key).collect(), queryables)
 }
 
@@ -20,12 +23,20 @@
         // A plus in a query is a blank by the time it is here.
         None => (text.strip_prefix('+').unwrap_or(text).trim(), false),
     };
-    SortKey { property: property.to_owned(), descending }
+    SortKey {
+        property: property.to_owned(),
+        descending,
+    }
 }
 
 /// Sort keys as the body of a search has them: objects with `field` and `direction`.
-pub(super) fn parse_sort_list(value: &Json, queryables: &Queryables) -> Result<Vec<SortKey>, RequestError> {
-    let keys = value.as_array().and_then(|list| list.iter().map(parse_json_key).collect::<Option<_>>());
+pub(super) fn parse_sort_list(
+    value: &Json,
+    queryables: &Queryables,
+) -> Result<Vec<SortKey>, RequestError> {
+    let keys = value
+        .as_array()
+        .and_then(|list| list.iter().map(parse_json_key).collect::<Option<_>>());
     check_sort_keys(keys.ok_or(RequestError::SortList)?, queryables)
 }
 
@@ -35,12 +46,21 @@
         Some("desc") => true,
         Some(_) => return None,
     };
-    let property = key["field"].as_str()?.trim_start_matches("properties.").to_owned();
-    Some(SortKey { property, descending })
+    let property = key["field"]
+        .as_str()?
+        .trim_start_matches("properties.")
+        .to_owned();
+    Some(SortKey {
+        property,
+        descending,
+    })
 }
 
 /// The keys, if there are neither too few nor too many and each is a sortable that is named once.
-fn check_sort_keys(keys: Vec<SortKey>, queryables: &Queryables) -> Result<Vec<SortKey>, RequestError> {
+fn check_sort_keys(
+    keys: Vec<SortKey>,
+    queryables: &Queryables,
+) -> Result<Vec<SortKey>, RequestError> {
     if keys.is_empty() || keys.len() > MAX_SORT_KEYS {
         return Err(RequestError::SortCount { max: MAX_SORT_KEYS });
     }
@@ -48,7 +68,10 @@
         if !is_sortable(&key.property, queryables) {
             return Err(RequestError::UnknownSortable(key.property.clone()));
         }
-        if keys[..position].iter().any(|earlier| earlier.property == key.property) {
+        if keys[..position]
+            .iter()
+            .any(|earlier| earlier.property == key.property)
+        {
             return Err(RequestError::DuplicateSortKey(key.property.clone()));
         }
     }
@@ -58,7 +81,10 @@
 /// Whether features can be sorted by a property: any queryable but geometries and arrays, and the id.
 fn is_sortable(property: &str, queryables: &Queryables) -> bool {
     let declared = queryables.named.get(property);
-    let unordered = matches!(declared, Some(QueryableType::Geometry | QueryableType::Array));
+    let unordered = matches!(
+        declared,
+        Some(QueryableType::Geometry | QueryableType::Array)
+    );
     let known = queryables.open || declared.is_some() || property == "id";
     !property.is_empty() && !unordered && known
 }
--- a/src/front/ogc/params/tests.rs
+++ b/src/front/ogc/params/tests.rs
@@ -1,15 +1,24 @@
 //! Tests of the parameters of queries.
 
 use super::{
-    decode_query, negotiate_format, parse_items_query, parse_search, parse_search_body, Format, LimitRules,
-    ParameterRules, Params, RequestError,
+    decode_query, negotiate_format, parse_items_query, parse_search, parse_search_body, Format,
+    LimitRules, ParameterRules, Params, RequestError,
 };
 use crate::front::ogc::cql2::Queryables;
 
-const LIMITS: LimitRules = LimitRules { default_limit: 10, max_limit: 50 };
+const LIMITS: LimitRules = LimitRules {
+    default_limit: 10,
+    max_limit: 50,
+};
 
 fn parsed(query: &str, queryables: &Queryables) -> Result<Params, RequestError> {
-    parse_items_query(&decode_query(query), &ParameterRules { limits: LIMITS, queryables })
+    parse_items_query(
+        &decode_query(query),
+        &ParameterRules {
+            limits: LIMITS,
+            queryables,
+        },
+    )
 }
 
 fn closed() -> Queryables {
@@ -21,16 +30,32 @@
 #[test]
 fn well_formed_parameters_are_parsed_and_others_rejected() {
     let open = Queryables::unknown();
-    let good = parsed("bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json", &open);
+    let good = parsed(
+        "bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json",
+        &open,
+    );
     let good = good.expect("good");
     assert_eq!(good.limit, 50, "more than the maximum is cut, not rejected");
     assert_eq!(good.bbox_text().as_deref(), Some("-10,-5.5,10,5"));
     assert_eq!(good.datetime.as_deref(), Some("2026-01-01T00:00:00Z/.."));
-    assert!(parsed("bbox=170,-5,-170,5", &open).is_ok(), "over the antimeridian");
-    let turned = parsed("bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326", &open);
-    assert_eq!(turned.expect("good").bbox, Some(vec![-120.0, 38.0, -119.0, 39.0]));
+    assert!(
+        parsed("bbox=170,-5,-170,5", &open).is_ok(),
+        "over the antimeridian"
+    );
+    let turned = parsed(
+        "bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326",
+        &open,
+    );
+    assert_eq!(
+        turned.expect("good").bbox,
+        Some(vec![-120.0, 38.0, -119.0, 39.0])
+    );
     let filter = "filter=S_INTERSECTS(geometry,POINT(38%20-120))&filter-crs=EPSG:4326";
-    let turned = parsed(filter, &open).expect("good").filter.expect("a filter").to_string();
+    let turned = parsed(filter, &open)
+        .expect("good")
+        .filter
+        .expect("a filter")
+        .to_string();
     assert_eq!(turned, "S_INTERSECTS(\"geometry\",POINT(-120 38))");
     for bad in [
         "limit=0",
@@ -62,12 +87,20 @@
 #[test]
 fn queryables_are_parameters_and_sort_keys() {
     let closed = closed();
-    let params = parsed("name=a%27b&volts=24&live=true&sortby=-volts,%2Bname,id", &closed).expect("good");
+    let params = parsed(
+        "name=a%27b&volts=24&live=true&sortby=-volts,%2Bname,id",
+        &closed,
+    )
+    .expect("good");
     assert_eq!(
         params.filter.map(|f| f.to_string()).as_deref(),
         Some("\"name\" = 'a''b' AND \"volts\" = 24 AND \"live\" = TRUE")
     );
-    let order: Vec<_> = params.sortby.iter().map(|b| (b.property.as_str(), b.descending)).collect();
+    let order: Vec<_> = params
+        .sortby
+        .iter()
+        .map(|b| (b.property.as_str(), b.descending))
+        .collect();
     assert_eq!(order, [("volts", true), ("name", false), ("id", false)]);
     for bad in [
         "watts=1",
@@ -89,7 +122,11 @@
     let body = r#"{"collections":["devices"],"limit":5,"bbox":[0,0,9,9],"filter-lang":"cql2-json",
         "filter":{"op":">","args":[{"property":"volts"},1]},"sortby":[{"field":"properties.volts","direction":"desc"}]}"#;
     let found = search(body).expect("good");
-    let same = parsed("limit=5&bbox=0,0,9,9&filter=volts%3E1&sortby=-volts", &closed()).expect("good");
+    let same = parsed(
+        "limit=5&bbox=0,0,9,9&filter=volts%3E1&sortby=-volts",
+        &closed(),
+    )
+    .expect("good");
     assert_eq!((found.collection.as_str(), found.params), ("devices", same));
     for bad in [
         "",
@@ -112,15 +149,24 @@
     let browser = "text/html,application/xhtml+xml,application/xml;q=0.9,*/*;q=0.8";
     assert_eq!(of(browser), Ok(Format::Html));
     assert_eq!(of("*/*"), Ok(Format::Json));
-    assert_eq!(of("application/geo+json, text/html;q=0.5"), Ok(Format::Json));
-    assert_eq!(of("text/html;q=0.1, application/json;q=0"), Ok(Format::Html));
+    assert_eq!(
+        of("application/geo+json, text/html;q=0.5"),
+        Ok(Format::Json)
+    );
+    assert_eq!(
+        of("text/html;q=0.1, application/json;q=0"),
+        Ok(Format::Html)
+    );
     assert_eq!(of("image/png"), Err(406));
     assert_eq!(of("application/json;q=0"), Err(406));
     assert_eq!(
         negotiate_format(Some("html"), Some("application/json")).map_err(|e| e.status()),
         Ok(Format::Html)
     );
-    assert_eq!(negotiate_format(Some("pdf"), None).map_err(|e| e.status()), Err(400));
+    assert_eq!(
+        negotiate_format(Some("pdf"), None).map_err(|e| e.status()),
+        Err(400)
+    );
 }
 
 #[test]
@@ -138,12 +184,21 @@
         ("bbox=a,b", "bbox: numbers are needed"),
         ("bbox=1,2,3", "bbox: four or six numbers are needed"),
         ("bbox=0,5,1,-5", "bbox: its corners are no box on the globe"),
-        (&format!("bbox=1e30,0,1e30,1&{utm}"), "bbox: it lies where bbox-crs is not defined"),
+        (
+            &format!("bbox=1e30,0,1e30,1&{utm}"),
+            "bbox: it lies where bbox-crs is not defined",
+        ),
         ("datetime=soon", "datetime: \"soon\" is no RFC 3339 time"),
         ("datetime=../..", "datetime: an interval needs an end"),
-        ("datetime=2026-02-01/2026-01-01", "datetime: the interval ends before it begins"),
+        (
+            "datetime=2026-02-01/2026-01-01",
+            "datetime: the interval ends before it begins",
+        ),
         ("filter-lang=cql2-text", "filter-lang without filter"),
-        ("filter=a=1&filter-lang=sql", "filter-lang \"sql\" is not served"),
+        (
+            "filter=a=1&filter-lang=sql",
+            "filter-lang \"sql\" is not served",
+        ),
         ("filter=watts=1", "filter: there is no queryable \"watts\""),
         (
             "filter=S_INTERSECTS(geometry,POINT(200%20200))",
@@ -153,13 +208,23 @@
             "filter=S_INTERSECTS(geometry,POINT(1e30%201))&filter-crs=EPSG:32633",
             "filter: a point lies where filter-crs is not defined",
         ),
-        ("properties=", "properties: names apart by commas are needed"),
-        ("sortby=a,b,c,d,e,f,g,h,i", "sortby: 1 to 8 properties are needed"),
+        (
+            "properties=",
+            "properties: names apart by commas are needed",
+        ),
+        (
+            "sortby=a,b,c,d,e,f,g,h,i",
+            "sortby: 1 to 8 properties are needed",
+        ),
         ("sortby=watts", "sortby: \"watts\" is no sortable"),
         ("sortby=name,-name", "sortby: \"name\" is there twice"),
     ] {
         let error = parsed(query, &closed).expect_err(query);
-        assert_eq!((error.to_string().as_str(), error.status()), (text, 400), "{query}");
+        assert_eq!(
+            (error.to_string().as_str(), error.status()),
+            (text, 400),
+            "{query}"
+        );
     }
 }
 
@@ -168,29 +233,50 @@
     let known = |name: &str| (name == "devices").then(closed);
     let error = |body: &str| {
         let body = parse_search_body(body.as_bytes());
-        body.and_then(|body| parse_search(&body, known, LIMITS)).expect_err("malformed").to_string()
+        body.and_then(|body| parse_search(&body, known, LIMITS))
+            .expect_err("malformed")
+            .to_string()
     };
     let member = |member: &str| error(&format!("{{\"collections\":[\"devices\"],{member}}}"));
-    assert_eq!(error(""), "the body: EOF while parsing a value at line 1 column 0");
+    assert_eq!(
+        error(""),
+        "the body: EOF while parsing a value at line 1 column 0"
+    );
     assert_eq!(error("[]"), "the body is no JSON object");
     assert_eq!(error("{}"), "collections: a list of one is needed");
-    assert_eq!(error(r#"{"collections":[]}"#), "collections: one, and no more, can be searched at a time");
-    assert_eq!(error(r#"{"collections":["x"]}"#), "there is no collection \"x\"");
+    assert_eq!(
+        error(r#"{"collections":[]}"#),
+        "collections: one, and no more, can be searched at a time"
+    );
+    assert_eq!(
+        error(r#"{"collections":["x"]}"#),
+        "there is no collection \"x\""
+    );
     assert_eq!(member(r#""colour":1"#), "unknown member \"colour\"");
     assert_eq!(member(r#""datetime":1"#), "datetime: text is needed");
     assert_eq!(member(r#""limit":"x""#), "limit is no number from 1 on");
     assert_eq!(member(r#""bbox":["x"]"#), "bbox: numbers are needed");
-    assert_eq!(member(r#""filter-lang":"sql""#), "filter-lang \"sql\" is not served");
+    assert_eq!(
+        member(r#""filter-lang":"sql""#),
+        "filter-lang \"sql\" is not served"
+    );
     assert_eq!(member(r#""filter":{"op":"x"}"#), "filter: x needs args");
-    assert_eq!(member(r#""sortby":["x"]"#), "sortby: a list of field and direction is needed");
+    assert_eq!(
+        member(r#""sortby":["x"]"#),
+        "sortby: a list of field and direction is needed"
+    );
 }
 
 #[test]
 fn formats_that_are_not_served_have_their_texts() {
-    let error = |f: Option<&str>, accept: &str| negotiate_format(f, Some(accept)).expect_err("not served");
+    let error =
+        |f: Option<&str>, accept: &str| negotiate_format(f, Some(accept)).expect_err("not served");
     let unsupported = error(Some("pdf"), "*/*");
     assert!(matches!(&unsupported, RequestError::UnsupportedFormat(f) if f == "pdf"));
-    assert_eq!(unsupported.to_string(), "f=\"pdf\" is not served: json or html is");
+    assert_eq!(
+        unsupported.to_string(),
+        "f=\"pdf\" is not served: json or html is"
+    );
     let unacceptable = error(None, "image/png");
     assert!(matches!(unacceptable, RequestError::NotAcceptable));
     let text = "Accept: application/geo+json, application/json and text/html are served";
@@ -206,8 +292,15 @@
         "Some([-10.0, -5.5, 10.0, 5.0]) Some(\"2026-01-01\") Some(\"\\\"volts\\\" > 1\") Utm(33, true) \
         [By { name: \"volts\", descending: true }] Some([\"name\"])"
     );
-    for (crs, name) in [("OGC:CRS84", "Crs84"), ("EPSG:4326", "Wgs84"), ("EPSG:3857", "Mercator")] {
+    for (crs, name) in [
+        ("OGC:CRS84", "Crs84"),
+        ("EPSG:4326", "Wgs84"),
+        ("EPSG:3857", "Mercator"),
+    ] {
         let params = parsed(&format!("crs={crs}"), &closed()).expect("good");
-        assert_eq!(params.cursor_binding(), format!("None None None {name} [] None"));
+        assert_eq!(
+            params.cursor_binding(),
+            format!("None None None {name} [] None")
+        );
     }
 }
--- a/src/front/ogc/params/values.rs
+++ b/src/front/ogc/params/values.rs
@@ -18,13 +18,19 @@
 
 /// The coordinate reference system that parameter `name` identifies.
 pub(super) fn crs(name: &str, value: &str) -> Result<Crs, RequestError> {
-    let unsupported = || RequestError::UnsupportedCrs { name: name.to_owned(), value: value.to_owned() };
+    let unsupported = || RequestError::UnsupportedCrs {
+        name: name.to_owned(),
+        value: value.to_owned(),
+    };
     Crs::parse(value).ok_or_else(unsupported)
 }
 
 /// Names of properties with commas between them.
 pub(super) fn properties(value: &str) -> Result<Vec<String>, RequestError> {
-    let names: Vec<String> = value.split(',').map(|name| name.trim().to_owned()).collect();
+    let names: Vec<String> = value
+        .split(',')
+        .map(|name| name.trim().to_owned())
+        .collect();
     if names.iter().any(String::is_empty) || names.len() > MAX_PROPERTIES {
         return Err(RequestError::Properties);
     }
@@ -56,6 +62,10 @@
 
 /// An RFC 3339 time; a date counts as its midnight.
 fn instant(text: &str) -> Result<OffsetDateTime, RequestError> {
-    let full = if text.len() == DATE_LENGTH { format!("{text}T00:00:00Z") } else { text.to_owned() };
+    let full = if text.len() == DATE_LENGTH {
+        format!("{text}T00:00:00Z")
+    } else {
+        text.to_owned()
+    };
     OffsetDateTime::parse(&full, &Rfc3339).map_err(|_| RequestError::Datetime(text.to_owned()))
 }
--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -108,8 +108,13 @@
 
     /// The server at which this shard was interrupted, if it was.
     pub fn interrupted_server(&self, shard: usize) -> Option<&str> {
-        let Merge::Concat(merge) = self else { return None };
-        merge.interrupted().filter(|interrupted| interrupted.shard == shard).map(|i| &*i.server)
+        let Merge::Concat(merge) = self else {
+            return None;
+        };
+        merge
+            .interrupted()
+            .filter(|interrupted| interrupted.shard == shard)
+            .map(|i| &*i.server)
     }
 
     /// Whether the features so far are a valid response, which continues where they end. Sorted features are not before all
@@ -140,12 +145,18 @@
 
 fn concat_result(merge: &ConcatMerge) -> MergedItems {
     // Shards from the next response's start on are not missing from this one.
-    let end = merge.resume_position().map_or(usize::MAX, |position| position.shard);
+    let end = merge
+        .resume_position()
+        .map_or(usize::MAX, |position| position.shard);
     MergedItems {
         slices: merge.slices().to_vec(),
         number_returned: merge.count(),
         complete: merge.is_complete(),
-        missing_shards: merge.missing_shards().into_iter().filter(|shard| *shard < end).collect(),
+        missing_shards: merge
+            .missing_shards()
+            .into_iter()
+            .filter(|shard| *shard < end)
+            .collect(),
         number_matched: merge.number_matched(),
     }
 }
@@ -155,7 +166,10 @@
     let count = page.features.len();
     let missing_shards = merge.missing_shards();
     MergedItems {
-        slices: vec![PageSlice { page, features: 0..count }],
+        slices: vec![PageSlice {
+            page,
+            features: 0..count,
+        }],
         number_returned: count,
         complete: missing_shards.is_empty(),
         missing_shards,
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -67,8 +67,17 @@
         let class = &state.edge.classes[client.class];
         let merge = Merge::new(&state.edge, class, &request.params, &plans, &resume_point);
         let in_flight = Vec::new();
-        let query =
-            ItemsQuery { state, client, request, shards, plans, merge, in_flight, resume_point, admitted };
+        let query = ItemsQuery {
+            state,
+            client,
+            request,
+            shards,
+            plans,
+            merge,
+            in_flight,
+            resume_point,
+            admitted,
+        };
         Ok(query.next_round())
     }
 
@@ -101,7 +110,10 @@
         };
         let mut request = PageRequest::new(RequestKind::Items, target);
         request.predicate = plan.predicate.clone();
-        Some(ShardRequest { shard, request: Arc::new(request) })
+        Some(ShardRequest {
+            shard,
+            request: Arc::new(request),
+        })
     }
 
     /// The shard for the first page, and the target of the request. A shard that was interrupted at a server is started
@@ -111,7 +123,8 @@
         let interrupted_server = self.merge.interrupted_server(fetch.shard);
         let elsewhere = interrupted_server
             .and_then(|server| lock(&self.state.catalog).excluding_server(source.shard, server));
-        let target = self.plans[fetch.shard].target(&source.name, &self.request.params, fetch.page_size);
+        let target =
+            self.plans[fetch.shard].target(&source.name, &self.request.params, fetch.page_size);
         (elsewhere.unwrap_or(source.shard), target)
     }
 
@@ -137,7 +150,11 @@
                     let page = part.and_then(|part| request.request.page(&part.value));
                     if let Some(page) = &page {
                         let mut admission = self.state.admission();
-                        admission.record_page(page.body.len(), page.returned_count, fetch.page_size);
+                        admission.record_page(
+                            page.body.len(),
+                            page.returned_count,
+                            fetch.page_size,
+                        );
                     }
                     fetched.push(fetch.fetched(page));
                 }
@@ -145,12 +162,18 @@
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
             // Rejected for load: no shard is missing, there was just no capacity to ask.
             Answer::Rejected { late: false, .. }
-                if !in_flight.iter().any(|fetch| fetch.request.request.attempted()) =>
+                if !in_flight
+                    .iter()
+                    .any(|fetch| fetch.request.request.attempted()) =>
             {
                 return self.end(error);
             }
             Answer::Rejected { .. } | Answer::Failed { .. } => {
-                fetched.extend(in_flight.into_iter().map(|in_flight| in_flight.fetch.fetched(None)));
+                fetched.extend(
+                    in_flight
+                        .into_iter()
+                        .map(|in_flight| in_flight.fetch.fetched(None)),
+                );
             }
         }
         self.accept(fetched, error)
@@ -162,7 +185,9 @@
         match self.merge.accept(fetched) {
             MergeProgress::NeedsPages if !timed_out => self.next_round(),
             MergeProgress::Complete => self.end(None),
-            MergeProgress::TooManyPages => self.finish(error_response(&ApiError::TooManyFeaturesToSort)),
+            MergeProgress::TooManyPages => {
+                self.finish(error_response(&ApiError::TooManyFeaturesToSort))
+            }
             MergeProgress::NeedsPages | MergeProgress::Failed => {
                 self.end(Some(error.unwrap_or(ApiError::ServersFailed)))
             }
@@ -214,5 +239,11 @@
     if params.filter.is_none() && params.sortby.is_empty() {
         return vec![ShardPlan::default(); shards.len()];
     }
-    ShardPlan::for_shards(state, params, shards, resume_point.after_values(), resume_point.resumed_shard())
+    ShardPlan::for_shards(
+        state,
+        params,
+        shards,
+        resume_point.after_values(),
+        resume_point.resumed_shard(),
+    )
 }
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -24,17 +24,31 @@
 
 impl ResumePoint {
     /// The point where a request resumes: by its cursor, otherwise the start.
-    pub fn of(state: &FrontState, request: &ItemsRequest, shards: &[ShardSource]) -> Result<Self, ApiError> {
+    pub fn of(
+        state: &FrontState,
+        request: &ItemsRequest,
+        shards: &[ShardSource],
+    ) -> Result<Self, ApiError> {
         let Some(token) = &request.params.cursor else {
-            return Ok(ResumePoint { cursor: None, position: ResumePosition::START });
+            return Ok(ResumePoint {
+                cursor: None,
+                position: ResumePosition::START,
+            });
         };
-        let cursor =
-            state.cursor_key.open(token, query_hash(request), unix_seconds(), state.edge.cursor_max_age_s)?;
+        let cursor = state.cursor_key.open(
+            token,
+            query_hash(request),
+            unix_seconds(),
+            state.edge.cursor_max_age_s,
+        )?;
         let position = match cursor.after_values {
             None => position(state, &request.collection, &cursor, shards)?,
             Some(_) => ResumePosition::START,
         };
-        Ok(ResumePoint { cursor: Some(cursor), position })
+        Ok(ResumePoint {
+            cursor: Some(cursor),
+            position,
+        })
     }
 
     /// The values of the last feature of the response before, in a sorted response.
@@ -44,8 +58,14 @@
 
     /// The shard that continues in pages started before.
     pub fn resumed_shard(&self) -> Option<ResumedShard> {
-        let cursor = self.cursor.as_ref().filter(|cursor| cursor.link.is_some())?;
-        Some(ResumedShard { index: self.position.shard, filtered_locally: cursor.filtered_locally })
+        let cursor = self
+            .cursor
+            .as_ref()
+            .filter(|cursor| cursor.link.is_some())?;
+        Some(ResumedShard {
+            index: self.position.shard,
+            filtered_locally: cursor.filtered_locally,
+        })
     }
 }
 
@@ -65,9 +85,21 @@
     fn set_position(&self, cursor: &mut Cursor, position: &ResumePosition) {
         cursor.shard = self.shards[position.shard].name.clone();
         cursor.skip = position.skip;
-        if let PageLocation::NextLink { server, target, page_size } = &position.location {
-            let server = lock(&self.state.catalog).server_name(server).unwrap_or(server).to_owned();
-            cursor.link = Some(CursorLink { server, target: target.to_string(), page_size: *page_size });
+        if let PageLocation::NextLink {
+            server,
+            target,
+            page_size,
+        } = &position.location
+        {
+            let server = lock(&self.state.catalog)
+                .server_name(server)
+                .unwrap_or(server)
+                .to_owned();
+            cursor.link = Some(CursorLink {
+                server,
+                target: target.to_string(),
+                page_size: *page_size,
+            });
             cursor.filtered_locally = self.plans[position.shard].predicate.is_some();
         }
     }
@@ -79,7 +111,10 @@
 
 /// The hash that binds a cursor to its query.
 fn query_hash(request: &ItemsRequest) -> u64 {
-    stable_hash(&[request.collection.as_bytes(), request.params.cursor_binding().as_bytes()])
+    stable_hash(&[
+        request.collection.as_bytes(),
+        request.params.cursor_binding().as_bytes(),
+    ])
 }
 
 /// The position that a cursor leads to, by the present inventory.
@@ -95,7 +130,11 @@
         None => PageLocation::ShardStart,
         Some(link) => link_location(state, collection, link, &shards[shard])?,
     };
-    Ok(ResumePosition { shard, location, skip: cursor.skip })
+    Ok(ResumePosition {
+        shard,
+        location,
+        skip: cursor.skip,
+    })
 }
 
 fn link_location(
@@ -106,8 +145,9 @@
 ) -> Result<PageLocation, ApiError> {
     let catalog = lock(&state.catalog);
     let address = catalog.server_address(&link.server);
-    let serves_shard =
-        address.as_deref().is_some_and(|address| catalog.sticky_shard(source.shard, address).is_some());
+    let serves_shard = address
+        .as_deref()
+        .is_some_and(|address| catalog.sticky_shard(source.shard, address).is_some());
     if !serves_shard && !state.has_same_order(collection) {
         // Another server may have the features in another order.
         return Err(ApiError::ServerRemoved);
--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -100,17 +100,28 @@
     ids: &[String],
     edge: &EdgeConfig,
 ) -> Response {
-    let collections: Vec<Json> = ids.iter().map(|id| collection_json(&context.base_url, id, edge)).collect();
+    let collections: Vec<Json> = ids
+        .iter()
+        .map(|id| collection_json(&context.base_url, id, edge))
+        .collect();
     let json = json!({"links": context.links(JSON), "collections": collections});
     context.respond("Collections", JSON, &json)
 }
 
 /// One collection.
-pub(in crate::front::ogc) fn collection(context: &DocumentContext, id: &str, edge: &EdgeConfig) -> Response {
+pub(in crate::front::ogc) fn collection(
+    context: &DocumentContext,
+    id: &str,
+    edge: &EdgeConfig,
+) -> Response {
     let mut json = collection_json(&context.base_url, id, edge);
     let links = json["links"].as_array().cloned().unwrap_or_default();
     // The links to the document itself take the place of the first one.
-    json["links"] = context.links(JSON).into_iter().chain(links.into_iter().skip(1)).collect();
+    json["links"] = context
+        .links(JSON)
+        .into_iter()
+        .chain(links.into_iter().skip(1))
+        .collect();
     let title = json["title"].as_str().unwrap_or(id).to_owned();
     context.respond(&title, JSON, &json)
 }
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -37,15 +37,24 @@
     if let Some(error) = ApiError::from_answer(&answer) {
         return Err(error);
     }
-    let Answer::Served { complete, parts } = answer else { return Err(ApiError::NoAnswer) };
+    let Answer::Served { complete, parts } = answer else {
+        return Err(ApiError::NoAnswer);
+    };
     let page = |part: &ServedPart| {
-        let shard_request = request.shard_requests.iter().find(|request| request.shard == part.shard)?;
+        let shard_request = request
+            .shard_requests
+            .iter()
+            .find(|request| request.shard == part.shard)?;
         shard_request.request.page(&part.value)
     };
     let text = |page: Arc<FeaturePage>| Some(page.body[page.features.first()?.clone()].to_vec());
     let found = parts.iter().filter_map(page).find_map(text);
     let all_searched = complete && parts.len() == request.shard_requests.len();
-    found.ok_or(if all_searched { ApiError::NoSuchFeature } else { ApiError::FeatureLookupIncomplete })
+    found.ok_or(if all_searched {
+        ApiError::NoSuchFeature
+    } else {
+        ApiError::FeatureLookupIncomplete
+    })
 }
 
 fn render(request: &FeatureRequest, text: &[u8]) -> Result<Response, ApiError> {
@@ -59,7 +68,9 @@
         Format::Json => json_response(200, GEOJSON, &feature),
         Format::Html => html::feature(&feature),
     };
-    response.headers.push(("Content-Crs", format!("<{}>", request.crs)));
+    response
+        .headers
+        .push(("Content-Crs", format!("<{}>", request.crs)));
     Ok(response)
 }
 
@@ -70,7 +81,10 @@
         id => id.to_string(),
     };
     let collection = format!("{}/collections/{}", request.base_url, request.collection);
-    let url = format!("{collection}/items/{}", utf8_percent_encode(&id, NON_ALPHANUMERIC));
+    let url = format!(
+        "{collection}/items/{}",
+        utf8_percent_encode(&id, NON_ALPHANUMERIC)
+    );
     let [own, alternate] = self_and_alternate(request.format, GEOJSON, |f| format!("{url}?f={f}"));
     json!([own, alternate, link(collection, "collection", JSON)])
 }
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -30,8 +30,12 @@
         Format::Json => Response::new(200, GEOJSON, geojson(result, &members)),
         Format::Html => html::feature_collection(result, &members),
     };
-    response.headers.push((COMPLETE_HEADER, result.complete.to_string()));
-    response.headers.push(("Content-Crs", format!("<{}>", request.params.crs)));
+    response
+        .headers
+        .push((COMPLETE_HEADER, result.complete.to_string()));
+    response
+        .headers
+        .push(("Content-Crs", format!("<{}>", request.params.crs)));
     response.headers.push(("ETag", tag));
     response
 }
@@ -48,7 +52,13 @@
         result.missing_shards,
         request.params.cursor_binding()
     );
-    entity_tag(result.slices.iter().map(PageSlice::span).chain([other_members.as_bytes()]))
+    entity_tag(
+        result
+            .slices
+            .iter()
+            .map(PageSlice::span)
+            .chain([other_members.as_bytes()]),
+    )
 }
 
 /// The members of the collection beside its features.
@@ -82,17 +92,23 @@
 }
 
 fn items_links(request: &ItemsRequest, next_cursor: Option<&str>) -> Vec<Json> {
-    let path = format!("{}/collections/{}/items", request.base_url, request.collection);
+    let path = format!(
+        "{}/collections/{}/items",
+        request.base_url, request.collection
+    );
     let mut parameters = decode_query(&request.query_string);
     parameters.retain(|(name, _)| name != "f");
     let href = |format: &str, cursor: Option<&str>| {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        let kept = parameters.iter().filter(|(name, _)| cursor.is_none() || name != "cursor");
+        let kept = parameters
+            .iter()
+            .filter(|(name, _)| cursor.is_none() || name != "cursor");
         query.extend_pairs(kept).append_pair("f", format);
         query.extend_pairs(cursor.map(|cursor| ("cursor", cursor)));
         format!("{path}?{}", query.finish())
     };
-    let mut links: Vec<Json> = self_and_alternate(request.format, GEOJSON, |f| href(f, None)).into();
+    let mut links: Vec<Json> =
+        self_and_alternate(request.format, GEOJSON, |f| href(f, None)).into();
     let next_link = |cursor| {
         let href = href(format_name(request.format), Some(cursor));
         link(href, "next", media_type(request.format, GEOJSON))
@@ -108,7 +124,9 @@
     if let Some(cursor) = next_cursor {
         let mut body = body.clone();
         body["token"] = cursor.into();
-        links.push(json!({"rel": "next", "href": href, "method": "POST", "type": GEOJSON, "body": body}));
+        links.push(
+            json!({"rel": "next", "href": href, "method": "POST", "type": GEOJSON, "body": body}),
+        );
     }
     links
 }
@@ -152,7 +170,10 @@
     slice: &PageSlice,
     projection: &FeatureProjection<'_>,
 ) {
-    for feature in slice.texts().filter_map(|feature| projection.apply(feature)) {
+    for feature in slice
+        .texts()
+        .filter_map(|feature| projection.apply(feature))
+    {
         separator.push_to(body);
         body.push(&feature);
     }
@@ -166,8 +187,14 @@
     memory: &Arc<MemoryReservation>,
 ) {
     let page = &slice.page;
-    let shared: SharedBytes = Arc::new(SharedPage { page: page.clone(), _memory: memory.clone() });
-    for adjacent in slice.ranges().chunk_by(|left, right| is_adjacent(page, left, right)) {
+    let shared: SharedBytes = Arc::new(SharedPage {
+        page: page.clone(),
+        _memory: memory.clone(),
+    });
+    for adjacent in slice
+        .ranges()
+        .chunk_by(|left, right| is_adjacent(page, left, right))
+    {
         separator.push_to(body);
         let start = adjacent.first().map_or(0, |range| range.start);
         let end = adjacent.last().map_or(0, |range| range.end);
@@ -178,7 +205,10 @@
 /// Whether there is a comma and otherwise only blanks between two features of a page.
 fn is_adjacent(page: &FeaturePage, left: &Range<usize>, right: &Range<usize>) -> bool {
     let between = &page.body[left.end..right.start];
-    between.iter().all(|c| c.is_ascii_whitespace() || *c == b',') && between.contains(&b',')
+    between
+        .iter()
+        .all(|c| c.is_ascii_whitespace() || *c == b',')
+        && between.contains(&b',')
 }
 
 /// The bytes of a page, shared with a response until it is written.
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -18,7 +18,10 @@
 pub(super) fn document(title: &str, json: &Json) -> Response {
     let mut main = String::new();
     for collection in json["collections"].as_array().into_iter().flatten() {
-        let name = collection["title"].as_str().or(collection["id"].as_str()).unwrap_or_default();
+        let name = collection["title"]
+            .as_str()
+            .or(collection["id"].as_str())
+            .unwrap_or_default();
         let _ = write!(main, "<h2>{}</h2>{}", escape(name), link_list(collection));
     }
     if main.is_empty() {
@@ -33,7 +36,8 @@
         Json::String(id) => id.clone(),
         id => id.to_string(),
     };
-    let main = svg_map(std::slice::from_ref(json)) + &member_table(&json["properties"]) + &link_list(json);
+    let main =
+        svg_map(std::slice::from_ref(json)) + &member_table(&json["properties"]) + &link_list(json);
     page(&title, &main)
 }
 
@@ -49,7 +53,11 @@
 
 fn shown_features(result: &ItemsResult<'_>) -> Vec<Json> {
     let projection = FeatureProjection::of(&result.request.params);
-    let features = result.slices.iter().flat_map(PageSlice::texts).take(MAX_SHOWN_FEATURES);
+    let features = result
+        .slices
+        .iter()
+        .flat_map(PageSlice::texts)
+        .take(MAX_SHOWN_FEATURES);
     features
         .filter_map(|feature| projection.apply(feature))
         .filter_map(|feature| serde_json::from_slice(&feature).ok())
@@ -60,8 +68,16 @@
 fn summary(result: &ItemsResult<'_>, shown: usize) -> String {
     let mut text = String::new();
     if !result.complete {
-        let names: Vec<_> = result.missing_shards.iter().map(|name| escape(name)).collect();
-        let _ = write!(text, "<p><strong>Not whole: missing {}.</strong></p>", names.join(", "));
+        let names: Vec<_> = result
+            .missing_shards
+            .iter()
+            .map(|name| escape(name))
+            .collect();
+        let _ = write!(
+            text,
+            "<p><strong>Not whole: missing {}.</strong></p>",
+            names.join(", ")
+        );
     }
     let _ = write!(text, "<p>{} features", result.number_returned);
     if let Some(matched) = result.number_matched.filter(|_| result.complete) {
@@ -92,7 +108,9 @@
 
 /// The names of the features' properties, in the order in which they occur.
 fn columns(features: &[Json]) -> Vec<&str> {
-    let properties = features.iter().filter_map(|feature| feature["properties"].as_object());
+    let properties = features
+        .iter()
+        .filter_map(|feature| feature["properties"].as_object());
     let mut columns: Vec<&str> = Vec::new();
     for name in properties.flat_map(|members| members.keys()) {
         if !columns.contains(&name.as_str()) && columns.len() < MAX_COLUMNS {
@@ -107,7 +125,12 @@
     let mut text = String::from("<table>");
     let members = json.as_object().into_iter().flatten();
     for (name, value) in members.filter(|(name, _)| *name != "links") {
-        let _ = write!(text, "<tr><th>{}</th><td>{}</td></tr>", escape(name), cell(value));
+        let _ = write!(
+            text,
+            "<tr><th>{}</th><td>{}</td></tr>",
+            escape(name),
+            cell(value)
+        );
     }
     text + "</table>"
 }
@@ -127,10 +150,15 @@
 fn link_list(json: &Json) -> String {
     let mut text = String::from("<ul>");
     for link in json["links"].as_array().into_iter().flatten() {
-        let (Some(href), Some(rel)) = (link["href"].as_str(), link["rel"].as_str()) else { continue };
+        let (Some(href), Some(rel)) = (link["href"].as_str(), link["rel"].as_str()) else {
+            continue;
+        };
         let title = link["title"].as_str().unwrap_or(rel);
         let (href, rel, title) = (escape(href), escape(rel), escape(title));
-        let _ = write!(text, "<li><a rel=\"{rel}\" href=\"{href}\">{title}</a></li>");
+        let _ = write!(
+            text,
+            "<li><a rel=\"{rel}\" href=\"{href}\">{title}</a></li>"
+        );
     }
     text + "</ul>"
 }
--- a/src/front/ogc/response/html/tests.rs
+++ b/src/front/ogc/response/html/tests.rs
@@ -8,6 +8,9 @@
     let json = json!({"id": "<script>", "geometry": {"type": "Point", "coordinates": [1, 2]},
         "properties": {"<b>": "\"><img onerror=x>", "n": 7}});
     let text = String::from_utf8(feature(&json).body.to_vec()).expect("text");
-    assert!(!text.contains("<script") && !text.contains("<img") && !text.contains("<b>"), "{text}");
+    assert!(
+        !text.contains("<script") && !text.contains("<img") && !text.contains("<b>"),
+        "{text}"
+    );
     assert!(text.contains("<circle") && text.contains("&lt;b&gt;"));
 }
--- a/src/front/ogc/response/json.rs
+++ b/src/front/ogc/response/json.rs
@@ -11,7 +11,11 @@
 pub(super) const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.0";
 
 /// A response with a value as its body.
-pub(super) fn json_response(status: u16, content_type: &'static str, body: &impl Serialize) -> Response {
+pub(super) fn json_response(
+    status: u16,
+    content_type: &'static str,
+    body: &impl Serialize,
+) -> Response {
     match serde_json::to_vec(body) {
         Ok(body) => Response::new(status, content_type, body),
         Err(e) => Response::new(500, "text/plain", format!("{e}\n")),
--- a/src/front/ogc/response/links.rs
+++ b/src/front/ogc/response/links.rs
@@ -36,7 +36,15 @@
         Format::Html => Format::Json,
     };
     [
-        link(href(format_name(format)), "self", media_type(format, json_type)),
-        link(href(format_name(alternate)), "alternate", media_type(alternate, json_type)),
+        link(
+            href(format_name(format)),
+            "self",
+            media_type(format, json_type),
+        ),
+        link(
+            href(format_name(alternate)),
+            "alternate",
+            media_type(alternate, json_type),
+        ),
     ]
 }
--- a/src/front/ogc/response/openapi.rs
+++ b/src/front/ogc/response/openapi.rs
@@ -37,8 +37,7 @@
 }
 
 fn items_parameters(edge: &EdgeConfig) -> Vec<Json> {
-    let limit =
-        json!({"type": "integer", "minimum": 1, "maximum": edge.max_limit, "default": edge.default_limit});
+    let limit = json!({"type": "integer", "minimum": 1, "maximum": edge.max_limit, "default": edge.default_limit});
     vec![
         path_parameter("collectionId", "a collection"),
         json!({"name": "limit", "in": "query", "required": false, "style": "form", "explode": false, "schema": limit}),
@@ -49,7 +48,10 @@
         query_parameter("filter", "a filter in CQL2"),
         query_parameter("filter-lang", "cql2-text or cql2-json"),
         query_parameter("filter-crs", "the system of the filter's geometries"),
-        query_parameter("sortby", "properties, the largest first with a minus before them"),
+        query_parameter(
+            "sortby",
+            "properties, the largest first with a minus before them",
+        ),
         query_parameter("properties", "the properties of the answer"),
         query_parameter("cursor", "from a next link"),
     ]
@@ -74,7 +76,8 @@
 }
 
 fn numbers_parameter(name: &str, description: &str) -> Json {
-    let schema = json!({"type": "array", "minItems": 4, "maxItems": 6, "items": {"type": "number"}});
+    let schema =
+        json!({"type": "array", "minItems": 4, "maxItems": 6, "items": {"type": "number"}});
     json!({"name": name, "in": "query", "required": false, "description": description, "style": "form",
         "explode": false, "schema": schema})
 }
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -10,7 +10,8 @@
 
 /// A problem document.
 pub(in crate::front::ogc) fn problem(status: u16, detail: &str) -> Response {
-    let body = json!({"type": "about:blank", "title": title(status), "status": status, "detail": detail});
+    let body =
+        json!({"type": "about:blank", "title": title(status), "status": status, "detail": detail});
     json_response(status, PROBLEM, &body)
 }
 
@@ -18,14 +19,20 @@
 pub(in crate::front::ogc) fn error_response(error: &ApiError) -> Response {
     let mut response = problem(error.status(), &error.to_string());
     if let ApiError::Overloaded { retry_after } = error {
-        response.headers.push(("Retry-After", retry_after_seconds(*retry_after).to_string()));
+        response
+            .headers
+            .push(("Retry-After", retry_after_seconds(*retry_after).to_string()));
     }
     response
 }
 
 /// Whole seconds (RFC 9110, 10.2.3), and never 0: that would invite all clients to retry at once.
 fn retry_after_seconds(retry_after: Option<Micros>) -> u64 {
-    retry_after.unwrap_or(Micros::ZERO).0.div_ceil(MICROS_PER_SECOND).max(1)
+    retry_after
+        .unwrap_or(Micros::ZERO)
+        .0
+        .div_ceil(MICROS_PER_SECOND)
+        .max(1)
 }
 
 fn title(status: u16) -> &'static str {
--- a/src/front/ogc/response/projection.rs
+++ b/src/front/ogc/response/projection.rs
@@ -15,13 +15,23 @@
 impl<'a> FeatureProjection<'a> {
     /// The changes for a query's parameters `crs` and `properties`.
     pub fn of(params: &'a Params) -> Self {
-        FeatureProjection { properties: params.properties.as_deref(), ..Self::to_crs(params.crs) }
+        FeatureProjection {
+            properties: params.properties.as_deref(),
+            ..Self::to_crs(params.crs)
+        }
     }
 
     /// All properties, in a coordinate reference system.
     pub fn to_crs(crs: Crs) -> Self {
-        let transform = if crs == Crs::Crs84 { None } else { Transform::of(crs) };
-        FeatureProjection { transform, properties: None }
+        let transform = if crs == Crs::Crs84 {
+            None
+        } else {
+            Transform::of(crs)
+        };
+        FeatureProjection {
+            transform,
+            properties: None,
+        }
     }
 
     /// Whether features stay as they are.
@@ -34,7 +44,9 @@
         if let Some(transform) = &self.transform {
             transform_geometry(feature, transform);
         }
-        if let (Some(names), Some(members)) = (self.properties, feature["properties"].as_object_mut()) {
+        if let (Some(names), Some(members)) =
+            (self.properties, feature["properties"].as_object_mut())
+        {
             members.retain(|name, _| names.iter().any(|n| n == name));
         }
     }
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -16,13 +16,19 @@
 /// A map of the features; empty if none has a position.
 pub(super) fn svg_map(features: &[Json]) -> String {
     let mut positions = Vec::new();
-    features.iter().for_each(|feature| collect_positions(&feature["geometry"], &mut positions));
-    let Some(view) = View::around(&positions) else { return String::new() };
+    features
+        .iter()
+        .for_each(|feature| collect_positions(&feature["geometry"], &mut positions));
+    let Some(view) = View::around(&positions) else {
+        return String::new();
+    };
     let mut text = format!(
         "<svg role=\"img\" width=\"{WIDTH}\" height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\"><title>Map of {} features</title>",
         features.len()
     );
-    features.iter().for_each(|feature| view.draw(&feature["geometry"], &mut text));
+    features
+        .iter()
+        .for_each(|feature| view.draw(&feature["geometry"], &mut text));
     text + "</svg>"
 }
 
@@ -37,14 +43,23 @@
 fn collect_positions(json: &Json, into: &mut Vec<Position>) {
     match json {
         Json::Array(list) => {
-            match (list.first().and_then(Json::as_f64), list.get(1).and_then(Json::as_f64)) {
+            match (
+                list.first().and_then(Json::as_f64),
+                list.get(1).and_then(Json::as_f64),
+            ) {
                 (Some(x), Some(y)) => into.push(Position { x, y }),
                 _ => list.iter().for_each(|inner| collect_positions(inner, into)),
             }
         }
         Json::Object(members) => {
-            members.get("coordinates").into_iter().for_each(|c| collect_positions(c, into));
-            members.get("geometries").into_iter().for_each(|g| collect_positions(g, into));
+            members
+                .get("coordinates")
+                .into_iter()
+                .for_each(|c| collect_positions(c, into));
+            members
+                .get("geometries")
+                .into_iter()
+                .for_each(|g| collect_positions(g, into));
         }
         _ => {}
     }
@@ -75,7 +90,13 @@
         let horizontal = (east - west) / (WIDTH - MARGIN);
         let vertical = (north - south) / (HEIGHT - MARGIN);
         let units_per_pixel = horizontal.max(vertical).max(MIN_UNITS_PER_PIXEL);
-        Some(View { west, south, east, north, units_per_pixel })
+        Some(View {
+            west,
+            south,
+            east,
+            north,
+            units_per_pixel,
+        })
     }
 
     /// Where a position is on the map, in pixels.
@@ -90,19 +111,28 @@
         let coordinates = &geometry["coordinates"];
         match geometry["type"].as_str() {
             Some("Polygon") => self.draw_polygon(coordinates, text),
-            Some("MultiPolygon") => elements(coordinates).iter().for_each(|p| self.draw_polygon(p, text)),
+            Some("MultiPolygon") => elements(coordinates)
+                .iter()
+                .for_each(|p| self.draw_polygon(p, text)),
             Some("LineString") => self.draw_line(coordinates, text),
-            Some("MultiLineString") => elements(coordinates).iter().for_each(|l| self.draw_line(l, text)),
+            Some("MultiLineString") => elements(coordinates)
+                .iter()
+                .for_each(|l| self.draw_line(l, text)),
             Some("Point" | "MultiPoint") => self.draw_points(coordinates, text),
             Some("GeometryCollection") => {
-                elements(&geometry["geometries"]).iter().for_each(|g| self.draw(g, text));
+                elements(&geometry["geometries"])
+                    .iter()
+                    .for_each(|g| self.draw(g, text));
             }
             _ => {}
         }
     }
 
     fn draw_polygon(&self, rings: &Json, text: &mut String) {
-        let path: String = elements(rings).iter().map(|ring| self.path(ring) + "Z").collect();
+        let path: String = elements(rings)
+            .iter()
+            .map(|ring| self.path(ring) + "Z")
+            .collect();
         let _ = write!(
             text,
             "<path d=\"{path}\" fill=\"#27a\" fill-opacity=\".3\" fill-rule=\"evenodd\" stroke=\"#27a\"/>"
@@ -110,7 +140,11 @@
     }
 
     fn draw_line(&self, line: &Json, text: &mut String) {
-        let _ = write!(text, "<path d=\"{}\" fill=\"none\" stroke=\"#27a\"/>", self.path(line));
+        let _ = write!(
+            text,
+            "<path d=\"{}\" fill=\"none\" stroke=\"#27a\"/>",
+            self.path(line)
+        );
     }
 
     fn draw_points(&self, coordinates: &Json, text: &mut String) {
@@ -118,7 +152,10 @@
         collect_positions(coordinates, &mut positions);
         for position in positions {
             let Position { x, y } = self.project(position);
-            let _ = write!(text, "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"3\" fill=\"#c33\"/>");
+            let _ = write!(
+                text,
+                "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"3\" fill=\"#c33\"/>"
+            );
         }
     }
 
--- a/src/front/ogc/response/svg_map/tests.rs
+++ b/src/front/ogc/response/svg_map/tests.rs
@@ -17,8 +17,19 @@
     ];
     let features: Vec<Json> = geometries.iter().map(|g| json!({"geometry": g})).collect();
     let text = svg_map(&features);
-    assert_eq!((text.matches("<path").count(), text.matches("<circle").count()), (5, 3));
-    let numbers = text.split(['M', 'L', ' ', '"', 'Z']).filter_map(|n| n.parse::<f64>().ok());
-    assert!(numbers.into_iter().all(|n| (0.0..=800.0).contains(&n)), "{text}");
+    assert_eq!(
+        (
+            text.matches("<path").count(),
+            text.matches("<circle").count()
+        ),
+        (5, 3)
+    );
+    let numbers = text
+        .split(['M', 'L', ' ', '"', 'Z'])
+        .filter_map(|n| n.parse::<f64>().ok());
+    assert!(
+        numbers.into_iter().all(|n| (0.0..=800.0).contains(&n)),
+        "{text}"
+    );
     assert_eq!(svg_map(&[json!({"geometry": null})]), "");
 }
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -1,6 +1,8 @@
 //! How each shard of a query is asked: what of the filter and the order its servers evaluate, and what is evaluated here.
 
-use super::cql2::{flatten, split, Capabilities, ComparisonOperator, Filter, Junction, Matcher, Value};
+use super::cql2::{
+    flatten, split, Capabilities, ComparisonOperator, Filter, Junction, Matcher, Value,
+};
 use super::page_request::FeaturePredicate;
 use super::paging::SortKey;
 use super::params::Params;
@@ -62,14 +64,26 @@
     /// link's request may contain less of it than would be pushed down now.
     fn resumed(params: &Params, resumed: ResumedShard) -> Self {
         let filter = params.filter.as_ref().filter(|_| resumed.filtered_locally);
-        ShardPlan { predicate: filter.map(predicate), ..ShardPlan::default() }
+        ShardPlan {
+            predicate: filter.map(predicate),
+            ..ShardPlan::default()
+        }
     }
 
     /// A shard that is asked from its first feature on, or from the last one returned before.
-    fn from_start(params: &Params, capabilities: &Capabilities, after_values: Option<&[Json]>) -> Self {
-        let mut plan = ShardPlan { sorted: can_sort(capabilities, params), ..ShardPlan::default() };
+    fn from_start(
+        params: &Params,
+        capabilities: &Capabilities,
+        after_values: Option<&[Json]>,
+    ) -> Self {
+        let mut plan = ShardPlan {
+            sorted: can_sort(capabilities, params),
+            ..ShardPlan::default()
+        };
         let mut filter = params.filter.clone();
-        let after = after_values.filter(|_| plan.sorted).and_then(|values| after_filter(params, values));
+        let after = after_values
+            .filter(|_| plan.sorted)
+            .and_then(|values| after_filter(params, values));
         if let Some(after) = after {
             // Only if servers can evaluate all of it: features before the position are left out here in any case.
             if split(&after, capabilities).residual.is_none() {
@@ -88,7 +102,10 @@
     /// Path and query of the request for the first page of a shard. `source`: the servers' own name for it.
     pub fn target(&self, source: &str, params: &Params, page_size: usize) -> String {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        let envelope = || self.envelope.map(|box_2d| box_2d.map(|n| n.to_string()).join(","));
+        let envelope = || {
+            self.envelope
+                .map(|box_2d| box_2d.map(|n| n.to_string()).join(","))
+        };
         if let Some(bbox) = params.bbox_text().or_else(envelope) {
             query.append_pair("bbox", &bbox);
         }
@@ -96,7 +113,9 @@
             query.append_pair("datetime", datetime);
         }
         if let Some(filter) = &self.pushed_down {
-            query.append_pair("filter", filter).append_pair("filter-lang", "cql2-text");
+            query
+                .append_pair("filter", filter)
+                .append_pair("filter-lang", "cql2-text");
         }
         if self.sorted {
             query.append_pair("sortby", &sortby(&params.sortby));
@@ -114,7 +133,11 @@
 /// The value of `sortby` for servers: the sort keys, then the identifier.
 fn sortby(keys: &[SortKey]) -> String {
     let key = |key: &SortKey| format!("{}{}", if key.descending { "-" } else { "+" }, key.property);
-    let keys: Vec<String> = keys.iter().map(key).chain([format!("+{ID_PROPERTY}")]).collect();
+    let keys: Vec<String> = keys
+        .iter()
+        .map(key)
+        .chain([format!("+{ID_PROPERTY}")])
+        .collect();
     keys.join(",")
 }
 
@@ -136,21 +159,37 @@
 
 impl BoundKey<'_> {
     fn compare(&self, comparison: ComparisonOperator) -> Filter {
-        Filter::Compare(comparison, Value::Property(self.property.to_owned()), self.value.clone())
+        Filter::Compare(
+            comparison,
+            Value::Property(self.property.to_owned()),
+            self.value.clone(),
+        )
     }
 
     fn comes_after(&self) -> Filter {
-        self.compare(if self.descending { ComparisonOperator::Less } else { ComparisonOperator::Greater })
+        self.compare(if self.descending {
+            ComparisonOperator::Less
+        } else {
+            ComparisonOperator::Greater
+        })
     }
 }
 
 /// A filter for the features that come after these values in the order of a query. `None`: there is none, since one of the
 /// values is missing or has no literal.
 fn after_filter(params: &Params, values: &[Json]) -> Option<Filter> {
-    let sort_keys = params.sortby.iter().map(|key| (key.property.as_str(), key.descending));
+    let sort_keys = params
+        .sortby
+        .iter()
+        .map(|key| (key.property.as_str(), key.descending));
     let pairs = sort_keys.chain([(ID_PROPERTY, false)]).zip(values);
-    let bind =
-        |((property, descending), value)| Some(BoundKey { property, descending, value: literal(value)? });
+    let bind = |((property, descending), value)| {
+        Some(BoundKey {
+            property,
+            descending,
+            value: literal(value)?,
+        })
+    };
     let keys: Vec<BoundKey<'_>> = pairs.map(bind).collect::<Option<_>>()?;
     let alternatives = (0..keys.len()).filter_map(|index| after_at_key(&keys, index));
     let mut alternatives: Vec<Filter> = alternatives.collect();
@@ -164,13 +203,18 @@
 /// this one. Features without a value come last.
 fn after_at_key(keys: &[BoundKey<'_>], index: usize) -> Option<Filter> {
     let key = &keys[index];
-    let mut conditions: Vec<Filter> =
-        keys[..index].iter().map(|key| key.compare(ComparisonOperator::Equal)).collect();
+    let mut conditions: Vec<Filter> = keys[..index]
+        .iter()
+        .map(|key| key.compare(ComparisonOperator::Equal))
+        .collect();
     let is_id = index + 1 == keys.len();
     conditions.push(if is_id {
         key.comes_after()
     } else {
-        Filter::Or(vec![key.comes_after(), Filter::IsNull(Value::Property(key.property.to_owned()))])
+        Filter::Or(vec![
+            key.comes_after(),
+            Filter::IsNull(Value::Property(key.property.to_owned())),
+        ])
     });
     Filter::all(conditions)
 }
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -24,7 +24,10 @@
 }
 
 /// The shards of a collection, in order.
-pub(super) fn shards_of(state: &FrontState, collection: &str) -> Result<Vec<ShardSource>, ApiError> {
+pub(super) fn shards_of(
+    state: &FrontState,
+    collection: &str,
+) -> Result<Vec<ShardSource>, ApiError> {
     let catalog = lock(&state.catalog);
     let shards = catalog.shards(collection);
     let shards = shards.ok_or_else(|| ApiError::NoSuchCollection(collection.to_owned()))?;
@@ -41,9 +44,16 @@
     let replicas_of = |source: &ShardSource| {
         let replica = |holder: ShardHolder<'_>| ShardReplica {
             sticky_shard: holder.sticky_shard,
-            key: ReplicaKey { address: Arc::from(holder.address), source: Arc::from(source.name.as_str()) },
+            key: ReplicaKey {
+                address: Arc::from(holder.address),
+                source: Arc::from(source.name.as_str()),
+            },
         };
-        catalog.ready_holders(source.shard).into_iter().map(replica).collect()
+        catalog
+            .ready_holders(source.shard)
+            .into_iter()
+            .map(replica)
+            .collect()
     };
     shards.iter().map(replicas_of).collect()
 }
--- a/src/front/ogc/stable_hash.rs
+++ b/src/front/ogc/stable_hash.rs
@@ -24,6 +24,8 @@
         #[serde(borrow)]
         id: Option<&'a RawValue>,
     }
-    let id = serde_json::from_slice::<Identified<'_>>(feature).ok().and_then(|feature| feature.id);
+    let id = serde_json::from_slice::<Identified<'_>>(feature)
+        .ok()
+        .and_then(|feature| feature.id);
     id.map_or(0, |id| stable_hash(&[id.get().as_bytes()]) | 1)
 }
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -64,7 +64,11 @@
 
     /// The queryables that the edge file declares for a collection.
     pub fn declared_queryables(&self, collection: &str) -> Option<Queryables> {
-        self.edge.collections.iter().find(|c| c.id == collection)?.queryables()
+        self.edge
+            .collections
+            .iter()
+            .find(|c| c.id == collection)?
+            .queryables()
     }
 
     /// The metrics of a class, by its index in the edge file.
@@ -74,6 +78,9 @@
 
     /// Whether all servers of a collection return its features in the same order, with links that lead to the same place.
     pub fn has_same_order(&self, collection: &str) -> bool {
-        self.edge.collections.iter().any(|c| c.id == collection && c.same_order)
+        self.edge
+            .collections
+            .iter()
+            .any(|c| c.id == collection && c.same_order)
     }
 }
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -16,7 +16,13 @@
     let catalog = SharedCatalog::default();
     let servers = edge.load_inventory().expect("sound");
     lock(&catalog).load(&servers, Micros::ZERO);
-    OgcFront::new(edge, catalog, CursorKey::new(b"a key"), Arc::default(), Arc::default())
+    OgcFront::new(
+        edge,
+        catalog,
+        CursorKey::new(b"a key"),
+        Arc::default(),
+        Arc::default(),
+    )
 }
 
 /// The response to a connection's bytes; `None` if they start a query whose round fails, after capability discovery failed
@@ -45,10 +51,16 @@
     prop_assert!((200..600).contains(&response.status));
     if response.status >= 400 {
         let status = json.as_ref().and_then(|j| j["status"].as_u64());
-        prop_assert!(problem && status == Some(u64::from(response.status)), "{response:?}");
+        prop_assert!(
+            problem && status == Some(u64::from(response.status)),
+            "{response:?}"
+        );
     }
     // Only a query whose servers fail gets a server error; input never does.
-    prop_assert!(response.status < 500 || response.status == 502 || response.status == 501, "{response:?}");
+    prop_assert!(
+        response.status < 500 || response.status == 502 || response.status == 501,
+        "{response:?}"
+    );
     Ok(())
 }
 
@@ -194,14 +206,20 @@
         for n in [1, 11, 12, 30, 300] {
             let mut query = url::form_urlencoded::Serializer::new(String::new());
             query.append_pair("filter", &deep(n));
-            let bytes = format!("GET /collections/devices/items?{} HTTP/1.1\r\n\r\n", query.finish());
+            let bytes = format!(
+                "GET /collections/devices/items?{} HTTP/1.1\r\n\r\n",
+                query.finish()
+            );
             let response = response_to(&front, bytes.as_bytes());
             let rejected = response.as_ref().is_some_and(|r| r.status == 400);
             assert_eq!(rejected, 2 * n + 1 > cql2::MAX_DEPTH, "{n}: {response:?}");
         }
     };
     // The test's own frames and libraries need some more than the program's.
-    let thread = std::thread::Builder::new().stack_size(words * 8).spawn(run).expect("a thread");
+    let thread = std::thread::Builder::new()
+        .stack_size(words * 8)
+        .spawn(run)
+        .expect("a thread");
     thread.join().expect("no panic, and no overflow");
 }
 
@@ -225,14 +243,22 @@
 /// The targets of a query's first round, after capability discovery.
 fn targets(front: &OgcFront, query: &str) -> Vec<String> {
     let mut server = ServerConnection::default();
-    server.input().extend(format!("GET /collections/devices/items?{query} HTTP/1.1\r\n\r\n").as_bytes());
-    let request = server.next_request().expect("complete").expect("well formed");
+    server
+        .input()
+        .extend(format!("GET /collections/devices/items?{query} HTTP/1.1\r\n\r\n").as_bytes());
+    let request = server
+        .next_request()
+        .expect("complete")
+        .expect("well formed");
     let mut reaction = front.handle(request, Token(1), Micros::ZERO, true);
     loop {
         match reaction {
             Reaction::Respond(response) => panic!("{query}: {response:?}"),
             Reaction::Submit(request, render) => {
-                let contexts = request.parts.iter().filter_map(|p| p.context.as_ref()?.get::<PageRequest>());
+                let contexts = request
+                    .parts
+                    .iter()
+                    .filter_map(|p| p.context.as_ref()?.get::<PageRequest>());
                 let targets: Vec<String> = contexts.map(|c| c.target.clone()).collect();
                 if targets.iter().all(|t| t.contains("/items?")) {
                     return targets;
@@ -254,12 +280,20 @@
         ["devices-north", "devices-south"].map(first).to_vec(),
     ];
     for ((query, cursor), expected) in EARLIER_CURSORS.into_iter().zip(expected) {
-        assert_eq!(targets(&front, &format!("{query}&cursor={cursor}")), expected, "{query}");
+        assert_eq!(
+            targets(&front, &format!("{query}&cursor={cursor}")),
+            expected,
+            "{query}"
+        );
         let other = response_to(
             &front,
             format!("GET /collections/devices/items?limit=9&bbox=0,0,1,1&cursor={cursor} HTTP/1.1\r\n\r\n")
                 .as_bytes(),
         );
-        assert_eq!(other.map(|r| r.status), Some(400), "{query}: a cursor of another query");
+        assert_eq!(
+            other.map(|r| r.status),
+            Some(400),
+            "{query}: a cursor of another query"
+        );
     }
 }
--- a/src/front/platform/mod.rs
+++ b/src/front/platform/mod.rs
@@ -33,8 +33,15 @@
     #[must_use]
     pub fn new(settings: &CoordinatorSettings) -> Arc<Self> {
         let policy = &settings.policy;
-        let classes = policy.classes.iter().map(|class| class.name.as_str().into()).collect();
-        Arc::new(PlatformCatalog { classes, shards: policy.shards })
+        let classes = policy
+            .classes
+            .iter()
+            .map(|class| class.name.as_str().into())
+            .collect();
+        Arc::new(PlatformCatalog {
+            classes,
+            shards: policy.shards,
+        })
     }
 }
 
@@ -52,11 +59,16 @@
     }
 
     fn query(&self, request: &HttpRequest, token: Token, sent_at: Micros) -> Reaction {
-        let catalog = self.catalog.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let catalog = self
+            .catalog
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         match request::parse(&catalog, request, token, sent_at) {
-            Ok(request) => {
-                Reaction::Submit(request, Box::new(|answer| Reaction::Respond(response::render(answer))))
-            }
+            Ok(request) => Reaction::Submit(
+                request,
+                Box::new(|answer| Reaction::Respond(response::render(answer))),
+            ),
             Err(error) => {
                 COUNTERS.bad_requests.increment();
                 text(400, &format!("{error}\n"))
--- a/src/front/platform/request.rs
+++ b/src/front/platform/request.rs
@@ -60,12 +60,16 @@
 }
 
 fn header<'a>(request: &'a HttpRequest, name: &'static str) -> Result<&'a str, RequestError> {
-    request.headers.get(name).ok_or(RequestError::MissingHeader(name))
+    request
+        .headers
+        .get(name)
+        .ok_or(RequestError::MissingHeader(name))
 }
 
 fn request_id(request: &HttpRequest) -> Result<&str, RequestError> {
     let id = header(request, "X-Trace-Id")?;
-    if id.is_empty() || id.len() > MAX_REQUEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+    if id.is_empty() || id.len() > MAX_REQUEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic())
+    {
         return Err(RequestError::RequestId);
     }
     Ok(id)
@@ -79,7 +83,9 @@
 
 fn timeout(request: &HttpRequest) -> Result<Micros, RequestError> {
     let seconds = header(request, "X-Expires-In")?.parse::<f64>().ok();
-    let seconds = seconds.filter(|s| s.is_finite() && *s >= 0.0).ok_or(RequestError::Timeout)?;
+    let seconds = seconds
+        .filter(|s| s.is_finite() && *s >= 0.0)
+        .ok_or(RequestError::Timeout)?;
     Ok(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
@@ -96,9 +102,16 @@
         if parts.iter().any(|part| part.shard == shard) {
             return Err(RequestError::DuplicateShard(shard.0));
         }
-        let expected_work = tablet.guess.filter(|guess| guess.is_finite() && *guess >= 0.0);
+        let expected_work = tablet
+            .guess
+            .filter(|guess| guess.is_finite() && *guess >= 0.0);
         let expected_work = expected_work.map(|micros| Micros(micros as u64));
-        parts.push(PartRequest { shard, weight, expected_work, context: None });
+        parts.push(PartRequest {
+            shard,
+            weight,
+            expected_work,
+            context: None,
+        });
     }
     if parts.is_empty() {
         return Err(RequestError::NoShards);
--- a/src/front/platform/response.rs
+++ b/src/front/platform/response.rs
@@ -26,20 +26,33 @@
 pub(super) fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served { complete, parts } => {
-            let piece = |shard: u32, value| Piece { tablet: shard, cell: String::from_utf8_lossy(value) };
-            let pieces = parts.iter().map(|part| piece(part.shard.0, &part.value)).collect();
-            match serde_json::to_vec(&Served { full: complete, pieces }) {
+            let piece = |shard: u32, value| Piece {
+                tablet: shard,
+                cell: String::from_utf8_lossy(value),
+            };
+            let pieces = parts
+                .iter()
+                .map(|part| piece(part.shard.0, &part.value))
+                .collect();
+            match serde_json::to_vec(&Served {
+                full: complete,
+                pieces,
+            }) {
                 Ok(body) => Response::new(200, JSON, body),
                 Err(error) => Response::new(500, TEXT, format!("{error}\n")),
             }
         }
         Answer::Rejected { retry_after, .. } => {
             let mut response = Response::new(503, TEXT, "refused: ask again\n");
-            response.headers.extend(retry_after.map(|time| ("Retry-After", seconds(time))));
+            response
+                .headers
+                .extend(retry_after.map(|time| ("Retry-After", seconds(time))));
             response
         }
         Answer::UnknownClass => Response::new(400, TEXT, "X-Qos names no class\n"),
-        Answer::DuplicateRequestId => Response::new(409, TEXT, "X-Trace-Id is that of an open request\n"),
+        Answer::DuplicateRequestId => {
+            Response::new(409, TEXT, "X-Trace-Id is that of an open request\n")
+        }
         Answer::Failed { late: true } => Response::new(504, TEXT, "out of time\n"),
         Answer::Failed { late: false } => Response::new(502, TEXT, "failed\n"),
     }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -9,20 +9,34 @@
 use crate::time::Micros;
 use std::sync::{Arc, Mutex};
 
-const HEADERS: [(&str, &str); 3] = [("X-Trace-Id", "q1"), ("X-Qos", "web"), ("X-Expires-In", "1.5")];
+const HEADERS: [(&str, &str); 3] = [
+    ("X-Trace-Id", "q1"),
+    ("X-Qos", "web"),
+    ("X-Expires-In", "1.5"),
+];
 const BODY: &str = r#"{"tablets":[{"tablet":0,"fraction":0.25,"guess":900.5},{"tablet":2,"fraction":0.75}],"statement":"s"}"#;
 
 fn catalog() -> PlatformCatalog {
-    PlatformCatalog { classes: vec!["batch".into(), "web".into()], shards: 3 }
+    PlatformCatalog {
+        classes: vec!["batch".into(), "web".into()],
+        shards: 3,
+    }
 }
 
 fn http(method: &str, target: &str, headers: &[(&str, &str)], body: &str) -> HttpRequest {
-    let headers: String = headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+    let headers: String = headers
+        .iter()
+        .map(|(name, value)| format!("{name}: {value}\r\n"))
+        .collect();
     let length = body.len();
-    let text = format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
+    let text =
+        format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
     let mut server = ServerConnection::default();
     server.input().extend(text.as_bytes());
-    server.next_request().expect("complete").expect("well formed")
+    server
+        .next_request()
+        .expect("complete")
+        .expect("well formed")
 }
 
 /// Parses a request with these headers, `replaced` put in place of the usual ones or, without a value, left out.
@@ -31,19 +45,42 @@
         Some((other, value)) if other == name => value,
         _ => Some(usual),
     };
-    let headers: Vec<_> =
-        HEADERS.iter().filter_map(|(name, usual)| Some((*name, value(name, usual)?))).collect();
-    parse(&catalog(), &http("POST", "/api", &headers, body), Token(7), Micros(5))
+    let headers: Vec<_> = HEADERS
+        .iter()
+        .filter_map(|(name, usual)| Some((*name, value(name, usual)?)))
+        .collect();
+    parse(
+        &catalog(),
+        &http("POST", "/api", &headers, body),
+        Token(7),
+        Micros(5),
+    )
 }
 
 #[test]
 fn a_request_becomes_the_cores() {
     let request = parse_with(None, BODY).expect("well formed");
-    assert_eq!((request.token, request.sent_at, request.timeout), (Token(7), Micros(5), Micros(1_500_000)));
+    assert_eq!(
+        (request.token, request.sent_at, request.timeout),
+        (Token(7), Micros(5), Micros(1_500_000))
+    );
     assert_eq!((&*request.request_id, &*request.class), ("q1", "web"));
-    assert_eq!((&*request.payload, request.counted), (b"s".as_slice(), true));
-    let parts: Vec<_> = request.parts.iter().map(|p| (p.shard, p.weight, p.expected_work)).collect();
-    assert_eq!(parts, [(ShardId(0), 0.25, Some(Micros(900))), (ShardId(2), 0.75, None)]);
+    assert_eq!(
+        (&*request.payload, request.counted),
+        (b"s".as_slice(), true)
+    );
+    let parts: Vec<_> = request
+        .parts
+        .iter()
+        .map(|p| (p.shard, p.weight, p.expected_work))
+        .collect();
+    assert_eq!(
+        parts,
+        [
+            (ShardId(0), 0.25, Some(Micros(900))),
+            (ShardId(2), 0.75, None)
+        ]
+    );
     let long = parse_with(Some(("X-Expires-In", Some("1e9"))), BODY).expect("well formed");
     assert_eq!(long.timeout, Micros::from_secs(3_600));
 }
@@ -51,18 +88,28 @@
 #[test]
 fn each_malformed_header_has_its_error_and_text() {
     let text = |name: &str, value: Option<&str>| {
-        parse_with(Some((name, value)), BODY).expect_err("malformed").to_string()
+        parse_with(Some((name, value)), BODY)
+            .expect_err("malformed")
+            .to_string()
     };
     for (name, _) in HEADERS {
         assert_eq!(text(name, None), format!("{name} is missing"));
     }
     let long = "x".repeat(129);
     for id in ["", "a b", &long] {
-        assert_eq!(text("X-Trace-Id", Some(id)), "X-Trace-Id is no id", "{id:?}");
+        assert_eq!(
+            text("X-Trace-Id", Some(id)),
+            "X-Trace-Id is no id",
+            "{id:?}"
+        );
     }
     assert_eq!(text("X-Qos", Some("none")), "X-Qos names no class");
     for time in ["", "soon", "-1", "inf", "NaN"] {
-        assert_eq!(text("X-Expires-In", Some(time)), "X-Expires-In is no time", "{time:?}");
+        assert_eq!(
+            text("X-Expires-In", Some(time)),
+            "X-Expires-In is no time",
+            "{time:?}"
+        );
     }
 }
 
@@ -71,19 +118,31 @@
     let error = |body: &str| parse_with(None, body).expect_err("malformed");
     let parts = |tablets: &str| error(&format!(r#"{{"tablets":[{tablets}],"statement":"s"}}"#));
     assert!(matches!(error("{}"), RequestError::Body(_)));
-    assert_eq!(error("{}").to_string(), "body: missing field `tablets` at line 1 column 2");
+    assert_eq!(
+        error("{}").to_string(),
+        "body: missing field `tablets` at line 1 column 2"
+    );
     assert_eq!(
         error("1").to_string(),
         "body: invalid type: integer `1`, expected struct Query at line 1 column 1"
     );
     let tablet = parts("1").to_string();
-    assert!(tablet.starts_with("body: invalid type: integer `1`, expected struct Tablet"), "{tablet}");
+    assert!(
+        tablet.starts_with("body: invalid type: integer `1`, expected struct Tablet"),
+        "{tablet}"
+    );
     for (tablets, text) in [
         ("", "no tablets"),
         (r#"{"tablet":0,"fraction":-1}"#, "a fraction is no share"),
         (r#"{"tablet":3,"fraction":1}"#, "tablet 3 is none"),
-        (r#"{"tablet":1,"fraction":0.5},{"tablet":1,"fraction":0.5}"#, "tablet 1 is named twice"),
-        (r#"{"tablet":1,"fraction":0.5}"#, "the fractions do not add up to 1"),
+        (
+            r#"{"tablet":1,"fraction":0.5},{"tablet":1,"fraction":0.5}"#,
+            "tablet 1 is named twice",
+        ),
+        (
+            r#"{"tablet":1,"fraction":0.5}"#,
+            "the fractions do not add up to 1",
+        ),
     ] {
         assert_eq!(parts(tablets).to_string(), text);
     }
@@ -102,12 +161,27 @@
         Reaction::Submit(..) => panic!("it is submitted"),
     };
     assert_eq!(respond("GET", "/up", true), (200, b"ready\n".to_vec()));
-    assert_eq!(respond("HEAD", "/up?x", false), (503, b"not ready\n".to_vec()));
-    assert_eq!(respond("PUT", "/api", true), (405, b"another method is needed\n".to_vec()));
-    assert_eq!(respond("GET", "/", true), (404, b"nothing is here\n".to_vec()));
-    assert_eq!(respond("POST", "/api", true), (400, b"X-Trace-Id is missing\n".to_vec()));
+    assert_eq!(
+        respond("HEAD", "/up?x", false),
+        (503, b"not ready\n".to_vec())
+    );
+    assert_eq!(
+        respond("PUT", "/api", true),
+        (405, b"another method is needed\n".to_vec())
+    );
+    assert_eq!(
+        respond("GET", "/", true),
+        (404, b"nothing is here\n".to_vec())
+    );
+    assert_eq!(
+        respond("POST", "/api", true),
+        (400, b"X-Trace-Id is missing\n".to_vec())
+    );
     let request = http("POST", "/api", &HEADERS, BODY);
-    assert!(matches!(front.handle(request, Token(1), Micros::ZERO, true), Reaction::Submit(..)));
+    assert!(matches!(
+        front.handle(request, Token(1), Micros::ZERO, true),
+        Reaction::Submit(..)
+    ));
 }
 
 #[test]
@@ -115,20 +189,42 @@
     let rendered = |answer: Answer| -> Response { super::response::render(answer) };
     let served = rendered(Answer::Served {
         complete: true,
-        parts: vec![ServedPart { shard: ShardId(2), value: b"v".as_slice().into() }],
+        parts: vec![ServedPart {
+            shard: ShardId(2),
+            value: b"v".as_slice().into(),
+        }],
     });
-    assert_eq!((served.status, served.content_type), (200, "application/json"));
-    assert_eq!(served.body.to_vec(), br#"{"full":true,"pieces":[{"tablet":2,"cell":"v"}]}"#);
+    assert_eq!(
+        (served.status, served.content_type),
+        (200, "application/json")
+    );
+    assert_eq!(
+        served.body.to_vec(),
+        br#"{"full":true,"pieces":[{"tablet":2,"cell":"v"}]}"#
+    );
     for (answer, status, body) in [
         (Answer::UnknownClass, 400, "X-Qos names no class\n"),
-        (Answer::DuplicateRequestId, 409, "X-Trace-Id is that of an open request\n"),
+        (
+            Answer::DuplicateRequestId,
+            409,
+            "X-Trace-Id is that of an open request\n",
+        ),
         (Answer::Failed { late: true }, 504, "out of time\n"),
         (Answer::Failed { late: false }, 502, "failed\n"),
     ] {
         let response = rendered(answer);
-        assert_eq!((response.status, response.body.to_vec()), (status, body.as_bytes().to_vec()));
+        assert_eq!(
+            (response.status, response.body.to_vec()),
+            (status, body.as_bytes().to_vec())
+        );
     }
-    let rejected = rendered(Answer::Rejected { retry_after: Some(Micros(1_250_400)), late: false });
-    assert_eq!((rejected.status, rejected.body.to_vec()), (503, b"refused: ask again\n".to_vec()));
+    let rejected = rendered(Answer::Rejected {
+        retry_after: Some(Micros(1_250_400)),
+        late: false,
+    });
+    assert_eq!(
+        (rejected.status, rejected.body.to_vec()),
+        (503, b"refused: ask again\n".to_vec())
+    );
     assert_eq!(rejected.headers, [("Retry-After", "1.250".to_owned())]);
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,8 +1,8 @@
 //! Events, which a coordinator reports to its policy.
 
 use super::{
-    AttemptNo, ClassId, Endpoint, EndpointListKind, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId,
-    Settings, ShardId, TenantId,
+    AttemptNo, ClassId, Endpoint, EndpointListKind, GroupId, Nanos, Outcome, PartId, QueryId,
+    ReplicaId, Settings, ShardId, TenantId,
 };
 
 /// An event that a coordinator reports to its policy.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -16,7 +16,9 @@
 pub use class::{Class, Effect};
 pub use endpoint::{Endpoint, EndpointListKind, EndpointState};
 pub use event::Event;
-pub use ids::{AttemptNo, CellId, ClassId, GroupId, PartId, QueryId, ReplicaId, ShardId, TenantId, ZoneId};
+pub use ids::{
+    AttemptNo, CellId, ClassId, GroupId, PartId, QueryId, ReplicaId, ShardId, TenantId, ZoneId,
+};
 pub use outcome::Outcome;
 pub use reduction::ServiceReduction;
 pub use settings::{RetryBudget, Settings, SlowStartRule, Tenant};
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -25,6 +25,9 @@
     /// Returns whether the attempt may have run at the replica: nothing proves that it did not.
     #[must_use]
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
+        !matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        )
     }
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -97,13 +97,18 @@
     /// Returns the shortest latency objective of an active class, or a tick if no class is active.
     #[must_use]
     pub fn min_latency_objective(&self) -> Nanos {
-        self.active_classes().map(|class| class.latency_objective).min().unwrap_or(self.tick)
+        self.active_classes()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(self.tick)
     }
 
     /// Returns the highest priority weight of an active class, or 0 if no class is active.
     #[must_use]
     pub fn max_priority_weight(&self) -> f64 {
-        self.active_classes().map(|class| class.priority_weight).fold(0.0, f64::max)
+        self.active_classes()
+            .map(|class| class.priority_weight)
+            .fold(0.0, f64::max)
     }
 
     /// Returns the duration of `count` ticks.
--- a/src/levels/controller.rs
+++ b/src/levels/controller.rs
@@ -121,7 +121,9 @@
 
     /// True while a pin is in force. When it ends, signals count from there on, and each step needs its full hold.
     fn is_pinned(&mut self, now: Micros) -> bool {
-        let Some(until) = self.pin_expires_at else { return false };
+        let Some(until) = self.pin_expires_at else {
+            return false;
+        };
         if now < until {
             return true;
         }
@@ -133,9 +135,15 @@
     }
 
     /// The signals that want the next level, if they have for its hold.
-    fn causes_to_enter_next(&mut self, readings: &SignalReadings, now: Micros) -> Option<Vec<SignalValue>> {
+    fn causes_to_enter_next(
+        &mut self,
+        readings: &SignalReadings,
+        now: Micros,
+    ) -> Option<Vec<SignalValue>> {
         let next = self.table.levels.get(self.level);
-        let causes = next.map_or_else(Vec::new, |next| met_conditions(next, readings, now, |c| c.enter));
+        let causes = next.map_or_else(Vec::new, |next| {
+            met_conditions(next, readings, now, |c| c.enter)
+        });
         if causes.is_empty() {
             self.next_requested_since = None;
             return None;
@@ -146,7 +154,11 @@
     }
 
     /// The present values of the level's signals, if they have not wanted the level for its hold and its minimum stay is over.
-    fn causes_to_leave(&mut self, readings: &SignalReadings, now: Micros) -> Option<Vec<SignalValue>> {
+    fn causes_to_leave(
+        &mut self,
+        readings: &SignalReadings,
+        now: Micros,
+    ) -> Option<Vec<SignalValue>> {
         let index = self.level.checked_sub(1)?;
         let present = &self.table.levels[index];
         if !met_conditions(present, readings, now, |c| c.leave).is_empty() {
@@ -179,7 +191,9 @@
             self.visits[from - 1].left_at = Some(now);
         } else if let Some(index) = to.checked_sub(1) {
             let visits = &mut self.visits[index];
-            visits.reentered_soon = visits.left_at.is_some_and(|left_at| now.since(left_at) < REENTRY_WINDOW);
+            visits.reentered_soon = visits
+                .left_at
+                .is_some_and(|left_at| now.since(left_at) < REENTRY_WINDOW);
         }
         self.level = to;
         self.entered_at = now;
@@ -188,7 +202,13 @@
         if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
-        self.history.push_back(Transition { at: now, from, to, causes, pinned });
+        self.history.push_back(Transition {
+            at: now,
+            from,
+            to,
+            causes,
+            pinned,
+        });
         self.history.back()
     }
 
@@ -210,7 +230,10 @@
         latest_value(condition, readings, now).filter(|latest| latest.value >= bound(condition))
     };
     let group_reached = |condition: &Condition| {
-        let mut group = level.when.iter().filter(|other| other.group == condition.group);
+        let mut group = level
+            .when
+            .iter()
+            .filter(|other| other.group == condition.group);
         group.all(|other| reached(other).is_some())
     };
     let met = |condition: &Condition| {
@@ -221,7 +244,11 @@
 }
 
 /// The value of the condition's signal, if it has a recent one.
-fn latest_value(condition: &Condition, readings: &SignalReadings, now: Micros) -> Option<SignalValue> {
+fn latest_value(
+    condition: &Condition,
+    readings: &SignalReadings,
+    now: Micros,
+) -> Option<SignalValue> {
     let signal = condition.signal;
     let value = readings.latest(signal, now, MAX_READING_AGE)?;
     Some(SignalValue { signal, value })
--- a/src/levels/controller/tests.rs
+++ b/src/levels/controller/tests.rs
@@ -39,7 +39,11 @@
     // beyond the first.
     let table = LevelTable::built_in();
     for level in &table.levels {
-        for condition in level.when.iter().filter(|condition| condition.group.is_none()) {
+        for condition in level
+            .when
+            .iter()
+            .filter(|condition| condition.group.is_none())
+        {
             for bound in [condition.enter, condition.leave] {
                 for offset in [-0.10, -0.05, -0.02, 0.0, 0.02, 0.05, 0.10] {
                     for noise in [0.05, 0.30] {
@@ -71,32 +75,51 @@
             let bad = (now.0 / 1_000_000) % period < period / 2;
             readings.record(Signal::EjectedNodes, if bad { 0.4 } else { 0.0 }, now);
         });
-        assert!(transitions <= 6, "a period of {period} s: {transitions} transitions in 10 minutes");
+        assert!(
+            transitions <= 6,
+            "a period of {period} s: {transitions} transitions in 10 minutes"
+        );
     }
 }
 
 #[test]
 fn levels_are_left_when_their_signal_has_no_recent_value() {
     let mut controller = built_in_controller(0.5);
-    run(&mut controller, 10, 20, |now, readings| readings.record(Signal::EjectedNodes, 0.9, now));
+    run(&mut controller, 10, 20, |now, readings| {
+        readings.record(Signal::EjectedNodes, 0.9, now)
+    });
     assert_eq!((controller.level(), controller.name()), (2, "essential"));
     // The signal is not reported any more.
     run(&mut controller, 30, 120, |_, _| {});
     assert_eq!(controller.level(), 0);
-    let steps: Vec<_> = controller.history().map(|step| (step.from, step.to)).collect();
+    let steps: Vec<_> = controller
+        .history()
+        .map(|step| (step.from, step.to))
+        .collect();
     assert_eq!(steps, [(0, 1), (1, 2), (2, 1), (1, 0)]);
     assert_eq!(
         controller.history().next().map(|step| step.causes.clone()),
-        Some(vec![SignalValue { signal: Signal::EjectedNodes, value: 0.9 }])
+        Some(vec![SignalValue {
+            signal: Signal::EjectedNodes,
+            value: 0.9
+        }])
+    );
+    run(&mut controller, 200, 30, |now, readings| {
+        readings.record(Signal::EjectedNodes, f64::NAN, now)
+    });
+    assert_eq!(
+        controller.level(),
+        0,
+        "a value that is not finite is ignored"
     );
-    run(&mut controller, 200, 30, |now, readings| readings.record(Signal::EjectedNodes, f64::NAN, now));
-    assert_eq!(controller.level(), 0, "a value that is not finite is ignored");
 }
 
 #[test]
 fn a_grouped_signal_counts_only_with_its_group() {
     let mut controller = built_in_controller(0.5);
-    run(&mut controller, 10, 60, |now, readings| readings.record(Signal::QualityLoss, 1.0, now));
+    run(&mut controller, 10, 60, |now, readings| {
+        readings.record(Signal::QualityLoss, 1.0, now)
+    });
     assert_eq!(controller.level(), 0);
     run(&mut controller, 100, 60, |now, readings| {
         readings.record(Signal::QualityLoss, 0.4, now);
@@ -109,10 +132,20 @@
 fn a_pin_overrides_signals_until_its_end() {
     let mut controller = built_in_controller(0.5);
     controller.pin(2, secs(100), secs(10));
-    assert_eq!((controller.level(), controller.history().last().map(|step| step.pinned)), (2, Some(true)));
-    run(&mut controller, 11, 80, |now, readings| readings.record(Signal::EjectedNodes, 0.0, now));
+    assert_eq!(
+        (
+            controller.level(),
+            controller.history().last().map(|step| step.pinned)
+        ),
+        (2, Some(true))
+    );
+    run(&mut controller, 11, 80, |now, readings| {
+        readings.record(Signal::EjectedNodes, 0.0, now)
+    });
     assert_eq!(controller.level(), 2);
-    run(&mut controller, 100, 120, |now, readings| readings.record(Signal::EjectedNodes, 0.0, now));
+    run(&mut controller, 100, 120, |now, readings| {
+        readings.record(Signal::EjectedNodes, 0.0, now)
+    });
     assert_eq!(controller.level(), 0);
     controller.pin(9, secs(400), secs(300));
     assert_eq!(controller.level(), 2, "not beyond the table");
@@ -123,11 +156,17 @@
     let mut times = Vec::new();
     for n in 0..100 {
         let mut controller = built_in_controller(f64::from(n) / 99.0);
-        run(&mut controller, 10, 10, |now, readings| readings.record(Signal::EjectedNodes, 0.3, now));
+        run(&mut controller, 10, 10, |now, readings| {
+            readings.record(Signal::EjectedNodes, 0.3, now)
+        });
         times.push(controller.history().next().expect("a transition").at);
     }
     times.sort();
-    let max_at_once = times.chunk_by(|a, b| a == b).map(<[Micros]>::len).max().unwrap_or(0);
+    let max_at_once = times
+        .chunk_by(|a, b| a == b)
+        .map(<[Micros]>::len)
+        .max()
+        .unwrap_or(0);
     assert!(max_at_once <= 50, "{max_at_once} of 100 at the same time");
 }
 
@@ -152,11 +191,18 @@
         let before = controller.level();
         let transition = controller.evaluate(&readings, now).cloned();
         let after = controller.level();
-        assert!(after <= before + 1 && after + 1 >= before, "one level at a time");
+        assert!(
+            after <= before + 1 && after + 1 >= before,
+            "one level at a time"
+        );
         if let Some(step) = transition.filter(|step| step.to > step.from) {
             assert!(!step.causes.is_empty(), "nothing caused it");
         }
-        ExploredState { controller, readings, depth: self.depth + 1 }
+        ExploredState {
+            controller,
+            readings,
+            depth: self.depth + 1,
+        }
     }
 
     /// Whatever happened before: with both signals calm, service is full after a while.
@@ -173,16 +219,26 @@
 
 /// A table of two levels that are entered by either of two signals.
 fn two_level_table() -> LevelTable {
-    let condition = |signal, enter| Condition { signal, enter, leave: enter / 2.0, group: None };
+    let condition = |signal, enter| Condition {
+        signal,
+        enter,
+        leave: enter / 2.0,
+        group: None,
+    };
     let level = |name: &str, enter| Level {
         name: name.to_owned(),
-        when: vec![condition(Signal::EjectedNodes, enter), condition(Signal::RetryRate, enter)],
+        when: vec![
+            condition(Signal::EjectedNodes, enter),
+            condition(Signal::RetryRate, enter),
+        ],
         enter_after_ms: 1_000,
         leave_after_ms: 1_000,
         min_stay_ms: 1_000,
         effects: Effects::default(),
     };
-    LevelTable { levels: vec![level("a", 1.0), level("b", 2.0)] }
+    LevelTable {
+        levels: vec![level("a", 1.0), level("b", 2.0)],
+    }
 }
 
 /// Explores all states within small bounds: every sequence of the values of two signals, and of missing values.
@@ -191,7 +247,11 @@
     let table = two_level_table();
     assert_eq!(table.validate(4), []);
     let controller = LevelController::new(table, 0.5, secs(1));
-    let mut open = vec![ExploredState { controller, readings: SignalReadings::default(), depth: 0 }];
+    let mut open = vec![ExploredState {
+        controller,
+        readings: SignalReadings::default(),
+        depth: 0,
+    }];
     let mut explored = 0_u64;
     let values = [None, Some(0.0), Some(1.0), Some(2.0)];
     while let Some(state) = open.pop() {
--- a/src/levels/effects.rs
+++ b/src/levels/effects.rs
@@ -48,7 +48,11 @@
             class.max_attempts = class.max_attempts.min(max_attempts);
         }
         settings.reduction = ServiceReduction {
-            admitted_shares: settings.classes.iter().map(|class| self.admitted_share(class)).collect(),
+            admitted_shares: settings
+                .classes
+                .iter()
+                .map(|class| self.admitted_share(class))
+                .collect(),
             skip_late_samples: self.skip_late_samples,
             answer_after: self.answer_after.unwrap_or(1.0).clamp(0.0, 1.0),
             retry_after_factor: self.retry_after_factor.max(1.0),
@@ -57,6 +61,8 @@
     }
 
     fn admitted_share(&self, class: &Class) -> f64 {
-        self.admitted_shares.get(&class.name).map_or(1.0, |share| share.clamp(0.0, 1.0))
+        self.admitted_shares
+            .get(&class.name)
+            .map_or(1.0, |share| share.clamp(0.0, 1.0))
     }
 }
--- a/src/levels/table.rs
+++ b/src/levels/table.rs
@@ -53,7 +53,9 @@
     /// to the essential when half of the nodes is ejected.
     #[must_use]
     pub fn built_in() -> Self {
-        LevelTable { levels: vec![reduced_level(), essential_level()] }
+        LevelTable {
+            levels: vec![reduced_level(), essential_level()],
+        }
     }
 }
 
@@ -101,12 +103,22 @@
 
 /// A condition that counts by itself.
 fn single(signal: Signal, enter: f64, leave: f64) -> Condition {
-    Condition { signal, enter, leave, group: None }
+    Condition {
+        signal,
+        enter,
+        leave,
+        group: None,
+    }
 }
 
 /// A condition of the group of signals that together indicate congestion.
 fn grouped(signal: Signal, enter: f64, leave: f64) -> Condition {
-    Condition { signal, enter, leave, group: Some("jam".to_owned()) }
+    Condition {
+        signal,
+        enter,
+        leave,
+        group: Some("jam".to_owned()),
+    }
 }
 
 #[cfg(test)]
--- a/src/levels/table/tests.rs
+++ b/src/levels/table/tests.rs
@@ -8,10 +8,20 @@
     let table: LevelTable = toml::from_str(text).expect("a table");
     assert_eq!(table.validate(4), []);
     let level = &table.levels[0];
-    assert_eq!((level.enter_after_ms, level.leave_after_ms, level.min_stay_ms), (1_000, 2_000, 3_000));
+    assert_eq!(
+        (
+            level.enter_after_ms,
+            level.leave_after_ms,
+            level.min_stay_ms
+        ),
+        (1_000, 2_000, 3_000)
+    );
     assert_eq!(level.when, [grouped(Signal::EjectedNodes, 0.3, 0.1)]);
     assert_eq!(level.effects.admitted_shares["lookup"], 0.5);
-    assert_eq!((level.effects.max_attempts, level.effects.skip_late_samples), (Some(2), true));
+    assert_eq!(
+        (level.effects.max_attempts, level.effects.skip_late_samples),
+        (Some(2), true)
+    );
     assert_eq!(level.effects.retry_after_factor, 3.0);
     assert!(toml::from_str::<LevelTable>(&text.replace("avoided", "weather")).is_err());
 }
--- a/src/levels/validate.rs
+++ b/src/levels/validate.rs
@@ -89,7 +89,10 @@
                 check_condition(condition, level, milder.last(), &mut faults);
             }
             check_effects(&level.effects, max_attempts, &mut faults);
-            let error = |fault| LevelTableError { level: level.name.clone(), fault };
+            let error = |fault| LevelTableError {
+                level: level.name.clone(),
+                fault,
+            };
             errors.extend(faults.into_iter().map(error));
         }
         errors
@@ -103,7 +106,13 @@
     if level.when.is_empty() {
         faults.push(LevelFault::NoCondition);
     }
-    if [level.enter_after_ms, level.leave_after_ms, level.min_stay_ms].iter().any(|ms| *ms < MIN_DURATION_MS)
+    if [
+        level.enter_after_ms,
+        level.leave_after_ms,
+        level.min_stay_ms,
+    ]
+    .iter()
+    .any(|ms| *ms < MIN_DURATION_MS)
     {
         faults.push(LevelFault::DurationTooShort);
     }
@@ -115,11 +124,20 @@
     milder: Option<&Level>,
     faults: &mut Vec<LevelFault>,
 ) {
-    let &Condition { signal, enter, leave, .. } = condition;
+    let &Condition {
+        signal,
+        enter,
+        leave,
+        ..
+    } = condition;
     if !(enter.is_finite() && leave.is_finite() && enter > 0.0 && leave >= 0.0) {
         faults.push(LevelFault::InvalidBounds { signal });
     } else if leave > enter * (1.0 - MIN_HYSTERESIS) {
-        faults.push(LevelFault::HysteresisTooSmall { signal, enter, leave });
+        faults.push(LevelFault::HysteresisTooSmall {
+            signal,
+            enter,
+            leave,
+        });
     }
     if signal == Signal::QualityLoss && !is_grouped(condition, level) {
         faults.push(LevelFault::UngroupedQualityLoss);
@@ -134,17 +152,30 @@
 /// True if another signal of the level is in the condition's group.
 fn is_grouped(condition: &Condition, level: &Level) -> bool {
     let in_group = |other: &Condition| other.group.is_some() && other.group == condition.group;
-    level.when.iter().any(|other| in_group(other) && other.signal != condition.signal)
+    level
+        .when
+        .iter()
+        .any(|other| in_group(other) && other.signal != condition.signal)
 }
 
 fn check_effects(effects: &Effects, max_attempts: u32, faults: &mut Vec<LevelFault>) {
-    if effects.admitted_shares.values().any(|share| !(0.0..=1.0).contains(share)) {
+    if effects
+        .admitted_shares
+        .values()
+        .any(|share| !(0.0..=1.0).contains(share))
+    {
         faults.push(LevelFault::InvalidAdmittedShare);
     }
-    if effects.max_attempts.is_some_and(|attempts| attempts == 0 || attempts > max_attempts) {
+    if effects
+        .max_attempts
+        .is_some_and(|attempts| attempts == 0 || attempts > max_attempts)
+    {
         faults.push(LevelFault::InvalidMaxAttempts { max: max_attempts });
     }
-    if effects.answer_after.is_some_and(|share| !(share > 0.0 && share <= 1.0)) {
+    if effects
+        .answer_after
+        .is_some_and(|share| !(share > 0.0 && share <= 1.0))
+    {
         faults.push(LevelFault::InvalidAnswerAfter);
     }
     if !(1.0..=MAX_RETRY_AFTER_FACTOR).contains(&effects.retry_after_factor) {
--- a/src/levels/validate/tests.rs
+++ b/src/levels/validate/tests.rs
@@ -14,12 +14,22 @@
     table.levels[1].when[0].leave = 0.1;
     table.levels[1].effects.max_attempts = Some(5);
     table.levels[1].effects.retry_after_factor = 0.5;
-    let error = |level: &str, fault| LevelTableError { level: level.to_owned(), fault };
+    let error = |level: &str, fault| LevelTableError {
+        level: level.to_owned(),
+        fault,
+    };
     let signal = Signal::EjectedNodes;
     assert_eq!(
         table.validate(4),
         [
-            error("reduced", LevelFault::HysteresisTooSmall { signal, enter: 0.2, leave: 0.19 }),
+            error(
+                "reduced",
+                LevelFault::HysteresisTooSmall {
+                    signal,
+                    enter: 0.2,
+                    leave: 0.19
+                }
+            ),
             error("reduced", LevelFault::UngroupedQualityLoss),
             error("essential", LevelFault::NotAboveMilderLevel { signal }),
             error("essential", LevelFault::InvalidMaxAttempts { max: 4 }),
@@ -29,8 +39,14 @@
     table.levels[0].when.clear();
     table.levels[1].min_stay_ms = 0;
     let errors = table.validate(4);
-    assert!(errors.contains(&error("reduced", LevelFault::NoCondition)), "{errors:?}");
-    assert!(errors.contains(&error("essential", LevelFault::DurationTooShort)), "{errors:?}");
+    assert!(
+        errors.contains(&error("reduced", LevelFault::NoCondition)),
+        "{errors:?}"
+    );
+    assert!(
+        errors.contains(&error("essential", LevelFault::DurationTooShort)),
+        "{errors:?}"
+    );
 }
 
 #[test]
@@ -38,11 +54,24 @@
     let signal = Signal::EjectedNodes;
     let texts = [
         (LevelFault::InvalidName, "its name is empty or there twice"),
-        (LevelFault::NoCondition, "it is out of reach: no condition enters it"),
-        (LevelFault::DurationTooShort, "enter_ms, leave_ms and stay_ms must be 500 or more"),
-        (LevelFault::InvalidBounds { signal }, "Avoided: enter and leave must be numbers, and enter above 0"),
         (
-            LevelFault::HysteresisTooSmall { signal, enter: 0.2, leave: 0.19 },
+            LevelFault::NoCondition,
+            "it is out of reach: no condition enters it",
+        ),
+        (
+            LevelFault::DurationTooShort,
+            "enter_ms, leave_ms and stay_ms must be 500 or more",
+        ),
+        (
+            LevelFault::InvalidBounds { signal },
+            "Avoided: enter and leave must be numbers, and enter above 0",
+        ),
+        (
+            LevelFault::HysteresisTooSmall {
+                signal,
+                enter: 0.2,
+                leave: 0.19,
+            },
             "Avoided: between enter 0.2 and leave 0.19 noise would swing it",
         ),
         (
@@ -53,10 +82,22 @@
             LevelFault::NotAboveMilderLevel { signal },
             "Avoided: it is entered by no more than the level below it",
         ),
-        (LevelFault::InvalidAdmittedShare, "admit: shares must be from 0 to 1"),
-        (LevelFault::InvalidMaxAttempts { max: 4 }, "most_attempts must be from 1 to 4"),
-        (LevelFault::InvalidAnswerAfter, "answer_after must be above 0 and at most 1"),
-        (LevelFault::InvalidRetryAfterFactor, "come_back must be from 1 to 60"),
+        (
+            LevelFault::InvalidAdmittedShare,
+            "admit: shares must be from 0 to 1",
+        ),
+        (
+            LevelFault::InvalidMaxAttempts { max: 4 },
+            "most_attempts must be from 1 to 4",
+        ),
+        (
+            LevelFault::InvalidAnswerAfter,
+            "answer_after must be above 0 and at most 1",
+        ),
+        (
+            LevelFault::InvalidRetryAfterFactor,
+            "come_back must be from 1 to 60",
+        ),
     ];
     for (fault, text) in texts {
         assert_eq!(fault.to_string(), text);
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -65,11 +65,16 @@
         let buffered_pages = query.limit.div_ceil(query.page_size.max(1)) as f64;
         let pages = match query.max_sorted_pages {
             // Between one page a shard and all pages that there are.
-            Some(max_pages) => (query.shards as f64 * buffered_pages).max((max_pages as f64).sqrt()),
+            Some(max_pages) => {
+                (query.shards as f64 * buffered_pages).max((max_pages as f64).sqrt())
+            }
             None => buffered_pages + query.lookup_pages(),
         };
         let filter_factor = 1.0 + query.filter_weight as f64 / DOUBLING_FILTER_WEIGHT;
-        QueryCost { pages: pages * filter_factor, buffered_pages }
+        QueryCost {
+            pages: pages * filter_factor,
+            buffered_pages,
+        }
     }
 
     fn is_cheap(self) -> bool {
@@ -182,11 +187,24 @@
     }
 
     /// While nothing is reserved any response is admitted: one that exceeds the memory alone would never be.
-    fn check_memory(&self, cost: QueryCost, bytes: f64, latency_objective: Micros) -> Result<(), Rejection> {
-        let capacity = self.max_bytes * if cost.is_cheap() { 1.0 } else { EXPENSIVE_MEMORY_SHARE };
+    fn check_memory(
+        &self,
+        cost: QueryCost,
+        bytes: f64,
+        latency_objective: Micros,
+    ) -> Result<(), Rejection> {
+        let capacity = self.max_bytes
+            * if cost.is_cheap() {
+                1.0
+            } else {
+                EXPENSIVE_MEMORY_SHARE
+            };
         if self.in_flight.bytes > 0.0 && self.in_flight.bytes + bytes > capacity {
             let retry_after = MIN_RETRY_AFTER + Micros(latency_objective.0 / 2);
-            return Err(Rejection { retry_after, reason: RejectionReason::Memory });
+            return Err(Rejection {
+                retry_after,
+                reason: RejectionReason::Memory,
+            });
         }
         Ok(())
     }
@@ -199,10 +217,15 @@
         throughput: Option<f64>,
     ) -> Result<(), Rejection> {
         let pages = self.in_flight.pages + cost.pages;
-        let share = if cost.is_cheap() { CHEAP_WAIT_SHARE } else { EXPENSIVE_WAIT_SHARE };
+        let share = if cost.is_cheap() {
+            CHEAP_WAIT_SHARE
+        } else {
+            EXPENSIVE_WAIT_SHARE
+        };
         let max_wait = latency_objective.0 as f64 * share;
-        let wait =
-            throughput.filter(|throughput| *throughput > 0.0).map(|throughput| pages / throughput * 1e6);
+        let wait = throughput
+            .filter(|throughput| *throughput > 0.0)
+            .map(|throughput| pages / throughput * 1e6);
         let fits = match wait {
             Some(wait) => {
                 let few_in_flight = self.in_flight.pages < ALWAYS_ADMITTED_PAGES;
@@ -216,7 +239,10 @@
         }
         let excess = Micros((wait.unwrap_or(0.0) - max_wait).max(0.0) as u64);
         let retry_after = excess.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
-        Err(Rejection { retry_after, reason: RejectionReason::Throughput })
+        Err(Rejection {
+            retry_after,
+            reason: RejectionReason::Throughput,
+        })
     }
 }
 
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -11,7 +11,14 @@
 
 /// A query without a filter and a sort order, with the page size and the parallel shards of the defaults.
 fn shape(limit: usize, shards: usize) -> QueryShape {
-    QueryShape { limit, page_size: 500, shards, parallel_shards: 8, filter_weight: 0, max_sorted_pages: None }
+    QueryShape {
+        limit,
+        page_size: 500,
+        shards,
+        parallel_shards: 8,
+        filter_weight: 0,
+        max_sorted_pages: None,
+    }
 }
 
 fn cost(limit: usize, shards: usize) -> QueryCost {
@@ -22,18 +29,28 @@
 fn cheap_queries_are_admitted_beside_expensive_ones() {
     let (map, small) = (cost(5_000, 2), cost(10, 2));
     let mut admission = controller();
-    let maps = (0..1_000).take_while(|_| admission.admit(map, OBJECTIVE, Some(200.0)).is_ok()).count();
-    let smalls = (0..10_000).take_while(|_| admission.admit(small, OBJECTIVE, Some(200.0)).is_ok()).count();
+    let maps = (0..1_000)
+        .take_while(|_| admission.admit(map, OBJECTIVE, Some(200.0)).is_ok())
+        .count();
+    let smalls = (0..10_000)
+        .take_while(|_| admission.admit(small, OBJECTIVE, Some(200.0)).is_ok())
+        .count();
     assert!((5..=20).contains(&maps), "{maps}");
     assert!(smalls >= 100, "{smalls}");
-    let rejection = admission.admit(map, OBJECTIVE, Some(200.0)).expect_err("full");
+    let rejection = admission
+        .admit(map, OBJECTIVE, Some(200.0))
+        .expect_err("full");
     assert!(rejection.retry_after >= MIN_RETRY_AFTER && rejection.retry_after <= MAX_RETRY_AFTER);
     assert_eq!(rejection.reason, RejectionReason::Throughput);
 }
 
 #[test]
 fn with_nothing_known_or_nothing_in_flight_no_query_is_rejected() {
-    let everything = QueryShape { filter_weight: 1_000, max_sorted_pages: Some(200), ..shape(1_000_000, 50) };
+    let everything = QueryShape {
+        filter_weight: 1_000,
+        max_sorted_pages: Some(200),
+        ..shape(1_000_000, 50)
+    };
     let everything = QueryCost::estimate(&everything);
     assert!(
         controller().admit(everything, OBJECTIVE, Some(0.1)).is_ok(),
@@ -59,8 +76,13 @@
             }
         }
     }
-    assert!(reserved.iter().sum::<f64>() <= 10.0 * 1024.0 * 1024.0 && rejected > 0, "{reserved:?}");
-    reserved.drain(..).for_each(|bytes| admission.release_bytes(bytes));
+    assert!(
+        reserved.iter().sum::<f64>() <= 10.0 * 1024.0 * 1024.0 && rejected > 0,
+        "{reserved:?}"
+    );
+    reserved
+        .drain(..)
+        .for_each(|bytes| admission.release_bytes(bytes));
     assert!(admission.admit(map, OBJECTIVE, None).is_ok());
 }
 
--- a/src/limits/latency.rs
+++ b/src/limits/latency.rs
@@ -31,7 +31,11 @@
 
     /// Adds a sample; the first one is the average.
     pub(super) fn record(&mut self, latency: f64) {
-        self.0 = if self.0 == 0.0 { latency } else { self.0 + (latency - self.0) * SMOOTHING };
+        self.0 = if self.0 == 0.0 {
+            latency
+        } else {
+            self.0 + (latency - self.0) * SMOOTHING
+        };
     }
 
     /// Forgets all samples.
@@ -61,13 +65,22 @@
     pub(super) fn record(&mut self, now: Micros, latency: f64) -> f64 {
         self.smoothed.record(latency);
         match self.minima.back_mut() {
-            Some(window) if now.since(window.began) < WINDOW => window.latency = window.latency.min(latency),
-            _ => self.minima.push_back(WindowMinimum { began: now, latency }),
+            Some(window) if now.since(window.began) < WINDOW => {
+                window.latency = window.latency.min(latency)
+            }
+            _ => self.minima.push_back(WindowMinimum {
+                began: now,
+                latency,
+            }),
         }
         while self.minima.len() > WINDOWS {
             self.minima.pop_front();
         }
-        let baseline = self.minima.iter().map(|window| window.latency).fold(f64::INFINITY, f64::min);
+        let baseline = self
+            .minima
+            .iter()
+            .map(|window| window.latency)
+            .fold(f64::INFINITY, f64::min);
         (TOLERANCE * baseline / self.smoothed.micros()).clamp(MIN_GRADIENT, 1.0)
     }
 
--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -133,14 +133,24 @@
     #[must_use]
     pub fn throughput(&self) -> Option<f64> {
         let limit = self.probe.map_or(self.limit, |probe| probe.restored_limit);
-        self.latency.is_known().then(|| limit * 1e6 / self.latency.micros())
+        self.latency
+            .is_known()
+            .then(|| limit * 1e6 / self.latency.micros())
     }
 
     /// Records the end of a request that took `latency`, with `in_flight` requests in flight up to then.
-    pub fn record(&mut self, now: Micros, outcome: RequestOutcome, latency: Micros, in_flight: usize) {
+    pub fn record(
+        &mut self,
+        now: Micros,
+        outcome: RequestOutcome,
+        latency: Micros,
+        in_flight: usize,
+    ) {
         match outcome {
             RequestOutcome::Ignored => {}
-            RequestOutcome::Success(features) => self.record_success(now, features, latency, in_flight),
+            RequestOutcome::Success(features) => {
+                self.record_success(now, features, latency, in_flight)
+            }
             RequestOutcome::Overloaded => self.decrease(now),
             RequestOutcome::Cancelled if self.is_overdue(latency) => self.decrease(now),
             RequestOutcome::Cancelled => {}
@@ -153,7 +163,9 @@
 
     /// Decreases an adaptive limit for overload. Of a burst of errors with one cause, one counts.
     fn decrease(&mut self, now: Micros) {
-        let LimitRule::Adaptive { min, .. } = self.rule else { return };
+        let LimitRule::Adaptive { min, .. } = self.rule else {
+            return;
+        };
         let interval = Micros(self.latency.micros().max(MIN_DECREASE_INTERVAL) as u64);
         if now.since(self.last_decreased) <= interval {
             return;
@@ -170,7 +182,9 @@
         let latency = (latency.0 as f64).max(1.0);
         self.latency.record(latency);
         let gradient = self.gradients[size_class(features)].record(now, latency);
-        let LimitRule::Adaptive { min, max, .. } = self.rule else { return };
+        let LimitRule::Adaptive { min, max, .. } = self.rule else {
+            return;
+        };
         if self.probe_baseline(now, min) {
             return;
         }
@@ -204,7 +218,10 @@
         }
         let duration = Micros((self.latency.micros() * PROBE_LATENCIES) as u64);
         self.next_probe_at = Some(now + PROBE_INTERVAL);
-        self.probe = Some(BaselineProbe { restored_limit: self.limit, ends_at: now + duration });
+        self.probe = Some(BaselineProbe {
+            restored_limit: self.limit,
+            ends_at: now + duration,
+        });
         self.limit = min as f64;
         true
     }
@@ -214,7 +231,9 @@
         self.limit = probe.restored_limit;
         self.probe = None;
         self.latency.reset();
-        self.gradients.iter_mut().for_each(LatencyGradient::reset_smoothed);
+        self.gradients
+            .iter_mut()
+            .for_each(LatencyGradient::reset_smoothed);
     }
 }
 
--- a/src/limits/limiter/tests.rs
+++ b/src/limits/limiter/tests.rs
@@ -2,7 +2,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const RULE: LimitRule = LimitRule::Adaptive { initial: 8, min: 2, max: 200 };
+const RULE: LimitRule = LimitRule::Adaptive {
+    initial: 8,
+    min: 2,
+    max: 200,
+};
 
 /// The work of a simulated request: 10 ms.
 const WORK_MS: f64 = 10.0;
@@ -22,13 +26,18 @@
     for step in 0..steps {
         let now = millis(from + step);
         while limiter.has_capacity(in_flight.len(), now) {
-            in_flight.push(SimulatedRequest { started_at: now, work_left_ms: WORK_MS });
+            in_flight.push(SimulatedRequest {
+                started_at: now,
+                work_left_ms: WORK_MS,
+            });
         }
         if step > steps / 2 {
             max_in_flight = max_in_flight.max(in_flight.len());
         }
         let share = (slots as f64 / in_flight.len().max(1) as f64).min(1.0);
-        in_flight.iter_mut().for_each(|request| request.work_left_ms -= share);
+        in_flight
+            .iter_mut()
+            .for_each(|request| request.work_left_ms -= share);
         let count = in_flight.len();
         let ended_at = now + millis(1);
         in_flight.retain(|request| {
@@ -48,15 +57,25 @@
     for slots in [2, 8, 32] {
         let mut limiter = ConcurrencyLimiter::new(RULE);
         let max_in_flight = simulate(&mut limiter, slots, 1_000, 20_000);
-        assert!(max_in_flight >= slots, "{slots} slots are used: {max_in_flight}");
-        assert!(max_in_flight <= slots * 3 + 6, "{slots} slots are not overloaded: {max_in_flight}");
+        assert!(
+            max_in_flight >= slots,
+            "{slots} slots are used: {max_in_flight}"
+        );
+        assert!(
+            max_in_flight <= slots * 3 + 6,
+            "{slots} slots are not overloaded: {max_in_flight}"
+        );
     }
     // Three quarters of its cores are lost for a while.
     let mut limiter = ConcurrencyLimiter::new(RULE);
     simulate(&mut limiter, 32, 1_000, 10_000);
     let before = limiter.limit();
     simulate(&mut limiter, 8, 11_000, 6_000);
-    assert!(limiter.limit() < before, "{} after {before}", limiter.limit());
+    assert!(
+        limiter.limit() < before,
+        "{} after {before}",
+        limiter.limit()
+    );
     simulate(&mut limiter, 32, 17_000, 20_000);
     assert!(limiter.limit() >= 32, "it recovers: {}", limiter.limit());
 }
@@ -72,7 +91,10 @@
     limiter.back_off(secs(100), secs(5));
     assert!(!limiter.has_capacity(0, secs(104)) && limiter.has_capacity(0, secs(106)));
     limiter.back_off(secs(200), secs(9_999));
-    assert!(!limiter.has_capacity(0, secs(229)) && limiter.has_capacity(0, secs(231)), "not for hours");
+    assert!(
+        !limiter.has_capacity(0, secs(229)) && limiter.has_capacity(0, secs(231)),
+        "not for hours"
+    );
     let mut fixed = ConcurrencyLimiter::new(LimitRule::Fixed(16));
     (0..50).for_each(|n| fixed.record(secs(n), RequestOutcome::Overloaded, secs(1), 8));
     assert_eq!(fixed.limit(), 16);
@@ -82,7 +104,11 @@
 fn a_mix_of_large_and_small_responses_is_no_overload() {
     let mut limiter = ConcurrencyLimiter::new(RULE);
     for n in 0..2_000 {
-        let (features, latency) = if n % 2 == 0 { (1, 1_000) } else { (500, 30_000) };
+        let (features, latency) = if n % 2 == 0 {
+            (1, 1_000)
+        } else {
+            (500, 30_000)
+        };
         limiter.record(
             Micros::from_millis(n),
             RequestOutcome::Success(features),
@@ -92,19 +118,37 @@
     }
     assert!(limiter.limit() > 100, "{}", limiter.limit());
     let before = limiter.limit();
-    limiter.record(Micros::from_secs(3), RequestOutcome::Cancelled, Micros(2_000), 9);
+    limiter.record(
+        Micros::from_secs(3),
+        RequestOutcome::Cancelled,
+        Micros(2_000),
+        9,
+    );
     assert_eq!(limiter.limit(), before, "its client disconnected early");
-    limiter.record(Micros::from_secs(3), RequestOutcome::Cancelled, Micros::from_secs(1), 9);
+    limiter.record(
+        Micros::from_secs(3),
+        RequestOutcome::Cancelled,
+        Micros::from_secs(1),
+        9,
+    );
     assert!(limiter.limit() < before, "it had waited for long");
 }
 
 #[test]
 fn a_limit_that_is_not_used_does_not_grow() {
     let mut limiter = ConcurrencyLimiter::new(RULE);
-    (0..1_000)
-        .for_each(|n| limiter.record(Micros::from_millis(n), RequestOutcome::Success(1), Micros(1_000), 1));
+    (0..1_000).for_each(|n| {
+        limiter.record(
+            Micros::from_millis(n),
+            RequestOutcome::Success(1),
+            Micros(1_000),
+            1,
+        )
+    });
     assert_eq!(limiter.limit(), 8);
-    assert!(limiter.throughput().is_some_and(|rate| (7_000.0..9_000.0).contains(&rate)));
+    assert!(limiter
+        .throughput()
+        .is_some_and(|rate| (7_000.0..9_000.0).contains(&rate)));
 }
 
 proptest! {
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -9,7 +9,9 @@
 mod limiter;
 mod server_capacity;
 
-pub use admission::{AdmissionController, InFlight, QueryCost, QueryShape, Rejection, RejectionReason};
+pub use admission::{
+    AdmissionController, InFlight, QueryCost, QueryShape, Rejection, RejectionReason,
+};
 pub use limiter::{ConcurrencyLimiter, LimitRule, RequestOutcome};
 pub use server_capacity::ServerCapacity;
 
--- a/src/limits/server_capacity.rs
+++ b/src/limits/server_capacity.rs
@@ -29,6 +29,8 @@
 
     /// A panic of another thread leaves the map as usable as before.
     fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaId, f64>> {
-        self.throughputs.lock().unwrap_or_else(PoisonError::into_inner)
+        self.throughputs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
