--- a/src/log.rs
+++ b/src/log.rs
@@ -32,14 +32,18 @@
         event: &Event<'_>,
     ) -> fmt::Result {
         write!(writer, "quinceflow: {} ", event.metadata().level())?;
-        context.field_format().format_fields(writer.by_ref(), event)?;
+        context
+            .field_format()
+            .format_fields(writer.by_ref(), event)?;
         writeln!(writer)
     }
 }
 
 /// Starts the log of this process; further calls change nothing.
 pub fn init(format: LogFormat) {
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_max_level(tracing::Level::INFO);
+    let lines = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_max_level(tracing::Level::INFO);
     let _ = match format {
         LogFormat::Text => lines.event_format(PlainFormat).try_init(),
         LogFormat::Json => lines.json().try_init(),
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -37,31 +37,47 @@
         }
         for endpoint in endpoints {
             let ready = endpoint.state == EndpointState::Ready;
-            self.members.insert(endpoint.replica, Member { cell: endpoint.cell, ready, listed_at: now });
+            self.members.insert(
+                endpoint.replica,
+                Member {
+                    cell: endpoint.cell,
+                    ready,
+                    listed_at: now,
+                },
+            );
         }
     }
 
     /// Takes the shards that a replica holds, where its cell does not tell.
     pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId]) {
-        self.placements.insert(replica, shards.iter().copied().collect());
+        self.placements
+            .insert(replica, shards.iter().copied().collect());
     }
 
     /// How many shards there are at least, by what the replica was placed on.
     #[must_use]
     pub fn placed_shards(&self, replica: ReplicaId) -> usize {
-        let last = self.placements.get(&replica).and_then(|shards| shards.last());
+        let last = self
+            .placements
+            .get(&replica)
+            .and_then(|shards| shards.last());
         last.map_or(0, |shard| shard.0 as usize + 1)
     }
 
     /// The replica is listed as ready.
     #[must_use]
     pub fn is_ready(&self, replica: ReplicaId) -> bool {
-        self.members.get(&replica).is_some_and(|member| member.ready)
+        self.members
+            .get(&replica)
+            .is_some_and(|member| member.ready)
     }
 
     /// All replicas that are ready.
     pub fn ready(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        self.members.iter().filter(|(_, member)| member.ready).map(|(id, _)| *id)
+        self.members
+            .iter()
+            .filter(|(_, member)| member.ready)
+            .map(|(id, _)| *id)
     }
 
     /// The replicas that are ready and hold a shard.
@@ -70,7 +86,8 @@
         shard: ShardId,
         settings: &'a Settings,
     ) -> impl Iterator<Item = ReplicaId> + 'a {
-        self.ready().filter(move |replica| self.holds(*replica, shard, settings))
+        self.ready()
+            .filter(move |replica| self.holds(*replica, shard, settings))
     }
 
     /// Shard `s` is held by the cells `(s + n) % cells`, `n` below the number of cells that hold a shard.
@@ -78,7 +95,9 @@
         if let Some(shards) = self.placements.get(&replica) {
             return shards.contains(&shard);
         }
-        let Some(member) = self.members.get(&replica) else { return false };
+        let Some(member) = self.members.get(&replica) else {
+            return false;
+        };
         let cells = settings.cells.max(1);
         let distance = (u32::from(member.cell.0) + cells - shard.0 % cells) % cells;
         distance < settings.cells_per_shard.max(1)
@@ -86,8 +105,10 @@
 
     /// Removes replicas that are not ready and were last listed before `horizon`, but for those to be kept.
     pub fn remove_unlisted(&mut self, horizon: Nanos, keep: impl Fn(ReplicaId) -> bool) {
-        self.members.retain(|id, member| member.ready || keep(*id) || member.listed_at > horizon);
-        self.placements.retain(|id, _| self.members.contains_key(id));
+        self.members
+            .retain(|id, member| member.ready || keep(*id) || member.listed_at > horizon);
+        self.placements
+            .retain(|id, _| self.members.contains_key(id));
     }
 
     /// The replica is in the table, ready or not.
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -10,18 +10,34 @@
 }
 
 fn endpoint(number: u8, state: EndpointState) -> Endpoint {
-    Endpoint { replica: replica(number), zone: ZoneId(0), cell: CellId(number.into()), state, started_at: 0 }
+    Endpoint {
+        replica: replica(number),
+        zone: ZoneId(0),
+        cell: CellId(number.into()),
+        state,
+        started_at: 0,
+    }
 }
 
 fn three() -> (Membership, Settings) {
     let mut membership = Membership::default();
     let endpoints = [0, 1, 2].map(|number| endpoint(number, EndpointState::Ready));
     membership.apply(EndpointListKind::Full, &endpoints, 100);
-    (membership, Settings { cells: 3, cells_per_shard: 2, ..Settings::default() })
+    (
+        membership,
+        Settings {
+            cells: 3,
+            cells_per_shard: 2,
+            ..Settings::default()
+        },
+    )
 }
 
 fn holders(membership: &Membership, shard: u32, settings: &Settings) -> Vec<u8> {
-    membership.holders(ShardId(shard), settings).map(|id| id.0[3]).collect()
+    membership
+        .holders(ShardId(shard), settings)
+        .map(|id| id.0[3])
+        .collect()
 }
 
 #[test]
@@ -37,7 +53,13 @@
 fn a_placement_overrides_the_cell() {
     let (mut membership, settings) = three();
     membership.set_placement(replica(0), &[ShardId(1)]);
-    assert_eq!((membership.placed_shards(replica(0)), membership.placed_shards(replica(1))), (2, 0));
+    assert_eq!(
+        (
+            membership.placed_shards(replica(0)),
+            membership.placed_shards(replica(1))
+        ),
+        (2, 0)
+    );
     assert_eq!(
         [0, 1, 2].map(|shard| holders(&membership, shard, &settings)),
         [vec![1], vec![0, 1, 2], vec![2]]
@@ -47,10 +69,18 @@
 #[test]
 fn only_ready_replicas_hold_shards() {
     let (mut membership, settings) = three();
-    membership.apply(EndpointListKind::Delta, &[endpoint(0, EndpointState::Draining)], 200);
+    membership.apply(
+        EndpointListKind::Delta,
+        &[endpoint(0, EndpointState::Draining)],
+        200,
+    );
     assert_eq!(holders(&membership, 0, &settings), [1]);
     assert!(!membership.is_ready(replica(0)) && membership.contains(replica(0)));
-    membership.apply(EndpointListKind::Full, &[endpoint(2, EndpointState::Ready)], 300);
+    membership.apply(
+        EndpointListKind::Full,
+        &[endpoint(2, EndpointState::Ready)],
+        300,
+    );
     assert_eq!(membership.ready().collect::<Vec<_>>(), [replica(2)]);
 }
 
@@ -58,9 +88,16 @@
 fn replicas_that_no_list_names_any_more_are_removed() {
     let (mut membership, _) = three();
     membership.set_placement(replica(0), &[ShardId(1)]);
-    membership.apply(EndpointListKind::Full, &[endpoint(2, EndpointState::Ready)], 200);
+    membership.apply(
+        EndpointListKind::Full,
+        &[endpoint(2, EndpointState::Ready)],
+        200,
+    );
     membership.remove_unlisted(199, |_| false);
-    assert!(membership.contains(replica(0)), "it was listed until lately");
+    assert!(
+        membership.contains(replica(0)),
+        "it was listed until lately"
+    );
     membership.remove_unlisted(200, |id| id == replica(1));
     let left = [0, 1, 2].map(|number| membership.contains(replica(number)));
     assert_eq!(left, [false, true, true]);
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -15,7 +15,10 @@
 /// A caller without a complete call is closed after this time; the oldest goes sooner where places are short.
 const MAX_CALL: Duration = Duration::from_secs(6);
 /// The longest wait for a socket: callers' time limits are checked this often.
-const MAX_POLL: Timespec = Timespec { tv_sec: 0, tv_nsec: 250_000_000 };
+const MAX_POLL: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 250_000_000,
+};
 /// The pause while no connection can be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Stack of the thread, in bytes.
@@ -61,14 +64,15 @@
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
-    std::thread::Builder::new().name("admin endpoint".to_owned()).stack_size(STACK_BYTES).spawn(
-        move || {
+    std::thread::Builder::new()
+        .name("admin endpoint".to_owned())
+        .stack_size(STACK_BYTES)
+        .spawn(move || {
             let mut callers = Vec::new();
             loop {
                 serve_once(&listener, &mut callers, &endpoint);
             }
-        },
-    )?;
+        })?;
     Ok(bound)
 }
 
@@ -92,7 +96,11 @@
 }
 
 /// Waits for input, accepts, and answers the calls that are complete.
-fn serve_once(listener: &TcpListener, callers: &mut Vec<CallerConnection>, endpoint: &AdminEndpoint) {
+fn serve_once(
+    listener: &TcpListener,
+    callers: &mut Vec<CallerConnection>,
+    endpoint: &AdminEndpoint,
+) {
     if !wait_for_input(listener, callers) {
         return;
     }
@@ -111,7 +119,11 @@
 /// Returns whether the wait went well.
 fn wait_for_input(listener: &TcpListener, callers: &[CallerConnection]) -> bool {
     let mut sockets: Vec<PollFd<'_>> = vec![PollFd::new(listener, PollFlags::IN)];
-    sockets.extend(callers.iter().map(|c| PollFd::new(&c.stream, PollFlags::IN)));
+    sockets.extend(
+        callers
+            .iter()
+            .map(|c| PollFd::new(&c.stream, PollFlags::IN)),
+    );
     poll(&mut sockets, Some(&MAX_POLL)).is_ok()
 }
 
@@ -143,7 +155,9 @@
     if let Some(call) = connection.caller.command(ended) {
         COUNTERS.admin_calls.increment();
         // A new connection takes a few KiB at once; a caller that does not read is not waited for.
-        let _ = connection.stream.write_all(reply(call, endpoint).as_bytes());
+        let _ = connection
+            .stream
+            .write_all(reply(call, endpoint).as_bytes());
         let _ = connection.stream.shutdown(Shutdown::Write);
         connection.replied = true;
     }
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -3,7 +3,11 @@
 use super::*;
 
 fn endpoint() -> AdminEndpoint {
-    AdminEndpoint { metrics: Arc::new(Metrics::default()), health: Box::new(|| Ok(())), max_callers: 1 }
+    AdminEndpoint {
+        metrics: Arc::new(Metrics::default()),
+        health: Box::new(|| Ok(())),
+        max_callers: 1,
+    }
 }
 
 #[test]
@@ -11,8 +15,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let in_use = listener.local_addr().expect("bound");
     let error = start(in_use, endpoint()).expect_err("the address is in use");
-    assert_eq!((error.address, error.source.kind()), (in_use, ErrorKind::AddrInUse));
-    assert_eq!(error.to_string(), format!("listen on {in_use}: {}", error.source));
+    assert_eq!(
+        (error.address, error.source.kind()),
+        (in_use, ErrorKind::AddrInUse)
+    );
+    assert_eq!(
+        error.to_string(),
+        format!("listen on {in_use}: {}", error.source)
+    );
 }
 
 #[test]
@@ -23,7 +33,16 @@
 #[test]
 fn the_health_reply_gives_the_reason_of_a_failed_check() {
     assert_eq!(reply(AdminCommand::Health, &endpoint()), "YES\n");
-    let failing = AdminEndpoint { health: Box::new(|| Err(Unhealthy::Draining)), ..endpoint() };
-    assert_eq!(reply(AdminCommand::Health, &failing), "NO it is told to end\n");
-    assert_eq!(reply(AdminCommand::Unknown, &failing), "NO such call: HEALTH or DUMP\n");
+    let failing = AdminEndpoint {
+        health: Box::new(|| Err(Unhealthy::Draining)),
+        ..endpoint()
+    };
+    assert_eq!(
+        reply(AdminCommand::Health, &failing),
+        "NO it is told to end\n"
+    );
+    assert_eq!(
+        reply(AdminCommand::Unknown, &failing),
+        "NO such call: HEALTH or DUMP\n"
+    );
 }
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -23,7 +23,9 @@
 impl Connection {
     /// A connection in this state.
     pub(super) fn new(state: ConnectionState) -> Self {
-        Connection { state: Mutex::new(state) }
+        Connection {
+            state: Mutex::new(state),
+        }
     }
 
     /// Locks its state.
@@ -142,7 +144,10 @@
 
     /// Counts the time of a request that came, at least in part, behind the one just answered from the last activity on.
     pub(super) fn restart_request_time(&mut self) {
-        self.request_started_at = self.http.has_partial_request().then_some(self.last_activity_at);
+        self.request_started_at = self
+            .http
+            .has_partial_request()
+            .then_some(self.last_activity_at);
     }
 
     /// Reads once, and notes the time if bytes came.
@@ -180,14 +185,19 @@
         if !self.http.must_linger() || socket.shutdown(Shutdown::Write).is_err() {
             return false;
         }
-        self.linger = Some(Linger { since: clock.now(), discarded_bytes: 0 });
+        self.linger = Some(Linger {
+            since: clock.now(),
+            discarded_bytes: 0,
+        });
         true
     }
 
     /// Discards what comes after the last response. Returns whether more may come: not once the client has closed, or
     /// has sent more than the bound.
     pub(super) fn discard_input(&mut self, socket: &TcpStream) -> bool {
-        let Some(mut linger) = self.linger else { return false };
+        let Some(mut linger) = self.linger else {
+            return false;
+        };
         let open = loop {
             let input = self.http.input();
             let unread = input.data().len();
--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -15,8 +15,11 @@
     /// closes its connection; if the successor exits first, the backlog is this process's again.
     pub fn drain(&self, successor_accepts: bool) {
         let before = self.lifecycle.service_phase();
-        let event =
-            if successor_accepts { ShutdownEvent::DrainWithSuccessor } else { ShutdownEvent::DrainAlone };
+        let event = if successor_accepts {
+            ShutdownEvent::DrainWithSuccessor
+        } else {
+            ShutdownEvent::DrainAlone
+        };
         let after = self.lifecycle.shut_down(event);
         if before.accepts_connections() && !after.accepts_connections() {
             self.listener.waker().wakeup();
@@ -42,6 +45,9 @@
 
     /// The number of open connections whose clients send a request, await its response or have not read it.
     pub fn owed_connections(&self) -> usize {
-        sync::lock(&self.connections).values().filter(|c| c.lock().is_owed_response()).count()
+        sync::lock(&self.connections)
+            .values()
+            .filter(|c| c.lock().is_owed_response())
+            .count()
     }
 }
--- a/src/net/clients/eviction.rs
+++ b/src/net/clients/eviction.rs
@@ -34,12 +34,21 @@
         return None;
     }
     if let Some(since) = connection.lingering_since {
-        return Some(EvictionPriority { class: EvictionClass::Failed, since });
+        return Some(EvictionPriority {
+            class: EvictionClass::Failed,
+            since,
+        });
     }
     if !connection.submitted_query {
-        let since =
-            if connection.received_request { connection.last_activity_at } else { connection.accepted_at };
-        let priority = EvictionPriority { class: EvictionClass::WithoutQuery, since };
+        let since = if connection.received_request {
+            connection.last_activity_at
+        } else {
+            connection.accepted_at
+        };
+        let priority = EvictionPriority {
+            class: EvictionClass::WithoutQuery,
+            since,
+        };
         return (now.since(since) > MIN_SILENCE).then_some(priority);
     }
     connection.idle.then_some(EvictionPriority {
@@ -68,9 +77,12 @@
     activity: impl Fn(&C) -> ConnectionActivity,
 ) -> Vec<C> {
     let between_queries = |connection: &C| {
-        eviction_priority(&activity(connection), now).filter(|p| p.class == EvictionClass::BetweenQueries)
+        eviction_priority(&activity(connection), now)
+            .filter(|p| p.class == EvictionClass::BetweenQueries)
     };
-    let mut idle: Vec<_> = connections.filter_map(|c| Some((between_queries(&c)?.since, c))).collect();
+    let mut idle: Vec<_> = connections
+        .filter_map(|c| Some((between_queries(&c)?.since, c)))
+        .collect();
     if idle.len() <= max_idle {
         return Vec::new();
     }
--- a/src/net/clients/eviction/tests.rs
+++ b/src/net/clients/eviction/tests.rs
@@ -7,16 +7,29 @@
 /// An idle connection that was accepted, and last active, so many seconds ago.
 fn idle_for(seconds: u64) -> ConnectionActivity {
     let accepted_at = NOW - Micros::from_secs(seconds);
-    ConnectionActivity { accepted_at, last_activity_at: accepted_at, idle: true, ..Default::default() }
+    ConnectionActivity {
+        accepted_at,
+        last_activity_at: accepted_at,
+        idle: true,
+        ..Default::default()
+    }
 }
 
 fn with_query(seconds: u64) -> ConnectionActivity {
-    ConnectionActivity { received_request: true, submitted_query: true, ..idle_for(seconds) }
+    ConnectionActivity {
+        received_request: true,
+        submitted_query: true,
+        ..idle_for(seconds)
+    }
 }
 
 fn failed(seconds: u64) -> ConnectionActivity {
     let lingering_since = Some(NOW - Micros::from_secs(seconds));
-    ConnectionActivity { lingering_since, idle: false, ..with_query(seconds) }
+    ConnectionActivity {
+        lingering_since,
+        idle: false,
+        ..with_query(seconds)
+    }
 }
 
 /// The indices of the connections in the order of their evictions.
@@ -32,18 +45,42 @@
 
 #[test]
 fn failed_connections_go_first_then_those_without_query_then_idle_ones_by_age() {
-    let without_query = ConnectionActivity { received_request: true, ..idle_for(3) };
-    let connections = [with_query(8), with_query(9), idle_for(1), without_query, failed(1), failed(2)];
+    let without_query = ConnectionActivity {
+        received_request: true,
+        ..idle_for(3)
+    };
+    let connections = [
+        with_query(8),
+        with_query(9),
+        idle_for(1),
+        without_query,
+        failed(1),
+        failed(2),
+    ];
     assert_eq!(eviction_order(&connections), [5, 4, 3, 2, 1, 0]);
 }
 
 #[test]
 fn connections_with_a_request_in_progress_or_that_close_already_are_never_evicted() {
     for connection in [
-        ConnectionActivity { busy: true, idle: false, ..with_query(9) },
-        ConnectionActivity { idle: false, request_started_at: Some(NOW), ..with_query(9) },
-        ConnectionActivity { closing: true, ..with_query(9) },
-        ConnectionActivity { aborted: true, ..failed(9) },
+        ConnectionActivity {
+            busy: true,
+            idle: false,
+            ..with_query(9)
+        },
+        ConnectionActivity {
+            idle: false,
+            request_started_at: Some(NOW),
+            ..with_query(9)
+        },
+        ConnectionActivity {
+            closing: true,
+            ..with_query(9)
+        },
+        ConnectionActivity {
+            aborted: true,
+            ..failed(9)
+        },
     ] {
         assert_eq!(eviction_priority(&connection, NOW), None, "{connection:?}");
     }
@@ -51,20 +88,37 @@
 
 #[test]
 fn a_connection_without_query_is_spared_for_30_ms_after_it_was_accepted_or_active() {
-    let fresh = |ms| ConnectionActivity { accepted_at: NOW - Micros::from_millis(ms), ..idle_for(0) };
+    let fresh = |ms| ConnectionActivity {
+        accepted_at: NOW - Micros::from_millis(ms),
+        ..idle_for(0)
+    };
     assert_eq!(eviction_priority(&fresh(30), NOW), None);
     assert!(eviction_priority(&fresh(31), NOW).is_some());
     // A first byte does not prolong it; a complete request does.
     let last_activity_at = NOW - Micros::from_millis(10);
-    let half = ConnectionActivity { last_activity_at, idle: false, ..idle_for(1) };
+    let half = ConnectionActivity {
+        last_activity_at,
+        idle: false,
+        ..idle_for(1)
+    };
     assert!(eviction_priority(&half, NOW).is_some());
-    let answered = ConnectionActivity { last_activity_at, received_request: true, ..idle_for(1) };
+    let answered = ConnectionActivity {
+        last_activity_at,
+        received_request: true,
+        ..idle_for(1)
+    };
     assert_eq!(eviction_priority(&answered, NOW), None);
 }
 
 #[test]
 fn the_longest_idle_connections_are_in_excess() {
-    let connections = [with_query(3), with_query(9), failed(50), idle_for(40), with_query(7)];
+    let connections = [
+        with_query(3),
+        with_query(9),
+        failed(50),
+        idle_for(40),
+        with_query(7),
+    ];
     let excess = |max_idle| excess_idle(0..connections.len(), NOW, max_idle, |c| connections[*c]);
     assert_eq!(excess(3), Vec::<usize>::new());
     assert_eq!(excess(2), [1]);
@@ -73,10 +127,19 @@
 
 #[test]
 fn memory_is_reclaimed_from_the_largest_connection_that_waits_for_no_response() {
-    let sized =
-        |buffered_bytes, busy| ConnectionActivity { buffered_bytes, busy, ..ConnectionActivity::default() };
-    let aborted = ConnectionActivity { aborted: true, ..sized(99, false) };
+    let sized = |buffered_bytes, busy| ConnectionActivity {
+        buffered_bytes,
+        busy,
+        ..ConnectionActivity::default()
+    };
+    let aborted = ConnectionActivity {
+        aborted: true,
+        ..sized(99, false)
+    };
     let connections = [sized(5, false), sized(50, true), sized(7, false), aborted];
-    assert_eq!(largest_without_response(0..connections.len(), |c| connections[*c]), Some(2));
+    assert_eq!(
+        largest_without_response(0..connections.len(), |c| connections[*c]),
+        Some(2)
+    );
     assert_eq!(largest_without_response(1..2, |c| connections[*c]), None);
 }
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -36,7 +36,11 @@
     #[must_use]
     pub fn halved(self) -> Self {
         let connections = (self.connections / 2).max(1);
-        ClientLimits { connections, idle: self.idle.min(connections / 2), bytes: self.bytes / 2 }
+        ClientLimits {
+            connections,
+            idle: self.idle.min(connections / 2),
+            bytes: self.bytes / 2,
+        }
     }
 
     /// The limits of each of so many fronts in one process.
--- a/src/net/clients/limits/tests.rs
+++ b/src/net/clients/limits/tests.rs
@@ -5,7 +5,8 @@
 #[test]
 fn client_limits_follow_the_limits_of_the_process_however_small() {
     // Half of the descriptors or more went to clients, but with 256 none was left for a crowd beside regular clients.
-    let limits = |descriptors, megabytes: usize| ClientLimits::new(descriptors, megabytes * 1024 * 1024);
+    let limits =
+        |descriptors, megabytes: usize| ClientLimits::new(descriptors, megabytes * 1024 * 1024);
     for (descriptors, megabytes) in [(256, 32), (384, 48), (1024, 192)] {
         let of_process = limits(descriptors, megabytes);
         assert!(
@@ -19,7 +20,14 @@
             "{of_process:?}"
         );
     }
-    assert_eq!(limits(40, 0), ClientLimits { connections: 24, idle: 6, bytes: 1024 * 1024 });
+    assert_eq!(
+        limits(40, 0),
+        ClientLimits {
+            connections: 24,
+            idle: 6,
+            bytes: 1024 * 1024
+        }
+    );
     assert_eq!(limits(1, 32).shared(2).connections, 1);
     // Two processes of an upgrade stay within the limits of one, and idle clients of the predecessor are not evicted.
     let (whole, half) = (limits(384, 48), limits(384, 48).halved());
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -92,7 +92,9 @@
         let now = self.clock.now();
         let connections = sync::lock(&self.connections);
         let first = eviction::first_to_evict(connections.values(), now, |c| c.activity());
-        let Some(connection) = first else { return false };
+        let Some(connection) = first else {
+            return false;
+        };
         connection.lock().evict();
         true
     }
@@ -101,8 +103,12 @@
     fn evict_excess_idle(&self) {
         let now = self.clock.now();
         let connections = sync::lock(&self.connections);
-        let excess = eviction::excess_idle(connections.values(), now, self.limits().idle, |c| c.activity());
-        excess.into_iter().for_each(|connection| connection.lock().evict());
+        let excess = eviction::excess_idle(connections.values(), now, self.limits().idle, |c| {
+            c.activity()
+        });
+        excess
+            .into_iter()
+            .for_each(|connection| connection.lock().evict());
     }
 
     /// Evicts the connection with the largest buffers while all of them exceed their limit.
@@ -141,7 +147,9 @@
             }
             Timeout::Request => {
                 COUNTERS.client_timeouts.increment();
-                state.http.respond_and_close(self.front.malformed_response(HttpError::TooSlow));
+                state
+                    .http
+                    .respond_and_close(self.front.malformed_response(HttpError::TooSlow));
                 state.wake();
             }
         }
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -33,7 +33,8 @@
     fn count_memory(&self, state: &mut ConnectionState, open: bool) {
         let bytes = if open { state.http.memory() } else { 0 };
         self.buffered_bytes.fetch_add(bytes, Relaxed);
-        self.buffered_bytes.fetch_sub(std::mem::replace(&mut state.buffered_bytes, bytes), Relaxed);
+        self.buffered_bytes
+            .fetch_sub(std::mem::replace(&mut state.buffered_bytes, bytes), Relaxed);
     }
 
     fn exchange(
@@ -44,7 +45,9 @@
     ) -> bool {
         // Input that came behind a request while that was in progress.
         self.handle_requests(connection, state);
-        if !self.read_requests(connection, state, socket) || !state.write_output(socket, &self.clock) {
+        if !self.read_requests(connection, state, socket)
+            || !state.write_output(socket, &self.clock)
+        {
             return false;
         }
         if state.http.is_idle() {
@@ -68,7 +71,9 @@
             match state.read_input(socket, &self.clock) {
                 IoOutcome::Transferred(_) => self.handle_requests(connection, state),
                 IoOutcome::WouldBlock => return true,
-                IoOutcome::EndOfStream | IoOutcome::Broken if state.http.awaits_response() => return false,
+                IoOutcome::EndOfStream | IoOutcome::Broken if state.http.awaits_response() => {
+                    return false
+                }
                 IoOutcome::EndOfStream | IoOutcome::Broken => {
                     state.http.end_of_input();
                     self.handle_requests(connection, state);
@@ -91,7 +96,9 @@
 
     fn reject_malformed(&self, error: HttpError, state: &mut ConnectionState) {
         COUNTERS.bad_requests.increment();
-        state.http.respond(self.front.malformed_response(error), true);
+        state
+            .http
+            .respond(self.front.malformed_response(error), true);
     }
 
     fn handle_request(
@@ -105,7 +112,10 @@
         let token = Token(self.next_id());
         // A request's time counts from its last byte, which came with the last read.
         let sent_at = state.last_activity_at;
-        match self.front.handle(request, token, sent_at, self.lifecycle.is_ready()) {
+        match self
+            .front
+            .handle(request, token, sent_at, self.lifecycle.is_ready())
+        {
             Reaction::Respond(response) => {
                 state.http.respond(response, close);
                 state.restart_request_time();
@@ -133,9 +143,13 @@
     /// Gives a request its answer, whose response is written by the connection's coroutine. Does nothing if its client has
     /// left.
     pub fn deliver(&self, token: Token, answer: Answer) {
-        let Some(connection) = sync::lock(&self.awaiting).remove(&token) else { return };
+        let Some(connection) = sync::lock(&self.awaiting).remove(&token) else {
+            return;
+        };
         let mut state = connection.lock();
-        let Some(awaited) = state.awaited.take_if(|awaited| awaited.token == token) else { return };
+        let Some(awaited) = state.awaited.take_if(|awaited| awaited.token == token) else {
+            return;
+        };
         let response = match (awaited.render)(answer) {
             Reaction::Respond(response) => response,
             Reaction::Submit(request, render) => {
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -34,7 +34,10 @@
         Clock::start(),
         Arc::default(),
     );
-    let connections: Vec<_> = states.into_iter().map(|state| Arc::new(Connection::new(state))).collect();
+    let connections: Vec<_> = states
+        .into_iter()
+        .map(|state| Arc::new(Connection::new(state)))
+        .collect();
     sync::lock(&clients.connections).extend((0..).zip(connections.iter().cloned()));
     (clients, connections)
 }
@@ -52,13 +55,20 @@
 }
 
 fn are_closing(connections: &[Arc<Connection>]) -> Vec<bool> {
-    connections.iter().map(|c| c.lock().abort_requested || c.lock().http.is_draining()).collect()
+    connections
+        .iter()
+        .map(|c| c.lock().abort_requested || c.lock().http.is_draining())
+        .collect()
 }
 
 #[test]
 fn the_longest_idle_connections_are_evicted_beyond_the_idle_limit() {
     // Clients that sent one query kept all the places that the platform grants to clients, for two minutes.
-    let limits = ClientLimits { connections: 100, idle: 2, bytes: 1 };
+    let limits = ClientLimits {
+        connections: 100,
+        idle: 2,
+        bytes: 1,
+    };
     let mut busy = connection(50, true, true);
     busy.http.input().extend(b"GET / HTTP/1.1\r\n\r\n");
     assert!(matches!(busy.http.next_request(), Some(Ok(_))));
@@ -71,13 +81,20 @@
     ];
     let (clients, connections) = clients(limits, states);
     clients.evict_excess_idle();
-    assert_eq!(are_closing(&connections), [true, false, false, false, false]);
+    assert_eq!(
+        are_closing(&connections),
+        [true, false, false, false, false]
+    );
 }
 
 #[test]
 fn connections_without_a_query_are_evicted_before_those_with_one() {
     // A crowd that requested /up and stayed had the connections of regular clients closed, which were idle for longer.
-    let limits = ClientLimits { connections: 3, idle: 3, bytes: 1 };
+    let limits = ClientLimits {
+        connections: 3,
+        idle: 3,
+        bytes: 1,
+    };
     let states = vec![
         connection(50, true, true),
         connection(5, true, false),
@@ -85,7 +102,11 @@
         connection(0, false, false),
     ];
     let (clients, connections) = clients(limits, states);
-    for expected in [[false, true, false, false], [false, true, true, false], [true, true, true, false]] {
+    for expected in [
+        [false, true, false, false],
+        [false, true, true, false],
+        [true, true, true, false],
+    ] {
         assert!(clients.evict_one());
         assert_eq!(are_closing(&connections), expected);
     }
@@ -95,7 +116,11 @@
 #[test]
 fn an_evicted_new_connection_is_answered_if_its_request_is_in_the_socket() {
     // It was closed unread, so the client had a reset for a response.
-    let limits = ClientLimits { connections: 1, idle: 1, bytes: 1 };
+    let limits = ClientLimits {
+        connections: 1,
+        idle: 1,
+        bytes: 1,
+    };
     let (clients, connections) = clients(limits, vec![connection(1, false, false)]);
     let address = clients.listener.inner().local_addr().expect("bound");
     let mut client = TcpStream::connect(address).expect("it listens");
--- a/src/net/clients/timeouts.rs
+++ b/src/net/clients/timeouts.rs
@@ -45,7 +45,10 @@
 #[must_use]
 pub fn exceeded(connection: &ConnectionActivity, now: Micros, max_idle: Micros) -> Option<Timeout> {
     let quiet = now.since(connection.last_activity_at);
-    if connection.lingering_since.is_some_and(|since| now.since(since) > MAX_LINGER) {
+    if connection
+        .lingering_since
+        .is_some_and(|since| now.since(since) > MAX_LINGER)
+    {
         return Some(Timeout::Linger);
     }
     if connection.output_pending {
@@ -62,7 +65,9 @@
     }
     // The first request counts from the accept, so that a client that sends a byte now and then gains no time.
     let since = if connection.received_request {
-        connection.request_started_at.unwrap_or(connection.last_activity_at)
+        connection
+            .request_started_at
+            .unwrap_or(connection.last_activity_at)
     } else {
         connection.accepted_at
     };
--- a/src/net/clients/timeouts/tests.rs
+++ b/src/net/clients/timeouts/tests.rs
@@ -30,7 +30,11 @@
 
 #[test]
 fn the_first_request_counts_from_the_accept_and_later_ones_from_their_first_byte() {
-    let first = ConnectionActivity { idle: false, last_activity_at: NOW, ..idle_for(2_201) };
+    let first = ConnectionActivity {
+        idle: false,
+        last_activity_at: NOW,
+        ..idle_for(2_201)
+    };
     assert_eq!(exceeded_now(first), Some(Timeout::Request));
     let later = |ms| ConnectionActivity {
         received_request: true,
@@ -44,16 +48,30 @@
 
 #[test]
 fn an_idle_connection_is_kept_for_30_s_or_for_2_5_s_in_a_crowd() {
-    let idle = |ms| ConnectionActivity { received_request: true, ..idle_for(ms) };
+    let idle = |ms| ConnectionActivity {
+        received_request: true,
+        ..idle_for(ms)
+    };
     assert_eq!(exceeded(&idle(30_000), NOW, max_idle(50, 100)), None);
-    assert_eq!(exceeded(&idle(30_001), NOW, max_idle(50, 100)), Some(Timeout::Idle));
+    assert_eq!(
+        exceeded(&idle(30_001), NOW, max_idle(50, 100)),
+        Some(Timeout::Idle)
+    );
     assert_eq!(exceeded(&idle(2_500), NOW, max_idle(51, 100)), None);
-    assert_eq!(exceeded(&idle(2_501), NOW, max_idle(51, 100)), Some(Timeout::Idle));
+    assert_eq!(
+        exceeded(&idle(2_501), NOW, max_idle(51, 100)),
+        Some(Timeout::Idle)
+    );
 }
 
 #[test]
 fn a_response_must_be_read_within_15_s_of_the_last_byte() {
-    let writing = |ms| ConnectionActivity { output_pending: true, idle: false, busy: true, ..idle_for(ms) };
+    let writing = |ms| ConnectionActivity {
+        output_pending: true,
+        idle: false,
+        busy: true,
+        ..idle_for(ms)
+    };
     assert_eq!(exceeded_now(writing(15_000)), None);
     assert_eq!(exceeded_now(writing(15_001)), Some(Timeout::Response));
 }
@@ -72,6 +90,11 @@
 
 #[test]
 fn a_request_that_waits_for_its_response_has_no_limit_here() {
-    let busy = ConnectionActivity { busy: true, received_request: true, idle: false, ..idle_for(60_000) };
+    let busy = ConnectionActivity {
+        busy: true,
+        received_request: true,
+        idle: false,
+        ..idle_for(60_000)
+    };
     assert_eq!(exceeded_now(busy), None);
 }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -46,7 +46,10 @@
 
 impl Default for ProcessLimits {
     fn default() -> Self {
-        ProcessLimits { max_descriptors: 1024, max_memory_mib: 192 }
+        ProcessLimits {
+            max_descriptors: 1024,
+            max_memory_mib: 192,
+        }
     }
 }
 
@@ -115,11 +118,16 @@
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let path = PathBuf::from(path);
-        let text =
-            std::fs::read(&path).map_err(|source| ConfigError::Unreadable { path: path.clone(), source })?;
+        let text = std::fs::read(&path).map_err(|source| ConfigError::Unreadable {
+            path: path.clone(),
+            source,
+        })?;
         match Self::parse(&text, EnvironmentOverrides::from_env()) {
             Ok(config) => Ok(Config { path, ..config }),
-            Err(source) => Err(ConfigError::Invalid { path, source: Box::new(source) }),
+            Err(source) => Err(ConfigError::Invalid {
+                path,
+                source: Box::new(source),
+            }),
         }
     }
 
@@ -133,11 +141,16 @@
         let settings = parse_coordinator_settings(file.settings)?;
         settings.validate()?;
         let file_shape = file_shape(text)?;
-        let file_discovery = file.discovery.as_ref().and_then(|address| address.parse().ok());
+        let file_discovery = file
+            .discovery
+            .as_ref()
+            .and_then(|address| address.parse().ok());
         let listen = required_address("listen", environment.listen.or(file.listen))?;
         let discovery = required_address("discovery", environment.discovery.or(file.discovery))?;
         let admin = environment.admin.or(file.admin);
-        let admin = admin.map(|address| parse_address("mgmt", address)).transpose()?;
+        let admin = admin
+            .map(|address| parse_address("mgmt", address))
+            .transpose()?;
         Ok(Config {
             name: environment.name.unwrap_or(file.name),
             listen,
@@ -156,12 +169,16 @@
     }
 }
 
-fn required_address(key: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigFileError> {
+fn required_address(
+    key: &'static str,
+    text: Option<String>,
+) -> Result<SocketAddr, ConfigFileError> {
     parse_address(key, text.ok_or(ConfigFileError::NoAddress { key })?)
 }
 
 fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigFileError> {
-    text.parse().map_err(|source| ConfigFileError::InvalidAddress { key, text, source })
+    text.parse()
+        .map_err(|source| ConfigFileError::InvalidAddress { key, text, source })
 }
 
 /// The file as JSON without its endpoint list; see [`Config`].
@@ -178,6 +195,8 @@
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
-        text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+        text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+        })
     })
 }
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -27,7 +27,10 @@
     /// The file that the program was started with.
     #[must_use]
     pub fn from_startup(config: &Config) -> Self {
-        ActiveConfig { path: config.path.clone(), file_shape: config.file_shape.clone() }
+        ActiveConfig {
+            path: config.path.clone(),
+            file_shape: config.file_shape.clone(),
+        }
     }
 
     /// Reads the file again and makes it the one in force. The environment has no say: it cannot have changed.
@@ -36,10 +39,14 @@
     ///
     /// If the file cannot be read or used, or lacks a key of the file in force. That one stays in force then.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
-        let text = std::fs::read(&self.path)
-            .map_err(|source| ConfigError::Unreadable { path: self.path.clone(), source })?;
-        self.replace(&text)
-            .map_err(|source| ConfigError::Invalid { path: self.path.clone(), source: Box::new(source) })
+        let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
+            path: self.path.clone(),
+            source,
+        })?;
+        self.replace(&text).map_err(|source| ConfigError::Invalid {
+            path: self.path.clone(),
+            source: Box::new(source),
+        })
     }
 
     /// Makes the file with this text the one in force.
@@ -50,6 +57,9 @@
         }
         let config = Config::parse(text, EnvironmentOverrides::default())?;
         self.file_shape = file_shape;
-        Ok(ReloadedConfig { discovery: config.discovery, settings: config.settings })
+        Ok(ReloadedConfig {
+            discovery: config.discovery,
+            settings: config.settings,
+        })
     }
 }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -40,13 +40,20 @@
         admin: None,
         name: Some("other".to_owned()),
     };
-    let config = Config::parse(file().to_string().as_bytes(), environment).expect("a configuration");
+    let config =
+        Config::parse(file().to_string().as_bytes(), environment).expect("a configuration");
     assert_eq!(config.name, "other");
     assert_eq!(config.listen.to_string(), "127.0.0.2:80");
     assert_eq!(config.discovery.to_string(), "127.0.0.2:70");
-    assert_eq!(config.file_discovery.map(|address| address.to_string()), Some("127.0.0.1:7000".to_owned()));
+    assert_eq!(
+        config.file_discovery.map(|address| address.to_string()),
+        Some("127.0.0.1:7000".to_owned())
+    );
     assert_eq!(config.admin.map(|address| address.port()), Some(9000));
-    assert_eq!((config.seed, config.max_descriptors, config.max_memory), (0xff, 64, 192 * 1024 * 1024));
+    assert_eq!(
+        (config.seed, config.max_descriptors, config.max_memory),
+        (0xff, 64, 192 * 1024 * 1024)
+    );
     assert_eq!(config.known_endpoints, br#"[{"any":"form"}]"#);
 }
 
@@ -60,7 +67,10 @@
 
 #[test]
 fn each_error_names_its_key_to_operators() {
-    assert_eq!(error_text(|file| file["listen"] = Value::Null), "listen: no address");
+    assert_eq!(
+        error_text(|file| file["listen"] = Value::Null),
+        "listen: no address"
+    );
     assert_eq!(
         error_text(|file| file["discovery"] = json!("nowhere")),
         "discovery: \"nowhere\": invalid socket address syntax"
@@ -69,7 +79,10 @@
         error_text(|file| file["mgmt"] = json!("x:1")),
         "mgmt: \"x:1\": invalid socket address syntax"
     );
-    assert_eq!(error_text(|file| file["settings"]["tick"] = json!(0)), "settings: tick is not above 0");
+    assert_eq!(
+        error_text(|file| file["settings"]["tick"] = json!(0)),
+        "settings: tick is not above 0"
+    );
     assert_eq!(
         error_text(|file| *file = json!("none")),
         "invalid type: string \"none\", expected struct File at line 1 column 6"
@@ -79,7 +92,10 @@
 #[test]
 fn a_replaced_file_may_not_lose_a_key_but_may_change_its_endpoint_list() {
     let path = std::env::temp_dir().join(format!("quinceflow-config-{}.json", std::process::id()));
-    let config = Config { path: path.clone(), ..parse(&file()).expect("a configuration") };
+    let config = Config {
+        path: path.clone(),
+        ..parse(&file()).expect("a configuration")
+    };
     let mut active = ActiveConfig::from_startup(&config);
     let mut reload = |file: &Value| {
         std::fs::write(&path, file.to_string()).expect("a file");
@@ -97,5 +113,11 @@
         matches!(&error, ConfigError::Invalid { source, .. } if matches!(**source, ConfigFileError::MissingKey { .. })),
         "{error:?}"
     );
-    assert_eq!(error.to_string(), format!("{}: settings.limits.max-attempts is missing", path.display()));
+    assert_eq!(
+        error.to_string(),
+        format!(
+            "{}: settings.limits.max-attempts is missing",
+            path.display()
+        )
+    );
 }
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -40,7 +40,11 @@
 
 impl FetchResult {
     fn failed(outcome: Outcome, limit_outcome: RequestOutcome) -> Self {
-        FetchResult { end: AttemptEnd::Failed(outcome), limit_outcome, retry_after: None }
+        FetchResult {
+            end: AttemptEnd::Failed(outcome),
+            limit_outcome,
+            retry_after: None,
+        }
     }
 }
 
@@ -54,10 +58,17 @@
 impl FetchDriver {
     /// Starts the driver on a coroutine of its own.
     pub(super) fn start(self) {
-        let (server, inbox, key) = (self.server.clone(), self.context.inbox.clone(), self.request.key);
+        let (server, inbox, key) = (
+            self.server.clone(),
+            self.context.inbox.clone(),
+            self.request.key,
+        );
         if spawn(LARGE_STACK_WORDS, move || self.run()).is_err() {
             lock(&server).in_flight -= 1;
-            let _ = inbox.send(Input::AttemptEnded { key, end: AttemptEnd::Failed(Outcome::NotSent) });
+            let _ = inbox.send(Input::AttemptEnded {
+                key,
+                end: AttemptEnd::Failed(Outcome::NotSent),
+            });
         }
     }
 
@@ -69,22 +80,34 @@
             None => self.request.fetch.on_broken(),
         };
         let now = self.context.clock.now();
-        let reusable = matches!(progress, Progress::Complete(_)) && self.request.fetch.is_reusable();
+        let reusable =
+            matches!(progress, Progress::Complete(_)) && self.request.fetch.is_reusable();
         let result = self.interpret(progress);
         let startable = {
             let mut server = lock(&self.server);
             self.record_result(&mut server, &result, started_at, now);
             if let Some(stream) = stream.filter(|_| reusable && server.ready) {
                 self.request.cancellation.set_waker(None);
-                server.idle.push(IdleConnection { stream, idle_since: now });
+                server.idle.push(IdleConnection {
+                    stream,
+                    idle_since: now,
+                });
             }
             server.take_startable(now)
         };
         // The coordinator ignores the end of an attempt that it has cancelled.
-        let _ = self.context.inbox.send(Input::AttemptEnded { key: self.request.key, end: result.end });
+        let _ = self.context.inbox.send(Input::AttemptEnded {
+            key: self.request.key,
+            end: result.end,
+        });
         for request in startable {
             let (server, context) = (self.server.clone(), self.context.clone());
-            FetchDriver { request, server, context }.start();
+            FetchDriver {
+                request,
+                server,
+                context,
+            }
+            .start();
         }
     }
 
@@ -98,11 +121,15 @@
     ) {
         let in_flight = server.in_flight;
         server.in_flight -= 1;
-        server.limiter.record(now, result.limit_outcome, now.since(started_at), in_flight);
+        server
+            .limiter
+            .record(now, result.limit_outcome, now.since(started_at), in_flight);
         if let Some(pause) = result.retry_after {
             server.limiter.back_off(now, pause);
         }
-        self.context.capacity.report(self.request.replica, server.throughput());
+        self.context
+            .capacity
+            .report(self.request.replica, server.throughput());
     }
 
     /// What a fetch that has ended means for its attempt and for the server's limit.
@@ -110,9 +137,13 @@
         match progress {
             Progress::Complete(response) => self.interpret_response(response),
             Progress::Failed(outcome) => {
-                let cancelled = self.request.cancellation.is_cancelled() && self.request.fetch.may_have_run();
-                let limit_outcome =
-                    if cancelled { RequestOutcome::Cancelled } else { RequestOutcome::Ignored };
+                let cancelled =
+                    self.request.cancellation.is_cancelled() && self.request.fetch.may_have_run();
+                let limit_outcome = if cancelled {
+                    RequestOutcome::Cancelled
+                } else {
+                    RequestOutcome::Ignored
+                };
                 FetchResult::failed(outcome, limit_outcome)
             }
             Progress::Pending => FetchResult::failed(Outcome::Error, RequestOutcome::Ignored),
@@ -120,19 +151,33 @@
     }
 
     fn interpret_response(&self, response: FetchedResponse) -> FetchResult {
-        let overloaded = matches!(response.status, STATUS_TOO_MANY_REQUESTS | STATUS_SERVICE_UNAVAILABLE);
-        let retry_after = if overloaded { retry_after(&response) } else { None };
+        let overloaded = matches!(
+            response.status,
+            STATUS_TOO_MANY_REQUESTS | STATUS_SERVICE_UNAVAILABLE
+        );
+        let retry_after = if overloaded {
+            retry_after(&response)
+        } else {
+            None
+        };
         // The server is named by its address: further pages are requested there by that name.
         let host = self.request.address.to_string();
         let end = self.request.page_request.interpret(&host, &host, response);
         let limit_outcome = match &end {
             AttemptEnd::Served(value) => RequestOutcome::Success(
-                self.request.page_request.page(value).map_or(0, |page| page.returned_count),
+                self.request
+                    .page_request
+                    .page(value)
+                    .map_or(0, |page| page.returned_count),
             ),
             AttemptEnd::Failed(_) if overloaded => RequestOutcome::Overloaded,
             AttemptEnd::Failed(_) => RequestOutcome::Ignored,
         };
-        FetchResult { end, limit_outcome, retry_after }
+        FetchResult {
+            end,
+            limit_outcome,
+            retry_after,
+        }
     }
 
     /// An idle connection that is still open: a request on one that the server has closed would be lost.
@@ -205,7 +250,9 @@
             match try_write(stream, self.request.fetch.output()) {
                 IoOutcome::Transferred(bytes) => self.record_written(bytes),
                 IoOutcome::WouldBlock => break,
-                IoOutcome::EndOfStream | IoOutcome::Broken => return self.request.fetch.on_broken(),
+                IoOutcome::EndOfStream | IoOutcome::Broken => {
+                    return self.request.fetch.on_broken()
+                }
             }
         }
         Progress::Pending
@@ -214,7 +261,10 @@
     fn record_written(&mut self, bytes: usize) {
         if self.request.fetch.record_written(bytes) {
             self.request.metrics.attempts.increment();
-            let _ = self.context.inbox.send(Input::FullyWritten(self.request.key));
+            let _ = self
+                .context
+                .inbox
+                .send(Input::FullyWritten(self.request.key));
         }
     }
 
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -35,7 +35,12 @@
 impl FeatureClient {
     /// A client without servers. Ends of attempts go to `inbox`, what servers can serve to `capacity`.
     #[must_use]
-    pub fn new(edge: &EdgeConfig, inbox: Sender<Input>, clock: Clock, capacity: Arc<ServerCapacity>) -> Self {
+    pub fn new(
+        edge: &EdgeConfig,
+        inbox: Sender<Input>,
+        clock: Clock,
+        capacity: Arc<ServerCapacity>,
+    ) -> Self {
         FeatureClient {
             servers: HashMap::new(),
             in_flight: HashMap::new(),
@@ -54,10 +59,15 @@
     /// Whether one more connection may be opened; idle ones are closed for it.
     fn ensure_connection_capacity(&self) -> bool {
         let total = |count: fn(&FeatureServer) -> usize| -> usize {
-            self.servers.values().map(|server| count(&lock(server))).sum()
+            self.servers
+                .values()
+                .map(|server| count(&lock(server)))
+                .sum()
         };
         if total(|server| server.in_flight + server.idle.len()) >= MAX_CONNECTIONS {
-            self.servers.values().for_each(|server| lock(server).idle.clear());
+            self.servers
+                .values()
+                .for_each(|server| lock(server).idle.clear());
         }
         total(|server| server.in_flight) < MAX_CONNECTIONS
     }
@@ -99,11 +109,19 @@
     }
 
     fn start_driver(&self, request: FetchRequest, server: Arc<Mutex<FeatureServer>>) {
-        FetchDriver { request, server, context: self.context.clone() }.start();
+        FetchDriver {
+            request,
+            server,
+            context: self.context.clone(),
+        }
+        .start();
     }
 
     fn fail(&self, key: AttemptKey, outcome: Outcome) {
-        let _ = self.context.inbox.send(Input::AttemptEnded { key, end: AttemptEnd::Failed(outcome) });
+        let _ = self.context.inbox.send(Input::AttemptEnded {
+            key,
+            end: AttemptEnd::Failed(outcome),
+        });
     }
 }
 
@@ -125,7 +143,11 @@
         state.ready = ready;
         self.context.capacity.report(replica, state.throughput());
         // A draining server gets nothing that has not started.
-        let unsent = if ready { VecDeque::new() } else { state.take_queue() };
+        let unsent = if ready {
+            VecDeque::new()
+        } else {
+            state.take_queue()
+        };
         drop(state);
         for request in unsent {
             self.fail(request.key, Outcome::NotSent);
@@ -160,7 +182,9 @@
     fn reap(&mut self, now: Micros, in_flight: &dyn Fn(AttemptKey) -> bool) {
         for server in self.servers.values() {
             let mut state = lock(server);
-            COUNTERS.server_connections_idle_closed.add(state.close_expired(now, self.context.idle_limit));
+            COUNTERS
+                .server_connections_idle_closed
+                .add(state.close_expired(now, self.context.idle_limit));
             state.remove_cancelled();
             // A pause that the server asked for may be over.
             let startable = state.take_startable(now);
--- a/src/net/feature_client/server.rs
+++ b/src/net/feature_client/server.rs
@@ -54,7 +54,8 @@
 
     /// Whether it has asked for a pause, or more attempts wait than it can serve in time.
     pub(super) fn is_overloaded(&self, now: Micros) -> bool {
-        self.limiter.is_backing_off(now) || self.queue.len() >= MAX_QUEUED_RATIO * self.limiter.limit()
+        self.limiter.is_backing_off(now)
+            || self.queue.len() >= MAX_QUEUED_RATIO * self.limiter.limit()
     }
 
     /// Returns the attempt if it may start now, with its slot taken; it waits in the queue otherwise.
@@ -71,7 +72,9 @@
     pub(super) fn take_startable(&mut self, now: Micros) -> Vec<FetchRequest> {
         let mut startable = Vec::new();
         while self.ready && self.limiter.has_capacity(self.in_flight, now) {
-            let Some(request) = self.queue.pop_front() else { break };
+            let Some(request) = self.queue.pop_front() else {
+                break;
+            };
             if !request.cancellation.is_cancelled() {
                 self.in_flight += 1;
                 startable.push(request);
@@ -87,13 +90,15 @@
 
     /// Removes cancelled attempts from the queue.
     pub(super) fn remove_cancelled(&mut self) {
-        self.queue.retain(|request| !request.cancellation.is_cancelled());
+        self.queue
+            .retain(|request| !request.cancellation.is_cancelled());
     }
 
     /// Closes connections that were idle for `idle_limit`; how many.
     pub(super) fn close_expired(&mut self, now: Micros, idle_limit: Micros) -> usize {
         let before = self.idle.len();
-        self.idle.retain(|connection| now.since(connection.idle_since) < idle_limit);
+        self.idle
+            .retain(|connection| now.since(connection.idle_since) < idle_limit);
         before - self.idle.len()
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -74,7 +74,11 @@
 #[must_use]
 pub fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!("quinceflow-{}-{}.sock", address.ip(), address.port())))
+    Some(PathBuf::from(folder).join(format!(
+        "quinceflow-{}-{}.sock",
+        address.ip(),
+        address.port()
+    )))
 }
 
 /// The other process of a hand-over.
@@ -93,12 +97,16 @@
     /// Follows a peer on a thread until its end of the connection closes.
     fn watch(mut connection: UnixStream) -> io::Result<Self> {
         connection.set_read_timeout(None)?;
-        let peer = PeerProcess { alive: Arc::new(AtomicBool::new(true)) };
+        let peer = PeerProcess {
+            alive: Arc::new(AtomicBool::new(true)),
+        };
         let alive = peer.alive.clone();
-        std::thread::Builder::new().stack_size(STACK_BYTES).spawn(move || {
-            wait_for_close(&mut connection);
-            alive.store(false, Relaxed);
-        })?;
+        std::thread::Builder::new()
+            .stack_size(STACK_BYTES)
+            .spawn(move || {
+                wait_for_close(&mut connection);
+                alive.store(false, Relaxed);
+            })?;
         Ok(peer)
     }
 }
@@ -122,7 +130,10 @@
     match try_request_handover(path) {
         Ok(handover) => Some(handover),
         Err(HandoverError::Io(e))
-            if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) =>
+            if matches!(
+                e.kind(),
+                io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
+            ) =>
         {
             None
         }
@@ -139,7 +150,10 @@
     writeln!(connection, "{HELLO}")?;
     let sockets = receive_sockets(&connection)?;
     connection.write_all(ACKNOWLEDGEMENT)?;
-    Ok(Handover { sockets, predecessor: PeerProcess::watch(connection)? })
+    Ok(Handover {
+        sockets,
+        predecessor: PeerProcess::watch(connection)?,
+    })
 }
 
 fn set_timeouts(connection: &UnixStream) -> io::Result<()> {
@@ -148,13 +162,15 @@
 }
 
 /// Receives the message that [`send_sockets`] sends.
-fn receive_sockets(connection: &UnixStream) -> Result<Vec<ListeningSocket<TcpListener>>, HandoverError> {
+fn receive_sockets(
+    connection: &UnixStream,
+) -> Result<Vec<ListeningSocket<TcpListener>>, HandoverError> {
     let mut text = [0; MAX_MESSAGE];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let buffers = &mut [IoSliceMut::new(&mut text)];
-    let message =
-        recvmsg(connection, buffers, &mut control, RecvFlags::CMSG_CLOEXEC).map_err(io::Error::from)?;
+    let message = recvmsg(connection, buffers, &mut control, RecvFlags::CMSG_CLOEXEC)
+        .map_err(io::Error::from)?;
     let mut sockets: Vec<OwnedFd> = Vec::new();
     for part in control.drain() {
         if let RecvAncillaryMessage::ScmRights(descriptors) = part {
@@ -165,15 +181,27 @@
     if sockets.is_empty() || addresses.len() != sockets.len() {
         return Err(HandoverError::SocketMismatch);
     }
-    let listening_socket = |(address, socket)| ListeningSocket { address, socket: TcpListener::from(socket) };
-    Ok(addresses.into_iter().zip(sockets).map(listening_socket).collect())
+    let listening_socket = |(address, socket)| ListeningSocket {
+        address,
+        socket: TcpListener::from(socket),
+    };
+    Ok(addresses
+        .into_iter()
+        .zip(sockets)
+        .map(listening_socket)
+        .collect())
 }
 
 /// The addresses that follow [`HELLO`], in the order of the sockets.
 fn parse_addresses(message: &[u8]) -> Result<Vec<SocketAddr>, HandoverError> {
-    let text = std::str::from_utf8(message).ok().and_then(|text| text.strip_prefix(HELLO));
+    let text = std::str::from_utf8(message)
+        .ok()
+        .and_then(|text| text.strip_prefix(HELLO));
     let addresses = text.ok_or(HandoverError::IncompatibleVersion)?;
-    Ok(addresses.split_whitespace().filter_map(|word| word.parse().ok()).collect())
+    Ok(addresses
+        .split_whitespace()
+        .filter_map(|word| word.parse().ok())
+        .collect())
 }
 
 /// Waits on a thread for successors, for as long as this process lives. `on_handed_over` is called for each that has
@@ -259,7 +287,11 @@
 /// The address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     use rustix::net::{bind, listen, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
-    let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if address.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -10,10 +10,14 @@
     path
 }
 
-const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 fn listening_socket() -> ListeningSocket<TcpListener> {
-    ListeningSocket { address: ANY_PORT, socket: listen(ANY_PORT).expect("a port") }
+    ListeningSocket {
+        address: ANY_PORT,
+        socket: listen(ANY_PORT).expect("a port"),
+    }
 }
 
 #[test]
@@ -29,7 +33,10 @@
     let handover = request_handover(&path).expect("a predecessor waits");
     let successor = successors.recv().expect("the predecessor is notified");
     let first = &handover.sockets[0];
-    assert_eq!((first.address, first.socket.local_addr().expect("bound")), (ANY_PORT, bound));
+    assert_eq!(
+        (first.address, first.socket.local_addr().expect("bound")),
+        (ANY_PORT, bound)
+    );
     assert!(handover.predecessor.is_alive() && successor.is_alive());
     // A second successor gets no sockets while the first lives: limits are shared by two processes.
     assert!(request_handover(&path).is_none());
@@ -59,23 +66,34 @@
 fn a_successor_that_exits_before_it_acknowledges_the_sockets_does_not_count() {
     let path = unused_path("broken");
     let (sender, successors) = channel();
-    offer(&path, vec![listening_socket()], move |peer| drop(sender.send(peer))).expect("offered");
+    offer(&path, vec![listening_socket()], move |peer| {
+        drop(sender.send(peer))
+    })
+    .expect("offered");
     let mut connection = UnixStream::connect(&path).expect("the predecessor waits");
     writeln!(connection, "{HELLO}").expect("written");
     assert!(connection.read(&mut [0; MAX_MESSAGE]).expect("the sockets") > 0);
     drop(connection);
     let handover = request_handover(&path).expect("the next one is served");
     assert!(successors.recv().expect("notified").is_alive() && handover.predecessor.is_alive());
-    assert!(successors.try_recv().is_err(), "the first one never had them");
+    assert!(
+        successors.try_recv().is_err(),
+        "the first one never had them"
+    );
     let _ = std::fs::remove_file(&path);
 }
 
 #[test]
 fn a_process_with_another_first_line_gets_no_sockets() {
     let path = unused_path("stranger");
-    offer(&path, vec![listening_socket()], |_| panic!("nobody took them over")).expect("offered");
+    offer(&path, vec![listening_socket()], |_| {
+        panic!("nobody took them over")
+    })
+    .expect("offered");
     let mut connection = UnixStream::connect(&path).expect("the predecessor waits");
-    connection.write_all(&[b'x'; HELLO.len() + 1]).expect("written");
+    connection
+        .write_all(&[b'x'; HELLO.len() + 1])
+        .expect("written");
     assert_eq!(connection.read_to_end(&mut Vec::new()).ok(), Some(0));
     assert!(request_handover(&path).is_some(), "the next one is served");
     let _ = std::fs::remove_file(&path);
@@ -83,11 +101,14 @@
 
 #[test]
 fn a_message_of_another_version_or_without_one_socket_for_each_address_is_an_error() {
-    let error = parse_addresses(b"quinceflow hand-over 2 127.0.0.1:80").expect_err("another version");
+    let error =
+        parse_addresses(b"quinceflow hand-over 2 127.0.0.1:80").expect_err("another version");
     assert!(matches!(error, HandoverError::IncompatibleVersion));
     assert_eq!(error.to_string(), "the other process is of another version");
     let (here, there) = UnixStream::pair().expect("a pair");
-    (&there).write_all(format!("{HELLO} {ANY_PORT}").as_bytes()).expect("written");
+    (&there)
+        .write_all(format!("{HELLO} {ANY_PORT}").as_bytes())
+        .expect("written");
     let error = receive_sockets(&here).expect_err("no socket came");
     assert!(matches!(error, HandoverError::SocketMismatch));
     assert_eq!(error.to_string(), "sockets and addresses do not match");
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -84,7 +84,10 @@
     /// Whether new connections are accepted.
     #[must_use]
     pub fn accepts_connections(self) -> bool {
-        !matches!(self, ServicePhase::HandedOver | ServicePhase::ClosingHandedOver)
+        !matches!(
+            self,
+            ServicePhase::HandedOver | ServicePhase::ClosingHandedOver
+        )
     }
 
     /// Whether each response closes its connection.
@@ -146,7 +149,8 @@
 
     /// Whether requests are served as those of a ready process.
     pub fn is_ready(&self) -> bool {
-        self.startup.load(Relaxed) >= StartupPhase::Ready as u8 && !self.service_phase().is_draining()
+        self.startup.load(Relaxed) >= StartupPhase::Ready as u8
+            && !self.service_phase().is_draining()
     }
 
     /// Whether discovery's list has been received.
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -15,7 +15,9 @@
     let lifecycle = Lifecycle::default();
     assert!(!lifecycle.is_ready() && !lifecycle.endpoints_known());
     lifecycle.advance_startup(StartupPhase::Ready);
-    assert!(lifecycle.is_ready() && !lifecycle.endpoints_received() && !lifecycle.endpoints_known());
+    assert!(
+        lifecycle.is_ready() && !lifecycle.endpoints_received() && !lifecycle.endpoints_known()
+    );
     lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     assert!(lifecycle.is_ready() && lifecycle.endpoints_received() && !lifecycle.endpoints_known());
     lifecycle.advance_startup(StartupPhase::EndpointsKnown);
@@ -29,10 +31,16 @@
     assert_eq!(lifecycle.service_phase(), ServicePhase::Serving);
     assert_eq!(lifecycle.shut_down(DrainAlone), ServicePhase::Draining);
     let draining = lifecycle.service_phase();
-    assert!(draining.is_draining() && draining.accepts_connections() && !draining.closes_after_response());
+    assert!(
+        draining.is_draining()
+            && draining.accepts_connections()
+            && !draining.closes_after_response()
+    );
     assert_eq!(lifecycle.shut_down(Close), ServicePhase::Closing);
     let closing = lifecycle.service_phase();
-    assert!(closing.is_draining() && closing.accepts_connections() && closing.closes_after_response());
+    assert!(
+        closing.is_draining() && closing.accepts_connections() && closing.closes_after_response()
+    );
 }
 
 #[test]
@@ -75,5 +83,8 @@
     assert_eq!(lifecycle.health(), Err(Unhealthy::Draining));
     assert!(!lifecycle.is_ready());
     let texts = [Unhealthy::Draining, Unhealthy::EndpointsUnknown].map(|why| why.to_string());
-    assert_eq!(texts, ["it is told to end", "the servers are not known yet"]);
+    assert_eq!(
+        texts,
+        ["it is told to end", "the servers are not known yet"]
+    );
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -55,6 +55,9 @@
 ///
 /// # Errors
 /// The runtime cannot allocate the stack.
-pub fn spawn(stack_words: usize, work: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
+pub fn spawn(
+    stack_words: usize,
+    work: impl FnOnce() + Send + 'static,
+) -> io::Result<JoinHandle<()>> {
     may::go!(Builder::new().stack_size(stack_words), work)
 }
--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -22,7 +22,11 @@
     pub(super) fn opened_at(now: Micros) -> Self {
         let silence = SilenceDetector::opened_at(now);
         NodeConnection {
-            state: Mutex::new(ConnectionState { silence, last_used: now, ..ConnectionState::default() }),
+            state: Mutex::new(ConnectionState {
+                silence,
+                last_used: now,
+                ..ConnectionState::default()
+            }),
         }
     }
 
@@ -76,7 +80,9 @@
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
             && self.protocol.in_flight() + requests.len() <= max_attempts
-            && !requests.iter().any(|request| self.protocol.awaits_late_answer(request))
+            && !requests
+                .iter()
+                .any(|request| self.protocol.awaits_late_answer(request))
     }
 
     /// Whether it is neither silent nor in the middle of a frame.
@@ -125,13 +131,17 @@
     /// Notes the frames that what was just received has completed, and whether the beginning of another one is left.
     pub(super) fn record_frames(&mut self, complete_frames: usize, now: Micros) {
         self.frame_received |= complete_frames > 0;
-        let since = self.partial_frame_since.filter(|_| complete_frames == 0).unwrap_or(now);
+        let since = self
+            .partial_frame_since
+            .filter(|_| complete_frames == 0)
+            .unwrap_or(now);
         self.partial_frame_since = self.protocol.has_partial_frame().then_some(since);
     }
 
     /// Whether the end of a frame is overdue.
     pub(super) fn is_frame_overdue(&self, now: Micros) -> bool {
-        self.partial_frame_since.is_some_and(|since| now.since(since) > PARTIAL_FRAME_TIMEOUT)
+        self.partial_frame_since
+            .is_some_and(|since| now.since(since) > PARTIAL_FRAME_TIMEOUT)
     }
 
     /// Closes the connection at once, since what was received cannot be used.
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -51,7 +51,10 @@
 
 impl ConnectionDriver {
     pub(super) fn new(connection: Arc<NodeConnection>, context: DriverContext) -> Self {
-        ConnectionDriver { connection, context }
+        ConnectionDriver {
+            connection,
+            context,
+        }
     }
 
     /// Starts the driver on a coroutine of its own.
@@ -90,7 +93,8 @@
     /// be established, or that ended before a complete frame was received: another one would end in the same way, and one
     /// that brings only invalid bytes would be dialled again without a pause.
     fn connect_and_drive(&self, target: DialTarget) -> bool {
-        let Ok(stream) = TcpStream::connect_timeout(&target.address, target.timeout.to_duration()) else {
+        let Ok(stream) = TcpStream::connect_timeout(&target.address, target.timeout.to_duration())
+        else {
             COUNTERS.dials_failed.increment();
             return false;
         };
@@ -182,7 +186,9 @@
 
     /// Takes the response time of a served attempt into the baseline.
     fn record_ended(&self, state: &mut ConnectionState, event: &AttemptEvent, now: Micros) {
-        let AttemptEvent::Ended(key, end) = event else { return };
+        let AttemptEvent::Ended(key, end) = event else {
+            return;
+        };
         let dispatched_at = state.silence.record_ended(*key);
         if let (Some(dispatched_at), AttemptEnd::Served(_)) = (dispatched_at, end) {
             self.context.baseline.record(now.since(dispatched_at));
@@ -207,7 +213,9 @@
 }
 
 fn peer_name(stream: &std::net::TcpStream) -> String {
-    stream.peer_addr().map_or_else(|_| "?".to_owned(), |address| address.to_string())
+    stream
+        .peer_addr()
+        .map_or_else(|_| "?".to_owned(), |address| address.to_string())
 }
 
 #[cfg(test)]
--- a/src/net/node_client/driver/tests.rs
+++ b/src/net/node_client/driver/tests.rs
@@ -6,7 +6,11 @@
 
 fn driver() -> ConnectionDriver {
     let inbox = may::sync::mpsc::channel().0;
-    let context = DriverContext { inbox, clock: Clock::start(), baseline: Arc::default() };
+    let context = DriverContext {
+        inbox,
+        clock: Clock::start(),
+        baseline: Arc::default(),
+    };
     ConnectionDriver::new(Arc::default(), context)
 }
 
@@ -31,7 +35,10 @@
     let driver = driver();
     let mut state = driver.connection.lock();
     state.protocol.enqueue(&[AttemptRequest {
-        key: AttemptKey { part: PartId(1), attempt: AttemptNo(0) },
+        key: AttemptKey {
+            part: PartId(1),
+            attempt: AttemptNo(0),
+        },
         request_id: "q1".into(),
         shard: ShardId(0),
         payload: Arc::from(&b"c41e77d0"[..]),
@@ -40,9 +47,15 @@
         metrics: Arc::new(ClassMetrics::default()),
     }]);
     let mut events = Vec::new();
-    assert!(!driver.exchange(&mut state, &stream, &mut events), "it has ended");
+    assert!(
+        !driver.exchange(&mut state, &stream, &mut events),
+        "it has ended"
+    );
     assert!(events.is_empty(), "nothing was written: {events:?}");
-    assert!(state.protocol.restart_unsent(), "the part may be sent on another connection");
+    assert!(
+        state.protocol.restart_unsent(),
+        "the part may be sent on another connection"
+    );
 }
 
 #[test]
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -76,11 +76,17 @@
             }
             // A connection can fall silent while its node is healthy: new attempts use another one.
             if state.is_responsive(now, silence_timeout) {
-                return Candidates { responsive: Some(connection.clone()), silent: None };
+                return Candidates {
+                    responsive: Some(connection.clone()),
+                    silent: None,
+                };
             }
             silent = Some(connection.clone());
         }
-        Candidates { responsive: None, silent }
+        Candidates {
+            responsive: None,
+            silent,
+        }
     }
 }
 
@@ -98,7 +104,11 @@
         NodeClient {
             nodes: HashMap::new(),
             limits: ConnectionLimits::new(settings),
-            context: DriverContext { inbox, clock, baseline: Arc::default() },
+            context: DriverContext {
+                inbox,
+                clock,
+                baseline: Arc::default(),
+            },
         }
     }
 
@@ -111,7 +121,8 @@
     ) -> Option<Arc<NodeConnection>> {
         let node = self.nodes.get_mut(&replica)?;
         let address = node.address.filter(|_| node.ready)?;
-        node.connections.retain(|connection| !connection.lock().closed);
+        node.connections
+            .retain(|connection| !connection.lock().closed);
         let silence_timeout = self.context.baseline.silence_timeout();
         let candidates = node.find_connection(requests, self.limits, silence_timeout, now);
         if candidates.responsive.is_some() {
@@ -125,10 +136,20 @@
         self.dial(connection, address)
     }
 
-    fn dial(&self, connection: Arc<NodeConnection>, address: SocketAddr) -> Option<Arc<NodeConnection>> {
+    fn dial(
+        &self,
+        connection: Arc<NodeConnection>,
+        address: SocketAddr,
+    ) -> Option<Arc<NodeConnection>> {
         COUNTERS.dials.increment();
         let driver = ConnectionDriver::new(connection.clone(), self.context.clone());
-        if driver.start(DialTarget { address, timeout: self.limits.connect_timeout }).is_err() {
+        if driver
+            .start(DialTarget {
+                address,
+                timeout: self.limits.connect_timeout,
+            })
+            .is_err()
+        {
             connection.lock().closed = true;
             return None;
         }
@@ -139,7 +160,11 @@
 impl Upstream for NodeClient {
     fn update_server(&mut self, replica: ReplicaId, address: &str, ready: bool, _now: Micros) {
         let address = address.parse().ok();
-        let node = self.nodes.entry(replica).or_insert(Node { address, ready, connections: Vec::new() });
+        let node = self.nodes.entry(replica).or_insert(Node {
+            address,
+            ready,
+            connections: Vec::new(),
+        });
         let moved = node.address != address;
         node.address = address;
         node.ready = ready;
@@ -157,17 +182,17 @@
     fn dispatch(&mut self, replica: ReplicaId, requests: &[AttemptRequest], now: Micros) {
         match self.connection_for(replica, requests, now) {
             Some(connection) => connection.lock().dispatch(requests, now),
-            None => {
-                self.context.forward(requests.iter().map(|request| {
-                    AttemptEvent::Ended(request.key, AttemptEnd::Failed(Outcome::ConnectFailed))
-                }))
-            }
+            None => self.context.forward(requests.iter().map(|request| {
+                AttemptEvent::Ended(request.key, AttemptEnd::Failed(Outcome::ConnectFailed))
+            })),
         }
     }
 
     fn cancel(&mut self, replica: ReplicaId, key: AttemptKey, now: Micros) {
         let silence_timeout = self.context.baseline.cancelled_silence_timeout();
-        let Some(node) = self.nodes.get(&replica) else { return };
+        let Some(node) = self.nodes.get(&replica) else {
+            return;
+        };
         for connection in &node.connections {
             let mut state = connection.lock();
             if state.protocol.contains(key) && state.cancel(key, now, silence_timeout) {
@@ -177,7 +202,9 @@
     }
 
     fn remove_server(&mut self, replica: ReplicaId) {
-        let Some(node) = self.nodes.remove(&replica) else { return };
+        let Some(node) = self.nodes.remove(&replica) else {
+            return;
+        };
         // No attempt is in flight on any of them: what is still open ends here.
         for connection in &node.connections {
             connection.lock().close_when_idle();
@@ -185,7 +212,9 @@
     }
 
     fn close_idle(&mut self, replica: ReplicaId) {
-        let Some(node) = self.nodes.get(&replica) else { return };
+        let Some(node) = self.nodes.get(&replica) else {
+            return;
+        };
         for connection in &node.connections {
             let mut state = connection.lock();
             if state.protocol.is_idle() {
@@ -202,7 +231,8 @@
         let idle_limit = self.limits.idle_limit;
         for node in self.nodes.values_mut() {
             let address = node.address;
-            node.connections.retain(|connection| !reap_connection(connection, address, idle_limit, now));
+            node.connections
+                .retain(|connection| !reap_connection(connection, address, idle_limit, now));
         }
     }
 }
@@ -218,7 +248,10 @@
     if state.is_frame_overdue(now) && !state.corrupt {
         log_throttled(&COUNTERS.bad_frames, || {
             let address = address.map(tracing::field::display);
-            tracing::warn!(address, "data node connection closed after an incomplete frame");
+            tracing::warn!(
+                address,
+                "data node connection closed after an incomplete frame"
+            );
         });
         state.close_corrupt();
     }
--- a/src/net/node_client/silence.rs
+++ b/src/net/node_client/silence.rs
@@ -27,14 +27,18 @@
 
 impl Default for ResponseTimeBaseline {
     fn default() -> Self {
-        ResponseTimeBaseline { micros: AtomicU64::new(INITIAL_BASELINE.0) }
+        ResponseTimeBaseline {
+            micros: AtomicU64::new(INITIAL_BASELINE.0),
+        }
     }
 }
 
 impl ResponseTimeBaseline {
     pub(super) fn record(&self, response_time: Micros) {
         let baseline = self.micros.load(Relaxed);
-        let limited = response_time.0.min(baseline.saturating_mul(MAX_OUTLIER_RATIO));
+        let limited = response_time
+            .0
+            .min(baseline.saturating_mul(MAX_OUTLIER_RATIO));
         let updated = baseline - baseline / BASELINE_SMOOTHING + limited / BASELINE_SMOOTHING;
         self.micros.store(updated, Relaxed);
     }
@@ -67,7 +71,10 @@
 
 impl SilenceDetector {
     pub(super) fn opened_at(now: Micros) -> Self {
-        SilenceDetector { last_received: now, ..SilenceDetector::default() }
+        SilenceDetector {
+            last_received: now,
+            ..SilenceDetector::default()
+        }
     }
 
     pub(super) fn record_dispatched(&mut self, key: AttemptKey, now: Micros) {
@@ -86,7 +93,9 @@
 
     /// How long attempts have waited with nothing received, cancelled ones included.
     pub(super) fn silent_for(&self, now: Micros) -> Micros {
-        let Some(oldest) = self.dispatched_at.values().min() else { return self.cancelled_silence };
+        let Some(oldest) = self.dispatched_at.values().min() else {
+            return self.cancelled_silence;
+        };
         let silent_since = self.last_received.max(*oldest).max(self.counted_through);
         self.cancelled_silence + now.since(silent_since)
     }
@@ -94,7 +103,12 @@
     /// An attempt is cancelled; true: by now the connection counts as silent. A machine that vanished leaves its connections
     /// open and silent, and resets them when it is back, so that whatever is sent on them is lost. A new connection fails in
     /// time and proves that the attempt never ran.
-    pub(super) fn record_cancelled(&mut self, key: AttemptKey, now: Micros, timeout: Micros) -> bool {
+    pub(super) fn record_cancelled(
+        &mut self,
+        key: AttemptKey,
+        now: Micros,
+        timeout: Micros,
+    ) -> bool {
         let dispatched_at = self.dispatched_at.remove(&key).unwrap_or(now);
         // A new connection counts as heard from when its first attempt is dispatched: that proves nothing yet.
         if self.last_received > dispatched_at {
--- a/src/net/node_client/silence/tests.rs
+++ b/src/net/node_client/silence/tests.rs
@@ -2,7 +2,10 @@
 use crate::interface::{AttemptNo, PartId};
 
 fn key(part: u64) -> AttemptKey {
-    AttemptKey { part: PartId(part), attempt: AttemptNo(0) }
+    AttemptKey {
+        part: PartId(part),
+        attempt: AttemptNo(0),
+    }
 }
 
 #[test]
@@ -23,7 +26,10 @@
             "attempt {attempt}"
         );
     }
-    assert!(detector.silent_for(ms(400)) > timeout, "nothing more is sent there");
+    assert!(
+        detector.silent_for(ms(400)) > timeout,
+        "nothing more is sent there"
+    );
     detector.record_received(ms(500));
     assert_eq!(detector.silent_for(ms(900)), Micros::ZERO);
 }
@@ -48,10 +54,21 @@
 
 #[test]
 fn outliers_do_not_lengthen_the_silence_timeout() {
-    let baseline = ResponseTimeBaseline { micros: AtomicU64::new(1_000) };
+    let baseline = ResponseTimeBaseline {
+        micros: AtomicU64::new(1_000),
+    };
     (0..5).for_each(|_| baseline.record(Micros::from_secs(2)));
-    assert!(baseline.silence_timeout() < Micros::from_millis(10), "{baseline:?}");
-    assert_eq!(baseline.silence_timeout(), baseline.cancelled_silence_timeout() + SILENCE_MARGIN);
+    assert!(
+        baseline.silence_timeout() < Micros::from_millis(10),
+        "{baseline:?}"
+    );
+    assert_eq!(
+        baseline.silence_timeout(),
+        baseline.cancelled_silence_timeout() + SILENCE_MARGIN
+    );
     (0..500).for_each(|_| baseline.record(Micros::from_millis(20)));
-    assert!(baseline.silence_timeout() > Micros::from_millis(80), "the baseline follows: {baseline:?}");
+    assert!(
+        baseline.silence_timeout() > Micros::from_millis(80),
+        "the baseline follows: {baseline:?}"
+    );
 }
--- a/src/net/nonblocking/tests.rs
+++ b/src/net/nonblocking/tests.rs
@@ -17,7 +17,9 @@
         match try_read(&stream, &mut [0]) {
             IoOutcome::EndOfStream => assert!(!reset),
             IoOutcome::Broken => assert!(reset),
-            IoOutcome::Transferred(_) | IoOutcome::WouldBlock => panic!("the peer has closed the connection"),
+            IoOutcome::Transferred(_) | IoOutcome::WouldBlock => {
+                panic!("the peer has closed the connection")
+            }
         }
     }
 }
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -82,7 +82,10 @@
     pub(super) fn run(mut self) {
         let mut inputs = Vec::new();
         let mut commands = Vec::new();
-        let mut reaped_at = ReapTimes { servers: self.now(), clients: self.now() };
+        let mut reaped_at = ReapTimes {
+            servers: self.now(),
+            clients: self.now(),
+        };
         loop {
             self.receive(&mut inputs);
             let now = self.now();
@@ -122,7 +125,10 @@
     fn wait(&self) -> Option<Input> {
         let now = self.now();
         let latest = now + MAX_SLEEP;
-        let due = self.coordinator.next_turn_due().map_or(latest, |due| due.min(latest));
+        let due = self
+            .coordinator
+            .next_turn_due()
+            .map_or(latest, |due| due.min(latest));
         if due <= now {
             return None;
         }
@@ -132,10 +138,16 @@
 
     fn carry_out(&mut self, now: Micros, command: Command) {
         match command {
-            Command::UpdateServer { replica, address, ready } => {
+            Command::UpdateServer {
+                replica,
+                address,
+                ready,
+            } => {
                 self.upstream.update_server(replica, &address, ready, now);
             }
-            Command::Dispatch { replica, attempts } => self.upstream.dispatch(replica, &attempts, now),
+            Command::Dispatch { replica, attempts } => {
+                self.upstream.dispatch(replica, &attempts, now)
+            }
             Command::CancelAttempt { replica, key } => self.upstream.cancel(replica, key, now),
             Command::RemoveServer(replica) => self.upstream.remove_server(replica),
             Command::CloseIdle(replica) => self.upstream.close_idle(replica),
@@ -147,7 +159,8 @@
     fn reap(&mut self, now: Micros, reaped_at: &mut ReapTimes) {
         if now.since(reaped_at.servers) >= REAP_SERVERS_INTERVAL {
             reaped_at.servers = now;
-            self.upstream.reap(now, &|key| self.coordinator.is_in_flight(key));
+            self.upstream
+                .reap(now, &|key| self.coordinator.is_in_flight(key));
         }
         if now.since(reaped_at.clients) >= REAP_CLIENTS_INTERVAL {
             reaped_at.clients = now;
@@ -161,7 +174,9 @@
         if generation != self.generation {
             self.generation = generation;
             self.coordinator.set_process_generation(generation);
-            self.clients.lifecycle().set_limits_shared(generation.is_some());
+            self.clients
+                .lifecycle()
+                .set_limits_shared(generation.is_some());
         }
     }
 
@@ -175,7 +190,8 @@
 
     fn apply(&mut self, reloaded: Reloaded, inputs: &mut Vec<Input>) {
         if let Some(settings) = reloaded.settings {
-            self.shutdown.set_longest_deadline(longest_deadline(&settings.policy));
+            self.shutdown
+                .set_longest_deadline(longest_deadline(&settings.policy));
             self.upstream.reconfigure(&settings);
         }
         // Requests that were read under the old settings are submitted before the new ones apply.
@@ -186,9 +202,12 @@
     /// Shuts down as the timetable demands, once a signal has asked for it. Returns whether the process exits now.
     fn shut_down_if_requested(&mut self, now: Micros) -> bool {
         let just_started = self.process.signals.shutdown_requested() && self.shutdown.start(now);
-        let Some(schedule) = self.shutdown.schedule() else { return false };
+        let Some(schedule) = self.shutdown.schedule() else {
+            return false;
+        };
         if just_started {
-            self.coordinator.set_final_deadline(schedule.final_deadline());
+            self.coordinator
+                .set_final_deadline(schedule.final_deadline());
         }
         // In each turn: the signal may come before the report that a successor has received the sockets.
         let successor_accepts = self.generation == Some(ProcessGeneration::Predecessor);
@@ -216,7 +235,10 @@
         } else {
             self.clients.owed_connections()
         };
-        let pending = PendingWork { queries: self.coordinator.pending_queries(), connections };
+        let pending = PendingWork {
+            queries: self.coordinator.pending_queries(),
+            connections,
+        };
         let drained = phase.may_exit(successor_accepts, pending) && self.clients.backlog_is_empty();
         drained || phase == ShutdownPhase::Expired
     }
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -55,7 +55,9 @@
     /// Logs that the reload was rejected and why.
     pub(super) fn log(&self) {
         match self {
-            ReloadError::Configuration(error) => tracing::warn!(%error, "configuration reload rejected"),
+            ReloadError::Configuration(error) => {
+                tracing::warn!(%error, "configuration reload rejected")
+            }
             ReloadError::Inventory(error) => tracing::warn!(%error, "inventory reload rejected"),
         }
     }
--- a/src/net/server/error/tests.rs
+++ b/src/net/server/error/tests.rs
@@ -7,7 +7,10 @@
     let io_error = || io::Error::other("no more");
     let address = SocketAddr::from(([127, 0, 0, 1], 8080));
     let errors = [
-        ServerError::Listen { address, source: io_error() },
+        ServerError::Listen {
+            address,
+            source: io_error(),
+        },
         ServerError::LocalAddress(io_error()),
         ServerError::Coroutine(io_error()),
         ServerError::Signals(io_error()),
--- a/src/net/server/generations.rs
+++ b/src/net/server/generations.rs
@@ -17,7 +17,10 @@
 impl ProcessGenerations {
     /// This process after its start, with the predecessor that handed sockets over to it.
     pub(super) fn new(predecessor: Option<PeerProcess>) -> Self {
-        ProcessGenerations { predecessor, successor: Mutex::default() }
+        ProcessGenerations {
+            predecessor,
+            successor: Mutex::default(),
+        }
     }
 
     /// Whether this process received its listening sockets from another one.
@@ -37,9 +40,13 @@
 
     /// Which of two processes this one is, as long as both live.
     pub(super) fn current(&self) -> Option<ProcessGeneration> {
-        if sync::lock(&self.successor).as_ref().is_some_and(PeerProcess::is_alive) {
+        if sync::lock(&self.successor)
+            .as_ref()
+            .is_some_and(PeerProcess::is_alive)
+        {
             return Some(ProcessGeneration::Predecessor);
         }
-        self.predecessor_lives().then_some(ProcessGeneration::Successor)
+        self.predecessor_lives()
+            .then_some(ProcessGeneration::Successor)
     }
 }
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -57,10 +57,16 @@
         }
         offer(&path, sockets, generations);
     };
-    spawn(SMALL_STACK_WORDS, offer_later).map(drop).map_err(ServerError::Coroutine)
+    spawn(SMALL_STACK_WORDS, offer_later)
+        .map(drop)
+        .map_err(ServerError::Coroutine)
 }
 
-fn offer(path: &Path, sockets: Vec<ListeningSocket<SharedListener>>, generations: Arc<ProcessGenerations>) {
+fn offer(
+    path: &Path,
+    sockets: Vec<ListeningSocket<SharedListener>>,
+    generations: Arc<ProcessGenerations>,
+) {
     let socket_count = sockets.len();
     let offered = handover::offer(path, sockets, move |successor| {
         tracing::info!(socket_count, "listening sockets handed over to successor");
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -43,7 +43,11 @@
     let admin = admin_config(platform.as_ref(), edge.as_ref());
     // Before all else: a process with a predecessor is set up differently.
     let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
-    let process = ProcessContext { clock, signals, generations: inherited.generations };
+    let process = ProcessContext {
+        clock,
+        signals,
+        generations: inherited.generations,
+    };
     let services = build_services(platform, edge, &process, &metrics)?;
     let listeners = open_listeners(&services, &mut inherited.sockets)?;
     if let Some(path) = inherited.path {
@@ -59,7 +63,10 @@
         start_admin(admin, &running, &metrics);
     }
     for service in running {
-        service.coordinator.join().map_err(|_| ServerError::CoordinatorPanicked)?;
+        service
+            .coordinator
+            .join()
+            .map_err(|_| ServerError::CoordinatorPanicked)?;
     }
     COUNTERS.log();
     Ok(())
@@ -75,10 +82,18 @@
 /// One endpoint serves the whole process; the platform's address takes precedence.
 fn admin_config(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Option<AdminConfig> {
     let of_platform = platform.and_then(|config| {
-        Some(AdminConfig { address: config.admin?, max_descriptors: config.max_descriptors })
+        Some(AdminConfig {
+            address: config.admin?,
+            max_descriptors: config.max_descriptors,
+        })
     });
     of_platform.or_else(|| {
-        edge.and_then(|edge| Some(AdminConfig { address: edge.mgmt?, max_descriptors: edge.max_descriptors }))
+        edge.and_then(|edge| {
+            Some(AdminConfig {
+                address: edge.mgmt?,
+                max_descriptors: edge.max_descriptors,
+            })
+        })
     })
 }
 
@@ -93,13 +108,19 @@
 
 /// Requests the listening sockets of a predecessor, if there is one.
 fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
-    let address = platform.map(|config| config.listen).or(edge.map(|edge| edge.listen));
+    let address = platform
+        .map(|config| config.listen)
+        .or(edge.map(|edge| edge.listen));
     let path = address.and_then(handover::socket_path);
     let (sockets, predecessor) = match path.as_deref().and_then(handover::request_handover) {
         Some(handover) => (handover.sockets, Some(handover.predecessor)),
         None => (Vec::new(), None),
     };
-    Inheritance { path, sockets, generations: Arc::new(ProcessGenerations::new(predecessor)) }
+    Inheritance {
+        path,
+        sockets,
+        generations: Arc::new(ProcessGenerations::new(predecessor)),
+    }
 }
 
 /// Builds the services that are configured. They share the descriptors and the memory of the process.
@@ -112,13 +133,20 @@
     let mut services = Vec::new();
     if let Some(config) = platform {
         let has_predecessor = process.generations.has_predecessor();
-        services.push(wiring::platform_service(&config, process.clock, metrics, has_predecessor)?);
+        services.push(wiring::platform_service(
+            &config,
+            process.clock,
+            metrics,
+            has_predecessor,
+        )?);
     }
     if let Some(edge) = edge {
         services.push(wiring::feature_service(edge, process.clock, metrics)?);
     }
     let fronts = services.len();
-    services.iter_mut().for_each(|service| service.limits = service.limits.shared(fronts));
+    services
+        .iter_mut()
+        .for_each(|service| service.limits = service.limits.shared(fronts));
     Ok(services)
 }
 
@@ -126,10 +154,16 @@
     services: &[Service],
     inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<Vec<Listener>, ServerError> {
-    services.iter().map(|service| listeners::listener_for(service.listen, inherited)).collect()
+    services
+        .iter()
+        .map(|service| listeners::listener_for(service.listen, inherited))
+        .collect()
 }
 
-fn shared_listeners(services: &[Service], listeners: &[Listener]) -> Vec<ListeningSocket<SharedListener>> {
+fn shared_listeners(
+    services: &[Service],
+    listeners: &[Listener],
+) -> Vec<ListeningSocket<SharedListener>> {
     let share = |(service, listener): (&Service, &Listener)| ListeningSocket {
         address: service.listen,
         socket: SharedListener(listener.clone()),
@@ -139,10 +173,17 @@
 
 /// Starts the admin endpoint. Clients are served without it, too.
 fn start_admin(config: AdminConfig, services: &[RunningService], metrics: &Arc<Metrics>) {
-    let fronts: Vec<_> = services.iter().map(|service| service.clients.clone()).collect();
+    let fronts: Vec<_> = services
+        .iter()
+        .map(|service| service.clients.clone())
+        .collect();
     let endpoint = AdminEndpoint {
         metrics: metrics.clone(),
-        health: Box::new(move || fronts.iter().try_for_each(|clients| clients.lifecycle().health())),
+        health: Box::new(move || {
+            fronts
+                .iter()
+                .try_for_each(|clients| clients.lifecycle().health())
+        }),
         max_callers: admin::reserved(config.max_descriptors) - 1,
     };
     if let Err(e) = admin::start(config.address, endpoint) {
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -29,7 +29,10 @@
 impl RequestedReloads {
     /// Reloads by `reload`, after so many requests that were made before.
     pub(super) fn new(reload: Box<dyn Reload>, requested_before: u64) -> Self {
-        RequestedReloads { reload, done: requested_before }
+        RequestedReloads {
+            reload,
+            done: requested_before,
+        }
     }
 
     /// Reloads if more reloads were requested than are done. A rejected reload changes nothing and is logged.
@@ -130,16 +133,28 @@
             self.source.set_address(file.discovery);
         }
         let settings = file.settings;
-        self.source.set_max_poll_interval(settings.policy.max_poll_interval);
+        self.source
+            .set_max_poll_interval(settings.policy.max_poll_interval);
         *sync::lock(&self.catalog) = PlatformCatalog::new(&settings);
-        let classes: Vec<_> = settings.policy.classes.iter().map(|c| c.name.as_str()).collect();
-        let change =
-            ReloadedChange::Configuration { discovery: self.source.address(), classes: classes.join(" ") };
+        let classes: Vec<_> = settings
+            .policy
+            .classes
+            .iter()
+            .map(|c| c.name.as_str())
+            .collect();
+        let change = ReloadedChange::Configuration {
+            discovery: self.source.address(),
+            classes: classes.join(" "),
+        };
         let input = Input::Settings {
             settings: Box::new(settings.policy.clone()),
             max_in_flight: settings.max_in_flight,
         };
-        Ok(Reloaded { change, input, settings: Some(settings) })
+        Ok(Reloaded {
+            change,
+            input,
+            settings: Some(settings),
+        })
     }
 }
 
@@ -159,7 +174,13 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError> {
         let servers = self.edge.load_inventory().map_err(ReloadError::Inventory)?;
         let update = sync::lock(&self.catalog).load(&servers, now);
-        let change = ReloadedChange::Inventory { servers: update.endpoints.len() };
-        Ok(Reloaded { change, input: Input::EndpointUpdate(update), settings: None })
+        let change = ReloadedChange::Inventory {
+            servers: update.endpoints.len(),
+        };
+        Ok(Reloaded {
+            change,
+            input: Input::EndpointUpdate(update),
+            settings: None,
+        })
     }
 }
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -50,7 +50,10 @@
         listener: Listener,
         process: ProcessContext,
     ) -> Result<RunningService, ServerError> {
-        let address = listener.inner().local_addr().map_err(ServerError::LocalAddress)?;
+        let address = listener
+            .inner()
+            .local_addr()
+            .map_err(ServerError::LocalAddress)?;
         let timer = self.start_timer(process.clock)?;
         let clients = ClientConnections::new(
             self.front,
@@ -62,13 +65,20 @@
         );
         accept(clients.clone(), process.generations.clone())?;
         if process.generations.has_predecessor() {
-            tracing::info!(service = self.name, "listening sockets received from predecessor");
+            tracing::info!(
+                service = self.name,
+                "listening sockets received from predecessor"
+            );
         }
         tracing::info!(service = self.name, %address, "listening for client connections");
-        let coordinator_loop = CoordinatorLoop::new(self.coordinator, clients.clone(), timer, process);
-        let coordinator =
-            spawn(TURN_STACK_WORDS, move || coordinator_loop.run()).map_err(ServerError::Coroutine)?;
-        Ok(RunningService { clients, coordinator })
+        let coordinator_loop =
+            CoordinatorLoop::new(self.coordinator, clients.clone(), timer, process);
+        let coordinator = spawn(TURN_STACK_WORDS, move || coordinator_loop.run())
+            .map_err(ServerError::Coroutine)?;
+        Ok(RunningService {
+            clients,
+            coordinator,
+        })
     }
 
     /// Starts the timer, which wakes the coordinator by an input.
@@ -79,7 +89,12 @@
     }
 }
 
-fn accept(clients: Arc<ClientConnections>, generations: Arc<ProcessGenerations>) -> Result<(), ServerError> {
+fn accept(
+    clients: Arc<ClientConnections>,
+    generations: Arc<ProcessGenerations>,
+) -> Result<(), ServerError> {
     let accept = move || clients.accept(|| generations.predecessor_lives());
-    spawn(LARGE_STACK_WORDS, accept).map(drop).map_err(ServerError::Coroutine)
+    spawn(LARGE_STACK_WORDS, accept)
+        .map(drop)
+        .map_err(ServerError::Coroutine)
 }
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -25,7 +25,14 @@
 
 /// The longest deadline of a class: no query is pending for longer.
 pub(super) fn longest_deadline(settings: &Settings) -> Micros {
-    Micros::from_nanos(settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0))
+    Micros::from_nanos(
+        settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0),
+    )
 }
 
 /// A phase of a graceful shutdown, in the order of time.
@@ -85,7 +92,10 @@
     #[must_use]
     pub fn new(signalled_at: Micros, longest_deadline: Micros) -> Self {
         let kill_time = longest_deadline.min(MAX_DEADLINE) + KILL_GRACE;
-        ShutdownSchedule { signalled_at, answer_time: kill_time - KILL_MARGIN }
+        ShutdownSchedule {
+            signalled_at,
+            answer_time: kill_time - KILL_MARGIN,
+        }
     }
 
     /// When every query that is accepted must have its answer.
@@ -123,7 +133,10 @@
     /// A shutdown that has not been requested.
     #[must_use]
     pub fn new(longest_deadline: Micros) -> Self {
-        GracefulShutdown { longest_deadline, schedule: None }
+        GracefulShutdown {
+            longest_deadline,
+            schedule: None,
+        }
     }
 
     /// Notes the longest deadline under new settings.
@@ -134,7 +147,8 @@
     /// Starts the shutdown, as it was requested. Returns whether it had not started before.
     pub fn start(&mut self, now: Micros) -> bool {
         let starts = self.schedule.is_none();
-        self.schedule.get_or_insert_with(|| ShutdownSchedule::new(now, self.longest_deadline));
+        self.schedule
+            .get_or_insert_with(|| ShutdownSchedule::new(now, self.longest_deadline));
         starts
     }
 
--- a/src/net/server/shutdown/tests.rs
+++ b/src/net/server/shutdown/tests.rs
@@ -16,7 +16,12 @@
 #[test]
 fn the_phases_follow_the_longest_deadline_up_to_3_s() {
     // The kill comes 0.7 s after the longest deadline; the last answers are due 0.2 s before that.
-    for (deadline, answers) in [(1_000, 1_500), (2_000, 2_500), (3_000, 3_500), (60_000, 3_500)] {
+    for (deadline, answers) in [
+        (1_000, 1_500),
+        (2_000, 2_500),
+        (3_000, 3_500),
+        (60_000, 3_500),
+    ] {
         let due = SIGNALLED_AT + Micros::from_millis(answers);
         assert_eq!(schedule(deadline).final_deadline(), due, "{deadline}");
         for (elapsed, phase) in [
@@ -29,7 +34,11 @@
             (8_000, Expired),
             (60_000, Expired),
         ] {
-            assert_eq!(phase_after(deadline, elapsed), phase, "{deadline} {elapsed}");
+            assert_eq!(
+                phase_after(deadline, elapsed),
+                phase,
+                "{deadline} {elapsed}"
+            );
         }
     }
 }
@@ -39,8 +48,16 @@
     for deadline in [0, 1, 100, 250] {
         assert_eq!(phase_after(deadline, 449), Draining, "{deadline}");
         assert_eq!(phase_after(deadline, 450), Closing, "{deadline}");
-        assert_eq!(phase_after(deadline, 500 + deadline + 149), Closing, "{deadline}");
-        assert_eq!(phase_after(deadline, 500 + deadline + 150), LastResponses, "{deadline}");
+        assert_eq!(
+            phase_after(deadline, 500 + deadline + 149),
+            Closing,
+            "{deadline}"
+        );
+        assert_eq!(
+            phase_after(deadline, 500 + deadline + 150),
+            LastResponses,
+            "{deadline}"
+        );
     }
     assert_eq!(phase_after(251, 450), Draining);
     assert_eq!(phase_after(251, 451), Closing);
@@ -49,8 +66,14 @@
 #[test]
 fn the_phases_come_in_order_at_every_deadline() {
     for deadline in (0..6_000).step_by(250) {
-        let phases: Vec<_> = (0..9_000).step_by(10).map(|elapsed| phase_after(deadline, elapsed)).collect();
-        assert!(phases.windows(2).all(|pair| pair[0] <= pair[1]), "{deadline}");
+        let phases: Vec<_> = (0..9_000)
+            .step_by(10)
+            .map(|elapsed| phase_after(deadline, elapsed))
+            .collect();
+        assert!(
+            phases.windows(2).all(|pair| pair[0] <= pair[1]),
+            "{deadline}"
+        );
         for phase in [Draining, Closing, LastResponses, Expired] {
             assert!(phases.contains(&phase), "{deadline} {phase:?}");
         }
@@ -59,22 +82,44 @@
 
 #[test]
 fn a_process_alone_exits_when_drained_only_once_it_closes_connections() {
-    let drained = PendingWork { queries: 0, connections: 0 };
+    let drained = PendingWork {
+        queries: 0,
+        connections: 0,
+    };
     assert!(!Draining.may_exit(false, drained));
-    assert!([Closing, LastResponses, Expired].iter().all(|phase| phase.may_exit(false, drained)));
+    assert!([Closing, LastResponses, Expired]
+        .iter()
+        .all(|phase| phase.may_exit(false, drained)));
 }
 
 #[test]
 fn a_process_with_a_successor_exits_as_soon_as_it_is_drained() {
-    let drained = PendingWork { queries: 0, connections: 0 };
-    assert!([Draining, Closing, LastResponses].iter().all(|phase| phase.may_exit(true, drained)));
+    let drained = PendingWork {
+        queries: 0,
+        connections: 0,
+    };
+    assert!([Draining, Closing, LastResponses]
+        .iter()
+        .all(|phase| phase.may_exit(true, drained)));
 }
 
 #[test]
 fn pending_queries_or_connections_keep_the_process_from_exiting() {
-    for pending in [PendingWork { queries: 1, connections: 0 }, PendingWork { queries: 0, connections: 1 }] {
+    for pending in [
+        PendingWork {
+            queries: 1,
+            connections: 0,
+        },
+        PendingWork {
+            queries: 0,
+            connections: 1,
+        },
+    ] {
         for phase in [Draining, Closing, LastResponses] {
-            assert!(!phase.may_exit(true, pending) && !phase.may_exit(false, pending), "{phase:?}");
+            assert!(
+                !phase.may_exit(true, pending) && !phase.may_exit(false, pending),
+                "{phase:?}"
+            );
         }
     }
 }
@@ -82,6 +127,12 @@
 #[test]
 fn idle_connections_are_closed_from_closing_on_and_waited_for_until_the_last_responses() {
     let phases = [Draining, Closing, LastResponses, Expired];
-    assert_eq!(phases.map(ShutdownPhase::closes_connections), [false, true, true, true]);
-    assert_eq!(phases.map(ShutdownPhase::waits_for_idle_connections), [true, true, false, false]);
+    assert_eq!(
+        phases.map(ShutdownPhase::closes_connections),
+        [false, true, true, true]
+    );
+    assert_eq!(
+        phases.map(ShutdownPhase::waits_for_idle_connections),
+        [true, true, false, false]
+    );
 }
--- a/src/net/server/signals.rs
+++ b/src/net/server/signals.rs
@@ -23,12 +23,16 @@
     pub(super) fn listen() -> Result<Arc<Self>, ServerError> {
         let signals = Arc::new(Signals::default());
         let received = signals.clone();
-        let mut incoming =
-            iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP]).map_err(ServerError::Signals)?;
+        let mut incoming = iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP])
+            .map_err(ServerError::Signals)?;
         // A thread of its own: waiting for a signal would block the worker.
         std::thread::Builder::new()
             .stack_size(STACK_BYTES)
-            .spawn(move || incoming.forever().for_each(|signal| received.handle(signal)))
+            .spawn(move || {
+                incoming
+                    .forever()
+                    .for_each(|signal| received.handle(signal))
+            })
             .map_err(ServerError::Signals)?;
         Ok(signals)
     }
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -18,7 +18,10 @@
 impl Startup {
     /// A startup that begins at this time.
     pub(super) fn new(lifecycle: Arc<Lifecycle>, started_at: Micros) -> Self {
-        Startup { lifecycle, started_at }
+        Startup {
+            lifecycle,
+            started_at,
+        }
     }
 
     /// Moves on to the phase of this time, after a turn of the coordinator.
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -37,8 +37,11 @@
     watch_discovery(config, clock, revision, &source, &inbox, &lifecycle)?;
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
     // In an upgrade both processes have one seed; with the same one they would choose the same servers in step.
-    let seed =
-        if has_predecessor { config.seed ^ (u64::from(std::process::id()) << 32) } else { config.seed };
+    let seed = if has_predecessor {
+        config.seed ^ (u64::from(std::process::id()) << 32)
+    } else {
+        config.seed
+    };
     Ok(Service {
         name: config.name.clone(),
         listen: config.listen,
@@ -54,7 +57,12 @@
             ),
             upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
             arrivals,
-            reload: Box::new(PlatformReload::new(config, source, catalog, metrics.clone())),
+            reload: Box::new(PlatformReload::new(
+                config,
+                source,
+                catalog,
+                metrics.clone(),
+            )),
             longest_deadline: longest_deadline(&settings.policy),
         },
         lifecycle,
@@ -92,7 +100,9 @@
         lifecycle: lifecycle.clone(),
         backoff: watch::Backoff::new(config.seed),
     };
-    spawn(LARGE_STACK_WORDS, move || watcher.run()).map(drop).map_err(ServerError::Coroutine)
+    spawn(LARGE_STACK_WORDS, move || watcher.run())
+        .map(drop)
+        .map_err(ServerError::Coroutine)
 }
 
 /// Builds the service for feature queries.
@@ -123,7 +133,12 @@
                 clock.now(),
                 metrics.clone(),
             ),
-            upstream: Box::new(FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone())),
+            upstream: Box::new(FeatureClient::new(
+                &edge,
+                inbox.clone(),
+                clock,
+                capacity.clone(),
+            )),
             arrivals,
             reload: Box::new(reload),
             longest_deadline: longest_deadline(&edge.settings()),
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -94,10 +94,15 @@
         }
         state = match state.wakes_at {
             Some(wakes_at) => {
-                let slept = shared.changed.wait_timeout(state, wakes_at.since(now).to_duration());
+                let slept = shared
+                    .changed
+                    .wait_timeout(state, wakes_at.since(now).to_duration());
                 slept.unwrap_or_else(PoisonError::into_inner).0
             }
-            None => shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner),
+            None => shared
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner),
         };
     }
 }
--- a/src/net/timer/tests.rs
+++ b/src/net/timer/tests.rs
@@ -29,5 +29,8 @@
             arrivals.recv().expect("the timer lives");
         }
     };
-    spawn(LARGE_STACK_WORDS, rounds).expect("a coroutine").join().expect("ended");
+    spawn(LARGE_STACK_WORDS, rounds)
+        .expect("a coroutine")
+        .join()
+        .expect("ended");
 }
--- a/src/net/watch/backoff.rs
+++ b/src/net/watch/backoff.rs
@@ -14,11 +14,16 @@
 
 /// Delays between attempts where an agent beside the coordinator serves the endpoint lists: it answers at no cost, and
 /// the coordinator counts as notified of all that the agent has, also right after the agent was silent.
-const AGENT_DELAY: DelayRange = DelayRange { min_ms: 25, max_ms: 250 };
+const AGENT_DELAY: DelayRange = DelayRange {
+    min_ms: 25,
+    max_ms: 250,
+};
 /// Timeouts for the first message of such an agent: it answers at once, and a watch that was opened while the agent was
 /// silent may never be answered. They grow, since no short timeout would be met while the machine is slow.
-const AGENT_FIRST_MESSAGE_TIMEOUT: DelayRange =
-    DelayRange { min_ms: 500, max_ms: SILENCE_TIMEOUT.0 / MICROS_PER_MILLI };
+const AGENT_FIRST_MESSAGE_TIMEOUT: DelayRange = DelayRange {
+    min_ms: 500,
+    max_ms: SILENCE_TIMEOUT.0 / MICROS_PER_MILLI,
+};
 /// Where one discovery service serves all coordinators, the delays go from this fraction of the poll interval that the
 /// settings allow up to the whole of it. Discovery serves few calls at once and lets the others time out, so the total rate
 /// of calls has to fall until some of them are served.
@@ -54,7 +59,11 @@
     ///
     /// `max_poll_interval` is set where lists are polled from a shared discovery service: a coordinator that does not poll
     /// within it counts as notified.
-    pub(super) fn next_delay(&mut self, list_received: bool, max_poll_interval: Option<Nanos>) -> Duration {
+    pub(super) fn next_delay(
+        &mut self,
+        list_received: bool,
+        max_poll_interval: Option<Nanos>,
+    ) -> Duration {
         let delays = delay_range(max_poll_interval);
         let timeouts = AGENT_FIRST_MESSAGE_TIMEOUT;
         if list_received {
@@ -62,7 +71,8 @@
             self.first_message_timeout_ms = timeouts.min_ms;
         } else {
             self.delay_ms = (self.delay_ms * 2).clamp(2 * delays.min_ms, delays.max_ms);
-            self.first_message_timeout_ms = (self.first_message_timeout_ms * 2).min(timeouts.max_ms);
+            self.first_message_timeout_ms =
+                (self.first_message_timeout_ms * 2).min(timeouts.max_ms);
         }
         Duration::from_millis(self.rng.u64(self.delay_ms / 2..=self.delay_ms))
     }
@@ -82,10 +92,15 @@
 }
 
 fn delay_range(max_poll_interval: Option<Nanos>) -> DelayRange {
-    let Some(interval) = max_poll_interval else { return AGENT_DELAY };
+    let Some(interval) = max_poll_interval else {
+        return AGENT_DELAY;
+    };
     let interval_ms = Micros::from_nanos(interval).0 / MICROS_PER_MILLI;
     let max_ms = interval_ms.max(MIN_SHARED_POLL_INTERVAL_MS);
-    DelayRange { min_ms: max_ms / SHARED_MIN_DELAY_DIVISOR, max_ms }
+    DelayRange {
+        min_ms: max_ms / SHARED_MIN_DELAY_DIVISOR,
+        max_ms,
+    }
 }
 
 #[cfg(test)]
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -12,7 +12,9 @@
     const MAX_QUEUED: u64 = 40;
     const END_MS: u64 = 30_000;
     let mut backoffs: Vec<_> = (0..COORDINATORS as u64).map(Backoff::new).collect();
-    let mut calls: BTreeSet<_> = (0..COORDINATORS).map(|coordinator| (0, coordinator)).collect();
+    let mut calls: BTreeSet<_> = (0..COORDINATORS)
+        .map(|coordinator| (0, coordinator))
+        .collect();
     let mut served = 0;
     let mut queue_end = 0;
     while let Some((called_at, coordinator)) = calls.pop_first().filter(|call| call.0 < END_MS) {
@@ -34,7 +36,10 @@
 fn load_on_a_shared_discovery_falls_until_all_coordinators_are_served() {
     // Coordinators that returned after 25 ms to 1 s kept discovery busy with calls that nobody waited for.
     let without_limit = coordinators_served(None);
-    assert!(without_limit < 60, "the simulation can fail: {without_limit}");
+    assert!(
+        without_limit < 60,
+        "the simulation can fail: {without_limit}"
+    );
     assert_eq!(coordinators_served(Some(POLL_INTERVAL)), 100);
 }
 
@@ -47,27 +52,51 @@
         agent.next_delay(true, None) <= Duration::from_millis(AGENT_DELAY.min_ms),
         "a list was received: the delays start anew"
     );
-    let first_delays: BTreeSet<_> =
-        (0..100).map(|seed| Backoff::new(seed).next_delay(false, Some(POLL_INTERVAL))).collect();
-    assert!(first_delays.len() > 80, "{} different delays of 100", first_delays.len());
+    let first_delays: BTreeSet<_> = (0..100)
+        .map(|seed| Backoff::new(seed).next_delay(false, Some(POLL_INTERVAL)))
+        .collect();
+    assert!(
+        first_delays.len() > 80,
+        "{} different delays of 100",
+        first_delays.len()
+    );
     let mut shared = Backoff::new(1);
-    let delays: Vec<_> = (0..20).map(|_| shared.next_delay(false, Some(POLL_INTERVAL))).collect();
-    assert!(delays.iter().all(|delay| delay.as_nanos() <= u128::from(POLL_INTERVAL)), "{delays:?}");
+    let delays: Vec<_> = (0..20)
+        .map(|_| shared.next_delay(false, Some(POLL_INTERVAL)))
+        .collect();
+    assert!(
+        delays
+            .iter()
+            .all(|delay| delay.as_nanos() <= u128::from(POLL_INTERVAL)),
+        "{delays:?}"
+    );
 }
 
 #[test]
 fn silent_agent_is_retried_before_what_it_missed_counts_as_notified() {
     let mut agent = Backoff::new(1);
     let mut gap = agent.first_message_timeout(None);
-    assert!(gap < Micros::from_secs(1), "an agent answers at once or not at all: {gap:?}");
+    assert!(
+        gap < Micros::from_secs(1),
+        "an agent answers at once or not at all: {gap:?}"
+    );
     for _ in 0..10 {
         let delay = Micros(agent.next_delay(false, None).as_micros() as u64);
         gap = agent.first_message_timeout(None) + delay;
-        assert!(SILENCE_TIMEOUT + gap < Micros::from_millis(6_500), "{gap:?}");
+        assert!(
+            SILENCE_TIMEOUT + gap < Micros::from_millis(6_500),
+            "{gap:?}"
+        );
     }
-    assert!(gap > Micros::from_secs(2), "a slow machine gets its message in time too");
+    assert!(
+        gap > Micros::from_secs(2),
+        "a slow machine gets its message in time too"
+    );
     agent.next_delay(true, None);
-    assert!(agent.first_message_timeout(None) < Micros::from_secs(1), "the timeouts start anew");
+    assert!(
+        agent.first_message_timeout(None) < Micros::from_secs(1),
+        "the timeouts start anew"
+    );
     assert_eq!(
         agent.first_message_timeout(Some(POLL_INTERVAL)),
         SHARED_FIRST_MESSAGE_TIMEOUT,
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -71,7 +71,9 @@
             }
             self.log_end(&result);
             let list_received = self.revision != revision_before;
-            let delay = self.backoff.next_delay(list_received, self.source.max_poll_interval());
+            let delay = self
+                .backoff
+                .next_delay(list_received, self.source.max_poll_interval());
             self.sleep_unless_moved(delay, address);
         }
     }
@@ -96,7 +98,9 @@
 
     /// Opens one watch and follows it to its end.
     fn watch_once(&mut self, address: SocketAddr) -> Result<WatchEnd, WatchFailure> {
-        let mut timeout = self.backoff.first_message_timeout(self.source.max_poll_interval());
+        let mut timeout = self
+            .backoff
+            .first_message_timeout(self.source.max_poll_interval());
         let mut stream = self.open(address)?;
         let mut response = WatchResponse::default();
         let mut last_received = self.clock.now();
@@ -108,7 +112,9 @@
             let bytes_read = match stream.read(response.reader.input.free_space()) {
                 Ok(0) => return Ok(WatchEnd::Closed),
                 Ok(n) => n,
-                Err(e) if is_timeout(&e) && self.clock.now().since(last_received) <= timeout => continue,
+                Err(e) if is_timeout(&e) && self.clock.now().since(last_received) <= timeout => {
+                    continue
+                }
                 Err(e) => return Err(e.into()),
             };
             response.reader.input.commit(bytes_read);
@@ -145,10 +151,14 @@
         // Discovery may go back to an older revision; changes since the newest one are requested.
         self.revision = list.revision.max(self.revision);
         let _ = self.inbox.send(Input::EndpointUpdate(list.update));
-        self.lifecycle.advance_startup(StartupPhase::EndpointsReceived);
+        self.lifecycle
+            .advance_startup(StartupPhase::EndpointsReceived);
     }
 }
 
 fn is_timeout(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock)
+    matches!(
+        error.kind(),
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock
+    )
 }
--- a/src/net/watch/source.rs
+++ b/src/net/watch/source.rs
@@ -21,7 +21,10 @@
     /// it counts as notified.
     #[must_use]
     pub fn new(address: SocketAddr, max_poll_interval: Option<Nanos>) -> Self {
-        DiscoverySource(Arc::new(Mutex::new(SourceSettings { address, max_poll_interval })))
+        DiscoverySource(Arc::new(Mutex::new(SourceSettings {
+            address,
+            max_poll_interval,
+        })))
     }
 
     fn lock(&self) -> MutexGuard<'_, SourceSettings> {
--- a/src/policy/admission/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -9,7 +9,11 @@
 const QUALITY_TARGET: f64 = 0.8;
 /// Gains of the controller. Integral: a full swing takes about one quality window. Derivative:
 /// small, since samples are few.
-const GAINS: PidGains = PidGains { proportional: 0.4, integral: 0.1, derivative: 0.05 };
+const GAINS: PidGains = PidGains {
+    proportional: 0.4,
+    integral: 0.1,
+    derivative: 0.05,
+};
 /// Bound of the error, in units of the range above the target, so that one bad reading does not
 /// reject everything.
 const MAX_ERROR: f64 = 3.0;
@@ -26,7 +30,10 @@
 impl AdmissionController {
     /// Creates a controller that admits all queries.
     pub fn new() -> Self {
-        AdmissionController { admitted_share: 1.0, pid: VelocityPid::default() }
+        AdmissionController {
+            admitted_share: 1.0,
+            pid: VelocityPid::default(),
+        }
     }
 
     /// Returns the share of low-priority queries to admit, 0 to 1.
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -107,7 +107,9 @@
     /// Returns the share of the recent low-priority queries that a query exceeds in priority, and
     /// adds it to them.
     fn rank(&mut self, query: &Query) -> f64 {
-        let rank = self.recent_priorities.rank(query.priority, query.admission_draw);
+        let rank = self
+            .recent_priorities
+            .rank(query.priority, query.admission_draw);
         self.recent_priorities.push(query.priority, RANKED_QUERIES);
         rank
     }
--- a/src/policy/admission/quota.rs
+++ b/src/policy/admission/quota.rs
@@ -17,7 +17,9 @@
 impl TenantQuotas {
     /// Creates a bucket with one token for each tenant.
     pub fn new(settings: &Settings, now: Nanos) -> Self {
-        let mut quotas = TenantQuotas { buckets: Vec::new() };
+        let mut quotas = TenantQuotas {
+            buckets: Vec::new(),
+        };
         quotas.apply_settings(settings, now);
         quotas
     }
--- a/src/policy/admission/wait_estimate.rs
+++ b/src/policy/admission/wait_estimate.rs
@@ -20,10 +20,18 @@
 }
 
 /// Returns the waits of a query's parts, the longest first.
-pub fn part_waits(query: &Query, replicas: &ReplicaTable, settings: &Settings, now: Nanos) -> Vec<PartWait> {
+pub fn part_waits(
+    query: &Query,
+    replicas: &ReplicaTable,
+    settings: &Settings,
+    now: Nanos,
+) -> Vec<PartWait> {
     let mut waits = Vec::with_capacity(query.parts.len());
     for part in &query.parts {
-        let target = Target { class: query.class, shard: part.shard };
+        let target = Target {
+            class: query.class,
+            shard: part.shard,
+        };
         let candidate = replicas.choose(target, &[], settings, now);
         waits.push(PartWait {
             part: part.id,
--- a/src/policy/answers/ending.rs
+++ b/src/policy/answers/ending.rs
@@ -57,8 +57,11 @@
 
 /// Returns whether more parts are lost than an answer may lack.
 fn is_unanswerable(query: &Query, class: &Class) -> bool {
-    let lost_weight: f64 =
-        query.step_parts().filter(|part| is_lost(part, class)).map(|part| part.weight).sum();
+    let lost_weight: f64 = query
+        .step_parts()
+        .filter(|part| is_lost(part, class))
+        .map(|part| part.weight)
+        .sum();
     if class.allows_partial() {
         1.0 - lost_weight < class.min_share - WEIGHT_TOLERANCE
     } else {
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -32,20 +32,26 @@
                 return actions;
             };
             let complete = completeness == Completeness::Complete;
-            actions.push(Action::Answer { query: query.id, complete });
+            actions.push(Action::Answer {
+                query: query.id,
+                complete,
+            });
             if begins_follow_up(query, settings) {
                 query.first_answer = Some(FirstAnswer { at: now, complete });
                 query.stage = Stage::FollowUp;
                 return actions;
             }
-            query.first_answer.get_or_insert(FirstAnswer { at: now, complete });
+            query
+                .first_answer
+                .get_or_insert(FirstAnswer { at: now, complete });
         }
         Ending::GiveUp if may_have_had_effect(query, settings) => {
             actions.push(Action::Fail(query.id));
         }
-        Ending::GiveUp => {
-            actions.push(Action::Reject { query: query.id, retry_after: draw_retry_after(settings, rng) })
-        }
+        Ending::GiveUp => actions.push(Action::Reject {
+            query: query.id,
+            retry_after: draw_retry_after(settings, rng),
+        }),
     }
     actions.extend(cancellations(query, settings));
     query.stage = Stage::Closed;
@@ -74,7 +80,10 @@
 
 /// Returns the cancellations of a query's attempts in flight. Late parts of a sample run on, so
 /// that the quality of its answer can be measured.
-fn cancellations<'a>(query: &'a Query, settings: &'a Settings) -> impl Iterator<Item = Action> + 'a {
+fn cancellations<'a>(
+    query: &'a Query,
+    settings: &'a Settings,
+) -> impl Iterator<Item = Action> + 'a {
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
     let runs_on = move |part: &Part| is_measured && !part.follow_up && !part.is_answered();
     query
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -33,7 +33,11 @@
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
     let late_answer_counts = settings.class(query.class).late_weight > 0.0;
     let awaits_late_answer = is_measured || (late_answer_counts && !is_shedding);
-    let end = if awaits_late_answer || now >= query.respond_by { query.deadline } else { query.respond_by };
+    let end = if awaits_late_answer || now >= query.respond_by {
+        query.deadline
+    } else {
+        query.respond_by
+    };
     end.saturating_sub(now).max(settings.tick)
 }
 
@@ -70,7 +74,11 @@
             let part = &query.parts[part_index];
             match next_step(query, part, replicas, &self.retries, settings, now) {
                 NextStep::Send(replica) => {
-                    let planned = PlannedAttempt { part_index, replica, timeout };
+                    let planned = PlannedAttempt {
+                        part_index,
+                        replica,
+                        timeout,
+                    };
                     actions.extend(self.send(query, planned, replicas, settings, rng, now));
                 }
                 NextStep::Cancel => actions.extend(part.cancellations()),
@@ -94,8 +102,14 @@
             return Vec::new();
         }
         let part = &mut query.parts[planned.part_index];
-        let key = AttemptKey { part: part.id, attempt: AttemptNo(part.attempts.len() as u16) };
-        let target = Target { class: query.class, shard: part.shard };
+        let key = AttemptKey {
+            part: part.id,
+            attempt: AttemptNo(part.attempts.len() as u16),
+        };
+        let target = Target {
+            class: query.class,
+            shard: part.shard,
+        };
         let not_after = latest_send(part, settings.class(query.class), settings);
         let replica = planned.replica;
         let mut actions = Vec::new();
@@ -105,8 +119,17 @@
         if !part.attempts.is_empty() {
             self.retries.record_retry(now);
         }
-        part.attempts.push(Attempt { replica, sent_at: now, outcome: None });
-        actions.push(Action::Send { part: key.part, replica, timeout: planned.timeout, not_after });
+        part.attempts.push(Attempt {
+            replica,
+            sent_at: now,
+            outcome: None,
+        });
+        actions.push(Action::Send {
+            part: key.part,
+            replica,
+            timeout: planned.timeout,
+            not_after,
+        });
         actions
     }
 
@@ -121,7 +144,10 @@
     ) -> bool {
         let class = settings.class(query.class);
         let part = &query.parts[planned.part_index];
-        let target = Target { class: query.class, shard: part.shard };
+        let target = Target {
+            class: query.class,
+            shard: part.shard,
+        };
         let is_retry = !part.attempts.is_empty();
         let is_wanted = query.is_open() && query.is_in_step(part) && !part.is_answered();
         let in_time = now < query.deadline && now < latest_send(part, class, settings);
@@ -136,6 +162,10 @@
 
 /// Returns whether the settings allow one more attempt at a part to be in flight.
 fn is_within_hedging(part: &Part, settings: &Settings) -> bool {
-    let max_in_flight = if settings.hedging { MAX_HEDGED_ATTEMPTS } else { 1 };
+    let max_in_flight = if settings.hedging {
+        MAX_HEDGED_ATTEMPTS
+    } else {
+        1
+    };
     part.in_flight().count() < max_in_flight
 }
--- a/src/policy/attempts/next_step.rs
+++ b/src/policy/attempts/next_step.rs
@@ -53,7 +53,10 @@
     if let Some(reason) = nothing_to_do(query, part, class) {
         return NextStep::Wait(reason);
     }
-    let target = Target { class: query.class, shard: part.shard };
+    let target = Target {
+        class: query.class,
+        shard: part.shard,
+    };
     if part.attempts.is_empty() {
         return match replicas.choose(target, &[], settings, now) {
             Some(candidate) => NextStep::Send(candidate.replica),
@@ -124,15 +127,24 @@
 ) -> Option<Candidate> {
     let tried: Vec<ReplicaId> = part.attempts.iter().map(|a| a.replica).collect();
     let busy: Vec<ReplicaId> = in_flight.iter().map(|a| a.replica).collect();
-    replicas.choose(target, &tried, settings, now).or_else(|| replicas.choose(target, &busy, settings, now))
+    replicas
+        .choose(target, &tried, settings, now)
+        .or_else(|| replicas.choose(target, &busy, settings, now))
 }
 
 /// Decides about a part whose attempt in flight is overdue. Where no second attempt may be in
 /// flight, an idempotent one is cancelled first.
-fn hedge(query: &Query, part: &Part, candidate: &Candidate, settings: &Settings, now: Nanos) -> NextStep {
+fn hedge(
+    query: &Query,
+    part: &Part,
+    candidate: &Candidate,
+    settings: &Settings,
+    now: Nanos,
+) -> NextStep {
     let class = settings.class(query.class);
     let in_time = is_in_time(query, candidate, now);
-    let cancel_first = !settings.hedging && settings.cancellation && class.effect == Effect::Idempotent;
+    let cancel_first =
+        !settings.hedging && settings.cancellation && class.effect == Effect::Idempotent;
     if in_time && cancel_first {
         NextStep::Cancel
     } else if in_time || part.follow_up {
--- a/src/policy/attempts/retry_limiter.rs
+++ b/src/policy/attempts/retry_limiter.rs
@@ -32,13 +32,17 @@
             return true;
         };
         let margin = settings.ticks(WINDOW_MARGIN_TICKS);
-        let available = self.budget.available(now, rule.free, rule.ratio, rule.window, margin);
+        let available = self
+            .budget
+            .available(now, rule.free, rule.ratio, rule.window, margin);
         available >= 1.0
     }
 
     /// Removes events that no window covers any more.
     pub fn expire(&mut self, settings: &Settings, now: Nanos) {
-        let kept = settings.retry_budget.map_or(0, |rule| KEPT_WINDOWS * rule.window);
+        let kept = settings
+            .retry_budget
+            .map_or(0, |rule| KEPT_WINDOWS * rule.window);
         self.budget.expire(now, kept);
     }
 }
--- a/src/policy/fleet/connections.rs
+++ b/src/policy/fleet/connections.rs
@@ -31,7 +31,11 @@
 
     /// Records whether an attempt was lost, on a connection that had been idle or on another.
     pub fn record_attempt(&mut self, idle: bool, lost: bool) {
-        let loss = if idle { &mut self.loss_when_idle } else { &mut self.loss_in_use };
+        let loss = if idle {
+            &mut self.loss_when_idle
+        } else {
+            &mut self.loss_in_use
+        };
         loss.record(f64::from(lost), FLEET_GAIN);
     }
 
--- a/src/policy/fleet/latency.rs
+++ b/src/policy/fleet/latency.rs
@@ -26,11 +26,18 @@
 impl ClassWork {
     /// Estimates the work from the latency objective of the class.
     fn estimated(latency_objective: Nanos) -> Self {
-        ClassWork { time: estimated_response_time(latency_objective), observed: false }
+        ClassWork {
+            time: estimated_response_time(latency_objective),
+            observed: false,
+        }
     }
 
     fn record(&mut self, elapsed: f64) {
-        let gain = if elapsed < self.time.value() { FAST_ANSWER_GAIN } else { SLOW_ANSWER_GAIN };
+        let gain = if elapsed < self.time.value() {
+            FAST_ANSWER_GAIN
+        } else {
+            SLOW_ANSWER_GAIN
+        };
         self.time.record(elapsed, gain);
         self.observed = true;
     }
--- a/src/policy/fleet/mod.rs
+++ b/src/policy/fleet/mod.rs
@@ -28,6 +28,9 @@
     /// observed.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        FleetStatistics { latency: FleetLatency::new(settings), connections: ConnectionStatistics::default() }
+        FleetStatistics {
+            latency: FleetLatency::new(settings),
+            connections: ConnectionStatistics::default(),
+        }
     }
 }
--- a/src/policy/fleet/tests.rs
+++ b/src/policy/fleet/tests.rs
@@ -15,7 +15,10 @@
 
 fn settings(objectives: &[Nanos]) -> Settings {
     Settings {
-        classes: objectives.iter().map(|objective| class(*objective)).collect(),
+        classes: objectives
+            .iter()
+            .map(|objective| class(*objective))
+            .collect(),
         ..Settings::default()
     }
 }
@@ -24,11 +27,20 @@
 fn fleet_latency_is_guessed_from_the_objectives_until_answers_are_observed() {
     let mut latency = FleetLatency::new(&settings(&[800, 1_600]));
     assert_eq!((latency.mean(), latency.baseline()), (100.0, 100.0));
-    assert_eq!((latency.work(ClassId(0)), latency.work(ClassId(1))), (100.0, 200.0));
+    assert_eq!(
+        (latency.work(ClassId(0)), latency.work(ClassId(1))),
+        (100.0, 200.0)
+    );
     assert!(!latency.any_observed());
     latency.record(ClassId(1), 100, 2.0);
-    assert!(latency.any_observed() && latency.observed(ClassId(1)) && !latency.observed(ClassId(0)));
-    assert_eq!(latency.work(ClassId(1)), 150.0, "quicker than thought counts by half");
+    assert!(
+        latency.any_observed() && latency.observed(ClassId(1)) && !latency.observed(ClassId(0))
+    );
+    assert_eq!(
+        latency.work(ClassId(1)),
+        150.0,
+        "quicker than thought counts by half"
+    );
 }
 
 #[test]
@@ -37,16 +49,28 @@
     latency.record(ClassId(0), 1_100, 1.0);
     assert!((latency.mean() - 130.0).abs() < 1e-9);
     assert!((latency.baseline() - 103.0).abs() < 1e-9);
-    assert!((latency.work(ClassId(0)) - 102.0).abs() < 1e-9, "a long answer hardly raises the work");
+    assert!(
+        (latency.work(ClassId(0)) - 102.0).abs() < 1e-9,
+        "a long answer hardly raises the work"
+    );
 }
 
 #[test]
 fn new_settings_keep_what_was_observed_of_a_class_and_guess_the_others() {
     let mut latency = FleetLatency::new(&settings(&[800, 800]));
     latency.record(ClassId(0), 60, 1.0);
-    latency.apply_settings(&settings(&[1_600, 1_600, 1_600]), &[ClassId(1), ClassId(0), ClassId(7)]);
-    assert_eq!([0, 1, 2].map(|class| latency.work(ClassId(class))), [200.0, 80.0, 200.0]);
-    assert_eq!([0, 1, 2].map(|class| latency.observed(ClassId(class))), [false, true, false]);
+    latency.apply_settings(
+        &settings(&[1_600, 1_600, 1_600]),
+        &[ClassId(1), ClassId(0), ClassId(7)],
+    );
+    assert_eq!(
+        [0, 1, 2].map(|class| latency.work(ClassId(class))),
+        [200.0, 80.0, 200.0]
+    );
+    assert_eq!(
+        [0, 1, 2].map(|class| latency.observed(ClassId(class))),
+        [false, true, false]
+    );
 }
 
 #[test]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -23,7 +23,8 @@
 mod replicas;
 
 use crate::interface::{
-    Action, Endpoint, EndpointListKind, Event, Nanos, Outcome, QueryId, ReplicaId, Settings, TenantId,
+    Action, Endpoint, EndpointListKind, Event, Nanos, Outcome, QueryId, ReplicaId, Settings,
+    TenantId,
 };
 use crate::queries::{AttemptKey, Part, Query, QueryNo, QueryTable, Stage};
 use admission::Admission;
@@ -88,7 +89,10 @@
         for event in events {
             self.apply(event, actions);
         }
-        if self.poll.take_due(self.settings.max_poll_interval, self.now) {
+        if self
+            .poll
+            .take_due(self.settings.max_poll_interval, self.now)
+        {
             actions.push(Action::Subscribe);
         }
         if self.now >= self.next_control_at {
@@ -115,25 +119,50 @@
             Event::Placement { replica, shards } => {
                 self.replicas.set_placement(*replica, shards, &mut self.rng);
             }
-            Event::Query { query, group, class, tenant, expected_work, time_left } => {
+            Event::Query {
+                query,
+                group,
+                class,
+                tenant,
+                expected_work,
+                time_left,
+            } => {
                 let received = Query::new(*query, *class, *group, now);
                 let expected_work = expected_work.unwrap_or(0);
                 self.receive(received, *tenant, expected_work, *time_left, actions);
             }
-            Event::Part { part, group, shard, weight } => {
+            Event::Part {
+                part,
+                group,
+                shard,
+                weight,
+            } => {
                 self.attempts.record_received(now);
-                self.queries.add_part(*group, Part::new(*part, *shard, *weight));
+                self.queries
+                    .add_part(*group, Part::new(*part, *shard, *weight));
             }
-            Event::Outcome { part, attempt, outcome, elapsed } => {
-                let key = AttemptKey { part: *part, attempt: *attempt };
+            Event::Outcome {
+                part,
+                attempt,
+                outcome,
+                elapsed,
+            } => {
+                let key = AttemptKey {
+                    part: *part,
+                    attempt: *attempt,
+                };
                 self.complete(key, *outcome, *elapsed);
             }
             Event::Abandoned(query) => self.abandon(*query, actions),
-            Event::Settings { settings, class_mapping } => {
+            Event::Settings {
+                settings,
+                class_mapping,
+            } => {
                 self.settings = Settings::clone(settings);
                 self.admission.apply_settings(settings, now);
                 let rng = &mut self.rng;
-                self.replicas.apply_settings(settings, class_mapping, rng, now);
+                self.replicas
+                    .apply_settings(settings, class_mapping, rng, now);
             }
             Event::TimerFired => self.timer_at = 0,
         }
@@ -148,7 +177,8 @@
             self.poll.poll_failed(max_interval, now, rng);
         } else {
             self.poll.list_received(kind);
-            self.replicas.apply_list(kind, endpoints, &self.settings, rng, now);
+            self.replicas
+                .apply_list(kind, endpoints, &self.settings, rng, now);
         }
     }
 
@@ -157,7 +187,8 @@
         let now = self.now;
         let settings = &self.settings;
         if self.replicas.complete(key, outcome, elapsed, settings, now) {
-            self.queries.complete_attempt(key.part, key.attempt, outcome, now);
+            self.queries
+                .complete_attempt(key.part, key.attempt, outcome, now);
         }
     }
 
@@ -189,7 +220,8 @@
         let deadline_margin = settings.ticks(DEADLINE_MARGIN_TICKS);
         let time_to_deadline = time_left.saturating_sub(deadline_margin);
         query.deadline = self.now.saturating_add(time_to_deadline);
-        query.respond_by = (self.now + objective.saturating_sub(objective_margin)).min(query.deadline);
+        query.respond_by =
+            (self.now + objective.saturating_sub(objective_margin)).min(query.deadline);
         query.priority = class.priority_weight;
         if self.admission.is_over_quota(tenant, settings, self.now) {
             query.priority *= settings.over_quota_weight;
@@ -209,10 +241,18 @@
             return;
         };
         if query.stage == Stage::Received {
-            let admitted = self.admission.admit(query, &self.replicas, &self.settings, self.now);
+            let admitted = self
+                .admission
+                .admit(query, &self.replicas, &self.settings, self.now);
             if !admitted {
                 let ending = Ending::GiveUp;
-                actions.extend(finish(query, ending, &self.settings, &mut self.rng, self.now));
+                actions.extend(finish(
+                    query,
+                    ending,
+                    &self.settings,
+                    &mut self.rng,
+                    self.now,
+                ));
                 return;
             }
             query.stage = Stage::FirstStep;
@@ -232,7 +272,13 @@
             self.now,
         ));
         if let Some(ending) = due_ending(query, &self.settings, self.now) {
-            actions.extend(finish(query, ending, &self.settings, &mut self.rng, self.now));
+            actions.extend(finish(
+                query,
+                ending,
+                &self.settings,
+                &mut self.rng,
+                self.now,
+            ));
         }
     }
 
--- a/src/policy/polling.rs
+++ b/src/policy/polling.rs
@@ -20,7 +20,9 @@
     /// Creates a schedule whose first poll is due at once if the settings have a longest interval.
     #[must_use]
     pub fn new(max_interval: Option<Nanos>, now: Nanos) -> Self {
-        EndpointPoll { due_at: max_interval.map(|_| now) }
+        EndpointPoll {
+            due_at: max_interval.map(|_| now),
+        }
     }
 
     /// Returns when the next poll is due, if one is.
@@ -49,7 +51,12 @@
 
     /// Records that a poll failed: the next is due after a jittered wait, well inside the longest
     /// interval.
-    pub fn poll_failed(&mut self, max_interval: Option<Nanos>, now: Nanos, rng: &mut fastrand::Rng) {
+    pub fn poll_failed(
+        &mut self,
+        max_interval: Option<Nanos>,
+        now: Nanos,
+        rng: &mut fastrand::Rng,
+    ) {
         self.due_at = max_interval.map(|interval| {
             let longest_wait = (interval / RETRY_FRACTION) as f64;
             let jitter = (1.0 - MIN_RETRY_WAIT_SHARE) * rng.f64();
--- a/src/policy/polling/tests.rs
+++ b/src/policy/polling/tests.rs
@@ -11,14 +11,19 @@
     assert!(poll.take_due(Some(INTERVAL), 100));
     assert!(!poll.take_due(Some(INTERVAL), 100 + INTERVAL / 2 - 1));
     assert!(poll.take_due(Some(INTERVAL), 100 + INTERVAL / 2));
-    assert!(!EndpointPoll::new(None, 100).take_due(None, 100), "the list comes on its own");
+    assert!(
+        !EndpointPoll::new(None, 100).take_due(None, 100),
+        "the list comes on its own"
+    );
 }
 
 #[test]
 fn a_list_ends_polling_unless_it_is_a_cached_one() {
-    for (kind, due) in
-        [(EndpointListKind::Cached, true), (EndpointListKind::Full, false), (EndpointListKind::Delta, false)]
-    {
+    for (kind, due) in [
+        (EndpointListKind::Cached, true),
+        (EndpointListKind::Full, false),
+        (EndpointListKind::Delta, false),
+    ] {
         let mut poll = EndpointPoll::new(Some(INTERVAL), 100);
         poll.list_received(kind);
         assert_eq!(poll.due_at().is_some(), due, "{kind:?}");
--- a/src/policy/quality/mod.rs
+++ b/src/policy/quality/mod.rs
@@ -49,8 +49,15 @@
             count += 1.0;
         }
     }
-    let quality = if sums.expected > 0.0 { sums.in_time / sums.expected } else { 1.0 };
-    QualityReading { quality, samples: count }
+    let quality = if sums.expected > 0.0 {
+        sums.in_time / sums.expected
+    } else {
+        1.0
+    };
+    QualityReading {
+        quality,
+        samples: count,
+    }
 }
 
 /// Returns whether the quality of a query's answer is determined: the query was answered or given
@@ -60,7 +67,9 @@
 }
 
 fn add_query(sums: &mut WeightSums, query: &Query, answered_since: &impl Fn(&Attempt) -> bool) {
-    let answer_time = query.first_answer.map_or(query.respond_by, |first| first.at.min(query.respond_by));
+    let answer_time = query
+        .first_answer
+        .map_or(query.respond_by, |first| first.at.min(query.respond_by));
     for part in query.parts.iter().filter(|part| !part.follow_up) {
         let in_time = part.answered_at.is_some_and(|at| at <= answer_time);
         let expected = part.is_answered() || is_late(part, answered_since);
@@ -70,5 +79,7 @@
 }
 
 fn is_late(part: &Part, answered_since: &impl Fn(&Attempt) -> bool) -> bool {
-    part.attempts.iter().any(|attempt| attempt.outcome == Some(Outcome::Rejected) || answered_since(attempt))
+    part.attempts
+        .iter()
+        .any(|attempt| attempt.outcome == Some(Outcome::Rejected) || answered_since(attempt))
 }
--- a/src/policy/quality/tests.rs
+++ b/src/policy/quality/tests.rs
@@ -10,12 +10,23 @@
 const LATE: Nanos = RECEIVED_AT + 200;
 
 fn part(weight: f64, answered_at: Option<Nanos>, outcome: Option<Outcome>) -> Part {
-    let attempt = Attempt { replica: ReplicaId([10, 0, 0, 1, 0, 80]), sent_at: RECEIVED_AT, outcome };
-    Part { attempts: vec![attempt], answered_at, ..Part::new(PartId(1), ShardId(0), weight) }
+    let attempt = Attempt {
+        replica: ReplicaId([10, 0, 0, 1, 0, 80]),
+        sent_at: RECEIVED_AT,
+        outcome,
+    };
+    Part {
+        attempts: vec![attempt],
+        answered_at,
+        ..Part::new(PartId(1), ShardId(0), weight)
+    }
 }
 
 fn answered_query(parts: Vec<Part>) -> Query {
-    let first_answer = FirstAnswer { at: ANSWERED_AT, complete: false };
+    let first_answer = FirstAnswer {
+        at: ANSWERED_AT,
+        complete: false,
+    };
     Query {
         first_answer: Some(first_answer),
         respond_by: ANSWERED_AT,
@@ -36,7 +47,10 @@
     assert_eq!(reading.quality, 0.5 / 0.875, "the lost part does not count");
     assert_eq!(reading.samples, 1.0);
     let reading = measure_quality([&query].into_iter(), |_| true, NOW);
-    assert_eq!(reading.quality, 0.5, "its replica answered others: it is late");
+    assert_eq!(
+        reading.quality, 0.5,
+        "its replica answered others: it is late"
+    );
 }
 
 #[test]
@@ -58,7 +72,11 @@
 #[test]
 fn all_queries_are_sampled_up_to_the_target_then_a_share_and_none_beyond_the_maximum() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut count_sampled = |samples| (0..1_000).filter(|_| take_sample(samples, &mut rng)).count();
+    let mut count_sampled = |samples| {
+        (0..1_000)
+            .filter(|_| take_sample(samples, &mut rng))
+            .count()
+    };
     assert_eq!(count_sampled(19), 1_000);
     assert!((150..250).contains(&count_sampled(20)));
     assert_eq!(count_sampled(200), 0);
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -9,7 +9,9 @@
 pub use replica::Candidate;
 
 use super::fleet::{FleetLatency, FleetStatistics};
-use crate::interface::{ClassId, Endpoint, EndpointListKind, Nanos, Outcome, ReplicaId, Settings, ShardId};
+use crate::interface::{
+    ClassId, Endpoint, EndpointListKind, Nanos, Outcome, ReplicaId, Settings, ShardId,
+};
 use crate::membership::Membership;
 use crate::queries::{Attempt, AttemptKey, EndedAttempt, InFlight, InFlightTable};
 use crate::stats::exponential;
@@ -70,9 +72,15 @@
     }
 
     /// Sets the shards of a replica, where its cell does not determine them.
-    pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId], rng: &mut fastrand::Rng) {
+    pub fn set_placement(
+        &mut self,
+        replica: ReplicaId,
+        shards: &[ShardId],
+        rng: &mut fastrand::Rng,
+    ) {
         self.membership.set_placement(replica, shards);
-        self.rotation.grow(self.membership.placed_shards(replica), rng);
+        self.rotation
+            .grow(self.membership.placed_shards(replica), rng);
     }
 
     /// Applies an endpoint list, or changes to it.
@@ -107,7 +115,11 @@
     /// Rebalances the shares of all replicas by their present capacities.
     pub fn balance(&mut self, settings: &Settings, now: Nanos) {
         let capacity = |replica: &Replica| replica.capacity(settings, now);
-        let capacities = self.replicas.iter().map(|(id, replica)| (*id, capacity(replica))).collect();
+        let capacities = self
+            .replicas
+            .iter()
+            .map(|(id, replica)| (*id, capacity(replica)))
+            .collect();
         self.rotation.balance(&capacities);
     }
 
@@ -139,7 +151,10 @@
             let mut shards = self.rotation.shards();
             shards.any(|shard| self.rotation.holds(shard, id))
         };
-        self.membership.ready().filter(|id| holds_any(*id) && !used.contains(id)).collect()
+        self.membership
+            .ready()
+            .filter(|id| holds_any(*id) && !used.contains(id))
+            .collect()
     }
 
     /// Chooses the replica for a part: the first candidate in rotation.
@@ -184,7 +199,13 @@
 
     /// Returns whether a part may be sent to a replica: the rules "nothing to draining endpoints"
     /// and "slow start".
-    pub fn accepts(&self, target: Target, replica: ReplicaId, settings: &Settings, now: Nanos) -> bool {
+    pub fn accepts(
+        &self,
+        target: Target,
+        replica: ReplicaId,
+        settings: &Settings,
+        now: Nanos,
+    ) -> bool {
         let work = self.work(target.class, settings);
         let has_capacity = |replica: &Replica| replica.slow_start.admits(work, settings, now);
         self.membership.is_ready(replica)
@@ -212,7 +233,9 @@
         self.fleet.connections.record_use(replica.last_used_at, now);
         replica.last_used_at = now;
         replica.in_flight.insert(now, key);
-        replica.slow_start.record_send(work, settings.slow_start, rng, now);
+        replica
+            .slow_start
+            .record_send(work, settings.slow_start, rng, now);
         let sent = InFlight {
             replica: to,
             class: target.class,
@@ -242,13 +265,22 @@
         replica.in_flight.remove(key);
         let silent = replica.health.is_silent_for(elapsed, now);
         let lost = outcome != Outcome::Ok && silent;
-        self.fleet.connections.record_attempt(attempt.idle_connection, lost);
-        let ended = EndedAttempt { attempt, outcome, elapsed, silent };
+        self.fleet
+            .connections
+            .record_attempt(attempt.idle_connection, lost);
+        let ended = EndedAttempt {
+            attempt,
+            outcome,
+            elapsed,
+            silent,
+        };
         replica.health.record(&ended, &self.fleet, settings, now);
         if outcome == Outcome::Ok {
             replica.last_used_at = now;
             let concurrency = attempt.concurrency as f64;
-            self.fleet.latency.record(attempt.class, elapsed, concurrency);
+            self.fleet
+                .latency
+                .record(attempt.class, elapsed, concurrency);
         }
         true
     }
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -75,19 +75,27 @@
     }
 
     /// Records how an attempt ended.
-    pub fn record(&mut self, ended: &EndedAttempt, fleet: &FleetStatistics, settings: &Settings, now: Nanos) {
+    pub fn record(
+        &mut self,
+        ended: &EndedAttempt,
+        fleet: &FleetStatistics,
+        settings: &Settings,
+        now: Nanos,
+    ) {
         let objective = settings.class(ended.attempt.class).latency_objective;
         self.record_error_rate(ended.outcome, settings.min_latency_objective(), now);
         match self.evidence(ended, objective, fleet, now) {
             Evidence::Answer => {
                 self.backoff.succeed();
-                self.response_time.record(now, ended.elapsed as f64, LATENCY_GAIN);
+                self.response_time
+                    .record(now, ended.elapsed as f64, LATENCY_GAIN);
                 self.last_success_at = now;
             }
             // A rejection is fast, but a full queue means a long wait.
             Evidence::FullQueue => self.response_time.raise_to(now, objective as f64),
             Evidence::SlowerThan => {
-                self.response_time.record_lower_bound(now, ended.elapsed as f64, LATENCY_GAIN);
+                self.response_time
+                    .record_lower_bound(now, ended.elapsed as f64, LATENCY_GAIN);
             }
             Evidence::Silence => self.backoff.fail(now, fleet.latency.mean()),
             Evidence::None => {}
@@ -98,7 +106,8 @@
         if matches!(outcome, Outcome::Ok | Outcome::Error) {
             let error = f64::from(outcome == Outcome::Error);
             let half_life = error_half_life(min_objective);
-            self.error_rate.record_decayed(now, half_life, error, ERROR_GAIN);
+            self.error_rate
+                .record_decayed(now, half_life, error, ERROR_GAIN);
         }
     }
 
@@ -142,13 +151,21 @@
         let oldest_age = in_flight.oldest().map_or(0, |sent_at| now - sent_at);
         let wait_for_each = fleet.latency.per_in_flight().min(max_baseline);
         let queueing = wait_for_each * (in_flight.len() as f64 + 1.0);
-        let wait = self.decayed_response_time(fleet, min_objective, now).max(oldest_age as f64).max(queueing);
+        let wait = self
+            .decayed_response_time(fleet, min_objective, now)
+            .max(oldest_age as f64)
+            .max(queueing);
         wait + self.penalty(in_flight, oldest_age, class, now) * class.latency_objective as f64
     }
 
     /// Returns the smoothed response time as it has decayed towards the fleet's, in ns, so that a
     /// replica that was skipped is tried again.
-    fn decayed_response_time(&self, fleet: &FleetStatistics, min_objective: Nanos, now: Nanos) -> f64 {
+    fn decayed_response_time(
+        &self,
+        fleet: &FleetStatistics,
+        min_objective: Nanos,
+        now: Nanos,
+    ) -> f64 {
         let objective = min_objective as f64;
         let baseline = fleet.latency.mean().min(objective * MAX_BASELINE_SHARE);
         let shortest = LATENCY_HALF_LIFE_OBJECTIVES * objective;
@@ -162,7 +179,13 @@
     /// if there is no other. Once its backoff is over, classes that allow partial answers probe it;
     /// for other classes a smaller penalty stays, so that a failure of long ago does not reject
     /// their queries forever.
-    fn penalty(&self, in_flight: &AttemptsByAge, oldest_age: Nanos, class: &Class, now: Nanos) -> f64 {
+    fn penalty(
+        &self,
+        in_flight: &AttemptsByAge,
+        oldest_age: Nanos,
+        class: &Class,
+        now: Nanos,
+    ) -> f64 {
         let failing = self.backoff.is_failing();
         let probe_due = in_flight.is_empty() && self.backoff.is_due(now);
         let ejected = (failing && !probe_due) || oldest_age >= class.latency_objective;
@@ -186,7 +209,9 @@
         min_objective: Nanos,
         now: Nanos,
     ) -> f64 {
-        let error_rate = self.error_rate.value_at(now, error_half_life(min_objective), 0.0);
+        let error_rate = self
+            .error_rate
+            .value_at(now, error_half_life(min_objective), 0.0);
         let cost_of_error = if class.effect == Effect::NonIdempotent {
             class.latency_objective as f64
         } else {
--- a/src/policy/replicas/replica.rs
+++ b/src/policy/replicas/replica.rs
@@ -65,9 +65,15 @@
         min_objective: Nanos,
         now: Nanos,
     ) -> Candidate {
-        let expected_wait = self.health.expected_wait(&self.in_flight, class, fleet, min_objective, now);
+        let expected_wait =
+            self.health
+                .expected_wait(&self.in_flight, class, fleet, min_objective, now);
         let error_cost = self.health.error_cost(class, fleet, min_objective, now);
-        Candidate { replica: id, expected_wait, cost: expected_wait + error_cost }
+        Candidate {
+            replica: id,
+            expected_wait,
+            cost: expected_wait + error_cost,
+        }
     }
 
     /// Notes whether the next attempt uses an idle connection, and returns whether idle connections
--- a/src/policy/replicas/rotation.rs
+++ b/src/policy/replicas/rotation.rs
@@ -19,13 +19,19 @@
 
 impl ShardRotation {
     fn new(position: f64) -> Self {
-        ShardRotation { holders: Vec::new(), position }
+        ShardRotation {
+            holders: Vec::new(),
+            position,
+        }
     }
 
     /// Returns the index of the holder whose share contains the position.
     fn first_holder(&self) -> usize {
-        let end_of_share = |index: usize| -> f64 { self.holders[..=index].iter().map(|h| h.share).sum() };
-        (0..self.holders.len()).find(|index| self.position < end_of_share(*index)).unwrap_or(0)
+        let end_of_share =
+            |index: usize| -> f64 { self.holders[..=index].iter().map(|h| h.share).sum() };
+        (0..self.holders.len())
+            .find(|index| self.position < end_of_share(*index))
+            .unwrap_or(0)
     }
 
     /// Advances the position by one even step and the drift.
@@ -46,7 +52,8 @@
     /// traffic would rotate in step.
     pub fn grow(&mut self, count: usize, rng: &mut fastrand::Rng) {
         let count = self.shards.len().max(count);
-        self.shards.resize_with(count, || ShardRotation::new(rng.f64()));
+        self.shards
+            .resize_with(count, || ShardRotation::new(rng.f64()));
     }
 
     /// Returns all shards.
@@ -62,7 +69,8 @@
 
     /// Returns whether a replica holds a shard.
     pub fn holds(&self, shard: ShardId, replica: ReplicaId) -> bool {
-        self.get(shard).is_some_and(|shard| shard.holders.iter().any(|holder| holder.member == replica))
+        self.get(shard)
+            .is_some_and(|shard| shard.holders.iter().any(|holder| holder.member == replica))
     }
 
     /// Returns the holders of a shard in rotation, from the one whose share contains the position.
@@ -88,8 +96,11 @@
     /// # Panics
     /// If a holder has no entry in `capacities`.
     pub fn balance(&mut self, capacities: &BTreeMap<ReplicaId, f64>) {
-        let mut groups: Vec<&mut [Share<ReplicaId>]> =
-            self.shards.iter_mut().map(|shard| shard.holders.as_mut_slice()).collect();
+        let mut groups: Vec<&mut [Share<ReplicaId>]> = self
+            .shards
+            .iter_mut()
+            .map(|shard| shard.holders.as_mut_slice())
+            .collect();
         balance_shares(&mut groups, capacities, BALANCE_ROUNDS);
     }
 
--- a/src/policy/replicas/slow_start.rs
+++ b/src/policy/replicas/slow_start.rs
@@ -22,7 +22,10 @@
 impl SlowStartGuard {
     /// Creates the guard of a replica of unknown start; `drawn_gap` in mean gaps between parts.
     pub fn new(drawn_gap: f64) -> Self {
-        SlowStartGuard { drawn_gap, ..SlowStartGuard::default() }
+        SlowStartGuard {
+            drawn_gap,
+            ..SlowStartGuard::default()
+        }
     }
 
     /// Records a start that the endpoint list reports; 0 if it is long past.
@@ -63,7 +66,13 @@
 
     /// Returns the time since the last part or the start, in mean gaps between the parts of all
     /// coordinators.
-    fn mean_gaps_since_last(&self, work: f64, rule: &SlowStartRule, started_at: Nanos, now: Nanos) -> f64 {
+    fn mean_gaps_since_last(
+        &self,
+        work: f64,
+        rule: &SlowStartRule,
+        started_at: Nanos,
+        now: Nanos,
+    ) -> f64 {
         let last_sent = self.sent_work.latest().unwrap_or(started_at);
         let last = last_sent.max(started_at);
         let mean_age = last.midpoint(now).saturating_sub(started_at);
--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -61,7 +61,11 @@
 
     /// Appends a range of shared bytes, which are referenced until they are written. A range outside of them adds nothing.
     pub fn push_shared(&mut self, shared: SharedBytes, range: Range<usize>) {
-        let length = shared.as_ref().as_ref().get(range.clone()).map_or(0, <[u8]>::len);
+        let length = shared
+            .as_ref()
+            .as_ref()
+            .get(range.clone())
+            .map_or(0, <[u8]>::len);
         if length == 0 {
             return;
         }
@@ -102,7 +106,9 @@
     /// The next bytes: some of them, unless none are left.
     #[must_use]
     pub fn front(&self) -> &[u8] {
-        self.pieces.front().map_or(&[], |piece| &piece.bytes()[self.consumed..])
+        self.pieces
+            .front()
+            .map_or(&[], |piece| &piece.bytes()[self.consumed..])
     }
 
     /// Consumes the next `count` bytes.
@@ -131,7 +137,9 @@
     #[must_use]
     pub fn to_vec(&self) -> Vec<u8> {
         let mut all = Vec::with_capacity(self.length);
-        self.pieces.iter().for_each(|piece| all.extend_from_slice(piece.bytes()));
+        self.pieces
+            .iter()
+            .for_each(|piece| all.extend_from_slice(piece.bytes()));
         all.drain(..self.consumed);
         all
     }
@@ -149,8 +157,16 @@
 impl From<Vec<u8>> for Body {
     fn from(bytes: Vec<u8>) -> Self {
         let length = bytes.len();
-        let pieces = if bytes.is_empty() { VecDeque::new() } else { VecDeque::from([Piece::Owned(bytes)]) };
-        Body { pieces, length, consumed: 0 }
+        let pieces = if bytes.is_empty() {
+            VecDeque::new()
+        } else {
+            VecDeque::from([Piece::Owned(bytes)])
+        };
+        Body {
+            pieces,
+            length,
+            consumed: 0,
+        }
     }
 }
 
--- a/src/proto/body/tests.rs
+++ b/src/proto/body/tests.rs
@@ -14,7 +14,10 @@
         rest.push_shared(shared.clone(), 4_999..9_999);
         body.append(rest);
         let expected = [b"head own ".as_slice(), &[b'h'; 2_000], b" tailhhh"].concat();
-        assert_eq!((body.len(), body.to_vec()), (expected.len(), expected.clone()));
+        assert_eq!(
+            (body.len(), body.to_vec()),
+            (expected.len(), expected.clone())
+        );
         let mut written = Vec::new();
         while !body.is_empty() {
             let count = body.front().len().min(step);
@@ -26,5 +29,9 @@
         assert_eq!(written, expected);
         assert!(body.front().is_empty() && body.memory() == 0);
     }
-    assert_eq!(Arc::strong_count(&shared), 1, "no reference is left once all is written");
+    assert_eq!(
+        Arc::strong_count(&shared),
+        1,
+        "no reference is left once all is written"
+    );
 }
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -95,7 +95,11 @@
     unix_now_ms: u64,
 ) -> Result<EndpointListUpdate, EndpointListError> {
     let list = serde_json::from_slice(text)?;
-    to_update(list, EndpointListKind::Cached, ReadTime { now, unix_now_ms })
+    to_update(
+        list,
+        EndpointListKind::Cached,
+        ReadTime { now, unix_now_ms },
+    )
 }
 
 fn to_update(
@@ -104,12 +108,23 @@
     read_at: ReadTime,
 ) -> Result<EndpointListUpdate, EndpointListError> {
     let revision = list.revision;
-    let endpoints = list.endpoints.into_iter().map(|e| to_node(e, read_at)).collect::<Result<_, _>>()?;
-    let update = EndpointUpdate { kind, version: Some(revision), endpoints };
+    let endpoints = list
+        .endpoints
+        .into_iter()
+        .map(|e| to_node(e, read_at))
+        .collect::<Result<_, _>>()?;
+    let update = EndpointUpdate {
+        kind,
+        version: Some(revision),
+        endpoints,
+    };
     Ok(EndpointListUpdate { revision, update })
 }
 
-fn to_node(endpoint: EndpointMessage, read_at: ReadTime) -> Result<NodeEndpoint, EndpointListError> {
+fn to_node(
+    endpoint: EndpointMessage,
+    read_at: ReadTime,
+) -> Result<NodeEndpoint, EndpointListError> {
     Ok(NodeEndpoint {
         name: endpoint.name.into(),
         address: endpoint.address.into(),
@@ -128,7 +143,9 @@
 
 /// Zones are named by letters, from `a` on.
 fn zone_number(zone: &str) -> u16 {
-    zone.bytes().next().map_or(0, |letter| u16::from(letter.saturating_sub(b'a')))
+    zone.bytes()
+        .next()
+        .map_or(0, |letter| u16::from(letter.saturating_sub(b'a')))
 }
 
 /// The complete lists at the front of a text.
@@ -141,7 +158,11 @@
 
 impl ParsedLists {
     fn push(&mut self, list: ListMessage, read_at: ReadTime) -> Result<(), EndpointListError> {
-        let kind = if list.complete { EndpointListKind::Full } else { EndpointListKind::Delta };
+        let kind = if list.complete {
+            EndpointListKind::Full
+        } else {
+            EndpointListKind::Delta
+        };
         self.updates.push(to_update(list, kind, read_at)?);
         Ok(())
     }
@@ -152,7 +173,10 @@
 /// contains an empty line, which is what discovery sends while nothing changes: a list that was cut off would otherwise be
 /// waited for as long as the watch lives.
 fn parse_lists(text: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
-    let lines_end = text.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
+    let lines_end = text
+        .iter()
+        .rposition(|b| *b == b'\n')
+        .map_or(0, |at| at + 1);
     let mut parsed = parse_ended_lines(&text[..lines_end], read_at)?;
     let unfinished = text[parsed.consumed..lines_end].trim_ascii_start();
     let consumed_before = parsed.consumed;
@@ -189,7 +213,8 @@
     read_at: ReadTime,
 ) -> Result<(), EndpointListError> {
     let start = parsed.consumed;
-    let mut objects = serde_json::Deserializer::from_slice(&text[start..]).into_iter::<ListMessage>();
+    let mut objects =
+        serde_json::Deserializer::from_slice(&text[start..]).into_iter::<ListMessage>();
     while let Some(Ok(list)) = objects.next() {
         parsed.push(list, read_at)?;
         parsed.consumed = start + objects.byte_offset();
@@ -199,7 +224,11 @@
 
 /// Whether a line that has ended is empty; the first one begins with a list.
 fn has_empty_line(lines: &[u8]) -> bool {
-    lines.split(|b| *b == b'\n').rev().skip(1).any(|line| line.trim_ascii().is_empty())
+    lines
+        .split(|b| *b == b'\n')
+        .rev()
+        .skip(1)
+        .any(|line| line.trim_ascii().is_empty())
 }
 
 /// What a watch has brought since it was last advanced.
@@ -220,7 +249,9 @@
 
 impl Default for WatchResponse {
     fn default() -> Self {
-        WatchResponse { reader: ResponseReader::new(MAX_LINE) }
+        WatchResponse {
+            reader: ResponseReader::new(MAX_LINE),
+        }
     }
 }
 
@@ -242,7 +273,10 @@
         }
         let parsed = parse_lists(&self.reader.body, ReadTime { now, unix_now_ms })?;
         self.reader.body.drain(..parsed.consumed);
-        Ok(WatchProgress { updates: parsed.updates, ended })
+        Ok(WatchProgress {
+            updates: parsed.updates,
+            ended,
+        })
     }
 }
 
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -8,10 +8,18 @@
 fn revisions(pieces: &[&str]) -> Result<Vec<u64>, WatchError> {
     let mut response = WatchResponse::default();
     let mut revisions = Vec::new();
-    let chunks = pieces.iter().map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()));
+    let chunks = pieces
+        .iter()
+        .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()));
     for bytes in std::iter::once(RESPONSE_HEAD.to_owned()).chain(chunks) {
         response.reader.input.extend(bytes.as_bytes());
-        revisions.extend(response.advance(Micros::ZERO, 0)?.updates.iter().map(|update| update.revision));
+        revisions.extend(
+            response
+                .advance(Micros::ZERO, 0)?
+                .updates
+                .iter()
+                .map(|update| update.revision),
+        );
     }
     Ok(revisions)
 }
@@ -34,7 +42,11 @@
         LIST.to_owned(),
     ] {
         assert_eq!(read_revisions(&[&form, "\n", &form]), [43, 43], "{form}");
-        assert_eq!(read_revisions(&[&format!("{form}{form}")]), [43, 43], "{form}");
+        assert_eq!(
+            read_revisions(&[&format!("{form}{form}")]),
+            [43, 43],
+            "{form}"
+        );
         let characters: Vec<String> = form.chars().map(String::from).collect();
         let characters: Vec<&str> = characters.iter().map(String::as_str).collect();
         assert_eq!(read_revisions(&characters), [43], "{form}");
@@ -47,11 +59,17 @@
     for cut in 1..LIST.len() {
         let truncated = format!("{}\n", &LIST[..cut]);
         assert!(
-            matches!(revisions(&[&complete, &truncated, "\n"]), Err(WatchError::List(_))),
+            matches!(
+                revisions(&[&complete, &truncated, "\n"]),
+                Err(WatchError::List(_))
+            ),
             "then a keep-alive: {truncated}"
         );
         assert!(
-            matches!(revisions(&[&truncated, &complete, "\n"]), Err(WatchError::List(_))),
+            matches!(
+                revisions(&[&truncated, &complete, "\n"]),
+                Err(WatchError::List(_))
+            ),
             "then a list: {truncated}"
         );
     }
@@ -64,19 +82,32 @@
     let list_error = list_error.expect_err("an unknown state");
     assert!(matches!(&list_error, EndpointListError::UnknownState(state) if state == "asleep"));
     assert_eq!(list_error.to_string(), r#"unknown state "asleep""#);
-    assert_eq!(WatchError::List(list_error).to_string(), r#"Line("unknown state \"asleep\"")"#);
+    assert_eq!(
+        WatchError::List(list_error).to_string(),
+        r#"Line("unknown state \"asleep\"")"#
+    );
     assert_eq!(WatchError::Status(404).to_string(), "Status(404)");
-    assert_eq!(WatchError::Http(HttpError::Malformed).to_string(), "Http(Malformed)");
+    assert_eq!(
+        WatchError::Http(HttpError::Malformed).to_string(),
+        "Http(Malformed)"
+    );
 }
 
 #[test]
 fn json_of_another_shape_is_rejected_in_the_words_of_earlier_versions() {
     let message = |text: &str| {
-        let error = parse_cached_endpoint_list(text.as_bytes(), Micros::ZERO, 0).expect_err("no list");
+        let error =
+            parse_cached_endpoint_list(text.as_bytes(), Micros::ZERO, 0).expect_err("no list");
         error.to_string()
     };
     let list = message("7");
-    assert!(list.starts_with("invalid type: integer `7`, expected struct Listing at line 1"), "{list}");
+    assert!(
+        list.starts_with("invalid type: integer `7`, expected struct Listing at line 1"),
+        "{list}"
+    );
     let target = message(r#"{"rev":1,"all":true,"targets":[7]}"#);
-    assert!(target.starts_with("invalid type: integer `7`, expected struct Target at line 1"), "{target}");
+    assert!(
+        target.starts_with("invalid type: integer `7`, expected struct Target at line 1"),
+        "{target}"
+    );
 }
--- a/src/proto/fetch.rs
+++ b/src/proto/fetch.rs
@@ -46,7 +46,11 @@
     /// A fetch with this request, whose response has a body of at most `max_body` bytes.
     #[must_use]
     pub fn new(request: Vec<u8>, max_body: usize) -> Self {
-        Fetch { reader: ResponseReader::new(max_body), request, written: 0 }
+        Fetch {
+            reader: ResponseReader::new(max_body),
+            request,
+            written: 0,
+        }
     }
 
     /// The bytes to write next.
@@ -93,7 +97,11 @@
 
     /// The connection broke, or was never established.
     pub fn on_broken(&mut self) -> Progress {
-        Progress::Failed(if self.may_have_run() { Outcome::Reset } else { Outcome::ConnectFailed })
+        Progress::Failed(if self.may_have_run() {
+            Outcome::Reset
+        } else {
+            Outcome::ConnectFailed
+        })
     }
 
     fn take_response(&mut self) -> Progress {
--- a/src/proto/frames/attempts.rs
+++ b/src/proto/frames/attempts.rs
@@ -52,7 +52,10 @@
     /// Adds an attempt that is to be written; it replaces one with the same id.
     pub(super) fn insert(&mut self, key: AttemptKey, id: String) {
         self.ids.insert(key, id.clone());
-        let attempt = InFlightAttempt { key, fully_written: false };
+        let attempt = InFlightAttempt {
+            key,
+            fully_written: false,
+        };
         if let Some(replaced) = self.in_flight.insert(id, attempt) {
             self.ids.remove(&replaced.key);
         }
@@ -120,6 +123,8 @@
 
     /// Whether an earlier attempt with this id was cancelled and may still be answered.
     pub(super) fn is_unanswered(&self, id: &str) -> bool {
-        self.retired.iter().any(|retired| retired.id == id && !retired.answered)
+        self.retired
+            .iter()
+            .any(|retired| retired.id == id && !retired.answered)
     }
 }
--- a/src/proto/frames/codec.rs
+++ b/src/proto/frames/codec.rs
@@ -87,7 +87,11 @@
 pub(super) fn encode_attempt(id: &str, request: &AttemptRequest, payload: &mut Vec<u8>) {
     // The node's timeout is this program's, rounded up: it must not give up first.
     let timeout_ms = request.timeout.0.div_ceil(MICROS_PER_MILLI);
-    let line = format!("{id} {} d={timeout_ms} {}\n", request.shard.0, request.payload.len());
+    let line = format!(
+        "{id} {} d={timeout_ms} {}\n",
+        request.shard.0,
+        request.payload.len()
+    );
     payload.extend_from_slice(line.as_bytes());
     payload.extend_from_slice(&request.payload);
 }
@@ -118,28 +122,44 @@
 
 /// Decodes the frame at the front of what was received; `None` while it is incomplete.
 pub(super) fn decode(data: &[u8]) -> Result<Option<IncomingFrame<'_>>, FrameError> {
-    let Some(length) = data.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let Some(length) = data.first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > MAX_FRAME_LENGTH {
         return Err(FrameError::Length(length));
     }
-    let Some(body) = data.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
+    let Some(body) = data.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
+        return Ok(None);
+    };
     let payload = &body[1..];
     let content = match body[0] {
         letter::ANSWER => FrameContent::Answer(decode_answer(payload)?),
         letter::HEALTH_CHECK | letter::LOAD_REPORT => FrameContent::Ignored,
-        letter::ERROR => return Err(FrameError::Rejected(String::from_utf8_lossy(payload).into_owned())),
+        letter::ERROR => {
+            return Err(FrameError::Rejected(
+                String::from_utf8_lossy(payload).into_owned(),
+            ))
+        }
         other => return Err(FrameError::UnknownLetter(char::from(other))),
     };
-    Ok(Some(IncomingFrame { length: LENGTH_BYTES + length, content }))
+    Ok(Some(IncomingFrame {
+        length: LENGTH_BYTES + length,
+        content,
+    }))
 }
 
 /// Decodes an answer: a line of id, end, score and load report, then the value. Only a value exactly as the node made it may
 /// reach a client, so that anything malformed invalidates the answer; only the load report may be anything, since nothing
 /// depends on it.
 fn decode_answer(payload: &[u8]) -> Result<AttemptAnswer<'_>, FrameError> {
-    let line_end = payload.iter().position(|b| *b == b'\n').ok_or(FrameError::UnterminatedLine)?;
-    let mut fields = payload[..line_end].splitn(4, |b| *b == b' ').map(std::str::from_utf8);
+    let line_end = payload
+        .iter()
+        .position(|b| *b == b'\n')
+        .ok_or(FrameError::UnterminatedLine)?;
+    let mut fields = payload[..line_end]
+        .splitn(4, |b| *b == b' ')
+        .map(std::str::from_utf8);
     let (Some(Ok(id)), Some(Ok(end)), Some(Ok(score)), Some(_load_report)) =
         (fields.next(), fields.next(), fields.next(), fields.next())
     else {
--- a/src/proto/frames/connection.rs
+++ b/src/proto/frames/connection.rs
@@ -37,17 +37,28 @@
             let start = payload.len();
             codec::encode_attempt(&id, request, &mut payload);
             let bytes = payload.len() - start;
-            queued.push(QueuedAttempt { key: request.key, bytes, metrics: request.metrics.clone() });
+            queued.push(QueuedAttempt {
+                key: request.key,
+                bytes,
+                metrics: request.metrics.clone(),
+            });
             self.attempts.insert(request.key, id);
         }
-        self.output.push_back(OutgoingFrame::query(&payload, queued));
+        self.output
+            .push_back(OutgoingFrame::query(&payload, queued));
     }
 
     /// Cancels an attempt. If no byte of its frame is written it never goes out, whatever else the frame carries; otherwise
     /// the node is told to cancel it.
     pub fn cancel(&mut self, key: AttemptKey) {
-        let Some(id) = self.attempts.remove(key) else { return };
-        let Some(at) = self.output.iter().position(|frame| frame.is_unstarted_with(key)) else {
+        let Some(id) = self.attempts.remove(key) else {
+            return;
+        };
+        let Some(at) = self
+            .output
+            .iter()
+            .position(|frame| frame.is_unstarted_with(key))
+        else {
             self.output.push_back(OutgoingFrame::cancel(&id));
             return self.attempts.retire(id, false);
         };
@@ -67,12 +78,17 @@
 
     /// Takes back every frame of which no byte is written: a draining node gets nothing new.
     pub fn reclaim_unwritten(&mut self, events: &mut Vec<AttemptEvent>) {
-        let (reclaimed, kept): (Vec<_>, Vec<_>) =
-            self.output.drain(..).partition(OutgoingFrame::is_reclaimable);
+        let (reclaimed, kept): (Vec<_>, Vec<_>) = self
+            .output
+            .drain(..)
+            .partition(OutgoingFrame::is_reclaimable);
         self.output = kept.into();
         for key in reclaimed.iter().flat_map(OutgoingFrame::keys) {
             if self.attempts.remove(key).is_some() {
-                events.push(AttemptEvent::Ended(key, AttemptEnd::Failed(Outcome::NotSent)));
+                events.push(AttemptEvent::Ended(
+                    key,
+                    AttemptEnd::Failed(Outcome::NotSent),
+                ));
             }
         }
     }
@@ -85,7 +101,9 @@
 
     /// Notes how many bytes of [`MultiplexedConnection::output`] were written.
     pub fn record_written(&mut self, bytes: usize, events: &mut Vec<AttemptEvent>) {
-        let Some(front) = self.output.front_mut() else { return };
+        let Some(front) = self.output.front_mut() else {
+            return;
+        };
         let started = front.record_written(bytes);
         if !front.is_fully_written() {
             if started {
@@ -94,7 +112,9 @@
             }
             return;
         }
-        let Some(written) = self.output.pop_front() else { return };
+        let Some(written) = self.output.pop_front() else {
+            return;
+        };
         for attempt in written.into_attempts() {
             attempt.metrics.attempts.increment();
             if self.attempts.mark_fully_written(attempt.key) {
@@ -140,7 +160,9 @@
         self.input = Buffer::default();
         self.attempts.clear_retired();
         let attempts = &self.attempts;
-        self.output.iter_mut().for_each(|frame| frame.retain(|key| attempts.contains(key)));
+        self.output
+            .iter_mut()
+            .for_each(|frame| frame.retain(|key| attempts.contains(key)));
         self.output.retain(OutgoingFrame::carries_attempts);
         true
     }
@@ -150,8 +172,15 @@
     pub fn fail_all(&mut self, events: &mut Vec<AttemptEvent>) {
         self.output.clear();
         for attempt in self.attempts.drain() {
-            let outcome = if attempt.fully_written { Outcome::Reset } else { Outcome::ConnectFailed };
-            events.push(AttemptEvent::Ended(attempt.key, AttemptEnd::Failed(outcome)));
+            let outcome = if attempt.fully_written {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            };
+            events.push(AttemptEvent::Ended(
+                attempt.key,
+                AttemptEnd::Failed(outcome),
+            ));
         }
     }
 
--- a/src/proto/frames/outgoing.rs
+++ b/src/proto/frames/outgoing.rs
@@ -26,12 +26,20 @@
 impl OutgoingFrame {
     /// A frame that carries attempts.
     pub(super) fn query(payload: &[u8], attempts: Vec<QueuedAttempt>) -> Self {
-        OutgoingFrame { bytes: codec::query_frame(payload), written: 0, attempts }
+        OutgoingFrame {
+            bytes: codec::query_frame(payload),
+            written: 0,
+            attempts,
+        }
     }
 
     /// A frame that cancels an attempt.
     pub(super) fn cancel(id: &str) -> Self {
-        OutgoingFrame { bytes: codec::cancel_frame(id), written: 0, attempts: Vec::new() }
+        OutgoingFrame {
+            bytes: codec::cancel_frame(id),
+            written: 0,
+            attempts: Vec::new(),
+        }
     }
 
     /// What is still to be written.
--- a/src/proto/http/connection.rs
+++ b/src/proto/http/connection.rs
@@ -18,7 +18,10 @@
     /// Receiving the head of a request.
     Head,
     /// Receiving the body of a request.
-    Body { request: HttpRequest, framing: Framing },
+    Body {
+        request: HttpRequest,
+        framing: Framing,
+    },
     /// A request was handed out; the next one waits for the response to it.
     AwaitingResponse,
     /// No more requests are read.
@@ -85,7 +88,11 @@
     /// The memory held for input and output, in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
-        let body = if let State::Body { request, .. } = &self.state { request.body.capacity() } else { 0 };
+        let body = if let State::Body { request, .. } = &self.state {
+            request.body.capacity()
+        } else {
+            0
+        };
         self.input.capacity() + body + self.output.memory()
     }
 
@@ -104,7 +111,9 @@
     /// True between requests: nothing of the next one is here, and nothing is to be written.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        matches!(self.state, State::Head) && self.input.data().is_empty() && self.output().is_empty()
+        matches!(self.state, State::Head)
+            && self.input.data().is_empty()
+            && self.output().is_empty()
     }
 
     /// True once the socket can be closed.
@@ -145,7 +154,8 @@
     /// request's attempts could be cancelled.
     pub fn discard_excess(&mut self) -> bool {
         let unread = self.input.data().len();
-        let excess = self.awaits_response() && unread >= MAX_UNREAD && self.discarded < MAX_DISCARDED;
+        let excess =
+            self.awaits_response() && unread >= MAX_UNREAD && self.discarded < MAX_DISCARDED;
         if excess {
             self.discarded += unread;
             self.input.consume(unread);
@@ -177,11 +187,16 @@
     /// Responds to the request that was handed out, or to the error; with `close` the connection closes afterwards.
     pub fn respond(&mut self, response: Response, close: bool) {
         self.close |= close;
-        self.output.push(response.encode_head(self.close).as_bytes());
+        self.output
+            .push(response.encode_head(self.close).as_bytes());
         if !std::mem::take(&mut self.omit_body) {
             self.output.append(response.body);
         }
-        self.state = if self.close { State::Closed } else { State::Head };
+        self.state = if self.close {
+            State::Closed
+        } else {
+            State::Head
+        };
     }
 
     /// Responds without waiting for the rest of a request, and closes the connection.
@@ -205,7 +220,9 @@
         if matches!(self.state, State::Head) {
             self.read_head()?;
         }
-        let State::Body { request, framing } = &mut self.state else { return Ok(None) };
+        let State::Body { request, framing } = &mut self.state else {
+            return Ok(None);
+        };
         if !framing.read(&mut self.input, &mut request.body, self.max_body)? {
             return Ok(None);
         }
@@ -219,13 +236,18 @@
         while self.input.data().starts_with(b"\r\n") {
             self.input.consume(2);
         }
-        let Some(head) = RequestHead::parse(self.input.data(), self.max_body)? else { return Ok(()) };
+        let Some(head) = RequestHead::parse(self.input.data(), self.max_body)? else {
+            return Ok(());
+        };
         self.input.consume(head.length);
         self.close |= head.closes;
         if head.expects_continue {
             self.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        self.state = State::Body { request: head.request, framing: head.framing };
+        self.state = State::Body {
+            request: head.request,
+            framing: head.framing,
+        };
         Ok(())
     }
 
--- a/src/proto/http/framing.rs
+++ b/src/proto/http/framing.rs
@@ -71,7 +71,12 @@
 }
 
 impl ChunkState {
-    fn read(&mut self, buffer: &mut Buffer, body: &mut Vec<u8>, max_body: usize) -> Result<bool, HttpError> {
+    fn read(
+        &mut self,
+        buffer: &mut Buffer,
+        body: &mut Vec<u8>,
+        max_body: usize,
+    ) -> Result<bool, HttpError> {
         loop {
             let progress = match self {
                 ChunkState::Size => self.read_size(buffer)?,
@@ -99,7 +104,11 @@
         match httparse::parse_chunk_size(data) {
             Ok(httparse::Status::Complete((length, size))) => {
                 buffer.consume(length);
-                *self = if size == 0 { ChunkState::Trailers } else { ChunkState::Data(size) };
+                *self = if size == 0 {
+                    ChunkState::Trailers
+                } else {
+                    ChunkState::Data(size)
+                };
                 Ok(ChunkProgress::Advanced)
             }
             Ok(httparse::Status::Partial) if data.len() < MAX_LINE => Ok(ChunkProgress::NeedsInput),
@@ -125,10 +134,18 @@
 fn read_trailer(buffer: &mut Buffer) -> Result<ChunkProgress, HttpError> {
     let data = buffer.data();
     let Some(length) = data.windows(CRLF.len()).position(|window| window == CRLF) else {
-        return if data.len() < MAX_LINE { Ok(ChunkProgress::NeedsInput) } else { Err(HttpError::Malformed) };
+        return if data.len() < MAX_LINE {
+            Ok(ChunkProgress::NeedsInput)
+        } else {
+            Err(HttpError::Malformed)
+        };
     };
     buffer.consume(length + CRLF.len());
-    Ok(if length == 0 { ChunkProgress::Complete } else { ChunkProgress::Advanced })
+    Ok(if length == 0 {
+        ChunkProgress::Complete
+    } else {
+        ChunkProgress::Advanced
+    })
 }
 
 /// Moves at most `left` bytes and counts them off. What is still to come is checked against the maximum beforehand.
--- a/src/proto/http/headers.rs
+++ b/src/proto/http/headers.rs
@@ -30,7 +30,10 @@
         let mut headers = Vec::new();
         for header in parsed {
             let value = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?;
-            headers.push(Header { name: header.name.to_owned(), value: value.trim().to_owned() });
+            headers.push(Header {
+                name: header.name.to_owned(),
+                value: value.trim().to_owned(),
+            });
         }
         Ok(Headers(headers))
     }
@@ -49,7 +52,9 @@
         let mut lengths = self.values("content-length");
         match (codings.next(), lengths.next()) {
             (Some(_), Some(_)) => Err(HttpError::Malformed),
-            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") && codings.next().is_none() => {
+            (Some(coding), None)
+                if coding.eq_ignore_ascii_case("chunked") && codings.next().is_none() =>
+            {
                 Ok(Some(Framing::chunked()))
             }
             (Some(_), None) => Err(HttpError::UnknownCoding),
--- a/src/proto/http/request.rs
+++ b/src/proto/http/request.rs
@@ -57,6 +57,12 @@
             headers,
             body: Vec::new(),
         };
-        Ok(Some(RequestHead { request, framing, length, closes, expects_continue }))
+        Ok(Some(RequestHead {
+            request,
+            framing,
+            length,
+            closes,
+            expects_continue,
+        }))
     }
 }
--- a/src/proto/http/response.rs
+++ b/src/proto/http/response.rs
@@ -23,13 +23,23 @@
     /// A response with a body and no further headers.
     #[must_use]
     pub fn new(status: u16, content_type: &'static str, body: impl Into<Body>) -> Self {
-        Response { status, content_type, headers: Vec::new(), body: body.into() }
+        Response {
+            status,
+            content_type,
+            headers: Vec::new(),
+            body: body.into(),
+        }
     }
 
     /// The head as it is written; `close` announces that the connection closes after the response.
     pub(super) fn encode_head(&self, close: bool) -> String {
         let mut head = String::with_capacity(HEAD_CAPACITY);
-        let _ = write!(head, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
+        let _ = write!(
+            head,
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
         if !self.content_type.is_empty() {
             let _ = write!(head, "Content-Type: {}\r\n", self.content_type);
         }
--- a/src/proto/http/response_reader.rs
+++ b/src/proto/http/response_reader.rs
@@ -61,7 +61,10 @@
         }
         match &mut self.response {
             Some(response) if !self.complete => {
-                self.complete = response.framing.read(&mut self.input, &mut self.body, self.max_body)?;
+                self.complete =
+                    response
+                        .framing
+                        .read(&mut self.input, &mut self.body, self.max_body)?;
             }
             _ => {}
         }
@@ -110,8 +113,16 @@
             204 | 304 => Framing::Length(0),
             _ => headers.framing()?.unwrap_or(Framing::UntilClose),
         };
-        let reusable =
-            !is_http_1_0 && framing != Framing::UntilClose && !headers.has_token("connection", "close");
-        Ok(PartialResponse { head: ResponseHead { status, headers, reusable }, framing })
+        let reusable = !is_http_1_0
+            && framing != Framing::UntilClose
+            && !headers.has_token("connection", "close");
+        Ok(PartialResponse {
+            head: ResponseHead {
+                status,
+                headers,
+                reusable,
+            },
+            framing,
+        })
     }
 }
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -44,10 +44,25 @@
 
     /// Adds a part to the latest open query of its group; without one it is dropped.
     pub fn add_part(&mut self, group: GroupId, part: Part) {
-        let mut open = self.queries.iter_mut().rev().filter(|(_, query)| query.is_open());
-        let Some((number, query)) = open.find(|(_, query)| query.group == group) else { return };
-        self.parts.insert(part.id, PartKey { query: *number, index: query.parts.len() });
-        query.parts.push(Part { follow_up: query.stage == Stage::FollowUp, ..part });
+        let mut open = self
+            .queries
+            .iter_mut()
+            .rev()
+            .filter(|(_, query)| query.is_open());
+        let Some((number, query)) = open.find(|(_, query)| query.group == group) else {
+            return;
+        };
+        self.parts.insert(
+            part.id,
+            PartKey {
+                query: *number,
+                index: query.parts.len(),
+            },
+        );
+        query.parts.push(Part {
+            follow_up: query.stage == Stage::FollowUp,
+            ..part
+        });
     }
 
     /// A query that is still in the table.
@@ -74,7 +89,10 @@
 
     /// Closes the open query with this id, whose client has left.
     pub fn abandon(&mut self, id: QueryId) -> Option<&Query> {
-        let query = self.queries.values_mut().find(|query| query.id == id && query.is_open())?;
+        let query = self
+            .queries
+            .values_mut()
+            .find(|query| query.id == id && query.is_open())?;
         query.stage = Stage::Closed;
         Some(query)
     }
@@ -82,12 +100,14 @@
     /// A part of a query.
     #[must_use]
     pub fn part(&self, key: PartKey) -> Option<&Part> {
-        self.get(key.query).and_then(|query| query.parts.get(key.index))
+        self.get(key.query)
+            .and_then(|query| query.parts.get(key.index))
     }
 
     /// The same, to change it.
     pub fn part_mut(&mut self, key: PartKey) -> Option<&mut Part> {
-        self.get_mut(key.query).and_then(|query| query.parts.get_mut(key.index))
+        self.get_mut(key.query)
+            .and_then(|query| query.parts.get_mut(key.index))
     }
 
     /// The numbers of all queries, in order of arrival.
@@ -102,7 +122,9 @@
 
     /// When open queries are to be answered, and their deadlines, as far as they come after `now`.
     pub fn due_after(&self, now: Nanos) -> impl Iterator<Item = Nanos> + '_ {
-        self.open().flat_map(|query| [query.respond_by, query.deadline]).filter(move |at| *at > now)
+        self.open()
+            .flat_map(|query| [query.respond_by, query.deadline])
+            .filter(move |at| *at > now)
     }
 
     /// The queries sampled for the quality of answers, open or closed.
@@ -111,8 +133,16 @@
     }
 
     /// Records how an attempt ended.
-    pub fn complete_attempt(&mut self, part: PartId, attempt: AttemptNo, outcome: Outcome, now: Nanos) {
-        let Some(key) = self.parts.get(&part).copied() else { return };
+    pub fn complete_attempt(
+        &mut self,
+        part: PartId,
+        attempt: AttemptNo,
+        outcome: Outcome,
+        now: Nanos,
+    ) {
+        let Some(key) = self.parts.get(&part).copied() else {
+            return;
+        };
         if let Some(part) = self.part_mut(key) {
             part.complete_attempt(attempt, outcome, now);
         }
@@ -120,15 +150,25 @@
 
     /// Looks up anew where the parts of a query are, after its parts were put in another order.
     pub fn reindex(&mut self, number: QueryNo) {
-        let Some(query) = self.queries.get(&number) else { return };
+        let Some(query) = self.queries.get(&number) else {
+            return;
+        };
         for (index, part) in query.parts.iter().enumerate() {
-            self.parts.insert(part.id, PartKey { query: number, index });
+            self.parts.insert(
+                part.id,
+                PartKey {
+                    query: number,
+                    index,
+                },
+            );
         }
     }
 
     /// Removes closed queries, but for samples received since `horizon`.
     pub fn remove_closed(&mut self, horizon: Nanos) {
-        self.queries.retain(|_, query| query.is_open() || (query.sampled && query.received_at >= horizon));
-        self.parts.retain(|_, key| self.queries.contains_key(&key.query));
+        self.queries
+            .retain(|_, query| query.is_open() || (query.sampled && query.received_at >= horizon));
+        self.parts
+            .retain(|_, key| self.queries.contains_key(&key.query));
     }
 }
