--- a/src/queries/query.rs
+++ b/src/queries/query.rs
@@ -49,8 +49,20 @@
     /// A part that is to be asked. A weight that is no share counts as 0.
     #[must_use]
     pub fn new(id: PartId, shard: ShardId, weight: f64) -> Self {
-        let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
-        Part { id, shard, weight, follow_up: false, requested: true, attempts: Vec::new(), answered_at: None }
+        let weight = if weight.is_finite() {
+            weight.max(0.0)
+        } else {
+            0.0
+        };
+        Part {
+            id,
+            shard,
+            weight,
+            follow_up: false,
+            requested: true,
+            attempts: Vec::new(),
+            answered_at: None,
+        }
     }
 
     /// Its answer was received.
@@ -61,7 +73,9 @@
 
     /// Its attempts in flight, the oldest first.
     pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.outcome.is_none())
     }
 
     /// Some attempt is in flight.
@@ -88,8 +102,15 @@
 
     /// The actions that cancel what is in flight.
     pub fn cancellations(&self) -> impl Iterator<Item = Action> + '_ {
-        let in_flight = self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none());
-        in_flight.map(|(number, _)| Action::Cancel { part: self.id, attempt: AttemptNo(number as u16) })
+        let in_flight = self
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, attempt)| attempt.outcome.is_none());
+        in_flight.map(|(number, _)| Action::Cancel {
+            part: self.id,
+            attempt: AttemptNo(number as u16),
+        })
     }
 }
 
@@ -184,7 +205,10 @@
     /// The weight that was answered in its present step, each part once.
     #[must_use]
     pub fn answered_weight(&self) -> f64 {
-        self.step_parts().filter(|part| part.is_answered()).map(|part| part.weight).sum()
+        self.step_parts()
+            .filter(|part| part.is_answered())
+            .map(|part| part.weight)
+            .sum()
     }
 
     /// Its present step has parts, and all of them are answered.
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -29,12 +29,19 @@
 }
 
 fn attempt(outcome: Option<Outcome>) -> Attempt {
-    Attempt { replica: REPLICA, sent_at: 0, outcome }
+    Attempt {
+        replica: REPLICA,
+        sent_at: 0,
+        outcome,
+    }
 }
 
 fn number(table: &QueryTable, id: u64) -> QueryNo {
-    let found =
-        table.numbers().find(|number| table.get(*number).is_some_and(|query| query.id == QueryId(id)));
+    let found = table.numbers().find(|number| {
+        table
+            .get(*number)
+            .is_some_and(|query| query.id == QueryId(id))
+    });
     found.expect("the query is in the table")
 }
 
@@ -48,8 +55,15 @@
     table.abandon(QueryId(2)).expect("open");
     table.add_part(GroupId(7), part(11, 1.0));
     table.add_part(GroupId(9), part(12, 1.0));
-    let parts = |id| table.get(number(&table, id)).map(|query| query.parts.iter().map(|p| p.id.0).collect());
-    assert_eq!([1, 2, 3].map(parts), [Some(vec![11]), Some(vec![10]), Some(vec![])]);
+    let parts = |id| {
+        table
+            .get(number(&table, id))
+            .map(|query| query.parts.iter().map(|p| p.id.0).collect())
+    };
+    assert_eq!(
+        [1, 2, 3].map(parts),
+        [Some(vec![11]), Some(vec![10]), Some(vec![])]
+    );
 }
 
 #[test]
@@ -66,7 +80,10 @@
     assert!(!first.all_answered(), "no part of this step has come yet");
     table.add_part(GroupId(7), part(11, 0.5));
     let query = table.get(number).expect("kept");
-    assert_eq!(query.step_parts().map(|part| part.id).collect::<Vec<_>>(), [PartId(11)]);
+    assert_eq!(
+        query.step_parts().map(|part| part.id).collect::<Vec<_>>(),
+        [PartId(11)]
+    );
     assert_eq!(query.answered_weight(), 0.0);
 }
 
@@ -86,7 +103,10 @@
     let mut table = QueryTable::default();
     table.insert(query(1, 7, 0));
     table.add_part(GroupId(7), part(10, 1.0));
-    let key = PartKey { query: number(&table, 1), index: 0 };
+    let key = PartKey {
+        query: number(&table, 1),
+        index: 0,
+    };
     table.part_mut(key).expect("kept").attempts = vec![attempt(None), attempt(None)];
     table.complete_attempt(PartId(10), AttemptNo(1), Outcome::Ok, 50);
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 60);
@@ -94,14 +114,20 @@
     table.complete_attempt(PartId(99), AttemptNo(0), Outcome::Ok, 80);
     let part = table.part(key).expect("kept");
     assert_eq!(part.answered_at, Some(50));
-    assert_eq!(part.attempts, [attempt(Some(Outcome::Ok)), attempt(Some(Outcome::Ok))]);
+    assert_eq!(
+        part.attempts,
+        [attempt(Some(Outcome::Ok)), attempt(Some(Outcome::Ok))]
+    );
 }
 
 #[test]
 fn only_attempts_in_flight_are_cancelled() {
     let mut part = part(10, 1.0);
     part.attempts = vec![attempt(Some(Outcome::Error)), attempt(None)];
-    let cancel = Action::Cancel { part: PartId(10), attempt: AttemptNo(1) };
+    let cancel = Action::Cancel {
+        part: PartId(10),
+        attempt: AttemptNo(1),
+    };
     assert_eq!(part.cancellations().collect::<Vec<_>>(), [cancel]);
     assert_eq!(part.in_flight().count(), 1);
 }
@@ -111,7 +137,13 @@
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent] {
         assert!(!attempt(Some(outcome)).may_have_run(), "{outcome:?}");
     }
-    for outcome in [Outcome::Ok, Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Ok,
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         assert!(attempt(Some(outcome)).may_have_run(), "{outcome:?}");
     }
     assert!(attempt(None).may_have_run(), "in flight");
@@ -134,31 +166,59 @@
     table.get_mut(number).expect("kept").parts.reverse();
     table.reindex(number);
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 5);
-    let answered = |index| table.part(PartKey { query: number, index }).map(Part::is_answered);
+    let answered = |index| {
+        table
+            .part(PartKey {
+                query: number,
+                index,
+            })
+            .map(Part::is_answered)
+    };
     assert_eq!([answered(0), answered(1)], [Some(false), Some(true)]);
 }
 
 #[test]
 fn closed_queries_are_removed_but_for_recent_samples() {
     let mut table = QueryTable::default();
-    for (id, sampled, received_at) in [(1, false, 100), (2, true, 100), (3, true, 10), (4, false, 10)] {
-        table.insert(Query { sampled, ..query(id, id as u32, received_at) });
+    for (id, sampled, received_at) in [
+        (1, false, 100),
+        (2, true, 100),
+        (3, true, 10),
+        (4, false, 10),
+    ] {
+        table.insert(Query {
+            sampled,
+            ..query(id, id as u32, received_at)
+        });
         table.add_part(GroupId(id as u32), part(10 * id, 1.0));
     }
     for id in [1, 2, 3] {
         table.abandon(QueryId(id)).expect("open");
     }
     table.remove_closed(50);
-    let left: Vec<u64> = table.numbers().filter_map(|n| table.get(n)).map(|query| query.id.0).collect();
+    let left: Vec<u64> = table
+        .numbers()
+        .filter_map(|n| table.get(n))
+        .map(|query| query.id.0)
+        .collect();
     assert_eq!(left, [2, 4]);
-    assert_eq!(table.open().map(|query| query.id.0).collect::<Vec<_>>(), [4]);
-    assert_eq!(table.samples().map(|query| query.id.0).collect::<Vec<_>>(), [2]);
+    assert_eq!(
+        table.open().map(|query| query.id.0).collect::<Vec<_>>(),
+        [4]
+    );
+    assert_eq!(
+        table.samples().map(|query| query.id.0).collect::<Vec<_>>(),
+        [2]
+    );
     assert_eq!(table.parts.len(), 2, "their parts are gone with them");
 }
 
 #[test]
 fn attempts_at_a_replica_are_kept_by_age() {
-    let key = |part| AttemptKey { part: PartId(part), attempt: AttemptNo(0) };
+    let key = |part| AttemptKey {
+        part: PartId(part),
+        attempt: AttemptNo(0),
+    };
     let mut attempts = AttemptsByAge::default();
     assert!(attempts.is_empty() && attempts.oldest().is_none());
     attempts.insert(20, key(1));
--- a/src/settings/missing_key.rs
+++ b/src/settings/missing_key.rs
@@ -7,7 +7,13 @@
 use serde_json::Value;
 
 /// Keys that a replaced file may omit at any depth: in the wire protocol their absence switches a feature off.
-const OPTIONAL_KEYS: [&str; 5] = ["aim-stretch", "warm-keys", "extra-floor", "extra-ratio", "look-back"];
+const OPTIONAL_KEYS: [&str; 5] = [
+    "aim-stretch",
+    "warm-keys",
+    "extra-floor",
+    "extra-ratio",
+    "look-back",
+];
 
 /// Finds the first key that `old` has and `new` lacks, at any depth, as a path with dots (`limits.max-attempts`).
 ///
@@ -24,7 +30,8 @@
         }),
         (Value::Array(old), Value::Array(new)) => {
             let model = old.first()?;
-            new.iter().find_map(|element| find_missing_key(model, element))
+            new.iter()
+                .find_map(|element| find_missing_key(model, element))
         }
         (Value::Object(old), _) => old.keys().next().cloned(),
         _ => None,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -68,7 +68,9 @@
 /// # Errors
 ///
 /// Those of [`parse_policy_settings`].
-pub fn parse_coordinator_settings(value: serde_json::Value) -> Result<CoordinatorSettings, SettingsError> {
+pub fn parse_coordinator_settings(
+    value: serde_json::Value,
+) -> Result<CoordinatorSettings, SettingsError> {
     let object: SettingsObject = serde_json::from_value(value)?;
     let limits = object.limits;
     Ok(CoordinatorSettings::new(policy_settings(object)?, &limits))
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -21,7 +21,13 @@
         coordinators: object.coordinators,
         tick: object.tick,
         classes,
-        tenants: object.tenants.into_iter().map(|tenant| Tenant { quota: tenant.quota }).collect(),
+        tenants: object
+            .tenants
+            .into_iter()
+            .map(|tenant| Tenant {
+                quota: tenant.quota,
+            })
+            .collect(),
         over_quota_weight: object.over_quota_weight,
         shards: family.shards,
         cells: family.cells,
@@ -45,8 +51,12 @@
     family: &QueryFamily,
     limits: &TransportLimits,
 ) -> Result<Class, SettingsError> {
-    let effect = parse_effect(&class.effect, class.deduplication_window)
-        .ok_or(SettingsError::UnknownEffect { index, effect: class.effect })?;
+    let effect = parse_effect(&class.effect, class.deduplication_window).ok_or(
+        SettingsError::UnknownEffect {
+            index,
+            effect: class.effect,
+        },
+    )?;
     let required_share = family.required_shares.get(index).copied().unwrap_or(1.0);
     Ok(Class {
         name: class.name,
@@ -58,7 +68,11 @@
         priority_weight: class.priority_weight,
         late_weight: class.late_weight,
         required_share,
-        min_share: family.min_shares.get(index).copied().unwrap_or(required_share),
+        min_share: family
+            .min_shares
+            .get(index)
+            .copied()
+            .unwrap_or(required_share),
         follow_up_parts: family.follow_up_parts.get(index).copied().unwrap_or(0),
         max_attempts: limits.max_attempts,
     })
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -33,21 +33,35 @@
     assert_eq!(settings.max_streams_per_connection, 100);
     assert_eq!(settings.max_in_flight, usize::MAX);
     assert_eq!(settings.policy.classes[1].min_share, 1.0);
-    assert_eq!((settings.policy.retry_budget, settings.policy.slow_start), (None, None));
+    assert_eq!(
+        (settings.policy.retry_budget, settings.policy.slow_start),
+        (None, None)
+    );
 }
 
 #[test]
 fn values_that_must_be_positive_are_reported_by_their_key() {
     let text = |pointer: &str| {
         validation_text(|object| {
-            *object.pointer_mut(pointer).expect("a value of the valid object") = json!(0)
+            *object
+                .pointer_mut(pointer)
+                .expect("a value of the valid object") = json!(0)
         })
     };
     assert_eq!(text("/balancers"), "balancers is not above 0");
     assert_eq!(text("/tick"), "tick is not above 0");
-    assert_eq!(text("/family-info/slices"), "family-info.slices is not above 0");
-    assert_eq!(text("/family-info/cells"), "family-info.cells is not above 0");
-    assert_eq!(text("/family-info/in-a-row"), "family-info.in-a-row is not above 0");
+    assert_eq!(
+        text("/family-info/slices"),
+        "family-info.slices is not above 0"
+    );
+    assert_eq!(
+        text("/family-info/cells"),
+        "family-info.cells is not above 0"
+    );
+    assert_eq!(
+        text("/family-info/in-a-row"),
+        "family-info.in-a-row is not above 0"
+    );
     let text = validation_text(|object| object["limits"]["dial-timeout"] = json!(0));
     assert_eq!(text, "limits.dial-timeout is not above 0");
 }
@@ -55,8 +69,14 @@
 #[test]
 fn faults_of_classes_are_reported_by_the_name_of_the_class() {
     let text = |change: fn(&mut Value)| validation_text(change);
-    assert_eq!(text(|object| object["classes"] = json!([])), "there are no classes");
-    assert_eq!(text(|object| object["classes"][0]["name"] = json!("")), "class \"\": it has no name");
+    assert_eq!(
+        text(|object| object["classes"] = json!([])),
+        "there are no classes"
+    );
+    assert_eq!(
+        text(|object| object["classes"][0]["name"] = json!("")),
+        "class \"\": it has no name"
+    );
     assert_eq!(
         text(|object| object["classes"][1]["name"] = json!("lookup")),
         "class \"lookup\": it is named twice"
@@ -88,11 +108,17 @@
     let mut object = valid_object();
     object["classes"][1]["effect"] = json!("whimsical");
     let error = parse_coordinator_settings(object).expect_err("an unknown effect");
-    assert!(matches!(&error, SettingsError::UnknownEffect { index: 1, .. }), "{error:?}");
+    assert!(
+        matches!(&error, SettingsError::UnknownEffect { index: 1, .. }),
+        "{error:?}"
+    );
     assert_eq!(error.to_string(), "class 1: unknown effect \"whimsical\"");
     let error = parse_coordinator_settings(json!("none")).expect_err("no object");
     assert!(matches!(&error, SettingsError::Json(_)), "{error:?}");
-    assert_eq!(error.to_string(), "invalid type: string \"none\", expected struct BootInfo");
+    assert_eq!(
+        error.to_string(),
+        "invalid type: string \"none\", expected struct BootInfo"
+    );
 }
 
 #[test]
@@ -123,7 +149,17 @@
         "optional keys and list lengths"
     );
     assert_eq!(missing(json!({"list": []})), Some("a".to_owned()));
-    assert_eq!(missing(json!({"a": {}, "list": []})), Some("a.b".to_owned()));
-    assert_eq!(missing(json!({"a": 4, "list": []})), Some("a.b".to_owned()), "no object any more");
-    assert_eq!(missing(json!({"a": {"b": 1}, "list": [{"c": 1}, {}]})), Some("list.c".to_owned()));
+    assert_eq!(
+        missing(json!({"a": {}, "list": []})),
+        Some("a.b".to_owned())
+    );
+    assert_eq!(
+        missing(json!({"a": 4, "list": []})),
+        Some("a.b".to_owned()),
+        "no object any more"
+    );
+    assert_eq!(
+        missing(json!({"a": {"b": 1}, "list": [{"c": 1}, {}]})),
+        Some("list.c".to_owned())
+    );
 }
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -13,8 +13,10 @@
         self.check_positive_values()?;
         let classes = &self.policy.classes;
         for (index, class) in classes.iter().enumerate() {
-            check_class(class, &classes[..index])
-                .map_err(|fault| SettingsError::InvalidClass { class: class.name.clone(), fault })?;
+            check_class(class, &classes[..index]).map_err(|fault| SettingsError::InvalidClass {
+                class: class.name.clone(),
+                fault,
+            })?;
         }
         if classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -24,7 +26,14 @@
 
     /// Checks the values for which 0 has no meaning.
     fn check_positive_values(&self) -> Result<(), SettingsError> {
-        let Settings { coordinators, tick, shards, cells, cells_per_shard, .. } = self.policy;
+        let Settings {
+            coordinators,
+            tick,
+            shards,
+            cells,
+            cells_per_shard,
+            ..
+        } = self.policy;
         let values = [
             ("balancers", u64::from(coordinators)),
             ("tick", tick),
--- a/src/stats/average.rs
+++ b/src/stats/average.rs
@@ -38,7 +38,10 @@
     /// An average that starts at `value`, as if recorded at `now`.
     #[must_use]
     pub fn new(value: f64, now: Nanos) -> Self {
-        DecayingAverage { average: Ewma::new(value), updated_at: now }
+        DecayingAverage {
+            average: Ewma::new(value),
+            updated_at: now,
+        }
     }
 
     /// The average at `now`: its distance to `baseline` halves with each `half_life`, in ns, since the last
--- a/src/stats/budget.rs
+++ b/src/stats/budget.rs
@@ -14,7 +14,10 @@
     /// A bucket that holds `tokens` at `now`.
     #[must_use]
     pub fn new(tokens: f64, now: Nanos) -> Self {
-        TokenBucket { tokens, refilled_at: now }
+        TokenBucket {
+            tokens,
+            refilled_at: now,
+        }
     }
 
     /// Refills the bucket at `rate` tokens a second, up to `burst`, and takes one token if there is one.
@@ -51,7 +54,14 @@
     /// What is left at `now`: `free` and `ratio` of what was earned within the last `window`, less what was
     /// spent. What lies within `margin` of the window's edge is counted as spent, not as earned.
     #[must_use]
-    pub fn available(&self, now: Nanos, free: f64, ratio: f64, window: Nanos, margin: Nanos) -> f64 {
+    pub fn available(
+        &self,
+        now: Nanos,
+        free: f64,
+        ratio: f64,
+        window: Nanos,
+        margin: Nanos,
+    ) -> f64 {
         let earned = self.earned.count(now, window.saturating_sub(margin)) as f64;
         free + ratio * earned - self.spent.count(now, window + margin) as f64
     }
--- a/src/stats/shares.rs
+++ b/src/stats/shares.rs
@@ -25,11 +25,21 @@
     let numbers: BTreeMap<K, usize> = capacities.keys().copied().zip(0..).collect();
     let capacities: Vec<f64> = capacities.values().copied().collect();
     let number = |share: &Share<K>| numbers[&share.member];
-    let members: Vec<Vec<usize>> = groups.iter().map(|group| group.iter().map(number).collect()).collect();
-    groups.iter_mut().flat_map(|group| group.iter_mut()).for_each(|share| share.share = 1.0);
+    let members: Vec<Vec<usize>> = groups
+        .iter()
+        .map(|group| group.iter().map(number).collect())
+        .collect();
+    groups
+        .iter_mut()
+        .flat_map(|group| group.iter_mut())
+        .for_each(|share| share.share = 1.0);
     for _ in 0..rounds {
         let mut load = vec![0.0; capacities.len()];
-        for (share, member) in groups.iter().flat_map(|group| group.iter()).zip(members.iter().flatten()) {
+        for (share, member) in groups
+            .iter()
+            .flat_map(|group| group.iter())
+            .zip(members.iter().flatten())
+        {
             load[*member] += share.share;
         }
         for (group, members) in groups.iter_mut().zip(&members) {
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -24,7 +24,11 @@
     assert_eq!(average.value_at(SECOND, half_life, 20.0), 80.0);
     assert_eq!(average.value_at(2 * SECOND, half_life, 20.0), 50.0);
     assert_eq!(average.value_at(3 * SECOND, half_life, 20.0), 35.0);
-    assert_eq!(average.value_at(2 * SECOND, half_life, 100.0), 90.0, "a baseline above it draws it up");
+    assert_eq!(
+        average.value_at(2 * SECOND, half_life, 100.0),
+        90.0,
+        "a baseline above it draws it up"
+    );
 }
 
 #[test]
@@ -34,7 +38,11 @@
     assert_eq!(average.value_at(SECOND, 1.0, 0.0), 90.0);
     let mut average = DecayingAverage::new(80.0, 0);
     average.record_decayed(SECOND, SECOND as f64, 100.0, 0.5);
-    assert_eq!(average.value_at(SECOND, 1.0, 0.0), 70.0, "half of 80 was left");
+    assert_eq!(
+        average.value_at(SECOND, 1.0, 0.0),
+        70.0,
+        "half of 80 was left"
+    );
 }
 
 #[test]
@@ -62,7 +70,10 @@
     assert!(take(&mut bucket, 0));
     assert!(!take(&mut bucket, 0));
     assert!(!take(&mut bucket, SECOND / 4), "half a token is none");
-    assert!(take(&mut bucket, SECOND / 2), "what was refused took nothing");
+    assert!(
+        take(&mut bucket, SECOND / 2),
+        "what was refused took nothing"
+    );
     let after_long = (0..10).filter(|_| take(&mut bucket, 100 * SECOND)).count();
     assert_eq!(after_long, 4, "the burst");
 }
@@ -85,7 +96,11 @@
     );
     assert_eq!(available(&budget, 21, 0), 1.0, "all is past");
     budget.expire(21 * SECOND, 20 * SECOND);
-    assert_eq!(available(&budget, 21, 5), 0.0, "what the span holds is kept");
+    assert_eq!(
+        available(&budget, 21, 5),
+        0.0,
+        "what the span holds is kept"
+    );
     budget.expire(21 * SECOND, 10 * SECOND);
     assert_eq!(available(&budget, 21, 5), 1.0);
 }
@@ -93,12 +108,23 @@
 #[test]
 fn a_time_window_counts_and_sums_what_is_recent() {
     let mut window = TimeWindow::default();
-    assert_eq!((window.count(0, SECOND), window.sum(0, SECOND), window.latest()), (0, 0.0, None));
+    assert_eq!(
+        (
+            window.count(0, SECOND),
+            window.sum(0, SECOND),
+            window.latest()
+        ),
+        (0, 0.0, None)
+    );
     for second in 1..=4 {
         window.push(second * SECOND, second as f64);
     }
     let now = 4 * SECOND;
-    assert_eq!(window.count(now, 2 * SECOND), 3, "the edge belongs to the window");
+    assert_eq!(
+        window.count(now, 2 * SECOND),
+        3,
+        "the edge belongs to the window"
+    );
     assert_eq!(window.sum(now, 2 * SECOND), 9.0);
     assert_eq!(window.latest(), Some(now));
     window.expire(now, SECOND);
@@ -124,7 +150,10 @@
 fn a_safe_mean_leaves_room_for_chance_under_its_limit() {
     for limit in [0.5, 4.0, 100.0] {
         let mean = safe_mean(limit, 2.5);
-        assert!((mean + 2.5 * mean.sqrt() - limit).abs() < 1e-9, "{mean} under {limit}");
+        assert!(
+            (mean + 2.5 * mean.sqrt() - limit).abs() < 1e-9,
+            "{mean} under {limit}"
+        );
     }
     assert_eq!(safe_mean(9.0, 0.0), 9.0);
 }
@@ -140,7 +169,11 @@
 
 #[test]
 fn a_pid_controller_gives_the_change_of_its_output() {
-    let only = |proportional, integral, derivative| PidGains { proportional, integral, derivative };
+    let only = |proportional, integral, derivative| PidGains {
+        proportional,
+        integral,
+        derivative,
+    };
     for (gains, changes) in [
         (only(0.5, 0.0, 0.0), [0.25, 0.0, -0.25]),
         (only(0.0, 0.5, 0.0), [1.0, 1.0, 0.0]),
@@ -155,7 +188,10 @@
 #[test]
 fn a_falling_ramp_goes_from_one_to_nothing() {
     let ramp = FallingRamp { from: 0.5, to: 1.5 };
-    assert_eq!([0.0, 0.5, 0.75, 1.5, 9.0].map(|x| ramp.at(x)), [1.0, 1.0, 0.75, 0.0, 0.0]);
+    assert_eq!(
+        [0.0, 0.5, 0.75, 1.5, 9.0].map(|x| ramp.at(x)),
+        [1.0, 1.0, 0.75, 0.0, 0.0]
+    );
 }
 
 #[test]
@@ -166,9 +202,22 @@
     let capacities = BTreeMap::from([(0, 1.0), (1, 0.5), (2, 1.0)]);
     balance_shares(&mut [&mut first, &mut second], &capacities, 50);
     let groups = [first, second];
-    let load = |member| groups.iter().flatten().filter(|s| s.member == member).map(|s| s.share).sum::<f64>();
-    assert!((load(0) - 0.8).abs() < 1e-6 && (load(1) - 0.4).abs() < 1e-6 && (load(2) - 0.8).abs() < 1e-6);
-    assert!(groups.iter().all(|group| (group.iter().map(|s| s.share).sum::<f64>() - 1.0).abs() < 1e-9));
+    let load = |member| {
+        groups
+            .iter()
+            .flatten()
+            .filter(|s| s.member == member)
+            .map(|s| s.share)
+            .sum::<f64>()
+    };
+    assert!(
+        (load(0) - 0.8).abs() < 1e-6
+            && (load(1) - 0.4).abs() < 1e-6
+            && (load(2) - 0.8).abs() < 1e-6
+    );
+    assert!(groups
+        .iter()
+        .all(|group| (group.iter().map(|s| s.share).sum::<f64>() - 1.0).abs() < 1e-9));
 }
 
 #[test]
@@ -178,7 +227,10 @@
     for (failures, wait) in [(1, 200), (2, 400), (3, 800), (4, 1_600), (5, 1_600)] {
         backoff.fail(1_000, 100.0);
         assert_eq!(backoff.failures(), failures);
-        assert!(!backoff.is_due(1_000 + wait - 1) && backoff.is_due(1_000 + wait), "{failures}");
+        assert!(
+            !backoff.is_due(1_000 + wait - 1) && backoff.is_due(1_000 + wait),
+            "{failures}"
+        );
     }
     backoff.succeed();
     assert!(!backoff.is_failing());
--- a/src/stats/window.rs
+++ b/src/stats/window.rs
@@ -18,7 +18,9 @@
 
 impl<T> Default for TimeWindow<T> {
     fn default() -> Self {
-        TimeWindow { observations: VecDeque::new() }
+        TimeWindow {
+            observations: VecDeque::new(),
+        }
     }
 }
 
@@ -50,7 +52,11 @@
     /// The sum of the values in the last `span` before `now`, added up from the oldest.
     #[must_use]
     pub fn sum(&self, now: Nanos, span: Nanos) -> f64 {
-        self.observations.iter().filter(|o| o.at + span >= now).map(|o| o.value).sum()
+        self.observations
+            .iter()
+            .filter(|o| o.at + span >= now)
+            .map(|o| o.value)
+            .sum()
     }
 }
 
@@ -72,6 +78,7 @@
     /// Adds a value and keeps the last `capacity`.
     pub fn push(&mut self, value: f64, capacity: usize) {
         self.values.push_back(value);
-        self.values.drain(..self.values.len().saturating_sub(capacity));
+        self.values
+            .drain(..self.values.len().saturating_sub(capacity));
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -76,7 +76,9 @@
     /// A clock that starts now.
     #[must_use]
     pub fn start() -> Self {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     /// The present time.
@@ -91,7 +93,9 @@
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |elapsed| u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
+        .map_or(0, |elapsed| {
+            u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
+        })
 }
 
 /// Converts the start of a process from Unix time, in milliseconds, to monotonic time; `unix_now_ms` and `now` are the same
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -4,7 +4,14 @@
 fn a_start_in_unix_time_becomes_a_monotonic_time() {
     let now = Micros::from_secs(100);
     assert_eq!(monotonic_start(0, 1_000_000, now), None);
-    assert_eq!(monotonic_start(999_000, 1_000_000, now), Some(Micros::from_secs(99)));
+    assert_eq!(
+        monotonic_start(999_000, 1_000_000, now),
+        Some(Micros::from_secs(99))
+    );
     assert_eq!(monotonic_start(1_000_500, 1_000_000, now), Some(now));
-    assert_eq!(monotonic_start(1, 1_000_000, now), None, "before the clock's start: long ago");
+    assert_eq!(
+        monotonic_start(1, 1_000_000, now),
+        None,
+        "before the clock's start: long ago"
+    );
 }
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -69,15 +69,24 @@
 #[divan::bench]
 fn split_filter(bencher: Bencher) {
     let filter = parse_text(FILTER).expect("a filter");
-    let classes = ["cql2-text", "features-filter", "basic-cql2"].map(str::to_owned).into();
-    let capabilities = Capabilities { classes, queryables: Queryables::unknown(), max_filter_text: 2_000 };
+    let classes = ["cql2-text", "features-filter", "basic-cql2"]
+        .map(str::to_owned)
+        .into();
+    let capabilities = Capabilities {
+        classes,
+        queryables: Queryables::unknown(),
+        max_filter_text: 2_000,
+    };
     bencher.bench(|| split(divan::black_box(&filter), &capabilities));
 }
 
 #[divan::bench(args = [4, 10_000])]
 fn evaluate_on_500_features(bencher: Bencher, points: usize) {
     let matcher = Matcher::new(parse_text(&area(points)).expect("a filter"));
-    let texts: Vec<Vec<u8>> = devices(0..500).iter().map(|f| f.to_string().into_bytes()).collect();
+    let texts: Vec<Vec<u8>> = devices(0..500)
+        .iter()
+        .map(|f| f.to_string().into_bytes())
+        .collect();
     bencher.bench(|| texts.iter().filter(|t| matcher.matches_text(t)).count());
 }
 
@@ -91,10 +100,14 @@
 
 #[divan::bench(args = [2, 16])]
 fn merge_500_from_shards(bencher: Bencher, shards: usize) {
-    let pages: Vec<_> =
-        (0..shards).map(|_| Arc::new(parse_page(body(500), "a:1", "/c", None).expect("a page"))).collect();
+    let pages: Vec<_> = (0..shards)
+        .map(|_| Arc::new(parse_page(body(500), "a:1", "/c", None).expect("a page")))
+        .collect();
     bencher.bench(|| {
-        let keys = vec![SortKey { property: "volts".to_owned(), descending: true }];
+        let keys = vec![SortKey {
+            property: "volts".to_owned(),
+            descending: true,
+        }];
         let query = SortedQuery {
             keys,
             limit: 500,
@@ -106,7 +119,9 @@
         let mut merge = SortedMerge::new(query, &vec![false; shards]);
         loop {
             let fetches = merge.next_fetches();
-            assert!(fetches.iter().all(|fetch| fetch.location == PageLocation::ShardStart));
+            assert!(fetches
+                .iter()
+                .all(|fetch| fetch.location == PageLocation::ShardStart));
             let fetched = |fetch: &PageFetch| fetch.fetched(Some(pages[fetch.shard].clone()));
             if merge.accept(fetches.iter().map(fetched).collect()) == SortedProgress::Complete {
                 return merge.to_page().returned_count;
@@ -119,9 +134,16 @@
 fn serve(part: &PartRequest, body: &[u8]) -> ServedPart {
     let context = part.context.as_ref().expect("a context");
     let request = context.get::<PageRequest>().expect("a page request");
-    let fetched = FetchedResponse { status: 200, headers: Default::default(), body: body.to_vec() };
+    let fetched = FetchedResponse {
+        status: 200,
+        headers: Default::default(),
+        body: body.to_vec(),
+    };
     match request.interpret("127.0.0.1:9101", "127.0.0.1:9101", fetched) {
-        AttemptEnd::Served(value) => ServedPart { shard: part.shard, value },
+        AttemptEnd::Served(value) => ServedPart {
+            shard: part.shard,
+            value,
+        },
         AttemptEnd::Failed(outcome) => panic!("{outcome:?}"),
     }
 }
@@ -132,14 +154,22 @@
     let edge = EdgeConfig::load(file).expect("sound");
     let catalog = SharedCatalog::default();
     lock(&catalog).load(&edge.load_inventory().expect("sound"), Micros::ZERO);
-    OgcFront::new(edge, catalog, CursorKey::new(b"k"), Arc::default(), Arc::default())
+    OgcFront::new(
+        edge,
+        catalog,
+        CursorKey::new(b"k"),
+        Arc::default(),
+        Arc::default(),
+    )
 }
 
 /// Parses a request for the items of a collection from its bytes.
 fn items_request(query: &str) -> HttpRequest {
     let target = format!("/collections/devices/items?{query}");
     let mut server = ServerConnection::default();
-    server.input().extend(format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
+    server
+        .input()
+        .extend(format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
     server.next_request().expect("whole").expect("well formed")
 }
 
@@ -154,7 +184,10 @@
             }
             Reaction::Submit(request, render) => {
                 let parts = request.parts.iter().map(|part| serve(part, page)).collect();
-                reaction = render(Answer::Served { complete: true, parts });
+                reaction = render(Answer::Served {
+                    complete: true,
+                    parts,
+                });
             }
         }
     }
--- a/testkit/benches/policy.rs
+++ b/testkit/benches/policy.rs
@@ -8,8 +8,8 @@
 use divan::Bencher;
 use quinceflow::{
     Action, AttemptNo, CellId, Class, ClassId, DecisionPolicy, Effect, Endpoint, EndpointListKind,
-    EndpointState, Event, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, RetryBudget, ServiceReduction,
-    Settings, ShardId, TenantId, ZoneId,
+    EndpointState, Event, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, RetryBudget,
+    ServiceReduction, Settings, ShardId, TenantId, ZoneId,
 };
 use std::collections::BTreeMap;
 
@@ -73,7 +73,11 @@
         max_batch: 1,
         call_overhead: 0,
         max_poll_interval: None,
-        retry_budget: Some(RetryBudget { free: 100.0, ratio: 0.2, window: 10 * SECOND }),
+        retry_budget: Some(RetryBudget {
+            free: 100.0,
+            ratio: 0.2,
+            window: 10 * SECOND,
+        }),
         slow_start: None,
         cancellation: true,
         hedging: false,
@@ -166,7 +170,10 @@
             answers: 0,
         };
         let endpoints = (0..REPLICAS).map(endpoint).collect();
-        simulation.handle(&[Event::Endpoints { kind: EndpointListKind::Full, endpoints }]);
+        simulation.handle(&[Event::Endpoints {
+            kind: EndpointListKind::Full,
+            endpoints,
+        }]);
         simulation.run(WARM_UP_BATCHES);
         simulation
     }
@@ -201,7 +208,12 @@
         for shard in 0..SHARDS {
             let part = PartId(self.next_id());
             let weight = 1.0 / f64::from(SHARDS);
-            events.push(Event::Part { part, group, shard: ShardId(shard), weight });
+            events.push(Event::Part {
+                part,
+                group,
+                shard: ShardId(shard),
+                weight,
+            });
         }
     }
 
@@ -209,7 +221,10 @@
     fn due_outcomes(&mut self) -> Vec<Event> {
         let later = self.ends.split_off(&(self.now + 1));
         let due = std::mem::replace(&mut self.ends, later);
-        due.into_values().flatten().filter_map(|end| self.outcome(end)).collect()
+        due.into_values()
+            .flatten()
+            .filter_map(|end| self.outcome(end))
+            .collect()
     }
 
     /// Returns the event of an attempt's end, unless another end was reported already.
@@ -229,7 +244,12 @@
         self.policy.handle(self.now, events, &mut actions);
         for action in actions {
             match action {
-                Action::Send { part, replica, timeout, .. } => self.send(part, replica, timeout),
+                Action::Send {
+                    part,
+                    replica,
+                    timeout,
+                    ..
+                } => self.send(part, replica, timeout),
                 Action::Cancel { part, attempt } => self.cancel(AttemptId { part, attempt }),
                 Action::Answer { .. } => self.answers += 1,
                 _ => {}
@@ -239,20 +259,38 @@
 
     fn send(&mut self, part: PartId, replica: ReplicaId, timeout: Nanos) {
         let sent = self.attempts_sent.entry(part).or_default();
-        let id = AttemptId { part, attempt: AttemptNo(*sent) };
+        let id = AttemptId {
+            part,
+            attempt: AttemptNo(*sent),
+        };
         self.retries += u64::from(*sent > 0);
         *sent += 1;
         self.sent_at.insert(id, self.now);
         if self.silent.includes(replica, self.now) {
-            self.schedule(self.now + timeout, AttemptEnd { id, outcome: Outcome::TimedOut });
+            self.schedule(
+                self.now + timeout,
+                AttemptEnd {
+                    id,
+                    outcome: Outcome::TimedOut,
+                },
+            );
         } else {
-            self.schedule(self.now + RESPONSE_TIME, AttemptEnd { id, outcome: Outcome::Ok });
+            self.schedule(
+                self.now + RESPONSE_TIME,
+                AttemptEnd {
+                    id,
+                    outcome: Outcome::Ok,
+                },
+            );
         }
     }
 
     /// Has the attempt's cancellation reported with the next batch.
     fn cancel(&mut self, id: AttemptId) {
-        let end = AttemptEnd { id, outcome: Outcome::Cancelled };
+        let end = AttemptEnd {
+            id,
+            outcome: Outcome::Cancelled,
+        };
         self.schedule(self.now + BATCH_INTERVAL, end);
     }
 
@@ -270,7 +308,10 @@
         .bench_local_values(|mut simulation| {
             simulation.run(MEASURED_BATCHES);
             assert_eq!(simulation.retries, 0);
-            assert_eq!(simulation.answers, WARM_UP_BATCHES + MEASURED_BATCHES - OPEN_QUERIES);
+            assert_eq!(
+                simulation.answers,
+                WARM_UP_BATCHES + MEASURED_BATCHES - OPEN_QUERIES
+            );
             simulation
         });
 }
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -38,8 +38,13 @@
 impl ClientError {
     /// Returns whether the server closed the connection, as it may do at any time with an idle one.
     fn is_closed_connection(&self) -> bool {
-        let ClientError::Io(error) = self else { return false };
-        matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset | ErrorKind::UnexpectedEof)
+        let ClientError::Io(error) = self else {
+            return false;
+        };
+        matches!(
+            error.kind(),
+            ErrorKind::BrokenPipe | ErrorKind::ConnectionReset | ErrorKind::UnexpectedEof
+        )
     }
 }
 
@@ -55,7 +60,11 @@
     /// Creates a client of a server; the connection is opened by the first request.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        Client { address, connection: None, timeout: DEFAULT_TIMEOUT }
+        Client {
+            address,
+            connection: None,
+            timeout: DEFAULT_TIMEOUT,
+        }
     }
 
     /// Sends a GET request and returns the response.
@@ -70,7 +79,11 @@
     ///
     /// # Errors
     /// See [`Client::send`].
-    pub fn get_with(&mut self, target: &str, headers: &[Header<'_>]) -> Result<Response, ClientError> {
+    pub fn get_with(
+        &mut self,
+        target: &str,
+        headers: &[Header<'_>],
+    ) -> Result<Response, ClientError> {
         self.send(&Request::new("GET", target, headers))
     }
 
@@ -98,7 +111,8 @@
             none => none.insert(Connection::open(self.address, self.timeout)?),
         };
         connection.write(&request.to_bytes(self.address), self.timeout)?;
-        let ReadResponse { response, closes } = connection.read_response(request.method == "HEAD")?;
+        let ReadResponse { response, closes } =
+            connection.read_response(request.method == "HEAD")?;
         if closes {
             self.connection = None;
         }
--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -36,7 +36,10 @@
     pub(super) fn open(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, timeout)?;
         stream.set_nodelay(true)?;
-        Ok(Connection { stream, buffer: Vec::new() })
+        Ok(Connection {
+            stream,
+            buffer: Vec::new(),
+        })
     }
 
     /// Writes a serialized request and sets the timeout of its response.
@@ -48,7 +51,10 @@
     /// Reads the next response; `head_only` marks the response to a HEAD request.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
-        let mut closes = head.headers.get("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
+        let mut closes = head
+            .headers
+            .get("connection")
+            .is_some_and(|c| c.eq_ignore_ascii_case("close"));
         let mut body = if head_only || matches!(head.status, 204 | 304) {
             Vec::new()
         } else if head.headers.get("transfer-encoding").is_some() {
@@ -63,7 +69,12 @@
         if head.headers.get("content-encoding") == Some("gzip") {
             body = decompress(&body)?;
         }
-        let response = Response { status: head.status, headers: head.headers, body, encoded_length };
+        let response = Response {
+            status: head.status,
+            headers: head.headers,
+            body,
+            encoded_length,
+        };
         Ok(ReadResponse { response, closes })
     }
 
@@ -96,7 +107,11 @@
 
     fn read_chunk_size(&mut self) -> Result<usize, ClientError> {
         let end = loop {
-            match self.buffer.windows(CRLF.len()).position(|window| window == CRLF) {
+            match self
+                .buffer
+                .windows(CRLF.len())
+                .position(|window| window == CRLF)
+            {
                 Some(end) => break end,
                 None => self.fill()?,
             }
--- a/testkit/src/client/headers.rs
+++ b/testkit/src/client/headers.rs
@@ -34,11 +34,14 @@
 
     /// Sets the value of a header; its name is converted to lower case.
     pub fn set(&mut self, header: Header<'_>) {
-        self.values.insert(header.name.to_ascii_lowercase(), header.value.to_owned());
+        self.values
+            .insert(header.name.to_ascii_lowercase(), header.value.to_owned());
     }
 
     /// Returns the headers in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = Header<'_>> {
-        self.values.iter().map(|(name, value)| Header::new(name, value))
+        self.values
+            .iter()
+            .map(|(name, value)| Header::new(name, value))
     }
 }
--- a/testkit/src/client/message.rs
+++ b/testkit/src/client/message.rs
@@ -21,12 +21,22 @@
     /// Creates a request without a body.
     #[must_use]
     pub const fn new(method: &'a str, target: &'a str, headers: &'a [Header<'a>]) -> Self {
-        Request { method, target, headers, body: &[] }
+        Request {
+            method,
+            target,
+            headers,
+            body: &[],
+        }
     }
 
     /// Serializes the request for a server.
     pub(super) fn to_bytes(self, host: SocketAddr) -> Vec<u8> {
-        let Request { method, target, headers, body } = self;
+        let Request {
+            method,
+            target,
+            headers,
+            body,
+        } = self;
         let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
         for Header { name, value } in headers {
             head.push_str(&format!("{name}: {value}\r\n"));
@@ -75,7 +85,10 @@
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
         let json = self.json();
-        json["features"].as_array().map(|list| list.iter().map(feature_id).collect()).unwrap_or_default()
+        json["features"]
+            .as_array()
+            .map(|list| list.iter().map(feature_id).collect())
+            .unwrap_or_default()
     }
 
     /// Returns the target (path and query) of the first link with this relation.
@@ -101,7 +114,9 @@
 #[must_use]
 pub fn target_of(href: &str) -> String {
     match href.split_once("://") {
-        Some((_, rest)) => rest.find('/').map_or("/".to_owned(), |at| rest[at..].to_owned()),
+        Some((_, rest)) => rest
+            .find('/')
+            .map_or("/".to_owned(), |at| rest[at..].to_owned()),
         None => href.to_owned(),
     }
 }
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -39,7 +39,11 @@
 
 impl Check {
     /// Creates a check of a requirement that applies if `class` is claimed.
-    pub(super) const fn new(id: &'static str, class: &'static str, run: fn(&mut Suite) -> Verdict) -> Check {
+    pub(super) const fn new(
+        id: &'static str,
+        class: &'static str,
+        run: fn(&mut Suite) -> Verdict,
+    ) -> Check {
         Check { id, class, run }
     }
 }
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -11,37 +11,56 @@
 pub(super) const CORE: &str = "ogcapi-features-1/1.0/conf/core";
 const CORE_URI: &str = "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core";
 /// Properties that a collection must have in common with its entry in the list of collections.
-const COLLECTION_PROPERTIES: [&str; 6] = ["id", "title", "description", "extent", "itemType", "crs"];
+const COLLECTION_PROPERTIES: [&str; 6] =
+    ["id", "title", "description", "extent", "itemType", "crs"];
 
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
-    Check::new("/conf/core/root-op", CORE, |suite| suite.get_json("/").map(drop)),
+    Check::new("/conf/core/root-op", CORE, |suite| {
+        suite.get_json("/").map(drop)
+    }),
     Check::new("/conf/core/root-success", CORE, |suite| {
         let landing = suite.get_json("/")?;
-        require_links(&landing, "the landing page", &["service-desc", "conformance", "data"])
+        require_links(
+            &landing,
+            "the landing page",
+            &["service-desc", "conformance", "data"],
+        )
     }),
     Check::new("/conf/core/api-definition-op", CORE, |suite| {
         let response = get_api_definition(suite)?;
-        require(response.status == 200, || format!("status {}", response.status))
+        require(response.status == 200, || {
+            format!("status {}", response.status)
+        })
     }),
     Check::new("/conf/core/api-definition-success", CORE, |suite| {
         let api = api_definition(suite)?;
-        let is_version_3 = api["openapi"].as_str().is_some_and(|version| version.starts_with("3."));
+        let is_version_3 = api["openapi"]
+            .as_str()
+            .is_some_and(|version| version.starts_with("3."));
         require(is_version_3, || "no OpenAPI version".to_owned())
     }),
-    Check::new("/conf/core/conformance-op", CORE, |suite| suite.get_json("/conformance").map(drop)),
+    Check::new("/conf/core/conformance-op", CORE, |suite| {
+        suite.get_json("/conformance").map(drop)
+    }),
     Check::new("/conf/core/conformance-success", CORE, |suite| {
         let conformance = suite.get_json("/conformance")?;
-        let classes = conformance["conformsTo"].as_array().ok_or("conformsTo is not an array")?;
-        let claimed = classes.iter().all(Json::is_string) && classes.iter().any(|class| class == CORE_URI);
+        let classes = conformance["conformsTo"]
+            .as_array()
+            .ok_or("conformsTo is not an array")?;
+        let claimed =
+            classes.iter().all(Json::is_string) && classes.iter().any(|class| class == CORE_URI);
         require(claimed, || format!("{CORE_URI} is not claimed"))
     }),
-    Check::new("/conf/core/fc-md-op", CORE, |suite| suite.get_json("/collections").map(drop)),
+    Check::new("/conf/core/fc-md-op", CORE, |suite| {
+        suite.get_json("/collections").map(drop)
+    }),
     Check::new("/conf/core/fc-md-success", CORE, |suite| {
         let json = suite.get_json("/collections")?;
-        require(json["links"].is_array() && json["collections"].is_array(), || {
-            "links or collections are missing".to_owned()
-        })
+        require(
+            json["links"].is_array() && json["collections"].is_array(),
+            || "links or collections are missing".to_owned(),
+        )
     }),
     Check::new("/conf/core/fc-md-links", CORE, |suite| {
         let json = suite.get_json("/collections")?;
@@ -51,19 +70,27 @@
     Check::new("/conf/core/fc-md-items", CORE, |suite| {
         let json = suite.get_json("/collections")?;
         let collections = json["collections"].as_array().ok_or("no collections")?;
-        let described = |collection: &Json| collection["id"].is_string() && collection["links"].is_array();
-        require(!collections.is_empty() && collections.iter().all(described), || {
-            "a collection lacks id or links".to_owned()
-        })
+        let described =
+            |collection: &Json| collection["id"].is_string() && collection["links"].is_array();
+        require(
+            !collections.is_empty() && collections.iter().all(described),
+            || "a collection lacks id or links".to_owned(),
+        )
     }),
     Check::new("/conf/core/fc-md-items-links", CORE, |suite| {
         let json = suite.get_json("/collections")?;
-        json["collections"].as_array().into_iter().flatten().try_for_each(|collection| {
-            require_links(collection, "a collection", &["items"])?;
-            require_typed_links(collection, "a collection")
-        })
+        json["collections"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .try_for_each(|collection| {
+                require_links(collection, "a collection", &["items"])?;
+                require_typed_links(collection, "a collection")
+            })
+    }),
+    Check::new("/conf/core/sfc-md-op", CORE, |suite| {
+        suite.get_collection().map(drop)
     }),
-    Check::new("/conf/core/sfc-md-op", CORE, |suite| suite.get_collection().map(drop)),
     Check::new("/conf/core/sfc-md-success", CORE, collection_is_as_listed),
     Check::new("/conf/core/sfc-md-unknown", CORE, |suite| {
         let response = suite.get("/collections/no-such-collection")?;
@@ -77,7 +104,10 @@
     let mut collections = json["collections"].as_array().into_iter().flatten();
     let listed = collections.find(|listed| listed["id"] == collection["id"]);
     let listed = listed.ok_or("the collection is not listed")?;
-    require(COLLECTION_PROPERTIES.iter().all(|name| collection[*name] == listed[*name]), || {
-        "the collection differs from its entry in the list".to_owned()
-    })
+    require(
+        COLLECTION_PROPERTIES
+            .iter()
+            .all(|name| collection[*name] == listed[*name]),
+        || "the collection differs from its entry in the list".to_owned(),
+    )
 }
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -45,27 +45,41 @@
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/crs/crs-uri", CRS, |suite| {
         let systems = listed_systems(suite)?;
-        require(systems.iter().all(|uri| uri.starts_with("http://www.opengis.net/def/crs/")), || {
-            "the identifier of a reference system is not a URI".to_owned()
-        })
+        require(
+            systems
+                .iter()
+                .all(|uri| uri.starts_with("http://www.opengis.net/def/crs/")),
+            || "the identifier of a reference system is not a URI".to_owned(),
+        )
     }),
     Check::new("/conf/crs/fc-md-crs-list", CRS, |suite| {
         let systems = listed_systems(suite)?;
-        require(systems.iter().any(|uri| uri == CRS84), || "CRS84 is not listed".to_owned())
+        require(systems.iter().any(|uri| uri == CRS84), || {
+            "CRS84 is not listed".to_owned()
+        })
     }),
     Check::new("/conf/crs/fc-md-storageCrs", CRS, |suite| {
         let collection = suite.get_collection()?;
-        require(collection["storageCrs"].is_string(), || "no storageCrs".to_owned())
+        require(collection["storageCrs"].is_string(), || {
+            "no storageCrs".to_owned()
+        })
     }),
     Check::new("/conf/crs/fc-md-storageCrs-valid-value", CRS, |suite| {
         let collection = suite.get_collection()?;
         let systems = listed_systems(suite)?;
-        require(systems.iter().any(|uri| collection["storageCrs"] == uri.as_str()), || {
-            "storageCrs is not among the systems".to_owned()
-        })
+        require(
+            systems
+                .iter()
+                .any(|uri| collection["storageCrs"] == uri.as_str()),
+            || "storageCrs is not among the systems".to_owned(),
+        )
+    }),
+    Check::new("/conf/crs/fc-crs-definition", CRS, |suite| {
+        parameter(suite, "crs").map(drop)
+    }),
+    Check::new("/conf/crs/fc-bbox-crs-definition", CRS, |suite| {
+        parameter(suite, "bbox-crs").map(drop)
     }),
-    Check::new("/conf/crs/fc-crs-definition", CRS, |suite| parameter(suite, "crs").map(drop)),
-    Check::new("/conf/crs/fc-bbox-crs-definition", CRS, |suite| parameter(suite, "bbox-crs").map(drop)),
     Check::new("/conf/crs/fc-crs-valid-value", CRS, |suite| {
         require_unknown_system(suite, &format!("crs={UNKNOWN}"))
     }),
@@ -89,13 +103,26 @@
     Check::new("/conf/crs/fc-crs-utm", CRS, utm_coordinates_are_plausible),
     Check::new("/conf/crs/bbox-crs-action", CRS, |suite| {
         let bbox = suite.middle_box()?;
-        let BoundingBox { west, south, east, north } = bbox;
-        let found = suite.get_ids(&format!("bbox={south},{west},{north},{east}&bbox-crs={WGS84}"))?;
-        require_same("bbox-crs", &found, &suite.expected_ids(|feature| bbox.contains(feature)))
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = bbox;
+        let found = suite.get_ids(&format!(
+            "bbox={south},{west},{north},{east}&bbox-crs={WGS84}"
+        ))?;
+        require_same(
+            "bbox-crs",
+            &found,
+            &suite.expected_ids(|feature| bbox.contains(feature)),
+        )
     }),
     Check::new("/conf/crs/ogc-crs-header", CRS, |suite| {
         let response = suite.get(&format!("{}?limit=1", suite.items_path()))?;
-        require(!response.header("content-crs").is_empty(), || "no Content-Crs".to_owned())
+        require(!response.header("content-crs").is_empty(), || {
+            "no Content-Crs".to_owned()
+        })
     }),
     Check::new("/conf/crs/ogc-crs-header-value", CRS, |suite| {
         require_crs_header(suite, &format!("crs={WGS84}"), WGS84)?;
@@ -119,18 +146,26 @@
 fn listed_systems(suite: &mut Suite) -> Result<Vec<String>, Stop> {
     let collection = suite.get_collection()?;
     let systems = collection["crs"].as_array().ok_or("crs is no list")?;
-    Ok(systems.iter().filter_map(|uri| uri.as_str().map(str::to_owned)).collect())
+    Ok(systems
+        .iter()
+        .filter_map(|uri| uri.as_str().map(str::to_owned))
+        .collect())
 }
 
 fn require_unknown_system(suite: &mut Suite, query: &str) -> Verdict {
     let response = suite.get(&format!("{}?{query}", suite.items_path()))?;
-    require(response.status == 400, || format!("status {} for an unknown reference system", response.status))
+    require(response.status == 400, || {
+        format!("status {} for an unknown reference system", response.status)
+    })
 }
 
 fn require_crs_header(suite: &mut Suite, query: &str, uri: &str) -> Verdict {
     let response = suite.get(&format!("{}?{query}", suite.items_path()))?;
     require(response.header("content-crs") == format!("<{uri}>"), || {
-        format!("Content-Crs is {:?}, not <{uri}>", response.header("content-crs"))
+        format!(
+            "Content-Crs is {:?}, not <{uri}>",
+            response.header("content-crs")
+        )
     })
 }
 
@@ -157,11 +192,18 @@
     require(!projected.is_empty(), || "no features".to_owned())?;
     projected.iter().try_for_each(|feature| {
         let original = find_point(&originals, &feature_id(feature));
-        let Some(found) = point_of(feature) else { return Ok(()) };
-        let Some(original) = original else { return Ok(()) };
+        let Some(found) = point_of(feature) else {
+            return Ok(());
+        };
+        let Some(original) = original else {
+            return Ok(());
+        };
         let expected = project(original);
         require(is_near(found, expected), || {
-            format!("{uri}: {} {} in place of {} {}", found.x, found.y, expected.x, expected.y)
+            format!(
+                "{uri}: {} {} in place of {} {}",
+                found.x, found.y, expected.x, expected.y
+            )
         })
     })
 }
@@ -181,20 +223,32 @@
     /// Returns the zone that contains a point.
     fn of(Point { x, y }: Point) -> UtmZone {
         let number = ((x + 180.0) / UTM_ZONE_DEGREES).floor() as u32 + 1;
-        let code = if y >= 0.0 { UTM_NORTH_CODE } else { UTM_SOUTH_CODE } + number;
-        UtmZone { number, uri: format!("{EPSG_PREFIX}{code}") }
+        let code = if y >= 0.0 {
+            UTM_NORTH_CODE
+        } else {
+            UTM_SOUTH_CODE
+        } + number;
+        UtmZone {
+            number,
+            uri: format!("{EPSG_PREFIX}{code}"),
+        }
     }
 
     /// Estimates the easting and northing of a point, in metres.
     fn estimate(&self, Point { x, y }: Point) -> Point {
         let meridian = f64::from(self.number) * UTM_ZONE_DEGREES - 183.0;
         let east = (x - meridian) * METRES_PER_LONGITUDE * y.to_radians().cos() * UTM_SCALE;
-        Point { x: UTM_FALSE_EASTING_METRES + east, y: y * METRES_PER_LATITUDE }
+        Point {
+            x: UTM_FALSE_EASTING_METRES + east,
+            y: y * METRES_PER_LATITUDE,
+        }
     }
 }
 
 fn utm_coordinates_are_plausible(suite: &mut Suite) -> Verdict {
-    let first = suite.first_point().ok_or_else(|| Stop::not_applicable("no feature is a point"))?;
+    let first = suite
+        .first_point()
+        .ok_or_else(|| Stop::not_applicable("no feature is a point"))?;
     let zone = UtmZone::of(first);
     if !listed_systems(suite)?.contains(&zone.uri) {
         return Err(Stop::not_applicable("UTM is not listed"));
@@ -209,7 +263,9 @@
     let items = suite.items_path();
     let uri = &zone.uri;
     suite
-        .get_all(&format!("{items}?limit={CHECKED_FEATURES}&crs={uri}&sortby=id"))
+        .get_all(&format!(
+            "{items}?limit={CHECKED_FEATURES}&crs={uri}&sortby=id"
+        ))
         .or_else(|_| suite.get_all(&format!("{items}?limit=500&crs={uri}")))
 }
 
@@ -225,6 +281,9 @@
         && (found.y - estimate.y).abs() < UTM_NORTHING_TOLERANCE;
     require(is_close, || {
         let Point { x, y } = estimate;
-        format!("feature {id} lies at {} {}, not near {x} {y}", found.x, found.y)
+        format!(
+            "feature {id} lies at {} {}, not near {x} {y}",
+            found.x, found.y
+        )
     })
 }
--- a/testkit/src/conformance/documents.rs
+++ b/testkit/src/conformance/documents.rs
@@ -8,26 +8,36 @@
 /// Returns the target of the document's link with this relation.
 pub(super) fn link_of(document: &Json, relation: &str) -> Option<String> {
     let links = document["links"].as_array()?;
-    links.iter().find(|link| link["rel"] == relation)?["href"].as_str().map(str::to_owned)
+    links.iter().find(|link| link["rel"] == relation)?["href"]
+        .as_str()
+        .map(str::to_owned)
 }
 
 /// Requires links with all of these relations.
 pub(super) fn require_links(document: &Json, what: &str, relations: &[&str]) -> Verdict {
-    let missing: Vec<_> = relations.iter().filter(|relation| link_of(document, relation).is_none()).collect();
-    require(missing.is_empty(), || format!("{what}: no link {missing:?}"))
+    let missing: Vec<_> = relations
+        .iter()
+        .filter(|relation| link_of(document, relation).is_none())
+        .collect();
+    require(missing.is_empty(), || {
+        format!("{what}: no link {missing:?}")
+    })
 }
 
 /// Requires every link to have a relation and a media type.
 pub(super) fn require_typed_links(document: &Json, what: &str) -> Verdict {
     let mut links = document["links"].as_array().into_iter().flatten();
-    require(links.all(|link| link["rel"].is_string() && link["type"].is_string()), || {
-        format!("{what}: a link has no rel or type")
-    })
+    require(
+        links.all(|link| link["rel"].is_string() && link["type"].is_string()),
+        || format!("{what}: a link has no rel or type"),
+    )
 }
 
 /// Requires a response with this status.
 pub(super) fn require_status(response: &Response, status: u16) -> Verdict {
-    require(response.status == status, || format!("status {} in place of {status}", response.status))
+    require(response.status == status, || {
+        format!("status {} in place of {status}", response.status)
+    })
 }
 
 /// Returns the API definition of the service.
@@ -45,7 +55,13 @@
 /// Returns the definition of a parameter of the items.
 pub(super) fn parameter(suite: &mut Suite, name: &str) -> Result<Json, Stop> {
     let api = api_definition(suite)?;
-    let parameters = api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"].as_array();
-    let found = parameters.into_iter().flatten().find(|parameter| parameter["name"] == name);
-    found.cloned().ok_or_else(|| Stop::Failed(format!("the API has no parameter {name}")))
+    let parameters =
+        api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"].as_array();
+    let found = parameters
+        .into_iter()
+        .flatten()
+        .find(|parameter| parameter["name"] == name);
+    found
+        .cloned()
+        .ok_or_else(|| Stop::Failed(format!("the API has no parameter {name}")))
 }
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -15,8 +15,15 @@
 const ANY: &str = "";
 
 /// Geometry types of GeoJSON (RFC 7946).
-const GEOMETRY_TYPES: [&str; 7] =
-    ["Point", "MultiPoint", "LineString", "MultiLineString", "Polygon", "MultiPolygon", "GeometryCollection"];
+const GEOMETRY_TYPES: [&str; 7] = [
+    "Point",
+    "MultiPoint",
+    "LineString",
+    "MultiLineString",
+    "Polygon",
+    "MultiPolygon",
+    "GeometryCollection",
+];
 
 /// Paths that an API definition must have.
 const API_PATHS: [&str; 6] = [
@@ -32,16 +39,19 @@
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/core/http", CORE, |suite| {
         let delete = suite.send(&Request::new("DELETE", "/collections", &[]))?;
-        require(delete.status == 405 && !delete.header("allow").is_empty(), || {
-            format!("DELETE: {} without Allow", delete.status)
-        })?;
+        require(
+            delete.status == 405 && !delete.header("allow").is_empty(),
+            || format!("DELETE: {} without Allow", delete.status),
+        )?;
         let path = suite.items_path();
         let head = suite.send(&Request::new("HEAD", &path, &[]))?;
         let get = suite.get(&path)?;
         let is_head_of_get = head.status == 200
             && head.body.is_empty()
             && head.header("content-type") == get.header("content-type");
-        require(is_head_of_get, || format!("HEAD: status {}, {} bytes", head.status, head.body.len()))
+        require(is_head_of_get, || {
+            format!("HEAD: status {}, {} bytes", head.status, head.body.len())
+        })
     }),
     Check::new("/conf/core/cache", ANY, |suite| {
         let path = suite.items_path();
@@ -62,18 +72,23 @@
             return Err(Stop::not_applicable("responses are not compressed"));
         }
         let is_same = compressed.json()["features"] == plain.json()["features"];
-        require(is_same && compressed.encoded_length < plain.encoded_length, || {
-            "the decompressed features differ, or the body is not shorter".to_owned()
-        })
+        require(
+            is_same && compressed.encoded_length < plain.encoded_length,
+            || "the decompressed features differ, or the body is not shorter".to_owned(),
+        )
     }),
     Check::new("/conf/geojson/definition", GEO_JSON, |suite| {
         let items = suite.items_path();
         let item = format!("{items}/{}", feature_id(suite.first_feature()?));
         for path in [items, item] {
-            let response = suite.get_with(&path, &[Header::new("Accept", "application/geo+json")])?;
-            require(response.header("content-type").starts_with("application/geo+json"), || {
-                format!("{path}: {:?}", response.header("content-type"))
-            })?;
+            let response =
+                suite.get_with(&path, &[Header::new("Accept", "application/geo+json")])?;
+            require(
+                response
+                    .header("content-type")
+                    .starts_with("application/geo+json"),
+                || format!("{path}: {:?}", response.header("content-type")),
+            )?;
         }
         Ok(())
     }),
@@ -86,12 +101,18 @@
     }),
     Check::new("/conf/html/definition", HTML, |suite| {
         let collection = format!("/collections/{}", suite.collection);
-        for path in ["/".to_owned(), "/collections".to_owned(), collection, suite.items_path()] {
+        for path in [
+            "/".to_owned(),
+            "/collections".to_owned(),
+            collection,
+            suite.items_path(),
+        ] {
             let response = suite.get_with(&path, &[Header::new("Accept", "text/html")])?;
             let media_type = response.header("content-type");
-            require(response.status == 200 && media_type.starts_with("text/html"), || {
-                format!("{path}: {} {media_type:?}", response.status)
-            })?;
+            require(
+                response.status == 200 && media_type.starts_with("text/html"),
+                || format!("{path}: {} {media_type:?}", response.status),
+            )?;
         }
         Ok(())
     }),
@@ -102,17 +123,23 @@
     }),
     Check::new("/conf/oas30/completeness", OPEN_API, |suite| {
         let api = api_definition(suite)?;
-        let missing: Vec<_> =
-            API_PATHS.iter().filter(|path| !api["paths"][**path]["get"].is_object()).collect();
-        require(missing.is_empty(), || format!("paths are missing: {missing:?}"))
+        let missing: Vec<_> = API_PATHS
+            .iter()
+            .filter(|path| !api["paths"][**path]["get"].is_object())
+            .collect();
+        require(missing.is_empty(), || {
+            format!("paths are missing: {missing:?}")
+        })
     }),
     Check::new("/conf/oas30/exceptions-codes", OPEN_API, |suite| {
         let api = api_definition(suite)?;
         let responses = &api["paths"]["/collections/{collectionId}/items"]["get"]["responses"];
-        let has_error = |status: &str| responses[status].is_object() || responses["default"].is_object();
-        require(responses["200"].is_object() && has_error("400") && has_error("404"), || {
-            format!("responses: {responses}")
-        })
+        let has_error =
+            |status: &str| responses[status].is_object() || responses["default"].is_object();
+        require(
+            responses["200"].is_object() && has_error("400") && has_error("404"),
+            || format!("responses: {responses}"),
+        )
     }),
     Check::new("/conf/core/problem", ANY, |suite| {
         let items = suite.items_path();
@@ -124,28 +151,44 @@
 
 fn is_geo_json_feature(feature: &Json) -> bool {
     let geometry = &feature["geometry"];
-    let has_known_type = || GEOMETRY_TYPES.iter().any(|known| geometry["type"] == *known);
+    let has_known_type = || {
+        GEOMETRY_TYPES
+            .iter()
+            .any(|known| geometry["type"] == *known)
+    };
     feature["type"] == "Feature"
         && feature["properties"].is_object()
         && (geometry.is_null() || has_known_type())
 }
 
 fn html_shows_and_draws_features(suite: &mut Suite) -> Verdict {
-    let page = suite.get(&format!("{}?f=html&limit=5", suite.items_path()))?.text();
+    let page = suite
+        .get(&format!("{}?f=html&limit=5", suite.items_path()))?
+        .text();
     let json = suite.get_items("limit=5")?;
-    let ids: Vec<String> = json["features"].as_array().into_iter().flatten().map(feature_id).collect();
-    require(page.contains("<html") && ids.iter().all(|id| page.contains(id.as_str())), || {
-        "a feature is not on the page".to_owned()
-    })?;
+    let ids: Vec<String> = json["features"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .map(feature_id)
+        .collect();
+    require(
+        page.contains("<html") && ids.iter().all(|id| page.contains(id.as_str())),
+        || "a feature is not on the page".to_owned(),
+    )?;
     let shapes = page.matches("<circle").count() + page.matches("<path").count();
-    require(page.contains("<svg") && shapes >= ids.len(), || "features are not drawn".to_owned())
+    require(page.contains("<svg") && shapes >= ids.len(), || {
+        "features are not drawn".to_owned()
+    })
 }
 
 /// Requires an error with problem details.
 fn require_problem(suite: &mut Suite, path: &str, status: u16) -> Verdict {
     let response = suite.get(path)?;
     let json = response.json();
-    let has_details = response.header("content-type").starts_with("application/problem+json")
+    let has_details = response
+        .header("content-type")
+        .starts_with("application/problem+json")
         && json["status"] == status
         && json["title"].is_string();
     require(response.status == status && has_details, || {
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -30,12 +30,30 @@
 }
 
 const COMPARISONS: [Comparison; 6] = [
-    Comparison { operator: "=", holds: |left, right| left == right },
-    Comparison { operator: "<>", holds: |left, right| left != right },
-    Comparison { operator: "<", holds: |left, right| left < right },
-    Comparison { operator: "<=", holds: |left, right| left <= right },
-    Comparison { operator: ">", holds: |left, right| left > right },
-    Comparison { operator: ">=", holds: |left, right| left >= right },
+    Comparison {
+        operator: "=",
+        holds: |left, right| left == right,
+    },
+    Comparison {
+        operator: "<>",
+        holds: |left, right| left != right,
+    },
+    Comparison {
+        operator: "<",
+        holds: |left, right| left < right,
+    },
+    Comparison {
+        operator: "<=",
+        holds: |left, right| left <= right,
+    },
+    Comparison {
+        operator: ">",
+        holds: |left, right| left > right,
+    },
+    Comparison {
+        operator: ">=",
+        holds: |left, right| left >= right,
+    },
 ];
 
 /// Checks of this module, in the order in which they run.
@@ -46,28 +64,47 @@
             "no link to the queryables".to_owned()
         })
     }),
-    Check::new("/req/queryables/get-queryables-response", QUERYABLES, |suite| {
-        let response = suite.get(&suite.collection_path("queryables"))?;
-        require(response.header("content-type").starts_with("application/schema+json"), || {
-            format!("Content-Type is {:?}", response.header("content-type"))
-        })?;
-        let schema = response.json();
-        let is_schema =
-            schema["$id"].is_string() && schema["$schema"].is_string() && schema["type"] == "object";
-        require(is_schema, || "the response is not a JSON schema with $id".to_owned())
-    }),
-    Check::new("/req/queryables-query-parameters/parameters", QUERYABLE_PARAMETERS, |suite| {
-        let name = suite.queryable(QueryableKind::Number)?;
-        let value = suite.sorted_numbers(&name)?[0];
-        let found = suite.get_ids(&format!("{name}={value}"))?;
-        let expected = suite.expected_ids(|feature| number_of(feature, &name) == Some(value));
-        require_same("a queryable as parameter", &found, &expected)
-    }),
+    Check::new(
+        "/req/queryables/get-queryables-response",
+        QUERYABLES,
+        |suite| {
+            let response = suite.get(&suite.collection_path("queryables"))?;
+            require(
+                response
+                    .header("content-type")
+                    .starts_with("application/schema+json"),
+                || format!("Content-Type is {:?}", response.header("content-type")),
+            )?;
+            let schema = response.json();
+            let is_schema = schema["$id"].is_string()
+                && schema["$schema"].is_string()
+                && schema["type"] == "object";
+            require(is_schema, || {
+                "the response is not a JSON schema with $id".to_owned()
+            })
+        },
+    ),
+    Check::new(
+        "/req/queryables-query-parameters/parameters",
+        QUERYABLE_PARAMETERS,
+        |suite| {
+            let name = suite.queryable(QueryableKind::Number)?;
+            let value = suite.sorted_numbers(&name)?[0];
+            let found = suite.get_ids(&format!("{name}={value}"))?;
+            let expected = suite.expected_ids(|feature| number_of(feature, &name) == Some(value));
+            require_same("a queryable as parameter", &found, &expected)
+        },
+    ),
     Check::new("/req/filter/filter-param", FILTER, |suite| {
         parameter(suite, "filter")?;
-        let Sample { name, value: median } = suite.median()?;
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
         let filter = format!("{name} > {median}");
-        require_matches(suite, &filter, |feature| number_is(feature, &name, |n| n > median))
+        require_matches(suite, &filter, |feature| {
+            number_is(feature, &name, |n| n > median)
+        })
     }),
     Check::new("/req/filter/filter-lang-param", FILTER, |suite| {
         parameter(suite, "filter-lang")?;
@@ -80,52 +117,104 @@
     Check::new("/req/filter/filter-crs-param", FILTER, |suite| {
         let bbox = suite.middle_box()?;
         let name = suite.geometry()?;
-        let BoundingBox { west, south, east, north } = bbox;
-        let swapped = BoundingBox { west: south, south: west, east: north, north: east };
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = bbox;
+        let swapped = BoundingBox {
+            west: south,
+            south: west,
+            east: north,
+            north: east,
+        };
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.append_pair("filter", &format!("S_INTERSECTS({name},{})", swapped.to_polygon()));
+        query.append_pair(
+            "filter",
+            &format!("S_INTERSECTS({name},{})", swapped.to_polygon()),
+        );
         query.append_pair("filter-crs", WGS84);
         let found = suite.get_ids(&query.finish())?;
-        require_same("filter-crs", &found, &suite.expected_ids(|feature| bbox.contains(feature)))
+        require_same(
+            "filter-crs",
+            &found,
+            &suite.expected_ids(|feature| bbox.contains(feature)),
+        )
     }),
     Check::new("/req/filter/mixing-expressions", FILTER, |suite| {
-        let Sample { name, value: median } = suite.median()?;
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
         let bbox = suite.middle_box()?;
-        let found = suite.get_ids(&format!("bbox={}&filter={name}%3E{median}", bbox.to_query()))?;
-        let expected =
-            suite.expected_ids(|feature| bbox.contains(feature) && number_is(feature, &name, |n| n > median));
+        let found = suite.get_ids(&format!(
+            "bbox={}&filter={name}%3E{median}",
+            bbox.to_query()
+        ))?;
+        let expected = suite.expected_ids(|feature| {
+            bbox.contains(feature) && number_is(feature, &name, |n| n > median)
+        });
         require_same("a box and a filter", &found, &expected)
     }),
     Check::new("/req/filter/invalid", FILTER, |suite| {
         for filter in INVALID_FILTERS {
             let response = suite.get(&format!("{}?filter={filter}", suite.items_path()))?;
-            require(response.status == 400, || format!("filter={filter}: status {}", response.status))?;
+            require(response.status == 400, || {
+                format!("filter={filter}: status {}", response.status)
+            })?;
         }
         Ok(())
     }),
-    Check::new("/req/features-filter/queryable-unknown", FEATURES_FILTER, |suite| {
-        if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no queryables are declared"));
-        }
-        let response = suite.get(&format!("{}?filter=no_such_queryable=1", suite.items_path()))?;
-        require(response.status == 400, || format!("status {}", response.status))
-    }),
+    Check::new(
+        "/req/features-filter/queryable-unknown",
+        FEATURES_FILTER,
+        |suite| {
+            if suite.queryables.is_empty() {
+                return Err(Stop::not_applicable("no queryables are declared"));
+            }
+            let response = suite.get(&format!(
+                "{}?filter=no_such_queryable=1",
+                suite.items_path()
+            ))?;
+            require(response.status == 400, || {
+                format!("status {}", response.status)
+            })
+        },
+    ),
     Check::new("/req/features-filter/paging", FEATURES_FILTER, |suite| {
-        let Sample { name, value: median } = suite.median()?;
-        let path = format!("{}?limit=37&filter={name}%3C%3D{median}", suite.items_path());
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
+        let path = format!(
+            "{}?limit=37&filter={name}%3C%3D{median}",
+            suite.items_path()
+        );
         let mut ids: Vec<String> = suite.get_all(&path)?.iter().map(feature_id).collect();
-        require(all_unique(&ids), || "features are duplicated over the next links".to_owned())?;
+        require(all_unique(&ids), || {
+            "features are duplicated over the next links".to_owned()
+        })?;
         ids.sort();
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n <= median));
         require_same("a filter over pages", &ids, &expected)
     }),
     Check::new("/req/cql2-text/validate", CQL2_TEXT, |suite| {
-        let Sample { name, value: median } = suite.median()?;
-        let filter = format!("( {name}>{median} oR nOt ({name} <= {median}) ) AND \"{name}\" >= {median}.0");
-        require_matches(suite, &filter, |feature| number_is(feature, &name, |n| n > median))
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
+        let filter =
+            format!("( {name}>{median} oR nOt ({name} <= {median}) ) AND \"{name}\" >= {median}.0");
+        require_matches(suite, &filter, |feature| {
+            number_is(feature, &name, |n| n > median)
+        })
     }),
     Check::new("/req/cql2-json/validate", CQL2_JSON, |suite| {
-        let Sample { name, value: median } = suite.median()?;
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
         let property = json!({"property": name});
         let above = json!({"op": ">", "args": [property, median]});
         let not_equal = json!({"op": "not", "args": [{"op": "=", "args": [property, -1]}]});
@@ -135,10 +224,15 @@
         require_same("CQL2 JSON", &found, &expected)
     }),
     Check::new("/req/basic-cql2/cql2-filter", BASIC_CQL2, |suite| {
-        let Sample { name, value: median } = suite.median()?;
+        let Sample {
+            name,
+            value: median,
+        } = suite.median()?;
         for Comparison { operator, holds } in COMPARISONS {
             let filter = format!("{name} {operator} {median}");
-            require_matches(suite, &filter, |feature| number_is(feature, &name, |n| holds(n, median)))?;
+            require_matches(suite, &filter, |feature| {
+                number_is(feature, &name, |n| holds(n, median))
+            })?;
         }
         Ok(())
     }),
@@ -147,34 +241,51 @@
         let name = suite.nullable_text()?;
         let is_null = |feature: &Json| feature["properties"][&name].is_null();
         require_matches(suite, &format!("{name} IS NULL"), is_null)?;
-        require_matches(suite, &format!("{name} IS NOT NULL"), |feature| !is_null(feature))?;
+        require_matches(suite, &format!("{name} IS NOT NULL"), |feature| {
+            !is_null(feature)
+        })?;
         // A comparison with no value is unknown, and so is its negation.
-        require_matches(suite, &format!("NOT ({name} = 'no such value')"), |feature| !is_null(feature))
+        require_matches(
+            suite,
+            &format!("NOT ({name} = 'no such value')"),
+            |feature| !is_null(feature),
+        )
     }),
     Check::new("/req/basic-cql2/text", BASIC_CQL2, |suite| {
         let Sample { name, value } = suite.text()?;
         let filter = format!("{name} = '{}'", quoted(&value));
-        require_matches(suite, &filter, |feature| text_of(feature, &name) == Some(value.as_str()))
+        require_matches(suite, &filter, |feature| {
+            text_of(feature, &name) == Some(value.as_str())
+        })
     }),
     Check::new("/req/basic-cql2/times", BASIC_CQL2, |suite| {
         let Sample { name, value: time } = suite.median_time()?;
-        require_matches(suite, &format!("{name} >= TIMESTAMP('{time}')"), |feature| {
-            text_of(feature, &name).is_some_and(|instant| instant >= time.as_str())
-        })
+        require_matches(
+            suite,
+            &format!("{name} >= TIMESTAMP('{time}')"),
+            |feature| text_of(feature, &name).is_some_and(|instant| instant >= time.as_str()),
+        )
     }),
 ];
 
 fn logic_is_right(suite: &mut Suite) -> Verdict {
-    let Sample { name, value: median } = suite.median()?;
+    let Sample {
+        name,
+        value: median,
+    } = suite.median()?;
     let flag = suite.queryable(QueryableKind::Boolean)?;
     let flag_of = |feature: &Json| feature["properties"][&flag].as_bool();
     let is_above = |feature: &Json| number_is(feature, &name, |n| n > median);
-    require_matches(suite, &format!("{name} > {median} AND {flag} = TRUE"), |feature| {
-        is_above(feature) && flag_of(feature) == Some(true)
-    })?;
-    require_matches(suite, &format!("{name} > {median} OR {flag} = FALSE"), |feature| {
-        is_above(feature) || flag_of(feature) == Some(false)
-    })?;
+    require_matches(
+        suite,
+        &format!("{name} > {median} AND {flag} = TRUE"),
+        |feature| is_above(feature) && flag_of(feature) == Some(true),
+    )?;
+    require_matches(
+        suite,
+        &format!("{name} > {median} OR {flag} = FALSE"),
+        |feature| is_above(feature) || flag_of(feature) == Some(false),
+    )?;
     require_matches(suite, &format!("NOT ({name} > {median})"), |feature| {
         number_is(feature, &name, |n| n <= median)
     })
@@ -191,7 +302,11 @@
 }
 
 /// Requires a CQL2 text filter to match exactly the features that satisfy the predicate.
-pub(super) fn require_matches(suite: &mut Suite, filter: &str, matches: impl Fn(&Json) -> bool) -> Verdict {
+pub(super) fn require_matches(
+    suite: &mut Suite,
+    filter: &str,
+    matches: impl Fn(&Json) -> bool,
+) -> Verdict {
     let found = suite.get_filtered(filter, FilterLanguage::Text)?;
     require_same(filter, &found, &suite.expected_ids(matches))
 }
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -9,16 +9,24 @@
 use serde_json::Value as Json;
 
 /// Parameters with invalid values.
-const INVALID_PARAMETERS: [&str; 5] =
-    ["limit=0", "limit=many", "bbox=1,2,3", "bbox=a,b,c,d", "datetime=soon"];
+const INVALID_PARAMETERS: [&str; 5] = [
+    "limit=0",
+    "limit=many",
+    "bbox=1,2,3",
+    "bbox=a,b,c,d",
+    "datetime=soon",
+];
 
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
-    Check::new("/conf/core/fc-op", CORE, |suite| suite.get_json(&suite.items_path()).map(drop)),
+    Check::new("/conf/core/fc-op", CORE, |suite| {
+        suite.get_json(&suite.items_path()).map(drop)
+    }),
     Check::new("/conf/core/fc-response", CORE, |suite| {
         let json = suite.get_json(&suite.items_path())?;
-        let are_features =
-            json["features"].as_array().is_some_and(|list| list.iter().all(|f| f["type"] == "Feature"));
+        let are_features = json["features"]
+            .as_array()
+            .is_some_and(|list| list.iter().all(|f| f["type"] == "Feature"));
         require(json["type"] == "FeatureCollection" && are_features, || {
             "the response is not a feature collection".to_owned()
         })
@@ -46,7 +54,9 @@
         let bbox = parameter(suite, "bbox")?;
         let schema = &bbox["schema"];
         let is_number_list = schema["type"] == "array" && schema["items"]["type"] == "number";
-        require(is_number_list && bbox["explode"] == false, || format!("bbox is defined as {bbox}"))
+        require(is_number_list && bbox["explode"] == false, || {
+            format!("bbox is defined as {bbox}")
+        })
     }),
     Check::new("/conf/core/fc-bbox-response", CORE, |suite| {
         let bbox = suite.middle_box()?;
@@ -56,9 +66,10 @@
     }),
     Check::new("/conf/core/fc-time-definition", CORE, |suite| {
         let datetime = parameter(suite, "datetime")?;
-        require(datetime["in"] == "query" && datetime["schema"]["type"] == "string", || {
-            format!("datetime is defined as {datetime}")
-        })
+        require(
+            datetime["in"] == "query" && datetime["schema"]["type"] == "string",
+            || format!("datetime is defined as {datetime}"),
+        )
     }),
     Check::new("/conf/core/fc-time-response", CORE, |suite| {
         let time = suite.median_time()?;
@@ -86,23 +97,28 @@
         let json = suite.get_items("limit=2")?;
         require_links(&json, "items", &["self", "alternate"])?;
         require_typed_links(&json, "items")?;
-        require(suite.features.len() <= 2 || link_of(&json, "next").is_some(), || {
-            "no next link although more features exist".to_owned()
-        })
+        require(
+            suite.features.len() <= 2 || link_of(&json, "next").is_some(),
+            || "no next link although more features exist".to_owned(),
+        )
     }),
     Check::new("/conf/core/fc-next-complete", CORE, next_links_are_complete),
     Check::new("/conf/core/fc-timeStamp", CORE, |suite| {
         let json = suite.get_json(&suite.items_path())?;
         let stamp = json["timeStamp"].as_str().unwrap_or_default();
-        require(stamp.len() >= 20 && stamp.contains('T') && stamp.starts_with("20"), || {
-            format!("timeStamp is {stamp:?}")
-        })
+        require(
+            stamp.len() >= 20 && stamp.contains('T') && stamp.starts_with("20"),
+            || format!("timeStamp is {stamp:?}"),
+        )
     }),
     Check::new("/conf/core/fc-numberMatched", CORE, |suite| {
         let json = suite.get_items("limit=1")?;
         match json["numberMatched"].as_u64() {
             Some(matched) => require(matched as usize == suite.features.len(), || {
-                format!("numberMatched is {matched} for {} features", suite.features.len())
+                format!(
+                    "numberMatched is {matched} for {} features",
+                    suite.features.len()
+                )
             }),
             None if json.get("numberMatched").is_none() => {
                 Err(Stop::not_applicable("numberMatched is optional and absent"))
@@ -113,18 +129,23 @@
     Check::new("/conf/core/fc-numberReturned", CORE, |suite| {
         let json = suite.get_items("limit=7")?;
         let count = count_features(&json);
-        require(json["numberReturned"].as_u64() == Some(count as u64), || {
-            format!("{} for {count} features", json["numberReturned"])
-        })
+        require(
+            json["numberReturned"].as_u64() == Some(count as u64),
+            || format!("{} for {count} features", json["numberReturned"]),
+        )
+    }),
+    Check::new("/conf/core/f-op", CORE, |suite| {
+        get_middle_feature(suite).map(drop)
     }),
-    Check::new("/conf/core/f-op", CORE, |suite| get_middle_feature(suite).map(drop)),
     Check::new("/conf/core/f-success", CORE, |suite| {
         let expected = suite.middle_feature()?.clone();
         let feature = get_middle_feature(suite)?;
         let is_same = feature["type"] == "Feature"
             && feature_id(&feature) == feature_id(&expected)
             && feature["properties"] == expected["properties"];
-        require(is_same, || "the feature differs from the one among the items".to_owned())
+        require(is_same, || {
+            "the feature differs from the one among the items".to_owned()
+        })
     }),
     Check::new("/conf/core/f-links", CORE, |suite| {
         let feature = get_middle_feature(suite)?;
@@ -148,9 +169,16 @@
     ids.sort();
     ids.dedup();
     require(count == ids.len(), || {
-        format!("{} features are duplicated over the next links", count - ids.len())
+        format!(
+            "{} features are duplicated over the next links",
+            count - ids.len()
+        )
     })?;
-    require_same("pages of 97 beside pages of 500", &ids, &suite.expected_ids(|_| true))
+    require_same(
+        "pages of 97 beside pages of 500",
+        &ids,
+        &suite.expected_ids(|_| true),
+    )
 }
 
 /// Requests the feature in the middle by its id.
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -17,7 +17,10 @@
 /// Returns the location of a feature whose geometry is a point.
 pub(super) fn point_of(feature: &Json) -> Option<Point> {
     let coordinates = &feature["geometry"]["coordinates"];
-    Some(Point { x: coordinates[0].as_f64()?, y: coordinates[1].as_f64()? })
+    Some(Point {
+        x: coordinates[0].as_f64()?,
+        y: coordinates[1].as_f64()?,
+    })
 }
 
 /// Closed bounding box of longitudes and latitudes.
@@ -39,29 +42,49 @@
 
     /// Returns whether a feature is a point inside the box and not on its boundary.
     pub(super) fn contains_strictly(&self, feature: &Json) -> bool {
-        point_of(feature)
-            .is_some_and(|Point { x, y }| self.west < x && x < self.east && self.south < y && y < self.north)
+        point_of(feature).is_some_and(|Point { x, y }| {
+            self.west < x && x < self.east && self.south < y && y < self.north
+        })
     }
 
     /// Returns whether a feature is a point on or below the diagonal from the upper left to the
     /// lower right corner.
     pub(super) fn lower_left_half_contains(&self, feature: &Json) -> bool {
-        let BoundingBox { west, south, east, north } = *self;
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = *self;
         point_of(feature).is_some_and(|Point { x, y }| {
-            x >= west && y >= south && (x - west) / (east - west) + (y - south) / (north - south) <= 1.0
+            x >= west
+                && y >= south
+                && (x - west) / (east - west) + (y - south) / (north - south) <= 1.0
         })
     }
 
     /// Formats the box as `west,south,east,north`.
     pub(super) fn to_query(self) -> String {
-        let BoundingBox { west, south, east, north } = self;
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = self;
         format!("{west},{south},{east},{north}")
     }
 
     /// Formats the box as a polygon in well-known text.
     pub(super) fn to_polygon(self) -> String {
-        let BoundingBox { west, south, east, north } = self;
-        format!("POLYGON(({west} {south},{east} {south},{east} {north},{west} {north},{west} {south}))")
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = self;
+        format!(
+            "POLYGON(({west} {south},{east} {south},{east} {north},{west} {north},{west} {south}))"
+        )
     }
 }
 
@@ -127,12 +150,19 @@
         };
         let [west, east] = quartiles(|point| point.x);
         let [south, north] = quartiles(|point| point.y);
-        Ok(BoundingBox { west, south, east, north })
+        Ok(BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        })
     }
 
     /// Returns the first feature.
     pub(super) fn first_feature(&self) -> Result<&Json, Stop> {
-        self.features.first().ok_or_else(|| Stop::not_applicable("the collection has no features"))
+        self.features
+            .first()
+            .ok_or_else(|| Stop::not_applicable("the collection has no features"))
     }
 
     /// Returns the feature in the middle of the list.
@@ -154,21 +184,29 @@
         let fits = |(name, schema): &(&String, &Json)| {
             let schema_type = schema["type"].as_str().unwrap_or_default();
             let schema_format = schema["format"].as_str().unwrap_or_default();
-            let has_values = || self.features.iter().any(|f| !f["properties"][name.as_str()].is_null());
+            let has_values = || {
+                self.features
+                    .iter()
+                    .any(|f| !f["properties"][name.as_str()].is_null())
+            };
             schema_type == value_type
                 && schema_format.starts_with(format)
                 && format.is_empty() == schema_format.is_empty()
                 && has_values()
         };
         let found = self.queryables.iter().find(fits);
-        found
-            .map(|(name, _)| name.clone())
-            .ok_or_else(|| Stop::NotApplicable(format!("no queryable of type {value_type} {format}")))
+        found.map(|(name, _)| name.clone()).ok_or_else(|| {
+            Stop::NotApplicable(format!("no queryable of type {value_type} {format}"))
+        })
     }
 
     /// Returns all values of a number in ascending order.
     pub(super) fn sorted_numbers(&self, name: &str) -> Result<Vec<f64>, Stop> {
-        let mut numbers: Vec<f64> = self.features.iter().filter_map(|f| number_of(f, name)).collect();
+        let mut numbers: Vec<f64> = self
+            .features
+            .iter()
+            .filter_map(|f| number_of(f, name))
+            .collect();
         numbers.sort_by(f64::total_cmp);
         if numbers.is_empty() {
             return Err(Stop::not_applicable("no feature has a number"));
@@ -180,14 +218,23 @@
     pub(super) fn median(&self) -> Result<Sample<f64>, Stop> {
         let name = self.queryable(QueryableKind::Number)?;
         let numbers = self.sorted_numbers(&name)?;
-        Ok(Sample { name, value: numbers[numbers.len() / 2] })
+        Ok(Sample {
+            name,
+            value: numbers[numbers.len() / 2],
+        })
     }
 
     /// Returns the name of the geometry queryable.
     pub(super) fn geometry(&self) -> Result<String, Stop> {
-        let is_geometry =
-            |schema: &Json| schema["format"].as_str().is_some_and(|format| format.starts_with("geometry-"));
-        let found = self.queryables.iter().find(|(_, schema)| is_geometry(schema));
+        let is_geometry = |schema: &Json| {
+            schema["format"]
+                .as_str()
+                .is_some_and(|format| format.starts_with("geometry-"))
+        };
+        let found = self
+            .queryables
+            .iter()
+            .find(|(_, schema)| is_geometry(schema));
         found
             .map(|(name, _)| name.clone())
             .ok_or_else(|| Stop::not_applicable("no geometry queryable is declared"))
@@ -198,7 +245,10 @@
         let fits = |(name, schema): &(&String, &Json)| {
             schema["type"] == "string"
                 && schema.get("format").is_none()
-                && self.features.iter().all(|feature| text_of(feature, name).is_some())
+                && self
+                    .features
+                    .iter()
+                    .all(|feature| text_of(feature, name).is_some())
         };
         let found = self.queryables.iter().find(fits);
         let name = found.map(|(name, _)| name.clone());
@@ -211,7 +261,11 @@
     /// Returns a date or time queryable and its median.
     pub(super) fn median_time(&self) -> Result<Sample<String>, Stop> {
         let name = self.queryable(QueryableKind::Time)?;
-        let mut times: Vec<&str> = self.features.iter().filter_map(|f| text_of(f, &name)).collect();
+        let mut times: Vec<&str> = self
+            .features
+            .iter()
+            .filter_map(|f| text_of(f, &name))
+            .collect();
         times.sort_unstable();
         let value = times[times.len() / 2].to_owned();
         Ok(Sample { name, value })
@@ -219,8 +273,14 @@
 
     /// Returns the name of a text queryable that some features have and others lack.
     pub(super) fn nullable_text(&self) -> Result<String, Stop> {
-        let nulls = |name: &str| self.features.iter().filter(|f| f["properties"][name].is_null()).count();
-        let is_nullable = |name: &str| name != "id" && (1..self.features.len()).contains(&nulls(name));
+        let nulls = |name: &str| {
+            self.features
+                .iter()
+                .filter(|f| f["properties"][name].is_null())
+                .count()
+        };
+        let is_nullable =
+            |name: &str| name != "id" && (1..self.features.len()).contains(&nulls(name));
         let found = self.queryables.iter().find(|(name, _)| is_nullable(name));
         let text = found.filter(|(_, schema)| schema["type"] == "string");
         text.map(|(name, _)| name.clone())
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -17,12 +17,16 @@
     Check::new("/conf/schemas/schema", SCHEMAS, |suite| {
         let path = suite.collection_path("schema");
         let response = suite.get(&path)?;
-        require(response.header("content-type").starts_with("application/schema+json"), || {
-            format!("Content-Type is {:?}", response.header("content-type"))
-        })?;
+        require(
+            response
+                .header("content-type")
+                .starts_with("application/schema+json"),
+            || format!("Content-Type is {:?}", response.header("content-type")),
+        )?;
         let schema = suite.get_json(&path)?;
-        let is_schema =
-            schema["$schema"].is_string() && schema["type"] == "object" && schema["properties"].is_object();
+        let is_schema = schema["$schema"].is_string()
+            && schema["type"] == "object"
+            && schema["properties"].is_object();
         require(is_schema, || "the response is not a JSON schema".to_owned())
     }),
     Check::new("/conf/schemas/properties", SCHEMAS, |suite| {
@@ -33,13 +37,16 @@
             .filter_map(|feature| feature["properties"].as_object())
             .flat_map(|properties| properties.keys());
         let missing = names.find(|name| schema["properties"].get(name.as_str()).is_none());
-        require(missing.is_none() || schema["additionalProperties"] == true, || {
-            format!("{missing:?} is not in the schema")
-        })
+        require(
+            missing.is_none() || schema["additionalProperties"] == true,
+            || format!("{missing:?} is not in the schema"),
+        )
     }),
     Check::new("/conf/sortables/sortables", SORTABLES, |suite| {
         let sortables = suite.get_json(&suite.collection_path("sortables"))?;
-        require(sortables["properties"].is_object(), || "no properties".to_owned())
+        require(sortables["properties"].is_object(), || {
+            "no properties".to_owned()
+        })
     }),
     Check::new("/conf/sorting/sortby", SORTING, |suite| {
         let name = suite.queryable(QueryableKind::Number)?;
@@ -50,28 +57,35 @@
         let name = suite.queryable(QueryableKind::Boolean)?;
         let sorted = suite.get_all(&format!("{}?limit=61&sortby={name}", suite.items_path()))?;
         let ids: Vec<String> = sorted.iter().map(feature_id).collect();
-        require(all_unique(&ids) && ids.len() == suite.features.len(), || {
-            "features with equal keys are lost or duplicated over pages".to_owned()
-        })
+        require(
+            all_unique(&ids) && ids.len() == suite.features.len(),
+            || "features with equal keys are lost or duplicated over pages".to_owned(),
+        )
     }),
     Check::new("/conf/sorting/sortby-unknown", SORTING, |suite| {
         if suite.queryables.is_empty() {
             return Err(Stop::not_applicable("no sortables are declared"));
         }
         let response = suite.get(&format!("{}?sortby=no-such-property", suite.items_path()))?;
-        require(response.status == 400, || format!("status {}", response.status))
+        require(response.status == 400, || {
+            format!("status {}", response.status)
+        })
     }),
     Check::new("/conf/property-selection/properties", ANY, |suite| {
         let name = suite.queryable(QueryableKind::Number)?;
         let json = suite.get_items(&format!("limit=5&properties={name}"))?;
         let has_only_this = |feature: &Json| {
             let properties = feature["properties"].as_object();
-            properties.is_some_and(|properties| properties.len() == 1 && properties.contains_key(&name))
+            properties
+                .is_some_and(|properties| properties.len() == 1 && properties.contains_key(&name))
                 && feature["id"].is_string()
         };
-        require(json["features"].as_array().is_some_and(|list| list.iter().all(has_only_this)), || {
-            "unselected properties are returned".to_owned()
-        })
+        require(
+            json["features"]
+                .as_array()
+                .is_some_and(|list| list.iter().all(has_only_this)),
+            || "unselected properties are returned".to_owned(),
+        )
     }),
 ];
 
@@ -105,7 +119,12 @@
     require(sorted.len() == suite.features.len(), || {
         format!("{} features for {}", sorted.len(), suite.features.len())
     })?;
-    let values: Vec<f64> = sorted.iter().filter_map(|feature| number_of(feature, name)).collect();
-    let all_in_order = values.windows(2).all(|pair| direction.is_in_order(pair[0], pair[1]));
+    let values: Vec<f64> = sorted
+        .iter()
+        .filter_map(|feature| number_of(feature, name))
+        .collect();
+    let all_in_order = values
+        .windows(2)
+        .all(|pair| direction.is_in_order(pair[0], pair[1]));
     require(all_in_order, || format!("sortby={key}: not in order"))
 }
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -68,18 +68,31 @@
         let conformance = suite.get("/conformance").map_err(OpenError)?.json();
         suite.conformance_classes = texts(&conformance["conformsTo"]);
         let collections = suite.get("/collections").map_err(OpenError)?.json();
-        suite.collection = collections["collections"][0]["id"].as_str().unwrap_or_default().to_owned();
-        suite.features = suite.get_all(&format!("{}?limit=500", suite.items_path())).unwrap_or_default();
+        suite.collection = collections["collections"][0]["id"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned();
+        suite.features = suite
+            .get_all(&format!("{}?limit=500", suite.items_path()))
+            .unwrap_or_default();
         let schema = suite.get(&suite.collection_path("queryables"));
         let schema = schema.map(|response| response.json()).unwrap_or_default();
-        let properties = schema["properties"].as_object().cloned().unwrap_or_default();
+        let properties = schema["properties"]
+            .as_object()
+            .cloned()
+            .unwrap_or_default();
         suite.queryables = properties.into_iter().collect();
         Ok(suite)
     }
 
     /// Runs every check and returns the results.
     pub fn run(&mut self) -> Vec<CheckResult> {
-        all_checks().map(|check| CheckResult { id: check.id, outcome: self.outcome_of(check) }).collect()
+        all_checks()
+            .map(|check| CheckResult {
+                id: check.id,
+                outcome: self.outcome_of(check),
+            })
+            .collect()
     }
 
     /// Runs one check by its identifier; returns `None` if it does not exist.
@@ -95,7 +108,12 @@
 
     fn outcome_of(&mut self, check: &Check) -> Outcome {
         let class = check.class;
-        if !class.is_empty() && !self.conformance_classes.iter().any(|claimed| claimed.ends_with(class)) {
+        if !class.is_empty()
+            && !self
+                .conformance_classes
+                .iter()
+                .any(|claimed| claimed.ends_with(class))
+        {
             return Outcome::NotApplicable(format!("the service does not claim {class}"));
         }
         match (check.run)(self) {
@@ -120,7 +138,11 @@
     }
 
     /// Sends a GET request with additional headers and returns the response.
-    pub(super) fn get_with(&mut self, path: &str, headers: &[Header<'_>]) -> Result<Response, Stop> {
+    pub(super) fn get_with(
+        &mut self,
+        path: &str,
+        headers: &[Header<'_>],
+    ) -> Result<Response, Stop> {
         self.send(&Request::new("GET", path, headers))
     }
 
@@ -128,7 +150,10 @@
     /// retried.
     pub(super) fn send(&mut self, request: &Request<'_>) -> Result<Response, Stop> {
         let target = format!("{}{}", self.root, request.target);
-        let request = Request { target: &target, ..*request };
+        let request = Request {
+            target: &target,
+            ..*request
+        };
         let mut last = None;
         for _ in 0..MAX_ATTEMPTS {
             let response = self.client.send(&request)?;
@@ -146,7 +171,9 @@
     /// Requests a JSON object; fails if the response is not one.
     pub(super) fn get_json(&mut self, path: &str) -> Result<Json, Stop> {
         let response = self.get(path)?;
-        require(response.status == 200, || format!("{path}: status {}", response.status))?;
+        require(response.status == 200, || {
+            format!("{path}: status {}", response.status)
+        })?;
         let json = response.json();
         require(json.is_object(), || format!("{path}: not a JSON object"))?;
         Ok(json)
@@ -186,7 +213,9 @@
             require(features.len() <= MAX_FEATURES, || {
                 "more features than the suite supports, or circular next links".to_owned()
             })?;
-            next = response.link("next").map(|target| self.without_root(&target));
+            next = response
+                .link("next")
+                .map(|target| self.without_root(&target));
         }
         Ok(features)
     }
@@ -204,7 +233,9 @@
         language: FilterLanguage,
     ) -> Result<Vec<String>, Stop> {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        query.append_pair("filter", filter).append_pair("filter-lang", language.name());
+        query
+            .append_pair("filter", filter)
+            .append_pair("filter-lang", language.name());
         self.get_ids(&query.finish())
     }
 
@@ -222,5 +253,9 @@
 }
 
 fn texts(list: &Json) -> Vec<String> {
-    list.as_array().into_iter().flatten().filter_map(|text| text.as_str().map(str::to_owned)).collect()
+    list.as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|text| text.as_str().map(str::to_owned))
+        .collect()
 }
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -53,7 +53,9 @@
     fn among(&self, devices: &[Json]) -> usize {
         match self {
             ExpectedCount::Exactly(count) => *count,
-            ExpectedCount::Matching(matches) => devices.iter().filter(|device| matches(device)).count(),
+            ExpectedCount::Matching(matches) => {
+                devices.iter().filter(|device| matches(device)).count()
+            }
         }
     }
 }
@@ -110,12 +112,18 @@
 ];
 
 fn is_in_box(device: &Json) -> bool {
-    let Point { longitude, latitude } = point_of(device);
+    let Point {
+        longitude,
+        latitude,
+    } = point_of(device);
     (-120.5..=-119.5).contains(&longitude) && (37.5..=38.5).contains(&latitude)
 }
 
 fn is_in_triangle(device: &Json) -> bool {
-    let Point { longitude, latitude } = point_of(device);
+    let Point {
+        longitude,
+        latitude,
+    } = point_of(device);
     (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
 }
 
@@ -144,16 +152,28 @@
             start(FEATURES_PER_SHARD, Capabilities::SimpleFilters)?,
             start(FEATURES_PER_SHARD, Capabilities::Core)?,
         ];
-        let shards = ["devices/north", "devices/north", "devices/south", "devices/south"];
+        let shards = [
+            "devices/north",
+            "devices/north",
+            "devices/south",
+            "devices/south",
+        ];
         let row = |(index, (server, shard)): (usize, (&FeatureServer, &str))| {
             let name = format!("features-{}", index + 1);
             let state = InventoryState::InService;
-            server.inventory_row(InventoryEntry { name: &name, collections: shard, state })
+            server.inventory_row(InventoryEntry {
+                name: &name,
+                collections: shard,
+                state,
+            })
         };
         let rows: String = servers.iter().zip(shards).enumerate().map(row).collect();
         let tables = format!("{CLASSES}{COLLECTION}");
-        let configuration =
-            Configuration { settings: "mgmt = \"127.0.0.1:0\"", inventory_rows: &rows, tables: &tables };
+        let configuration = Configuration {
+            settings: "mgmt = \"127.0.0.1:0\"",
+            inventory_rows: &rows,
+            tables: &tables,
+        };
         let process = EdgeProcess::start(program, &configuration)?;
         Ok(Demo { process, servers })
     }
@@ -174,11 +194,23 @@
         for example in &EXAMPLES {
             all_right &= self.check(&mut client, example, example.expected.among(&all))?;
         }
-        println!("{}", if all_right { "all as expected" } else { "some answers are not as expected" });
+        println!(
+            "{}",
+            if all_right {
+                "all as expected"
+            } else {
+                "some answers are not as expected"
+            }
+        );
         Ok(all_right)
     }
 
-    fn check(&self, client: &mut Client, example: &Example, expected: usize) -> Result<bool, RunError> {
+    fn check(
+        &self,
+        client: &mut Client,
+        example: &Example,
+        expected: usize,
+    ) -> Result<bool, RunError> {
         let requests_before = self.server_requests();
         let started = Instant::now();
         let response = client.get(example.target)?;
@@ -207,7 +239,12 @@
         let mut signals = Signals::new([SIGINT, SIGTERM])?;
         let address = self.process.address;
         println!("the front listens at http://{address}/");
-        for Example { description, target, .. } in &EXAMPLES {
+        for Example {
+            description,
+            target,
+            ..
+        } in &EXAMPLES
+        {
             println!("  {description:<26} curl 'http://{address}{target}'");
         }
         println!("ends with Ctrl-C");
--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -45,7 +45,9 @@
     }
 
     fn accepts_encoding(&self) -> bool {
-        self.headers.iter().any(|header| header.name.eq_ignore_ascii_case("accept-encoding"))
+        self.headers
+            .iter()
+            .any(|header| header.name.eq_ignore_ascii_case("accept-encoding"))
     }
 }
 
@@ -133,7 +135,9 @@
         }
         let mut response = forward(&mut client, &request)?;
         // Links must lead back to the proxy.
-        let text = response.text().replace(&service.to_string(), &own_address.to_string());
+        let text = response
+            .text()
+            .replace(&service.to_string(), &own_address.to_string());
         response.body = text.into_bytes();
         if let Some(fault) = fault {
             fault.alter_response(&request, &mut response);
@@ -157,30 +161,57 @@
     loop {
         let mut line = String::new();
         reader.read_line(&mut line)?;
-        let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+        let Some((name, value)) = line.trim_end().split_once(": ") else {
+            break;
+        };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => body_length = value.parse().unwrap_or(0),
             // The client sets its own.
             "host" | "connection" => {}
-            _ => headers.push(OwnedHeader { name: name.to_owned(), value: value.to_owned() }),
+            _ => headers.push(OwnedHeader {
+                name: name.to_owned(),
+                value: value.to_owned(),
+            }),
         }
     }
     let mut body = Vec::new();
     reader.take(body_length).read_to_end(&mut body)?;
-    Ok(Some(ForwardedRequest { method, target, headers, body }))
+    Ok(Some(ForwardedRequest {
+        method,
+        target,
+        headers,
+        body,
+    }))
 }
 
 fn forward(client: &mut Client, request: &ForwardedRequest) -> Result<Response, ClientError> {
-    let headers: Vec<Header<'_>> =
-        request.headers.iter().map(|header| Header::new(&header.name, &header.value)).collect();
-    client.send(&Request { body: &request.body, ..Request::new(&request.method, &request.target, &headers) })
+    let headers: Vec<Header<'_>> = request
+        .headers
+        .iter()
+        .map(|header| Header::new(&header.name, &header.value))
+        .collect();
+    client.send(&Request {
+        body: &request.body,
+        ..Request::new(&request.method, &request.target, &headers)
+    })
 }
 
-fn write_response(stream: &mut TcpStream, request: &ForwardedRequest, response: &Response) -> io::Result<()> {
+fn write_response(
+    stream: &mut TcpStream,
+    request: &ForwardedRequest,
+    response: &Response,
+) -> io::Result<()> {
     let compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
-    let body = if compressed { compress(&response.body)? } else { response.body.clone() };
+    let body = if compressed {
+        compress(&response.body)?
+    } else {
+        response.body.clone()
+    };
     let mut bytes = format!("HTTP/1.1 {} X\r\n", response.status);
-    let passed_on = response.headers.iter().filter(|header| !OWN_HEADERS.contains(&header.name));
+    let passed_on = response
+        .headers
+        .iter()
+        .filter(|header| !OWN_HEADERS.contains(&header.name));
     for Header { name, value } in passed_on {
         bytes.push_str(&format!("{name}: {value}\r\n"));
     }
--- a/testkit/src/fault_injection/alteration.rs
+++ b/testkit/src/fault_injection/alteration.rs
@@ -1,7 +1,8 @@
 //! Alterations of requests and responses, and the requests that they apply to.
 
 use super::edits::{
-    edit_features, edit_json, remove_header, remove_parameter, remove_response_link, replace_in_target,
+    edit_features, edit_json, remove_header, remove_parameter, remove_response_link,
+    replace_in_target,
 };
 use super::ForwardedRequest;
 use crate::client::Response;
@@ -73,7 +74,9 @@
     pub(super) fn alter_request(self, request: &mut ForwardedRequest) {
         match self {
             Alteration::RemoveParameters(names) => {
-                names.iter().for_each(|name| remove_parameter(request, name));
+                names
+                    .iter()
+                    .for_each(|name| remove_parameter(request, name));
             }
             Alteration::RemoveRequestHeader(name) => remove_header(request, name),
             Alteration::ReplaceInTarget { from, to } => replace_in_target(request, from, to),
--- a/testkit/src/fault_injection/edits.rs
+++ b/testkit/src/fault_injection/edits.rs
@@ -43,21 +43,34 @@
 /// Returns the schema of a parameter of the items in an API definition.
 pub(super) fn parameter_schema<'j>(api: &'j mut Json, name: &str) -> &'j mut Json {
     let parameters = &mut api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"];
-    let position = parameters.as_array().and_then(|list| list.iter().position(|p| p["name"] == name));
+    let position = parameters
+        .as_array()
+        .and_then(|list| list.iter().position(|p| p["name"] == name));
     &mut parameters[position.unwrap_or(0)]["schema"]
 }
 
 /// Removes a parameter from a request's query.
 pub(super) fn remove_parameter(request: &mut ForwardedRequest, name: &str) {
-    let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
-    let others: Vec<&str> =
-        query.split('&').filter(|pair| !pair.is_empty() && pair.split('=').next() != Some(name)).collect();
-    request.target = if others.is_empty() { path.to_owned() } else { format!("{path}?{}", others.join("&")) };
+    let (path, query) = request
+        .target
+        .split_once('?')
+        .unwrap_or((&request.target, ""));
+    let others: Vec<&str> = query
+        .split('&')
+        .filter(|pair| !pair.is_empty() && pair.split('=').next() != Some(name))
+        .collect();
+    request.target = if others.is_empty() {
+        path.to_owned()
+    } else {
+        format!("{path}?{}", others.join("&"))
+    };
 }
 
 /// Removes a header from a request.
 pub(super) fn remove_header(request: &mut ForwardedRequest, name: &str) {
-    request.headers.retain(|header| !header.name.eq_ignore_ascii_case(name));
+    request
+        .headers
+        .retain(|header| !header.name.eq_ignore_ascii_case(name));
 }
 
 /// Replaces a text in the target of a request.
--- a/testkit/src/fault_injection/faults.rs
+++ b/testkit/src/fault_injection/faults.rs
@@ -11,7 +11,13 @@
 
 /// Returns all faults that can be injected, each with the check that must detect it.
 pub fn injected_faults() -> impl Iterator<Item = &'static InjectedFault> {
-    let classes =
-        [core::FAULTS, items::FAULTS, encodings::FAULTS, crs::FAULTS, schemas::FAULTS, filters::FAULTS];
+    let classes = [
+        core::FAULTS,
+        items::FAULTS,
+        encodings::FAULTS,
+        crs::FAULTS,
+        schemas::FAULTS,
+        filters::FAULTS,
+    ];
     classes.into_iter().flatten()
 }
--- a/testkit/src/fault_injection/faults/crs.rs
+++ b/testkit/src/fault_injection/faults/crs.rs
@@ -33,8 +33,13 @@
     InjectedFault {
         found_by: "/conf/crs/fc-crs-action",
         description: "latitude and longitude are swapped",
-        scope: Scope::TargetWithout { contained: "EPSG/0/4326", absent: "bbox" },
-        alteration: Alteration::EditFeatures(|features| features.iter_mut().for_each(swap_coordinates)),
+        scope: Scope::TargetWithout {
+            contained: "EPSG/0/4326",
+            absent: "bbox",
+        },
+        alteration: Alteration::EditFeatures(|features| {
+            features.iter_mut().for_each(swap_coordinates)
+        }),
     },
     InjectedFault {
         found_by: "/conf/crs/bbox-crs-action",
@@ -47,7 +52,10 @@
         description: "the header names another reference system",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
-            response.headers.set(Header::new("content-crs", "<http://www.opengis.net/def/crs/EPSG/0/3857>"));
+            response.headers.set(Header::new(
+                "content-crs",
+                "<http://www.opengis.net/def/crs/EPSG/0/3857>",
+            ));
         }),
     },
 ];
--- a/testkit/src/fault_injection/faults/encodings.rs
+++ b/testkit/src/fault_injection/faults/encodings.rs
@@ -29,7 +29,9 @@
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
             if response.status >= 400 {
-                response.headers.set(Header::new("content-type", "text/plain"));
+                response
+                    .headers
+                    .set(Header::new("content-type", "text/plain"));
             }
         }),
     },
@@ -39,7 +41,9 @@
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
             if response.header("content-type") == "application/geo+json" {
-                response.headers.set(Header::new("content-type", "application/json"));
+                response
+                    .headers
+                    .set(Header::new("content-type", "application/json"));
             }
         }),
     },
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -41,7 +41,10 @@
         found_by: "/req/basic-cql2/cql2-filter",
         description: "less or equal is evaluated as less",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "+%3C%3D+", to: "+%3C+" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "+%3C%3D+",
+            to: "+%3C+",
+        },
     },
     InjectedFault {
         found_by: "/req/basic-cql2/is-null",
@@ -56,37 +59,55 @@
         found_by: "/req/advanced-comparison-operators/between-predicate",
         description: "BETWEEN excludes its lower end",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "volts+BETWEEN", to: "volts+%2B+1+BETWEEN" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "volts+BETWEEN",
+            to: "volts+%2B+1+BETWEEN",
+        },
     },
     InjectedFault {
         found_by: "/req/case-insensitive-comparison/casei-function",
         description: "CASEI is ignored",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "CASEI", to: "" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "CASEI",
+            to: "",
+        },
     },
     InjectedFault {
         found_by: "/req/spatial-functions/spatial-predicates",
         description: "within is evaluated as disjoint",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "S_WITHIN", to: "S_DISJOINT" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "S_WITHIN",
+            to: "S_DISJOINT",
+        },
     },
     InjectedFault {
         found_by: "/req/temporal-functions/temporal-predicates",
         description: "after is evaluated as before",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "T_AFTER", to: "T_BEFORE" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "T_AFTER",
+            to: "T_BEFORE",
+        },
     },
     InjectedFault {
         found_by: "/req/array-functions/array-predicates",
         description: "equals is evaluated as overlaps",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "A_EQUALS", to: "A_OVERLAPS" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "A_EQUALS",
+            to: "A_OVERLAPS",
+        },
     },
     InjectedFault {
         found_by: "/req/arithmetic/arithmetic",
         description: "a product is evaluated as a sum",
         scope: Scope::All,
-        alteration: Alteration::ReplaceInTarget { from: "+*+", to: "+%2B+" },
+        alteration: Alteration::ReplaceInTarget {
+            from: "+*+",
+            to: "+%2B+",
+        },
     },
     InjectedFault {
         found_by: "/req/search/post",
--- a/testkit/src/fault_injection/faults/items.rs
+++ b/testkit/src/fault_injection/faults/items.rs
@@ -12,7 +12,9 @@
         description: "features have no type",
         scope: Scope::All,
         alteration: Alteration::EditFeatures(|features| {
-            features.iter_mut().for_each(|feature| feature["type"] = Json::Null)
+            features
+                .iter_mut()
+                .for_each(|feature| feature["type"] = Json::Null)
         }),
     },
     InjectedFault {
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -68,7 +68,11 @@
 pub fn run(program: &Path, options: &ScenarioOptions) -> Result<Report, RunError> {
     let fleet = Fleet::start()?;
     let rows = fleet.inventory(None);
-    let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: CLASSES };
+    let configuration = Configuration {
+        settings: SETTINGS,
+        inventory_rows: &rows,
+        tables: CLASSES,
+    };
     let process = EdgeProcess::start(program, &configuration)?;
     let injector = FaultInjector::start(process.address)?;
     let address = match options.planted {
@@ -77,15 +81,19 @@
             injector.address
         }
         Some(PlantedFault::DuplicateRequests) => {
-            fleet.servers.iter().for_each(|server| server.set_log_twice(true));
+            fleet
+                .servers
+                .iter()
+                .for_each(|server| server.set_log_twice(true));
             process.address
         }
         None => process.address,
     };
     let report = Mutex::new(Report::default());
     let queries = QueryLog::default();
-    let drains =
-        run_clients(address, options, &queries, &report, || inject_faults(&fleet, &process, options))?;
+    let drains = run_clients(address, options, &queries, &report, || {
+        inject_faults(&fleet, &process, options)
+    })?;
     let mut report = into_inner(report);
     observe(&fleet, &drains, &queries, &mut report);
     report.record_counters(process.counters()?);
@@ -152,5 +160,9 @@
     std::thread::sleep(FAULT_DURATION);
     let ended_at = Instant::now();
     process.reload_inventory(&fleet.inventory(None))?;
-    Ok(Drain { server, started_at, ended_at })
+    Ok(Drain {
+        server,
+        started_at,
+        ended_at,
+    })
 }
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -63,7 +63,13 @@
     ) -> Self {
         let mut client = Client::new(address);
         client.timeout = Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN * MARGINS_WAITED;
-        ScenarioClient { client, rng: fastrand::Rng::with_seed(seed), next_mark, queries, report }
+        ScenarioClient {
+            client,
+            rng: fastrand::Rng::with_seed(seed),
+            next_mark,
+            queries,
+            report,
+        }
     }
 
     /// Sends a random query, follows its links if it is to, and reports the violations.
@@ -79,7 +85,11 @@
         let mark = query.mark;
         let class = query.class.name();
         let violations = answers.into_violations().into_iter();
-        let violations = violations.map(|violation| Violation::Answer { mark, class, violation });
+        let violations = violations.map(|violation| Violation::Answer {
+            mark,
+            class,
+            violation,
+        });
         lock(self.report).violations.extend(violations);
     }
 
@@ -125,7 +135,10 @@
         let started = Instant::now();
         self.queries.record_page(query.mark, started);
         let timeout = TIMEOUT_SECONDS.to_string();
-        let headers = [Header::new("X-Qos", query.class.name()), Header::new("X-Expires-In", &timeout)];
+        let headers = [
+            Header::new("X-Qos", query.class.name()),
+            Header::new("X-Expires-In", &timeout),
+        ];
         let response = self.client.get_with(target, &headers).ok();
         let latency = started.elapsed();
         let kind = response.as_ref().map_or(AnswerKind::Lost, kind_of);
@@ -161,7 +174,8 @@
             .collect();
         if (kind == AnswerKind::Complete) != missing.is_empty() {
             let missing = missing.clone();
-            self.violations.push(AnswerViolation::WrongCompleteness { kind, missing });
+            self.violations
+                .push(AnswerViolation::WrongCompleteness { kind, missing });
         }
         if query.class != Class::Part && kind == AnswerKind::Partial {
             self.violations.push(AnswerViolation::PartialNotAllowed);
@@ -169,7 +183,9 @@
         self.missing.extend(missing);
         let present = SHARDS.len() - self.missing.len();
         if present as f64 / SHARDS.len() as f64 + SHARE_TOLERANCE < MIN_SHARE {
-            self.violations.push(AnswerViolation::BelowMinShare { missing: self.missing.clone() });
+            self.violations.push(AnswerViolation::BelowMinShare {
+                missing: self.missing.clone(),
+            });
         }
         let page = response.ids();
         let number_returned = &json["numberReturned"];
@@ -188,7 +204,9 @@
         let unique: BTreeSet<&String> = self.ids.iter().collect();
         // A feature that a server repeats on another page is detected only within one answer.
         if unique.len() != self.ids.len() {
-            self.violations.push(AnswerViolation::DuplicateFeatures(self.ids.len() - unique.len()));
+            self.violations.push(AnswerViolation::DuplicateFeatures(
+                self.ids.len() - unique.len(),
+            ));
         }
         if self.ids.iter().any(|id| shard_of_feature(id).is_none()) {
             self.violations.push(AnswerViolation::UnknownFeature);
@@ -202,10 +220,18 @@
     /// Requires every shard that is not reported missing to be complete.
     fn check_shards(&mut self) {
         for (index, shard) in SHARDS.into_iter().enumerate() {
-            let received = self.ids.iter().filter(|id| shard_of_feature(id) == Some(index)).count();
+            let received = self
+                .ids
+                .iter()
+                .filter(|id| shard_of_feature(id) == Some(index))
+                .count();
             if !self.missing.contains(shard) && received != FEATURES_PER_SHARD {
                 let expected = FEATURES_PER_SHARD;
-                self.violations.push(AnswerViolation::IncompleteShard { received, expected, shard });
+                self.violations.push(AnswerViolation::IncompleteShard {
+                    received,
+                    expected,
+                    shard,
+                });
             }
         }
     }
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -16,8 +16,11 @@
 const NUMBERS_PER_SHARD: usize = 10_000;
 /// Names of the shards.
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
-const CAPABILITIES: [Capabilities; 3] =
-    [Capabilities::FiltersAndSorting, Capabilities::SimpleFilters, Capabilities::Core];
+const CAPABILITIES: [Capabilities; 3] = [
+    Capabilities::FiltersAndSorting,
+    Capabilities::SimpleFilters,
+    Capabilities::Core,
+];
 
 /// Machine whose fault affects both of its servers.
 #[derive(Clone, Default)]
@@ -29,13 +32,16 @@
 impl Machine {
     /// Sets the fault by its index in [`ALL_FAULTS`], or removes it.
     pub(super) fn set_fault(&self, index: Option<usize>) {
-        self.fault.store(index.map_or(0, |index| index + 1), Relaxed);
+        self.fault
+            .store(index.map_or(0, |index| index + 1), Relaxed);
     }
 
     /// Returns the fault of a request by its number: hangs and delays affect every request, other
     /// faults every second one.
     fn fault_of_request(&self, number: u64) -> Fault {
-        let Some(index) = self.fault.load(Relaxed).checked_sub(1) else { return Fault::None };
+        let Some(index) = self.fault.load(Relaxed).checked_sub(1) else {
+            return Fault::None;
+        };
         let fault = ALL_FAULTS[index];
         if number.is_multiple_of(2) || matches!(fault, Fault::Hang | Fault::Slow) {
             fault
@@ -73,11 +79,19 @@
     pub(super) fn inventory(&self, draining: Option<usize>) -> String {
         let row = |(index, server): (usize, &FeatureServer)| {
             let is_draining = draining == Some(index);
-            let state = if is_draining { InventoryState::Draining } else { InventoryState::InService };
+            let state = if is_draining {
+                InventoryState::Draining
+            } else {
+                InventoryState::InService
+            };
             let shard = SHARDS[shard_of_server(index)];
             let name = format!("s{index}");
             let collections = format!("devices/{shard}");
-            server.inventory_row(InventoryEntry { name: &name, collections: &collections, state })
+            server.inventory_row(InventoryEntry {
+                name: &name,
+                collections: &collections,
+                state,
+            })
         };
         self.servers.iter().enumerate().map(row).collect()
     }
--- a/testkit/src/fault_scenario/observer.rs
+++ b/testkit/src/fault_scenario/observer.rs
@@ -45,10 +45,12 @@
         for request in log {
             let drains = drains.iter().filter(|drain| drain.server == index);
             let forbidden = drains.filter_map(|drain| drain.forbids(request.received_at));
-            report.violations.extend(
-                forbidden
-                    .map(|after| Violation::RequestWhileDraining { after, target: request.target.clone() }),
-            );
+            report
+                .violations
+                .extend(forbidden.map(|after| Violation::RequestWhileDraining {
+                    after,
+                    target: request.target.clone(),
+                }));
             if let Some(part) = non_idempotent_part(request, queries) {
                 report.non_idempotent_parts += 1;
                 *received.entry(part).or_default() += 1;
@@ -57,11 +59,13 @@
     }
     report.drains = drains.len() as u64;
     let repeated = received.into_iter().filter(|(_, times)| *times > 1);
-    report.violations.extend(repeated.map(|(part, times)| Violation::PartRepeated {
-        mark: part.mark,
-        times,
-        target: part.target,
-    }));
+    report
+        .violations
+        .extend(repeated.map(|(part, times)| Violation::PartRepeated {
+            mark: part.mark,
+            times,
+            target: part.target,
+        }));
 }
 
 /// Returns the part that a request was for, if the part must run at most once and may have run. A
@@ -72,5 +76,9 @@
     }
     let mark = mark_of_target(&request.target)?;
     let page = queries.non_idempotent_page(mark, request.received_at)?;
-    Some(Part { mark, page, target: request.target })
+    Some(Part {
+        mark,
+        page,
+        target: request.target,
+    })
 }
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -51,7 +51,10 @@
     /// Returns the target of the first page, with the mark as the fraction of the northern
     /// latitude.
     pub(super) fn first_target(&self) -> String {
-        format!("/collections/devices/items?limit={}&bbox=-180,-90,180,89.{}", self.limit, self.mark)
+        format!(
+            "/collections/devices/items?limit={}&bbox=-180,-90,180,89.{}",
+            self.limit, self.mark
+        )
     }
 }
 
@@ -78,7 +81,10 @@
 impl QueryLog {
     /// Records a query before its first page is requested.
     pub(super) fn record_query(&self, query: &Query) {
-        let sent = SentQuery { class: query.class, pages_requested_at: Vec::new() };
+        let sent = SentQuery {
+            class: query.class,
+            pages_requested_at: Vec::new(),
+        };
         lock(&self.sent).insert(query.mark, sent);
     }
 
@@ -95,6 +101,12 @@
     pub(super) fn non_idempotent_page(&self, mark: u64, at: Instant) -> Option<usize> {
         let sent = lock(&self.sent);
         let query = sent.get(&mark).filter(|query| query.class == Class::Once)?;
-        Some(query.pages_requested_at.iter().filter(|requested_at| **requested_at <= at).count())
+        Some(
+            query
+                .pages_requested_at
+                .iter()
+                .filter(|requested_at| **requested_at <= at)
+                .count(),
+        )
     }
 }
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -172,7 +172,12 @@
 
 impl Report {
     /// Counts an answer and its latency.
-    pub(super) fn record_answer(&mut self, class: &'static str, kind: AnswerKind, latency: Duration) {
+    pub(super) fn record_answer(
+        &mut self,
+        class: &'static str,
+        kind: AnswerKind,
+        latency: Duration,
+    ) {
         *self.answers.entry(AnswerGroup { class, kind }).or_default() += 1;
         self.slowest = self.slowest.max(latency);
     }
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -98,7 +98,10 @@
     }
 
     /// Sets the script that chooses the fault of each request.
-    pub fn set_fault_script(&self, script: impl Fn(&ReceivedRequest<'_>) -> Fault + Send + Sync + 'static) {
+    pub fn set_fault_script(
+        &self,
+        script: impl Fn(&ReceivedRequest<'_>) -> Fault + Send + Sync + 'static,
+    ) {
         *lock(&self.state.script) = Box::new(script);
     }
 
@@ -146,7 +149,11 @@
         let copies = 1 + usize::from(self.log_twice.load(Relaxed));
         for _ in 0..copies {
             if log.len() < MAX_LOGGED_REQUESTS {
-                log.push(LoggedRequest { received_at: Instant::now(), target: target.to_owned(), fault });
+                log.push(LoggedRequest {
+                    received_at: Instant::now(),
+                    target: target.to_owned(),
+                    fault,
+                });
             }
         }
         RegisteredRequest { number, fault }
--- a/testkit/src/feature_server/capabilities.rs
+++ b/testkit/src/feature_server/capabilities.rs
@@ -34,11 +34,15 @@
 impl Capabilities {
     /// Returns the document of `/conformance`.
     pub(super) fn conformance(self) -> Json {
-        let mut classes =
-            vec![format!("{FEATURES_PREFIX}1/1.0/conf/core"), format!("{FEATURES_PREFIX}1/1.0/conf/geojson")];
+        let mut classes = vec![
+            format!("{FEATURES_PREFIX}1/1.0/conf/core"),
+            format!("{FEATURES_PREFIX}1/1.0/conf/geojson"),
+        ];
         if self != Capabilities::Core {
             classes.extend(SIMPLE_FILTER_CLASSES.map(|name| format!("{CQL2_PREFIX}{name}")));
-            classes.extend(FILTER_API_CLASSES.map(|name| format!("{FEATURES_PREFIX}3/1.0/conf/{name}")));
+            classes.extend(
+                FILTER_API_CLASSES.map(|name| format!("{FEATURES_PREFIX}3/1.0/conf/{name}")),
+            );
         }
         if self == Capabilities::FiltersAndSorting {
             classes.extend(ALL_FILTER_CLASSES.map(|name| format!("{CQL2_PREFIX}{name}")));
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -31,10 +31,15 @@
 
     /// Waits for a slot and holds it for the service time of a response with this many features.
     pub(super) fn work(&self, features: usize) {
-        let Some(capacity) = *lock(&self.capacity) else { return };
+        let Some(capacity) = *lock(&self.capacity) else {
+            return;
+        };
         let mut busy = lock(&self.busy);
         while *busy >= capacity.slots {
-            busy = self.slot_freed.wait(busy).unwrap_or_else(PoisonError::into_inner);
+            busy = self
+                .slot_freed
+                .wait(busy)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         *busy += 1;
         drop(busy);
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -56,13 +56,17 @@
             Fault::HtmlPage => Document::html("<html><body>busy</body></html>"),
             _ => self.document(target, request),
         };
-        self.body_bytes.fetch_add(document.body.len() as u64, Relaxed);
+        self.body_bytes
+            .fetch_add(document.body.len() as u64, Relaxed);
         write_document(stream, &document, request.fault)
     }
 
     fn document(&self, target: &str, request: RegisteredRequest) -> Document {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let segments: Vec<&str> = path.split('/').filter(|segment| !segment.is_empty()).collect();
+        let segments: Vec<&str> = path
+            .split('/')
+            .filter(|segment| !segment.is_empty())
+            .collect();
         match segments[..] {
             ["conformance"] => Document::json(&self.capabilities.conformance()),
             ["collections", _, "queryables"] if self.capabilities != Capabilities::Core => {
@@ -75,7 +79,9 @@
     }
 
     fn item(&self, id: &str) -> Document {
-        let Some(text) = self.dataset.find(id) else { return Document::not_found() };
+        let Some(text) = self.dataset.find(id) else {
+            return Document::not_found();
+        };
         self.slots.work(1);
         Document::geo_json(text.to_owned())
     }
@@ -98,7 +104,13 @@
         }
     }
     reader.take(body_length).read_to_end(&mut Vec::new())?;
-    Ok(Some(request_line.split(' ').nth(1).unwrap_or_default().to_owned()))
+    Ok(Some(
+        request_line
+            .split(' ')
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned(),
+    ))
 }
 
 fn write_status(stream: &mut TcpStream, status: u16, headers: &str) -> io::Result<Connection> {
@@ -107,7 +119,11 @@
     Ok(Connection::Open)
 }
 
-fn write_document(stream: &mut TcpStream, document: &Document, fault: Fault) -> io::Result<Connection> {
+fn write_document(
+    stream: &mut TcpStream,
+    document: &Document,
+    fault: Fault,
+) -> io::Result<Connection> {
     let head = document.head();
     let body = &document.body;
     if fault == Fault::CloseDelimited {
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -25,7 +25,10 @@
 
     /// Returns the serialized text of the feature with this id.
     pub(super) fn find(&self, id: &str) -> Option<&str> {
-        let index = self.features.iter().position(|feature| feature["id"] == id)?;
+        let index = self
+            .features
+            .iter()
+            .position(|feature| feature["id"] == id)?;
         Some(&self.texts[index])
     }
 
@@ -40,7 +43,9 @@
 
     /// Returns the installation time of a device, which `datetime` selects by.
     pub(super) fn installed(&self, index: usize) -> &str {
-        self.features[index]["properties"]["installed"].as_str().unwrap_or_default()
+        self.features[index]["properties"]["installed"]
+            .as_str()
+            .unwrap_or_default()
     }
 
     /// Returns the value of a property or of `id`.
@@ -65,7 +70,11 @@
     let year = 2010 + number % 15;
     let month = 1 + number % 12;
     let day = 1 + number % 28;
-    let feeder = if number.is_multiple_of(10) { Json::Null } else { json!(format!("F-{}", number % 40)) };
+    let feeder = if number.is_multiple_of(10) {
+        Json::Null
+    } else {
+        json!(format!("F-{}", number % 40))
+    };
     json!({
         "type": "Feature", "id": format!("d{number:05}"),
         "geometry": {"type": "Point", "coordinates": [longitude, latitude]},
--- a/testkit/src/feature_server/document.rs
+++ b/testkit/src/feature_server/document.rs
@@ -18,36 +18,63 @@
 impl Document {
     /// Creates a response with features.
     pub(super) fn geo_json(body: String) -> Document {
-        Document { status: 200, media_type: GEO_JSON, body }
+        Document {
+            status: 200,
+            media_type: GEO_JSON,
+            body,
+        }
     }
 
     /// Creates a response with an HTML page.
     pub(super) fn html(body: &str) -> Document {
-        Document { status: 200, media_type: HTML, body: body.to_owned() }
+        Document {
+            status: 200,
+            media_type: HTML,
+            body: body.to_owned(),
+        }
     }
 
     /// Creates a response with a JSON document.
     pub(super) fn json(body: &Json) -> Document {
-        Document { status: 200, media_type: JSON, body: body.to_string() }
+        Document {
+            status: 200,
+            media_type: JSON,
+            body: body.to_string(),
+        }
     }
 
     /// Creates a response with a JSON schema.
     pub(super) fn schema(body: &Json) -> Document {
-        Document { status: 200, media_type: SCHEMA_JSON, body: body.to_string() }
+        Document {
+            status: 200,
+            media_type: SCHEMA_JSON,
+            body: body.to_string(),
+        }
     }
 
     /// Creates an error response for an invalid request.
     pub(super) fn bad_request(reason: &str) -> Document {
-        Document { status: 400, media_type: JSON, body: json!({"why": reason}).to_string() }
+        Document {
+            status: 400,
+            media_type: JSON,
+            body: json!({"why": reason}).to_string(),
+        }
     }
 
     /// Creates an error response for an unknown path or feature.
     pub(super) fn not_found() -> Document {
-        Document { status: 404, media_type: JSON, body: "{}".to_owned() }
+        Document {
+            status: 404,
+            media_type: JSON,
+            body: "{}".to_owned(),
+        }
     }
 
     /// Formats the status line and the `Content-Type` header.
     pub(super) fn head(&self) -> String {
-        format!("HTTP/1.1 {} X\r\nContent-Type: {}\r\n", self.status, self.media_type)
+        format!(
+            "HTTP/1.1 {} X\r\nContent-Type: {}\r\n",
+            self.status, self.media_type
+        )
     }
 }
--- a/testkit/src/feature_server/inventory.rs
+++ b/testkit/src/feature_server/inventory.rs
@@ -27,7 +27,11 @@
 impl InventoryEntry<'_> {
     /// Formats the row of a server with this address.
     pub(super) fn to_row(self, address: SocketAddr) -> String {
-        let InventoryEntry { name, collections, state } = self;
+        let InventoryEntry {
+            name,
+            collections,
+            state,
+        } = self;
         format!("{name},{address},{collections},{}\n", state.name())
     }
 }
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -27,7 +27,9 @@
 impl<'a> ItemsRequest<'a> {
     /// Parses the query of a request; of parameters with the same name, the last one counts.
     pub(super) fn new(path: &'a str, query: &str) -> Self {
-        let parameters = url::form_urlencoded::parse(query.as_bytes()).into_owned().collect();
+        let parameters = url::form_urlencoded::parse(query.as_bytes())
+            .into_owned()
+            .collect();
         ItemsRequest { path, parameters }
     }
 
@@ -40,10 +42,20 @@
     }
 
     fn page_range(&self, selected: usize, fault: Fault) -> PageRange {
-        let limit = self.number("limit").unwrap_or(DEFAULT_LIMIT).clamp(1, MAX_LIMIT);
-        let limit = if fault == Fault::ShortPage { limit.div_ceil(2) } else { limit };
+        let limit = self
+            .number("limit")
+            .unwrap_or(DEFAULT_LIMIT)
+            .clamp(1, MAX_LIMIT);
+        let limit = if fault == Fault::ShortPage {
+            limit.div_ceil(2)
+        } else {
+            limit
+        };
         let start = self.number("offset").unwrap_or(0).min(selected);
-        PageRange { start, end: (start + limit).min(selected) }
+        PageRange {
+            start,
+            end: (start + limit).min(selected),
+        }
     }
 
     /// Returns the links of a page whose next page starts at `offset`.
@@ -53,7 +65,9 @@
         }
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         query.extend_pairs(
-            self.parameters.iter().filter(|(name, _)| !matches!(name.as_str(), "offset" | "limit")),
+            self.parameters
+                .iter()
+                .filter(|(name, _)| !matches!(name.as_str(), "offset" | "limit")),
         );
         query.append_pair("limit", self.text("limit").unwrap_or("10"));
         if offset > 0 {
@@ -72,12 +86,16 @@
             if self.capabilities == Capabilities::Core {
                 return Document::bad_request("filters are not supported");
             }
-            let Ok(filter) = cql2::parse_text(filter) else { return Document::bad_request("invalid filter") };
+            let Ok(filter) = cql2::parse_text(filter) else {
+                return Document::bad_request("invalid filter");
+            };
             let matcher = Matcher::new(filter);
             selected.retain(|index| matcher.matches(&self.dataset.features[*index]));
         }
         if let Some(bbox) = items.text("bbox") {
-            let Some(bbox) = BoundingBox::parse(bbox) else { return Document::bad_request("invalid bbox") };
+            let Some(bbox) = BoundingBox::parse(bbox) else {
+                return Document::bad_request("invalid bbox");
+            };
             selected.retain(|index| bbox.contains(self.dataset.point(*index)));
         }
         if let Some(interval) = items.text("datetime") {
@@ -93,7 +111,12 @@
         self.page(items, request, &selected)
     }
 
-    fn page(&self, items: &ItemsRequest<'_>, request: RegisteredRequest, selected: &[usize]) -> Document {
+    fn page(
+        &self,
+        items: &ItemsRequest<'_>,
+        request: RegisteredRequest,
+        selected: &[usize],
+    ) -> Document {
         let RegisteredRequest { number, fault } = request;
         let range = items.page_range(selected.len(), fault);
         self.slots.work(range.end - range.start);
@@ -104,9 +127,17 @@
         if fault == Fault::DuplicateFeature {
             texts.extend(texts.first().copied());
         }
-        let next_offset = if fault == Fault::LinkToSelf { range.start } else { range.end };
+        let next_offset = if fault == Fault::LinkToSelf {
+            range.start
+        } else {
+            range.end
+        };
         let links = items.links(next_offset, selected.len());
-        let excess = if fault == Fault::UnstableCount { number % 7 + 1 } else { 0 };
+        let excess = if fault == Fault::UnstableCount {
+            number % 7 + 1
+        } else {
+            0
+        };
         let matched = selected.len() as u64 + excess;
         let features = texts.join(",\n");
         Document::geo_json(format!(
@@ -126,13 +157,34 @@
 
 impl BoundingBox {
     fn parse(text: &str) -> Option<Self> {
-        let numbers: Vec<f64> = text.split(',').filter_map(|number| number.parse().ok()).collect();
-        let [west, south, east, north] = numbers[..] else { return None };
-        Some(BoundingBox { west, south, east, north })
+        let numbers: Vec<f64> = text
+            .split(',')
+            .filter_map(|number| number.parse().ok())
+            .collect();
+        let [west, south, east, north] = numbers[..] else {
+            return None;
+        };
+        Some(BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        })
     }
 
-    fn contains(&self, Point { longitude, latitude }: Point) -> bool {
-        let BoundingBox { west, south, east, north } = *self;
+    fn contains(
+        &self,
+        Point {
+            longitude,
+            latitude,
+        }: Point,
+    ) -> bool {
+        let BoundingBox {
+            west,
+            south,
+            east,
+            north,
+        } = *self;
         let across = if west <= east {
             west <= longitude && longitude <= east
         } else {
@@ -170,8 +222,14 @@
 impl<'a> SortKey<'a> {
     fn parse(text: &'a str) -> Self {
         match text.strip_prefix('-') {
-            Some(name) => SortKey { name, descending: true },
-            None => SortKey { name: text.trim_start_matches(['+', ' ']), descending: false },
+            Some(name) => SortKey {
+                name,
+                descending: true,
+            },
+            None => SortKey {
+                name: text.trim_start_matches(['+', ' ']),
+                descending: false,
+            },
         }
     }
 
@@ -182,7 +240,10 @@
             (Json::Null, _) => return Ordering::Greater,
             (_, Json::Null) => return Ordering::Less,
             (Json::String(left), Json::String(right)) => left.cmp(right),
-            (left, right) => left.as_f64().partial_cmp(&right.as_f64()).unwrap_or(Ordering::Equal),
+            (left, right) => left
+                .as_f64()
+                .partial_cmp(&right.as_f64())
+                .unwrap_or(Ordering::Equal),
         };
         if self.descending {
             ascending.reverse()
@@ -197,7 +258,10 @@
     let keys: Vec<SortKey<'_>> = keys.split(',').map(SortKey::parse).collect();
     selected.sort_by(|left, right| {
         keys.iter().fold(Ordering::Equal, |order, key| {
-            order.then(key.compare(dataset.value(*left, key.name), dataset.value(*right, key.name)))
+            order.then(key.compare(
+                dataset.value(*left, key.name),
+                dataset.value(*right, key.name),
+            ))
         })
     });
 }
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -69,7 +69,12 @@
 impl Recorder {
     /// Records a response or its absence with the latency since the query was due. A response later
     /// than `timeout` counts as failed.
-    fn record(&self, response: Result<Response, ClientError>, latency: Duration, timeout: Duration) {
+    fn record(
+        &self,
+        response: Result<Response, ClientError>,
+        latency: Duration,
+        timeout: Duration,
+    ) {
         match response {
             Ok(response) if response.status == 200 && latency <= timeout => {
                 self.served.fetch_add(1, Relaxed);
@@ -167,8 +172,9 @@
         std::thread::scope(|scope| {
             for _ in 0..MAX_IN_FLIGHT {
                 let client = || self.run_client(started, &next, &recorder, &target);
-                let _ =
-                    std::thread::Builder::new().stack_size(CLIENT_STACK_BYTES).spawn_scoped(scope, client);
+                let _ = std::thread::Builder::new()
+                    .stack_size(CLIENT_STACK_BYTES)
+                    .spawn_scoped(scope, client);
             }
         });
         recorder.finish(started.elapsed())
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -109,12 +109,17 @@
 
 impl ValueEnum for PlantArgument {
     fn value_variants<'a>() -> &'a [Self] {
-        &[PlantArgument(PlantedFault::DuplicateRequests), PlantArgument(PlantedFault::ExcessFeatures)]
+        &[
+            PlantArgument(PlantedFault::DuplicateRequests),
+            PlantArgument(PlantedFault::ExcessFeatures),
+        ]
     }
 
     fn to_possible_value(&self) -> Option<PossibleValue> {
         Some(match self.0 {
-            PlantedFault::DuplicateRequests => PossibleValue::new("duplicate-requests").alias("twice"),
+            PlantedFault::DuplicateRequests => {
+                PossibleValue::new("duplicate-requests").alias("twice")
+            }
             PlantedFault::ExcessFeatures => PossibleValue::new("excess-features").alias("limit"),
         })
     }
@@ -211,7 +216,10 @@
 }
 
 fn run_measure(arguments: MeasureArguments) -> Result<bool, CommandError> {
-    let this = Version { name: THIS_VERSION.to_owned(), program: arguments.program.path()? };
+    let this = Version {
+        name: THIS_VERSION.to_owned(),
+        program: arguments.program.path()?,
+    };
     let name = arguments.baseline_name;
     let baseline = arguments.baseline.map(|program| Version { name, program });
     let plan = Plan {
@@ -228,13 +236,20 @@
     let mut suite = Suite::open(resolve(&url)?, url.path())?;
     let results = suite.run();
     results.iter().for_each(print_result);
-    let count = |matches: fn(&Outcome) -> bool| results.iter().filter(|r| matches(&r.outcome)).count();
+    let count =
+        |matches: fn(&Outcome) -> bool| results.iter().filter(|r| matches(&r.outcome)).count();
     let failed = count(|outcome| matches!(outcome, Outcome::Fail(_)));
     let passed = count(|outcome| matches!(outcome, Outcome::Pass));
-    println!("{passed} passed, {failed} failed, {} not applicable", results.len() - passed - failed);
+    println!(
+        "{passed} passed, {failed} failed, {} not applicable",
+        results.len() - passed - failed
+    );
     if let Some(file) = &arguments.json {
         let text = serde_json::to_vec_pretty(&results)?;
-        std::fs::write(file, text).map_err(|source| CommandError::Write { file: file.clone(), source })?;
+        std::fs::write(file, text).map_err(|source| CommandError::Write {
+            file: file.clone(),
+            source,
+        })?;
     }
     Ok(failed == 0)
 }
@@ -249,8 +264,13 @@
 
 /// Resolves the host and port of a URL.
 fn resolve(url: &url::Url) -> Result<SocketAddr, CommandError> {
-    let host = url.host_str().ok_or(CommandError::NoHost)?.trim_matches(['[', ']']);
+    let host = url
+        .host_str()
+        .ok_or(CommandError::NoHost)?
+        .trim_matches(['[', ']']);
     let port = url.port_or_known_default().ok_or(CommandError::NoPort)?;
-    let mut addresses = (host, port).to_socket_addrs().map_err(CommandError::Resolve)?;
+    let mut addresses = (host, port)
+        .to_socket_addrs()
+        .map_err(CommandError::Resolve)?;
     addresses.next().ok_or(CommandError::NoAddress)
 }
--- a/testkit/src/measure.rs
+++ b/testkit/src/measure.rs
@@ -58,5 +58,10 @@
 /// Writes the header of a Markdown table.
 fn write_header(text: &mut String, columns: &[&str]) {
     let rule = vec!["---"; columns.len()];
-    let _ = writeln!(text, "| {} |\n| {} |", columns.join(" | "), rule.join(" | "));
+    let _ = writeln!(
+        text,
+        "| {} |\n| {} |",
+        columns.join(" | "),
+        rule.join(" | ")
+    );
 }
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -24,11 +24,20 @@
 }
 
 const THIS_VERSION_LIMITS: &[Limits] = &[
-    Limits { name: "adaptive", settings: "[limits]\nmode = \"adaptive\"\n" },
-    Limits { name: "fixed", settings: "[limits]\nmode = \"fixed\"\nadmission = false\n" },
+    Limits {
+        name: "adaptive",
+        settings: "[limits]\nmode = \"adaptive\"\n",
+    },
+    Limits {
+        name: "fixed",
+        settings: "[limits]\nmode = \"fixed\"\nadmission = false\n",
+    },
 ];
 /// Limits of an earlier version, which may not support the setting.
-const EARLIER_VERSION_LIMITS: &[Limits] = &[Limits { name: "", settings: "" }];
+const EARLIER_VERSION_LIMITS: &[Limits] = &[Limits {
+    name: "",
+    settings: "",
+}];
 
 const SERVER_SLOTS: usize = 4;
 const PAGE_TIME: Duration = Duration::from_millis(20);
@@ -58,21 +67,37 @@
 
 /// Measures the queries answered in time below and beyond the capacity of the servers, with
 /// adaptive and with fixed limits.
-pub(super) fn measure_overload(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let capacity = Capacity { slots: SERVER_SLOTS, base: PAGE_TIME, per_feature: Duration::ZERO };
-    bed.servers.iter().for_each(|server| server.set_capacity(Some(capacity)));
+pub(super) fn measure_overload(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
+    let capacity = Capacity {
+        slots: SERVER_SLOTS,
+        base: PAGE_TIME,
+        per_feature: Duration::ZERO,
+    };
+    bed.servers
+        .iter()
+        .for_each(|server| server.set_capacity(Some(capacity)));
     write_introduction(text, total_pages_per_second(bed));
     write_header(text, &OVERLOAD_COLUMNS);
     for factor in LOAD_FACTORS {
         for version in &plan.versions {
             for limits in limits_of(version) {
-                let case = OverloadCase { version, limits, factor };
+                let case = OverloadCase {
+                    version,
+                    limits,
+                    factor,
+                };
                 let load = case.run(plan, bed)?;
                 case.write_row(text, &load);
             }
         }
     }
-    bed.servers.iter().for_each(|server| server.set_capacity(None));
+    bed.servers
+        .iter()
+        .for_each(|server| server.set_capacity(None));
     text.push('\n');
     Ok(())
 }
@@ -107,7 +132,11 @@
     fn run(&self, plan: &Plan, bed: &TestBed) -> Result<LoadResult, RunError> {
         let rows = bed.inventory();
         let tables = format!("{SHORT_CLASSES}{}", self.limits.settings);
-        let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: &tables };
+        let configuration = Configuration {
+            settings: SETTINGS,
+            inventory_rows: &rows,
+            tables: &tables,
+        };
         let process = EdgeProcess::start(&self.version.program, &configuration)?;
         let open_loop = OpenLoop {
             address: process.address,
@@ -116,7 +145,11 @@
             timeout: OVERLOAD_TIMEOUT,
         };
         Ok(open_loop.run(|number| {
-            let limit = if number % QUERIES_PER_LARGE == 0 { LARGE_LIMIT } else { SMALL_LIMIT };
+            let limit = if number % QUERIES_PER_LARGE == 0 {
+                LARGE_LIMIT
+            } else {
+                SMALL_LIMIT
+            };
             format!("/collections/devices/items?limit={limit}")
         }))
     }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -36,9 +36,18 @@
 }
 
 const SINGLE_QUERIES: [SingleQuery; 6] = [
-    SingleQuery { description: "limit=2", target: "/collections/devices/items?limit=2" },
-    SingleQuery { description: "limit=100", target: PAGE_TARGET },
-    SingleQuery { description: "limit=5000", target: LARGE_PAGE_TARGET },
+    SingleQuery {
+        description: "limit=2",
+        target: "/collections/devices/items?limit=2",
+    },
+    SingleQuery {
+        description: "limit=100",
+        target: PAGE_TARGET,
+    },
+    SingleQuery {
+        description: "limit=5000",
+        target: LARGE_PAGE_TARGET,
+    },
     SingleQuery {
         description: "a box, limit=100",
         target: "/collections/devices/items?limit=100&bbox=-120.1,37.9,-119.9,38.1",
@@ -55,16 +64,38 @@
 ];
 
 /// Columns of the table of single answers.
-const ANSWER_COLUMNS: [&str; 8] =
-    ["program", "query", "status", "features", "requests to servers", "KiB read", "KiB memory growth", "ms"];
+const ANSWER_COLUMNS: [&str; 8] = [
+    "program",
+    "query",
+    "status",
+    "features",
+    "requests to servers",
+    "KiB read",
+    "KiB memory growth",
+    "ms",
+];
 
 /// Columns of the table of latencies.
-const LOAD_COLUMNS: [&str; 8] =
-    ["program", "clients", "answers a second", "p50 ms", "p99 ms", "p99.9 ms", "rejected", "failed"];
+const LOAD_COLUMNS: [&str; 8] = [
+    "program",
+    "clients",
+    "answers a second",
+    "p50 ms",
+    "p99 ms",
+    "p99.9 ms",
+    "rejected",
+    "failed",
+];
 
 /// Columns of the table of memory.
-const MEMORY_COLUMNS: [&str; 6] =
-    ["program", "answers", "rejected", "failed", "MiB resident at start", "MiB peak"];
+const MEMORY_COLUMNS: [&str; 6] = [
+    "program",
+    "answers",
+    "rejected",
+    "failed",
+    "MiB resident at start",
+    "MiB peak",
+];
 
 /// Columns of the table of throughput.
 const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
@@ -83,7 +114,15 @@
 
 impl AnswerRow<'_> {
     fn write(&self, text: &mut String) {
-        let AnswerRow { version, query, status, features, work, memory_kib, elapsed } = self;
+        let AnswerRow {
+            version,
+            query,
+            status,
+            features,
+            work,
+            memory_kib,
+            elapsed,
+        } = self;
         let requests = work.requests;
         let read_kib = work.body_bytes / KIB;
         let _ = writeln!(
@@ -95,7 +134,11 @@
 }
 
 /// Measures single answers, and the traversal of all pages over `next`.
-pub(super) fn measure_answers(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
+pub(super) fn measure_answers(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
     write_header(text, &ANSWER_COLUMNS);
     for version in &plan.versions {
         for query in &SINGLE_QUERIES {
@@ -106,7 +149,9 @@
             measure_all_pages(version, &process, limit, bed, text)?;
         }
     }
-    text.push_str("\nFor `all pages by next` the memory is the program's peak resident memory.\n\n");
+    text.push_str(
+        "\nFor `all pages by next` the memory is the program's peak resident memory.\n\n",
+    );
     Ok(())
 }
 
@@ -179,18 +224,30 @@
 }
 
 fn quantile_columns(load: &LoadResult) -> String {
-    format!("{:.1} | {:.1} | {:.1}", load.quantile_ms(0.5), load.quantile_ms(0.99), load.quantile_ms(0.999))
+    format!(
+        "{:.1} | {:.1} | {:.1}",
+        load.quantile_ms(0.5),
+        load.quantile_ms(0.99),
+        load.quantile_ms(0.999)
+    )
 }
 
 /// Measures latencies at three closed-loop loads.
 pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
-    let _ = writeln!(text, "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n");
+    let _ = writeln!(
+        text,
+        "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n"
+    );
     write_header(text, &LOAD_COLUMNS);
     for clients in CLIENTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
-            let closed_loop = ClosedLoop { address: process.address, clients, duration: plan.load_duration };
+            let closed_loop = ClosedLoop {
+                address: process.address,
+                clients,
+                duration: plan.load_duration,
+            };
             let load = closed_loop.run(PAGE_TARGET);
             let _ = writeln!(
                 text,
@@ -207,14 +264,25 @@
 }
 
 /// Measures memory with a hundred clients that request large pages.
-pub(super) fn measure_memory(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let _ = writeln!(text, "{MEMORY_CLIENTS} clients at `limit=5000`, {} s:\n", plan.load_duration.as_secs());
+pub(super) fn measure_memory(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
+    let _ = writeln!(
+        text,
+        "{MEMORY_CLIENTS} clients at `limit=5000`, {} s:\n",
+        plan.load_duration.as_secs()
+    );
     write_header(text, &MEMORY_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let before_kib = memory_kib(&process, RESIDENT_MEMORY);
-        let closed_loop =
-            ClosedLoop { address: process.address, clients: MEMORY_CLIENTS, duration: plan.load_duration };
+        let closed_loop = ClosedLoop {
+            address: process.address,
+            clients: MEMORY_CLIENTS,
+            duration: plan.load_duration,
+        };
         let load = closed_loop.run(LARGE_PAGE_TARGET);
         let _ = writeln!(
             text,
@@ -232,8 +300,11 @@
 
 /// Measures throughput as a share of that of one server without the program.
 pub(super) fn measure_share(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
-    let direct_loop =
-        ClosedLoop { address: bed.servers[0].address, clients: SHARE_CLIENTS, duration: plan.load_duration };
+    let direct_loop = ClosedLoop {
+        address: bed.servers[0].address,
+        clients: SHARE_CLIENTS,
+        duration: plan.load_duration,
+    };
     let direct = direct_loop.run(SERVER_PAGE_TARGET);
     let _ = writeln!(
         text,
@@ -244,9 +315,17 @@
     write_header(text, &SHARE_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
-        let load = ClosedLoop { address: process.address, ..direct_loop }.run(PAGE_TARGET);
+        let load = ClosedLoop {
+            address: process.address,
+            ..direct_loop
+        }
+        .run(PAGE_TARGET);
         let share = load.served_per_second() / direct.served_per_second();
-        let _ = writeln!(text, "| {name} | {:.0} | {share:.2} |", load.served_per_second());
+        let _ = writeln!(
+            text,
+            "| {name} | {:.0} | {share:.2} |",
+            load.served_per_second()
+        );
     }
     text.push('\n');
     Ok(())
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -19,7 +19,12 @@
 pub(super) const SETTINGS: &str = "most_bytes = 33554432";
 
 /// Collections of the servers; each shard is held by two of them.
-const SERVER_COLLECTIONS: [&str; 4] = ["devices/north", "devices/north", "devices/south", "devices/south"];
+const SERVER_COLLECTIONS: [&str; 4] = [
+    "devices/north",
+    "devices/north",
+    "devices/south",
+    "devices/south",
+];
 
 /// Feature servers of all measurements.
 pub(super) struct TestBed {
@@ -50,7 +55,12 @@
             let features = devices(from..from + features_per_shard);
             FeatureServer::start(features, Capabilities::FiltersAndSorting)
         };
-        let servers = vec![start(0)?, start(0)?, start(features_per_shard)?, start(features_per_shard)?];
+        let servers = vec![
+            start(0)?,
+            start(0)?,
+            start(features_per_shard)?,
+            start(features_per_shard)?,
+        ];
         Ok(TestBed { servers })
     }
 
@@ -59,15 +69,28 @@
         let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
             let name = format!("s{index}");
             let state = InventoryState::Unspecified;
-            server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
+            server.inventory_row(InventoryEntry {
+                name: &name,
+                collections: collection,
+                state,
+            })
         };
-        self.servers.iter().zip(SERVER_COLLECTIONS).enumerate().map(row).collect()
+        self.servers
+            .iter()
+            .zip(SERVER_COLLECTIONS)
+            .enumerate()
+            .map(row)
+            .collect()
     }
 
     /// Starts a version of the program over the servers.
     pub(super) fn start_version(&self, program: &Path) -> Result<EdgeProcess, ProcessError> {
         let rows = self.inventory();
-        let configuration = Configuration { settings: SETTINGS, inventory_rows: &rows, tables: CLASSES };
+        let configuration = Configuration {
+            settings: SETTINGS,
+            inventory_rows: &rows,
+            tables: CLASSES,
+        };
         EdgeProcess::start(program, &configuration)
     }
 
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -83,7 +83,11 @@
 impl Configuration<'_> {
     /// Writes the edge file and the inventory into a folder.
     fn write(&self, folder: &Path) -> io::Result<()> {
-        let Configuration { settings, inventory_rows, tables } = self;
+        let Configuration {
+            settings,
+            inventory_rows,
+            tables,
+        } = self;
         let own_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"");
         let text = format!("{own_settings}\n{settings}\n{tables}");
         std::fs::write(folder.join(EDGE_FILE), text)?;
@@ -97,8 +101,15 @@
 /// Returns an error if the program is not there or the path of the current executable is unknown.
 pub fn find_program() -> Result<PathBuf, ProcessError> {
     let own = std::env::current_exe()?;
-    let candidates = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM_NAME));
-    candidates.into_iter().find(|path| path.is_file()).ok_or(ProcessError::NotBuilt)
+    let candidates = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join(PROGRAM_NAME));
+    candidates
+        .into_iter()
+        .find(|path| path.is_file())
+        .ok_or(ProcessError::NotBuilt)
 }
 
 impl EdgeProcess {
@@ -118,9 +129,17 @@
             .spawn()?;
         let log = read_log(&mut child);
         let address = ([127, 0, 0, 1], 0).into();
-        let mut process = EdgeProcess { child, address, folder, log: Mutex::new(log) };
+        let mut process = EdgeProcess {
+            child,
+            address,
+            folder,
+            log: Mutex::new(log),
+        };
         let line = process.wait_for_log("listening for client connections")?;
-        let address = line.rsplit(' ').next().and_then(|word| word.strip_prefix("address=")?.parse().ok());
+        let address = line
+            .rsplit(' ')
+            .next()
+            .and_then(|word| word.strip_prefix("address=")?.parse().ok());
         process.address = address.ok_or(ProcessError::NoAddress { line })?;
         Ok(process)
     }
@@ -135,7 +154,11 @@
             match log.recv() {
                 Ok(line) if line.contains(text) => return Ok(line),
                 Ok(_) => {}
-                Err(_) => return Err(ProcessError::Exited { awaited: text.to_owned() }),
+                Err(_) => {
+                    return Err(ProcessError::Exited {
+                        awaited: text.to_owned(),
+                    })
+                }
             }
         }
     }
@@ -155,7 +178,11 @@
     /// # Errors
     /// Returns an error if `kill` can't be run.
     pub fn signal(&self, name: &str) -> io::Result<()> {
-        Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status().map(drop)
+        Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.child.id().to_string())
+            .status()
+            .map(drop)
     }
 
     /// Returns a memory figure of the process in KiB by its name in `/proc/PID/status`: `VmRSS`
@@ -189,7 +216,10 @@
 fn create_folder() -> io::Result<PathBuf> {
     static STARTED: AtomicUsize = AtomicUsize::new(0);
     let number = STARTED.fetch_add(1, Relaxed);
-    let folder = std::env::temp_dir().join(format!("quinceflow-testkit-{}-{number}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "quinceflow-testkit-{}-{number}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
 }
@@ -207,5 +237,8 @@
 }
 
 fn write_inventory(folder: &Path, rows: &str) -> io::Result<()> {
-    std::fs::write(folder.join(INVENTORY), format!("name,address,collections,state\n{rows}"))
+    std::fs::write(
+        folder.join(INVENTORY),
+        format!("name,address,collections,state\n{rows}"),
+    )
 }
--- a/testkit/tests/command_line.rs
+++ b/testkit/tests/command_line.rs
@@ -3,22 +3,43 @@
 use std::process::{Command, Output};
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_quinceflow-testkit")).args(arguments).output().expect("it starts")
+    Command::new(env!("CARGO_BIN_EXE_quinceflow-testkit"))
+        .args(arguments)
+        .output()
+        .expect("it starts")
 }
 
 #[test]
 fn earlier_names_of_commands_and_options_are_accepted() {
     for arguments in [
         &["storm", "--plant", "twice", "--help"][..],
-        &["storm", "--plant", "limit", "--seconds", "1", "--seed", "1", "--help"],
-        &["measure", "--beside", "program", "--name", "earlier", "--each", "5", "--help"],
+        &[
+            "storm",
+            "--plant",
+            "limit",
+            "--seconds",
+            "1",
+            "--seed",
+            "1",
+            "--help",
+        ],
+        &[
+            "measure", "--beside", "program", "--name", "earlier", "--each", "5", "--help",
+        ],
         &["conform", "http://127.0.0.1:1/", "--json", "file", "--help"],
     ] {
         let output = run(arguments);
-        assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{arguments:?}: {}",
+            String::from_utf8_lossy(&output.stderr)
+        );
     }
     let unknown = run(&["storm", "--plant", "other", "--help"]);
-    assert!(!unknown.status.success(), "an unknown value before --help is an error");
+    assert!(
+        !unknown.status.success(),
+        "an unknown value before --help is an error"
+    );
 }
 
 #[test]
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -31,7 +31,12 @@
 }
 
 /// Shards of the servers of a deployment.
-const SERVER_COLLECTIONS: [&str; 4] = ["devices/north", "devices/north", "devices/south", "devices/south"];
+const SERVER_COLLECTIONS: [&str; 4] = [
+    "devices/north",
+    "devices/north",
+    "devices/south",
+    "devices/south",
+];
 
 fn start_servers() -> Vec<FeatureServer> {
     let start_server = |from: usize, capabilities| {
@@ -50,9 +55,18 @@
     let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
         let name = format!("s{index}");
         let state = InventoryState::Unspecified;
-        server.inventory_row(InventoryEntry { name: &name, collections: collection, state })
+        server.inventory_row(InventoryEntry {
+            name: &name,
+            collections: collection,
+            state,
+        })
     };
-    servers.iter().zip(SERVER_COLLECTIONS).enumerate().map(row).collect()
+    servers
+        .iter()
+        .zip(SERVER_COLLECTIONS)
+        .enumerate()
+        .map(row)
+        .collect()
 }
 
 impl Deployment {
@@ -62,7 +76,11 @@
         // Capabilities are discovered again every second: they must not change what queries return.
         let settings = "retry_after_ms = 50\nlearned_age_s = 1\npage_size = 100";
         let program = find_program().expect("the program is built with the workspace");
-        let configuration = Configuration { settings, inventory_rows: &rows, tables: CLASSES };
+        let configuration = Configuration {
+            settings,
+            inventory_rows: &rows,
+            tables: CLASSES,
+        };
         let process = EdgeProcess::start(&program, &configuration).expect("it starts");
         Deployment { process, servers }
     }
@@ -81,7 +99,10 @@
     let mut suite = Suite::open(process.address, "/").expect("it answers");
     let results = suite.run();
     // Every check must pass: none has a reason not to apply here.
-    let others: Vec<_> = results.iter().filter(|r| !matches!(r.outcome, Outcome::Pass)).collect();
+    let others: Vec<_> = results
+        .iter()
+        .filter(|r| !matches!(r.outcome, Outcome::Pass))
+        .collect();
     assert!(others.is_empty(), "{others:#?}");
     assert!(results.len() >= 90, "{}", results.len());
     let counters = process.counters().expect("counters");
@@ -90,21 +111,37 @@
 
 #[test]
 fn each_injected_fault_fails_the_check_that_must_find_it() {
-    let Deployment { process, servers: _servers } = Deployment::start();
+    let Deployment {
+        process,
+        servers: _servers,
+    } = Deployment::start();
     let injector = FaultInjector::start(process.address).expect("it starts");
     assert!(injected_faults().count() >= 25);
     let mut suite = Suite::open(injector.address, "/").expect("it answers");
     for fault in injected_faults() {
         injector.inject(None);
         let healthy = suite.run_one(fault.found_by);
-        assert_eq!(healthy, Some(Outcome::Pass), "{} without a fault", fault.found_by);
+        assert_eq!(
+            healthy,
+            Some(Outcome::Pass),
+            "{} without a fault",
+            fault.found_by
+        );
         injector.inject(Some(fault));
         // Some faults are seen only by a suite that is opened with them.
         let mut opened_faulty = Suite::open(injector.address, "/").expect("it answers");
         opened_faulty.claim_all();
-        let outcomes = [suite.run_one(fault.found_by), opened_faulty.run_one(fault.found_by)];
+        let outcomes = [
+            suite.run_one(fault.found_by),
+            opened_faulty.run_one(fault.found_by),
+        ];
         let failed = |outcome: &Option<Outcome>| matches!(outcome, Some(Outcome::Fail(_)));
-        assert!(outcomes.iter().any(failed), "{}: {}: {outcomes:?}", fault.found_by, fault.description);
+        assert!(
+            outcomes.iter().any(failed),
+            "{}: {}: {outcomes:?}",
+            fault.found_by,
+            fault.description
+        );
     }
 }
 
@@ -114,10 +151,15 @@
     // was accepted.
     let first_response = |query: &str| -> Response {
         let deployment = Deployment::start();
-        Client::new(deployment.process.address).get(&format!("{ITEMS}?{query}")).expect("a response")
+        Client::new(deployment.process.address)
+            .get(&format!("{ITEMS}?{query}"))
+            .expect("a response")
     };
     let all = devices(0..2 * FEATURES_PER_SHARD);
-    let expected = all.iter().filter(|device| device["properties"]["volts"] == 141).count();
+    let expected = all
+        .iter()
+        .filter(|device| device["properties"]["volts"] == 141)
+        .count();
     assert!(expected > 0);
     let response = first_response("limit=500&volts=141");
     assert_eq!((response.status, response.ids().len()), (200, expected));
@@ -131,22 +173,38 @@
     // Regression: the discovery request was predicted to be late and rejected, so every filter was
     // evaluated by the program.
     let features = devices(0..FEATURES_PER_SHARD);
-    let server = FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
+    let server =
+        FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
     let program = find_program().expect("the program is built with the workspace");
     let classes = "[[class]]\nname = \"map\"\naim_ms = 8000\ndeadline_ms = 10000\n";
     let state = InventoryState::Unspecified;
-    let rows = server.inventory_row(InventoryEntry { name: "a", collections: "devices", state });
-    let configuration = Configuration { settings: "", inventory_rows: &rows, tables: classes };
+    let rows = server.inventory_row(InventoryEntry {
+        name: "a",
+        collections: "devices",
+        state,
+    });
+    let configuration = Configuration {
+        settings: "",
+        inventory_rows: &rows,
+        tables: classes,
+    };
     let process = EdgeProcess::start(&program, &configuration).expect("it starts");
     let mut client = Client::new(process.address);
     let target = format!("{ITEMS}?filter=volts%3E200&sortby=-volts&limit=5");
     let response = client.get(&target).expect("a response");
     assert_eq!((response.status, response.ids().len()), (200, 5));
-    let requested: Vec<String> = server.log().into_iter().map(|request| request.target).collect();
+    let requested: Vec<String> = server
+        .log()
+        .into_iter()
+        .map(|request| request.target)
+        .collect();
     let is_passed_on = |target: &String| {
         target.contains("filter=") && target.contains("sortby=-volts") && target.contains("limit=5")
     };
     assert!(requested.iter().any(is_passed_on), "{requested:?}");
-    let pages = requested.iter().filter(|target| target.contains("/items")).count();
+    let pages = requested
+        .iter()
+        .filter(|target| target.contains("/items"))
+        .count();
     assert_eq!(pages, 1, "{requested:?}");
 }
--- a/testkit/tests/fault_scenario.rs
+++ b/testkit/tests/fault_scenario.rs
@@ -8,7 +8,11 @@
 
 fn run_with(planted: PlantedFault) -> Report {
     let program = find_program().expect("the program is built with the workspace");
-    let options = ScenarioOptions { duration: Duration::from_millis(300), seed: 5, planted: Some(planted) };
+    let options = ScenarioOptions {
+        duration: Duration::from_millis(300),
+        seed: 5,
+        planted: Some(planted),
+    };
     fault_scenario::run(&program, &options).expect("it runs")
 }
 
@@ -19,13 +23,26 @@
         matches!(violation, Violation::PartRepeated { times: 2, .. })
             && violation.to_string().contains("came 2 times")
     };
-    assert!(report.violations.iter().any(is_repeated), "{:?}", report.violations.first());
+    assert!(
+        report.violations.iter().any(is_repeated),
+        "{:?}",
+        report.violations.first()
+    );
 
     let report = run_with(PlantedFault::ExcessFeatures);
     let is_excess = |violation: &Violation| {
-        let Violation::Answer { violation: answer, .. } = violation else { return false };
+        let Violation::Answer {
+            violation: answer, ..
+        } = violation
+        else {
+            return false;
+        };
         matches!(answer, AnswerViolation::WrongCount { .. })
             && violation.to_string().contains("features, limit")
     };
-    assert!(report.violations.iter().any(is_excess), "{:?}", report.violations.first());
+    assert!(
+        report.violations.iter().any(is_excess),
+        "{:?}",
+        report.violations.first()
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,8 @@
 //! A harness for the policy: settings, three replicas and a clock that the test advances.
-#![allow(dead_code, reason = "each test file is a program of its own and uses some of these")]
+#![allow(
+    dead_code,
+    reason = "each test file is a program of its own and uses some of these"
+)]
 
 use quinceflow::*;
 
@@ -58,7 +61,13 @@
 
 /// Returns replica `n`, in the cell of its number.
 pub fn endpoint(n: u8, state: EndpointState, started_at: Nanos) -> Endpoint {
-    Endpoint { replica: replica(n), zone: ZoneId(0), cell: CellId(u16::from(n)), state, started_at }
+    Endpoint {
+        replica: replica(n),
+        zone: ZoneId(0),
+        cell: CellId(u16::from(n)),
+        state,
+        started_at,
+    }
 }
 
 /// Returns the event of a query, whose group has the number of its id.
@@ -89,9 +98,18 @@
 
     /// Returns a harness as [`Harness::new`] does, with another seed for the policy's draws.
     pub fn with_seed(set: Settings, seed: u64) -> Self {
-        let mut harness = Self { policy: DecisionPolicy::new(set, seed, START), now: START, next: 1 };
-        let members = (0..3).map(|n| endpoint(n, EndpointState::Ready, 0)).collect();
-        harness.report(vec![Event::Endpoints { kind: EndpointListKind::Cached, endpoints: members }]);
+        let mut harness = Self {
+            policy: DecisionPolicy::new(set, seed, START),
+            now: START,
+            next: 1,
+        };
+        let members = (0..3)
+            .map(|n| endpoint(n, EndpointState::Ready, 0))
+            .collect();
+        harness.report(vec![Event::Endpoints {
+            kind: EndpointListKind::Cached,
+            endpoints: members,
+        }]);
         harness
     }
 
@@ -140,16 +158,32 @@
         let parts: Vec<PartId> = (1..=shards.len() as u64).map(|n| PartId(id + n)).collect();
         let weight = 1.0 / shards.len() as f64;
         for (part, shard) in parts.iter().zip(shards) {
-            events.push(Event::Part { part: *part, group, shard: ShardId(*shard), weight });
+            events.push(Event::Part {
+                part: *part,
+                group,
+                shard: ShardId(*shard),
+                weight,
+            });
         }
         let actions = self.report(events);
         (query, parts, actions)
     }
 
     /// Reports how an attempt ended.
-    pub fn complete(&mut self, part: PartId, attempt: u16, outcome: Outcome, elapsed: Nanos) -> Vec<Action> {
+    pub fn complete(
+        &mut self,
+        part: PartId,
+        attempt: u16,
+        outcome: Outcome,
+        elapsed: Nanos,
+    ) -> Vec<Action> {
         let attempt = AttemptNo(attempt);
-        self.report(vec![Event::Outcome { part, attempt, outcome, elapsed }])
+        self.report(vec![Event::Outcome {
+            part,
+            attempt,
+            outcome,
+            elapsed,
+        }])
     }
 
     /// Answers the first attempt at a part after 100 ms.
@@ -170,8 +204,12 @@
 
 /// Returns those of the actions that end a query, and the answers from first steps.
 pub fn final_actions(actions: &[Action]) -> Vec<Action> {
-    let end =
-        |action: &&Action| matches!(action, Action::Answer { .. } | Action::Reject { .. } | Action::Fail(_));
+    let end = |action: &&Action| {
+        matches!(
+            action,
+            Action::Answer { .. } | Action::Reject { .. } | Action::Fail(_)
+        )
+    };
     actions.iter().filter(end).cloned().collect()
 }
 
@@ -182,7 +220,10 @@
 
 /// Returns settings of two classes: 0 of high priority, 1 of low.
 pub fn two_priorities() -> Settings {
-    let mut settings = settings(Class { priority_weight: 3.0, ..class(Effect::Idempotent) });
+    let mut settings = settings(Class {
+        priority_weight: 3.0,
+        ..class(Effect::Idempotent)
+    });
     settings.classes.push(class(Effect::Idempotent));
     settings
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -138,12 +138,17 @@
     assert!(kept < 400_000, "{kept} bytes");
     server.respond(Response::new(200, "", "ok"), false);
     assert!(
-        server.output().starts_with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n"),
+        server
+            .output()
+            .starts_with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n"),
         "the rest is not looked at"
     );
     assert!(server.next_request().is_none());
     server.advance_output(server.output().len());
-    assert!(server.is_finished() && server.must_linger(), "a close on unread bytes is a reset");
+    assert!(
+        server.is_finished() && server.must_linger(),
+        "a close on unread bytes is a reset"
+    );
     for _ in 0..200 {
         server.input().extend(&[b'x'; 20_000]);
         assert!(!server.discard_excess(), "nobody is waited for any more");
@@ -158,7 +163,9 @@
         server.input().extend(text.as_bytes());
         let first = server.next_request();
         server.end_of_input();
-        let error = first.or_else(|| server.next_request()).and_then(Result::err);
+        let error = first
+            .or_else(|| server.next_request())
+            .and_then(Result::err);
         if let Some(e) = error {
             // An error is reported once, and not again for the same bytes.
             assert!(server.next_request().is_none());
@@ -175,12 +182,24 @@
     );
     let cases = [
         ("\0\0\0", Some(400)),
-        ("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Some(400)),
-        ("GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", Some(400)),
+        (
+            "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+            Some(400),
+        ),
+        (
+            "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            Some(400),
+        ),
         ("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Some(400)),
         ("GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", Some(413)),
-        ("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", Some(413)),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", Some(501)),
+        (
+            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n",
+            Some(413),
+        ),
+        (
+            "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+            Some(501),
+        ),
         ("GET / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc", Some(400)),
         ("GET / HT", Some(400)),
         (&long, Some(431)),
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -2,8 +2,8 @@
 
 use crate::common::MS;
 use crate::support::{
-    answer, cancelled, coordinator, coordinator_with, dispatched, failed, fleet, served, settings, submit,
-    IDEMPOTENT, NON_IDEMPOTENT, PARTIAL, START,
+    answer, cancelled, coordinator, coordinator_with, dispatched, failed, fleet, served, settings,
+    submit, IDEMPOTENT, NON_IDEMPOTENT, PARTIAL, START,
 };
 use quinceflow::coordinator::{Answer, AttemptKey, Command, Input, Token};
 use quinceflow::time::Micros;
@@ -14,14 +14,21 @@
     // An attempt that waits for its connection until its timeout has not run: its query is rejected
     // and does not fail. An attempt whose write has started goes on to its last byte, also after
     // its timeout: it may run.
-    let write_inputs =
-        [None, Some(Input::WriteStarted as fn(AttemptKey) -> Input), Some(Input::FullyWritten)];
+    let write_inputs = [
+        None,
+        Some(Input::WriteStarted as fn(AttemptKey) -> Input),
+        Some(Input::FullyWritten),
+    ];
     for write_input in write_inputs {
         let write_started = write_input.is_some();
         let mut now = START;
         let mut core = coordinator();
         let mut commands = Vec::new();
-        core.turn(now, [fleet(), submit(1, NON_IDEMPOTENT, 1, now)], &mut commands);
+        core.turn(
+            now,
+            [fleet(), submit(1, NON_IDEMPOTENT, 1, now)],
+            &mut commands,
+        );
         let key = commands.iter().find_map(dispatched);
         let mut inputs = Vec::from_iter(key.zip(write_input).map(|(key, input)| input(key)));
         while !commands.iter().any(|command| answer(command).is_some()) {
@@ -45,10 +52,20 @@
         let mut core = coordinator_with(settings.clone());
         let mut commands = Vec::new();
         core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
-        let first = commands.drain(..).find_map(|command| dispatched(&command)).expect("dispatched");
+        let first = commands
+            .drain(..)
+            .find_map(|command| dispatched(&command))
+            .expect("dispatched");
         now = now + Micros::from_millis(20);
-        core.turn(now, [Input::FullyWritten(first), failed(first, Outcome::Reset)], &mut commands);
-        let retry = commands.drain(..).find_map(|command| dispatched(&command)).expect("within its window");
+        core.turn(
+            now,
+            [Input::FullyWritten(first), failed(first, Outcome::Reset)],
+            &mut commands,
+        );
+        let retry = commands
+            .drain(..)
+            .find_map(|command| dispatched(&command))
+            .expect("within its window");
         if write_started {
             core.turn(now, [Input::WriteStarted(retry)], &mut commands);
         }
@@ -57,7 +74,10 @@
             now = now + Micros::from_millis(5);
             core.turn(now, [], &mut commands);
         }
-        let is_cancelled = commands.iter().filter_map(cancelled).any(|key| key == retry);
+        let is_cancelled = commands
+            .iter()
+            .filter_map(cancelled)
+            .any(|key| key == retry);
         assert_eq!(is_cancelled, !write_started, "at the end of its window");
         assert_eq!(core.is_in_flight(retry), write_started);
     }
@@ -67,27 +87,49 @@
 fn unwritten_attempts_are_cancelled_once_the_client_has_left_or_has_its_answer() {
     // Where the settings allow no cancellation at the servers, parts that wait for a connection are
     // taken back all the same.
-    for (client_leaves, write_started) in [(true, false), (true, true), (false, false), (false, true)] {
-        let mut core = coordinator_with(Settings { cancellation: false, ..settings() });
+    for (client_leaves, write_started) in
+        [(true, false), (true, true), (false, false), (false, true)]
+    {
+        let mut core = coordinator_with(Settings {
+            cancellation: false,
+            ..settings()
+        });
         let mut commands = Vec::new();
-        core.turn(START, [fleet(), submit(1, PARTIAL, 2, START)], &mut commands);
-        let keys: Vec<AttemptKey> = commands.drain(..).filter_map(|command| dispatched(&command)).collect();
+        core.turn(
+            START,
+            [fleet(), submit(1, PARTIAL, 2, START)],
+            &mut commands,
+        );
+        let keys: Vec<AttemptKey> = commands
+            .drain(..)
+            .filter_map(|command| dispatched(&command))
+            .collect();
         assert_eq!(keys.len(), 2);
         let write = write_started.then_some(Input::WriteStarted(keys[1]));
-        let end = if client_leaves { Input::ClientLeft(Token(1)) } else { served(keys[0]) };
+        let end = if client_leaves {
+            Input::ClientLeft(Token(1))
+        } else {
+            served(keys[0])
+        };
         let mut now = START + Micros::from_millis(1);
         core.turn(now, write.into_iter().chain([end]), &mut commands);
         while core.pending_queries() > 0 {
             now = now + Micros::from_millis(1);
             core.turn(now, [], &mut commands);
         }
-        let replies = commands.iter().filter(|command| matches!(command, Command::Reply { .. })).count();
+        let replies = commands
+            .iter()
+            .filter(|command| matches!(command, Command::Reply { .. }))
+            .count();
         assert_eq!(replies, usize::from(!client_leaves), "half of it is enough");
         let first = client_leaves.then_some(keys[0]);
         let second = (!write_started).then_some(keys[1]);
         let expected: Vec<AttemptKey> = first.into_iter().chain(second).collect();
         let cancelled: Vec<AttemptKey> = commands.iter().filter_map(cancelled).collect();
-        assert_eq!(cancelled, expected, "client leaves: {client_leaves}, write started: {write_started}");
+        assert_eq!(
+            cancelled, expected,
+            "client leaves: {client_leaves}, write started: {write_started}"
+        );
         assert_eq!(core.attempts_in_flight(), usize::from(write_started));
     }
 }
