--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -94,13 +94,20 @@
     }
 }
 
-fn serve(mut stream: TcpStream, log: &NodeLog, behaviour: &dyn Fn(usize) -> NodeBehaviour) -> Result<()> {
+fn serve(
+    mut stream: TcpStream,
+    log: &NodeLog,
+    behaviour: &dyn Fn(usize) -> NodeBehaviour,
+) -> Result<()> {
     let mut responding = true;
     loop {
         let call = read_call(&mut stream)?;
         let (line, payload) = call.split_once('\n').expect("a line");
         let words: Vec<&str> = line.split(' ').collect();
-        assert_eq!((words.len(), words[2].starts_with("d="), payload), (4, true, PAYLOAD));
+        assert_eq!(
+            (words.len(), words[2].starts_with("d="), payload),
+            (4, true, PAYLOAD)
+        );
         let id = words[0];
         let shard = words[1];
         let number = {
@@ -131,7 +138,10 @@
 }
 
 fn write_served(stream: &mut TcpStream, id: &str, shard: &str) -> Result<()> {
-    write_answer(stream, &format!("{id} served 18 inflight=1,util=0.5\ncell{shard}"))
+    write_answer(
+        stream,
+        &format!("{id} served 18 inflight=1,util=0.5\ncell{shard}"),
+    )
 }
 
 /// Closes this side and waits until the process has closed too, which shows that it has seen the
@@ -163,7 +173,8 @@
         listen(&socket, 0).expect("it listens");
         let listener = TcpListener::from(socket);
         // The queue has one place, for a connection that nobody accepts.
-        let queued = TcpStream::connect(listener.local_addr().expect("bound")).expect("the one place");
+        let queued =
+            TcpStream::connect(listener.local_addr().expect("bound")).expect("the one place");
         UnreachableNode { listener, queued }
     }
 
@@ -198,7 +209,13 @@
                 let recording = shared.clone();
                 recording.lock().expect("recording").open_connections += 1;
                 std::thread::spawn(move || {
-                    let record = |id: &str| recording.lock().expect("recording").parts.push(id.to_owned());
+                    let record = |id: &str| {
+                        recording
+                            .lock()
+                            .expect("recording")
+                            .parts
+                            .push(id.to_owned())
+                    };
                     let _ = serve_parts(stream, record);
                     recording.lock().expect("recording").open_connections -= 1;
                 });
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -25,20 +25,31 @@
 
 impl ClassTemplate {
     const fn new(name: &'static str, effect: &'static str) -> ClassTemplate {
-        ClassTemplate { name, effect, latency_objective_ms: None, min_share: 1.0 }
+        ClassTemplate {
+            name,
+            effect,
+            latency_objective_ms: None,
+            min_share: 1.0,
+        }
     }
 }
 
 const BASIC_CLASSES: &[ClassTemplate] = &[
     ClassTemplate::new("lookup", "read_like"),
-    ClassTemplate { latency_objective_ms: Some(300), ..ClassTemplate::new("brief", "read_like") },
+    ClassTemplate {
+        latency_objective_ms: Some(300),
+        ..ClassTemplate::new("brief", "read_like")
+    },
     ClassTemplate::new("send", "non_idempotent"),
 ];
 
 const ALL_EFFECT_CLASSES: &[ClassTemplate] = &[
     ClassTemplate::new("look", "read_like"),
     ClassTemplate::new("once", "non_idempotent"),
-    ClassTemplate { min_share: 0.5, ..ClassTemplate::new("some", "read_like") },
+    ClassTemplate {
+        min_share: 0.5,
+        ..ClassTemplate::new("some", "read_like")
+    },
     ClassTemplate::new("key", "idempotency_key"),
 ];
 
@@ -98,12 +109,24 @@
     pub fn start(&self, test: &str, nodes: &[DataNode]) -> (Process, Discovery) {
         let addresses = addresses_of(nodes);
         let discovery = Discovery::start(endpoint_list(1, true, &all_in_service(&addresses)));
-        (self.start_with_discovery(test, discovery.address, &addresses), discovery)
+        (
+            self.start_with_discovery(test, discovery.address, &addresses),
+            discovery,
+        )
     }
 
     /// Starts the process with discovery at this address and returns at once.
-    pub fn start_with_discovery(&self, test: &str, discovery: SocketAddr, nodes: &[SocketAddr]) -> Process {
-        Process::start_platform(test, &self.configuration(discovery, nodes), self.descriptors)
+    pub fn start_with_discovery(
+        &self,
+        test: &str,
+        discovery: SocketAddr,
+        nodes: &[SocketAddr],
+    ) -> Process {
+        Process::start_platform(
+            test,
+            &self.configuration(discovery, nodes),
+            self.descriptors,
+        )
     }
 
     /// Starts the process, answers its first watch with these nodes in service, and waits until it
@@ -130,7 +153,11 @@
     }
 
     fn settings(&self, nodes: usize) -> Value {
-        let classes: Vec<Value> = self.classes.iter().map(|class| self.class_settings(class)).collect();
+        let classes: Vec<Value> = self
+            .classes
+            .iter()
+            .map(|class| self.class_settings(class))
+            .collect();
         let mut settings = json!({
             "balancers": 1, "tick": 5 * NANOS_PER_MS,
             "discovery": if self.push_discovery { "push" } else { "ask" },
@@ -147,13 +174,19 @@
             let shares: Vec<f64> = self.classes.iter().map(|class| class.min_share).collect();
             settings["family-info"]["least-share"] = json!(shares);
         }
-        set_time(&mut settings["limits"], "dial-timeout", self.connect_timeout_ms);
+        set_time(
+            &mut settings["limits"],
+            "dial-timeout",
+            self.connect_timeout_ms,
+        );
         set_time(&mut settings["limits"], "idle-close", self.idle_timeout_ms);
         settings
     }
 
     fn class_settings(&self, class: &ClassTemplate) -> Value {
-        let objective_ms = class.latency_objective_ms.unwrap_or(self.latency_objective_ms);
+        let objective_ms = class
+            .latency_objective_ms
+            .unwrap_or(self.latency_objective_ms);
         let mut settings = json!({"name": class.name, "effect": class.effect, "aim": objective_ms * NANOS_PER_MS,
             "deadline": 2 * objective_ms * NANOS_PER_MS, "points": 1.0, "late-worth": 0.0});
         set_time(&mut settings, "dedup-window", self.deduplication_window_ms);
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -2,7 +2,8 @@
 //! Owns the lists of endpoints that they send.
 
 use super::http::{
-    accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head, write_line_chunk,
+    accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head,
+    write_line_chunk,
 };
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,17 +25,29 @@
 
 /// Returns an endpoint in service.
 pub fn in_service(index: usize, address: SocketAddr) -> ListedEndpoint {
-    ListedEndpoint { index, address, state: "in_service" }
+    ListedEndpoint {
+        index,
+        address,
+        state: "in_service",
+    }
 }
 
 /// Returns an endpoint that drains.
 pub fn terminating(index: usize, address: SocketAddr) -> ListedEndpoint {
-    ListedEndpoint { index, address, state: "terminating" }
+    ListedEndpoint {
+        index,
+        address,
+        state: "terminating",
+    }
 }
 
 /// Returns these endpoints in service, indexed by their places.
 pub fn all_in_service(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
-    addresses.iter().enumerate().map(|(index, address)| in_service(index, *address)).collect()
+    addresses
+        .iter()
+        .enumerate()
+        .map(|(index, address)| in_service(index, *address))
+        .collect()
 }
 
 /// Returns a list of endpoints as discovery sends it: a revision, and whether it is complete or a
@@ -46,7 +59,11 @@
 /// Returns the JSON of an [`endpoint_list`].
 pub fn endpoint_list_json(revision: u64, complete: bool, endpoints: &[ListedEndpoint]) -> Value {
     let target = |endpoint: &ListedEndpoint| {
-        let ListedEndpoint { index, address, state } = endpoint;
+        let ListedEndpoint {
+            index,
+            address,
+            state,
+        } = endpoint;
         json!({"uid": format!("s-{index}"), "endpoint": address.to_string(), "az": "a", "model": "m",
             "pod_group": index, "state": state, "capacity_hint": 1.0, "boot_ms": 0})
     };
@@ -86,9 +103,16 @@
             log.lock().expect("log").push(request);
             let _ = write_chunked_head(&mut stream);
             let _ = write_line_chunk(&mut stream, &first);
-            while pending.recv().is_ok_and(|line| write_line_chunk(&mut stream, &line).is_ok()) {}
+            while pending
+                .recv()
+                .is_ok_and(|line| write_line_chunk(&mut stream, &line).is_ok())
+            {}
         });
-        Discovery { address, updates, requests }
+        Discovery {
+            address,
+            updates,
+            requests,
+        }
     }
 
     /// Sends a line on the open watch.
@@ -142,7 +166,9 @@
     /// Starts to listen, and starts the watchdog of these tests.
     pub fn new() -> ControlledDiscovery {
         start_watchdog();
-        ControlledDiscovery { listener: bind_loopback() }
+        ControlledDiscovery {
+            listener: bind_loopback(),
+        }
     }
 
     /// Returns the address at which discovery listens.
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -57,14 +57,23 @@
 
     /// Returns the number of requests whose target matches.
     pub fn count_requests(&self, matches: impl Fn(&str) -> bool) -> usize {
-        self.targets.lock().expect("log").iter().filter(|target| matches(target)).count()
+        self.targets
+            .lock()
+            .expect("log")
+            .iter()
+            .filter(|target| matches(target))
+            .count()
     }
 }
 
 fn serve(mut stream: TcpStream, log: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
     let mut lines = lines_of(&stream);
     while let Some(request_line) = read_request_line(&mut lines) {
-        let target = request_line.split(' ').nth(1).unwrap_or_default().to_owned();
+        let target = request_line
+            .split(' ')
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned();
         log.lock().expect("log").push(target.clone());
         let reply = (behaviour.lock().expect("behaviour"))(&target);
         let ends = matches!(reply, Reply::CloseDelimited(_) | Reply::Truncated(_));
@@ -77,7 +86,11 @@
 fn write_reply(stream: &mut TcpStream, reply: Reply) -> Result<()> {
     match reply {
         Reply::Json(body) => {
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+            write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
         }
         Reply::Status(status) => write!(stream, "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n"),
         Reply::Hang => Ok(()),
@@ -85,7 +98,11 @@
             write!(stream, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}")
         }
         Reply::Truncated(body) => {
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len())?;
+            write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
+                body.len()
+            )?;
             stream.write_all(&body.as_bytes()[..body.len() / 2])
         }
     }
@@ -94,7 +111,13 @@
 /// Returns the number that a target's query has under this name.
 pub fn query_parameter(target: &str, name: &str) -> Option<usize> {
     let query = target.split_once('?')?.1;
-    query.split('&').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == name)?.1.parse().ok()
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .find(|pair| pair.0 == name)?
+        .1
+        .parse()
+        .ok()
 }
 
 fn feature(id: usize) -> String {
@@ -108,18 +131,27 @@
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
         let id = id.trim_start_matches('d').parse().unwrap_or(usize::MAX);
-        return if ids.contains(&id) { Reply::Json(feature(id)) } else { Reply::Status(404) };
+        return if ids.contains(&id) {
+            Reply::Json(feature(id))
+        } else {
+            Reply::Status(404)
+        };
     }
     let from = ids.start + query_parameter(target, "offset").unwrap_or(0);
     let to = (from + page).min(ids.end);
     let features: Vec<String> = (from..to).map(feature).collect();
     let next = if to < ids.end {
-        format!(r#"{{"rel":"next","href":"{path}?offset={}"}}"#, to - ids.start)
+        format!(
+            r#"{{"rel":"next","href":"{path}?offset={}"}}"#,
+            to - ids.start
+        )
     } else {
         String::new()
     };
     let features = features.join(",");
-    Reply::Json(format!(r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#))
+    Reply::Json(format!(
+        r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#
+    ))
 }
 
 /// Returns a line of the inventory for a server in service: the server's name and the collections
@@ -129,6 +161,11 @@
 }
 
 /// Returns a line of the inventory for a server in a state; an empty state means in service.
-pub fn inventory_row_in_state(name: &str, server: &FeatureServer, collections: &str, state: &str) -> String {
+pub fn inventory_row_in_state(
+    name: &str,
+    server: &FeatureServer,
+    collections: &str,
+    state: &str,
+) -> String {
     format!("{name},{},{collections},{state}\n", server.address)
 }
--- a/tests/standin/frames.rs
+++ b/tests/standin/frames.rs
@@ -39,7 +39,10 @@
     let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let mut text = vec![0; length - 1];
     stream.read_exact(&mut text)?;
-    Ok(Frame { kind: head[4], text: String::from_utf8(text).expect("text") })
+    Ok(Frame {
+        kind: head[4],
+        text: String::from_utf8(text).expect("text"),
+    })
 }
 
 /// Reads the next call; cancels before it are skipped.
--- a/tests/standin/http.rs
+++ b/tests/standin/http.rs
@@ -28,7 +28,11 @@
 /// Reads a request without a body and returns its first line; `None` at the end of the connection.
 pub fn read_request_line(lines: &mut Lines<BufReader<TcpStream>>) -> Option<String> {
     let request_line = lines.next()?.ok()?;
-    while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
+    while lines
+        .next()
+        .and_then(Result::ok)
+        .is_some_and(|line| !line.is_empty())
+    {}
     Some(request_line)
 }
 
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,6 +1,9 @@
 //! Stand-ins on loopback for the socket tests: the process under test, its clients, and the servers
 //! that it calls.
-#![allow(dead_code, reason = "each test file is a program of its own and uses some of these")]
+#![allow(
+    dead_code,
+    reason = "each test file is a program of its own and uses some of these"
+)]
 
 pub mod client;
 pub mod data_node;
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -56,11 +56,16 @@
     /// Starts the front for feature queries with further settings and the rows of an inventory.
     pub fn start_edge(test: &str, settings: &str, rows: &str) -> Process {
         let folder = create_folder(test);
-        let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
+        let text =
+            format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
         std::fs::write(folder.join("edge.toml"), text).expect("settings");
         write_inventory(&folder, rows);
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
-        command.arg("--edge").arg(folder.join("edge.toml")).env_remove("NODE_CONFIG").env_remove("TMPDIR");
+        command
+            .arg("--edge")
+            .arg(folder.join("edge.toml"))
+            .env_remove("NODE_CONFIG")
+            .env_remove("TMPDIR");
         Process::spawn(command, folder)
     }
 
@@ -75,7 +80,13 @@
             .arg("-c")
             .arg(format!("ulimit -n {descriptors}; exec \"$0\""))
             .arg(env!("CARGO_BIN_EXE_quinceflow"));
-        for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_MGMT", "TMPDIR"] {
+        for name in [
+            "NODE_LISTEN",
+            "NODE_DISCOVERY",
+            "NODE_NAME",
+            "NODE_MGMT",
+            "TMPDIR",
+        ] {
             command.env_remove(name);
         }
         command.env("NODE_CONFIG", folder.join(CONFIGURATION));
@@ -86,21 +97,39 @@
     /// temporary files.
     pub fn start_successor(&self, temporary: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
-        let start = self.folder.ancestors().find(|f| f.join(CONFIGURATION).exists()).expect("its start");
-        command.env("NODE_CONFIG", start.join(CONFIGURATION)).env("TMPDIR", temporary);
+        let start = self
+            .folder
+            .ancestors()
+            .find(|f| f.join(CONFIGURATION).exists())
+            .expect("its start");
+        command
+            .env("NODE_CONFIG", start.join(CONFIGURATION))
+            .env("TMPDIR", temporary);
         Process::spawn(command, self.folder.join("next"))
     }
 
     fn spawn(mut command: Command, folder: PathBuf) -> Process {
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
         let (lines, log) = channel();
         let errors = child.stderr.take().expect("piped");
         std::thread::spawn(move || {
-            BufReader::new(errors).lines().map_while(Result::ok).for_each(|l| drop(lines.send(l)))
+            BufReader::new(errors)
+                .lines()
+                .map_while(Result::ok)
+                .for_each(|l| drop(lines.send(l)))
         });
         let address = ([127, 0, 0, 1], 0).into();
         let management = Mutex::default();
-        let mut process = Process { child, address, folder, log: Mutex::new(log), management };
+        let mut process = Process {
+            child,
+            address,
+            folder,
+            log: Mutex::new(log),
+            management,
+        };
         process.address = last_address(&process.wait_for_log("listening for client connections"));
         process
     }
@@ -114,7 +143,12 @@
     /// Waits for the next log line that contains this text and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.lock().expect("log").recv().expect("the program's log goes on");
+            let line = self
+                .log
+                .lock()
+                .expect("log")
+                .recv()
+                .expect("the program's log goes on");
             if line.contains(text) {
                 return line;
             }
@@ -132,12 +166,19 @@
         let started = Instant::now();
         loop {
             let line = self.log_counters();
-            let current =
-                line.split(' ').find_map(|w| w.strip_prefix(counter)?.strip_prefix('=')?.parse::<u64>().ok());
+            let current = line.split(' ').find_map(|w| {
+                w.strip_prefix(counter)?
+                    .strip_prefix('=')?
+                    .parse::<u64>()
+                    .ok()
+            });
             if current.expect("such a counter") >= value {
                 return;
             }
-            assert!(started.elapsed() < COUNTER_TIMEOUT, "{counter} never reaches {value}: {line}");
+            assert!(
+                started.elapsed() < COUNTER_TIMEOUT,
+                "{counter} never reaches {value}: {line}"
+            );
             std::thread::yield_now();
         }
     }
@@ -167,7 +208,10 @@
 
     /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").arg(format!("-{name}")).arg(self.child.id().to_string()).status();
+        let sent = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.child.id().to_string())
+            .status();
         assert!(sent.expect("kill runs").success());
     }
 
@@ -208,14 +252,18 @@
 }
 
 fn create_folder(test: &str) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
+    let folder =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
 /// Returns the address in the last field of a log line.
 fn last_address(line: &str) -> SocketAddr {
-    line.rsplit(' ').next().and_then(|word| word.strip_prefix("address=")?.parse().ok()).expect("an address")
+    line.rsplit(' ')
+        .next()
+        .and_then(|word| word.strip_prefix("address=")?.parse().ok())
+        .expect("an address")
 }
 
 fn write_inventory(folder: &Path, rows: &str) {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -45,7 +45,12 @@
     new.extend((settings.len() as u32).to_le_bytes());
     new.extend(settings.as_bytes());
     let on = record(12, &3u16.to_le_bytes());
-    vec![on, record(1, &new), record(11, &pool), record(2, &[2, 0, 0, 0, 0, 0, 0])]
+    vec![
+        on,
+        record(1, &new),
+        record(11, &pool),
+        record(2, &[2, 0, 0, 0, 0, 0, 0]),
+    ]
 }
 
 /// A query, where `shard` is below 0, or a part.
@@ -102,12 +107,23 @@
     let on = || record(12, &3u16.to_le_bytes());
     let mut input = batch(1, 1_000, &[]);
     input.extend(batch(2, 2_000, &start_records(SETTINGS)));
-    input.extend(batch(3, 5_002_000, &[on(), request_record(40, -1.0), request_record(41, 0.0)]));
+    input.extend(batch(
+        3,
+        5_002_000,
+        &[on(), request_record(40, -1.0), request_record(41, 0.0)],
+    ));
     input.extend(batch(4, 105_002_000, &[on(), outcome_record(41)]));
     let output = run(&input);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let replies = replies(&output.stdout);
-    assert_eq!(replies.iter().map(|reply| reply.number).collect::<Vec<_>>(), [1, 2, 3, 4]);
+    assert_eq!(
+        replies.iter().map(|reply| reply.number).collect::<Vec<_>>(),
+        [1, 2, 3, 4]
+    );
     assert!(replies[0].codes.is_empty());
     assert!(replies[2].codes.contains(&65), "sent: {replies:?}");
     assert!(replies[3].codes.contains(&77), "answered: {replies:?}");
@@ -119,7 +135,11 @@
     records.push(record(10, &[]));
     records.extend(start_records(SETTINGS));
     let output = run(&batch(1, 1_000, &records));
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert_eq!(replies(&output.stdout).len(), 1);
 }
 
@@ -136,8 +156,20 @@
         ("unknown event code 99", batch_with(record(99, &[]))),
         ("VERDICT", batch_with(record(5, &[1, 2, 3]))),
         // A probe's report that announces two values and brings one.
-        ("PROBED", batch_with(record(8, &[&[10, 0, 0, 1, 0, 80, 0][..], &[0; 8], &[2], &[0; 4]].concat()))),
-        ("unknown outcome", batch_with(record(8, &[&[10, 0, 0, 1, 0, 80, 99][..], &[0; 8], &[0]].concat()))),
+        (
+            "PROBED",
+            batch_with(record(
+                8,
+                &[&[10, 0, 0, 1, 0, 80, 0][..], &[0; 8], &[2], &[0; 4]].concat(),
+            )),
+        ),
+        (
+            "unknown outcome",
+            batch_with(record(
+                8,
+                &[&[10, 0, 0, 1, 0, 80, 99][..], &[0; 8], &[0]].concat(),
+            )),
+        ),
         (
             "unknown outcome",
             batch_with({
@@ -147,12 +179,32 @@
             }),
         ),
         ("boot-info", batch(7, 0, &start_records("{\"balancers\": "))),
-        ("effect", batch(7, 0, &start_records(&SETTINGS.replace("read_like", "whimsical")))),
-        ("POOL", batch(7, 0, &[record(12, &[0, 0]), record(2, &[1, 0, 0, 0, 0, 9, 0])])),
+        (
+            "effect",
+            batch(
+                7,
+                0,
+                &start_records(&SETTINGS.replace("read_like", "whimsical")),
+            ),
+        ),
+        (
+            "POOL",
+            batch(
+                7,
+                0,
+                &[record(12, &[0, 0]), record(2, &[1, 0, 0, 0, 0, 9, 0])],
+            ),
+        ),
         ("before any ON", batch(7, 0, &[record(10, &[])])),
-        ("frame", batch(7, 0, &start_records(SETTINGS))[..50].to_vec()),
+        (
+            "frame",
+            batch(7, 0, &start_records(SETTINGS))[..50].to_vec(),
+        ),
         ("frame header", vec![1, 0, 0]),
-        ("under 12", [0u32.to_le_bytes(), 3u32.to_le_bytes()].concat()),
+        (
+            "under 12",
+            [0u32.to_le_bytes(), 3u32.to_le_bytes()].concat(),
+        ),
         ("bytes left", {
             let mut bytes = batch(7, 0, &start_records(SETTINGS));
             bytes[0] = 2;
@@ -169,6 +221,9 @@
         assert_eq!(output.status.code(), Some(1), "{word}: {error_line}");
         assert!(error_line.contains(word), "{word}: {error_line}");
         assert_eq!(error_line.lines().count(), 1, "{word}: {error_line}");
-        assert!(!error_line.contains("panicked") && output.stdout.is_empty(), "{word}: {error_line}");
+        assert!(
+            !error_line.contains("panicked") && output.stdout.is_empty(),
+            "{word}: {error_line}"
+        );
     }
 }
