--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as last received: which replicas there are, and which shards they hold.
+//! Endpoint list as last received: the replicas, their states and the shards that they hold.
 //!
-//! A record of what discovery tells. Which of the replicas is used is for the policy to decide.
+//! The policy decides which of the replicas it uses.
 
 #[cfg(test)]
 mod tests;
@@ -10,29 +10,31 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica that a list has named.
+/// Record of a replica that a list has named.
 #[derive(Debug, Clone, PartialEq)]
 struct Member {
     cell: CellId,
     ready: bool,
-    /// When a list last named it, or left it out as it was ready.
+    /// Time at which a list last named the replica, or left it out while it was ready.
     listed_at: Nanos,
 }
 
-/// The replicas by id.
+/// Replicas of the endpoint list, ready or not.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Membership {
     members: BTreeMap<ReplicaId, Member>,
-    /// What a replica holds where its cell does not tell.
+    /// Shards of replicas whose cell does not determine them.
     placements: BTreeMap<ReplicaId, BTreeSet<ShardId>>,
 }
 
 impl Membership {
-    /// Takes an endpoint list, or changes to it. A replica that a full list leaves out is no longer ready.
+    /// Applies an endpoint list, or changes to it. A replica that a full list leaves out is no
+    /// longer ready.
     pub fn apply(&mut self, kind: EndpointListKind, endpoints: &[Endpoint], now: Nanos) {
         if kind != EndpointListKind::Delta {
             for member in self.members.values_mut().filter(|member| member.ready) {
-                (member.ready, member.listed_at) = (false, now);
+                member.ready = false;
+                member.listed_at = now;
             }
         }
         for endpoint in endpoints {
@@ -48,13 +50,13 @@
         }
     }
 
-    /// Takes the shards that a replica holds, where its cell does not tell.
+    /// Sets the shards of a replica, where its cell does not determine them.
     pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId]) {
         self.placements
             .insert(replica, shards.iter().copied().collect());
     }
 
-    /// How many shards there are at least, by what the replica was placed on.
+    /// Returns the least number of shards that the placement of a replica implies.
     #[must_use]
     pub fn placed_shards(&self, replica: ReplicaId) -> usize {
         let last = self
@@ -64,7 +66,7 @@
         last.map_or(0, |shard| shard.0 as usize + 1)
     }
 
-    /// The replica is listed as ready.
+    /// Returns whether a replica is listed as ready.
     #[must_use]
     pub fn is_ready(&self, replica: ReplicaId) -> bool {
         self.members
@@ -72,7 +74,7 @@
             .is_some_and(|member| member.ready)
     }
 
-    /// All replicas that are ready.
+    /// Returns the replicas that are ready.
     pub fn ready(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.members
             .iter()
@@ -80,7 +82,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// The replicas that are ready and hold a shard.
+    /// Returns the replicas that are ready and hold a shard.
     pub fn holders<'a>(
         &'a self,
         shard: ShardId,
@@ -90,7 +92,9 @@
             .filter(move |replica| self.holds(*replica, shard, settings))
     }
 
-    /// Shard `s` is held by the cells `(s + n) % cells`, `n` below the number of cells that hold a shard.
+    /// Returns whether a replica holds a shard: by its placement or, without one, by its cell.
+    /// Shard `s` is held by the cells `(s + n) % cells`, `n` below the number of cells that hold a
+    /// shard.
     fn holds(&self, replica: ReplicaId, shard: ShardId, settings: &Settings) -> bool {
         if let Some(shards) = self.placements.get(&replica) {
             return shards.contains(&shard);
@@ -103,7 +107,8 @@
         distance < settings.cells_per_shard.max(1)
     }
 
-    /// Removes replicas that are not ready and were last listed before `horizon`, but for those to be kept.
+    /// Removes replicas that are not ready and were last listed before `horizon`, except those for
+    /// which `keep` returns true.
     pub fn remove_unlisted(&mut self, horizon: Nanos, keep: impl Fn(ReplicaId) -> bool) {
         self.members
             .retain(|id, member| member.ready || keep(*id) || member.listed_at > horizon);
@@ -111,7 +116,7 @@
             .retain(|id, _| self.members.contains_key(id));
     }
 
-    /// The replica is in the table, ready or not.
+    /// Returns whether a replica is in the table, ready or not.
     #[must_use]
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.members.contains_key(&replica)
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Who is admitted: tenants' quotas, the rank of a query's priority, the wait to expect, and the
+//! Admission: tenants' quotas, the rank of a query's priority, the wait to expect, and the
 //! parts that an admitted query does without.
 
 mod controller;
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -1,9 +1,9 @@
-//! What may be answered: when a query ends, from how much it is answered, and its final answer.
+//! Answers: when a query is resolved, from how much it is answered, and its final answer.
 
 mod completeness;
-mod ending;
+mod resolution;
 
-pub use ending::{due_ending, Ending};
+pub use resolution::{due_resolution, Resolution};
 
 use crate::interface::{Action, Effect, Nanos, Settings};
 use crate::queries::{FirstAnswer, Part, Query, Stage};
@@ -15,9 +15,9 @@
 /// Answers a query or gives it up, and returns the actions that do so: the only place where queries
 /// are answered, rejected or failed, and so where the rule "one final answer" is enforced. An
 /// answer that is not allowed yet does nothing.
-pub fn finish(
+pub fn resolve(
     query: &mut Query,
-    ending: Ending,
+    resolution: Resolution,
     settings: &Settings,
     rng: &mut fastrand::Rng,
     now: Nanos,
@@ -25,39 +25,54 @@
     if !query.is_open() {
         return Vec::new();
     }
-    let mut actions = Vec::new();
-    match ending {
-        Ending::Answer => {
-            let Some(completeness) = completeness(query, settings.class(query.class)) else {
-                return actions;
-            };
-            let complete = completeness == Completeness::Complete;
-            actions.push(Action::Answer {
-                query: query.id,
-                complete,
-            });
-            if begins_follow_up(query, settings) {
-                query.first_answer = Some(FirstAnswer { at: now, complete });
-                query.stage = Stage::FollowUp;
-                return actions;
-            }
-            query
-                .first_answer
-                .get_or_insert(FirstAnswer { at: now, complete });
-        }
-        Ending::GiveUp if may_have_had_effect(query, settings) => {
-            actions.push(Action::Fail(query.id));
-        }
-        Ending::GiveUp => actions.push(Action::Reject {
+    match resolution {
+        Resolution::Answer => answer(query, settings, now),
+        Resolution::GiveUp => give_up(query, settings, rng),
+    }
+}
+
+/// Answers a query, if that is allowed; the answer from the first step may begin the follow-up step.
+fn answer(query: &mut Query, settings: &Settings, now: Nanos) -> Vec<Action> {
+    let Some(completeness) = completeness(query, settings.class(query.class)) else {
+        return Vec::new();
+    };
+    let complete = completeness == Completeness::Complete;
+    let mut actions = vec![Action::Answer {
+        query: query.id,
+        complete,
+    }];
+    let follow_up_begins = begins_follow_up(query, settings);
+    let first_answer = FirstAnswer { at: now, complete };
+    query.first_answer.get_or_insert(first_answer);
+    if follow_up_begins {
+        query.stage = Stage::FollowUp;
+    } else {
+        actions.extend(close(query, settings));
+    }
+    actions
+}
+
+/// Rejects a query if the client may safely retry it, and fails it otherwise.
+fn give_up(query: &mut Query, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<Action> {
+    let final_action = if may_have_had_effect(query, settings) {
+        Action::Fail(query.id)
+    } else {
+        Action::Reject {
             query: query.id,
             retry_after: draw_retry_after(settings, rng),
-        }),
-    }
-    actions.extend(cancellations(query, settings));
-    query.stage = Stage::Closed;
+        }
+    };
+    let mut actions = vec![final_action];
+    actions.extend(close(query, settings));
     actions
 }
 
+/// Closes a query that has its final answer, and returns the cancellations of what it leaves.
+fn close(query: &mut Query, settings: &Settings) -> Vec<Action> {
+    query.stage = Stage::Closed;
+    cancellations(query, settings).collect()
+}
+
 /// Returns whether the answer that is given now begins the follow-up step.
 fn begins_follow_up(query: &Query, settings: &Settings) -> bool {
     let has_follow_up = settings.class(query.class).follow_up_parts > 0;
--- a/src/policy/answers/ending.rs
+++ b/src/policy/answers/resolution.rs
@@ -6,7 +6,7 @@
 
 /// The way a query ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum Resolution {
     /// The query is answered.
     Answer,
     /// The query is rejected if the client may safely retry it, and fails otherwise.
@@ -14,12 +14,12 @@
 }
 
 /// Returns the way in which a query is to end now, if it is.
-pub fn due_ending(query: &Query, settings: &Settings, now: Nanos) -> Option<Ending> {
+pub fn due_resolution(query: &Query, settings: &Settings, now: Nanos) -> Option<Resolution> {
     let class = settings.class(query.class);
     if is_answer_due(query, class, settings, now) {
-        Some(Ending::Answer)
+        Some(Resolution::Answer)
     } else if is_hopeless(query, class, now) {
-        Some(Ending::GiveUp)
+        Some(Resolution::GiveUp)
     } else {
         None
     }
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -1,4 +1,4 @@
-//! What may be sent: first attempts, retries and hedged requests, within the rules on sending.
+//! Attempts: what may be sent, that is first attempts, retries and hedged requests, within the rules on sending.
 
 mod next_step;
 mod retry_limiter;
@@ -7,8 +7,8 @@
 pub use rules::may_attempt_again;
 
 use super::replicas::{ReplicaTable, Target};
-use crate::interface::{Action, AttemptNo, Nanos, ReplicaId, Settings};
-use crate::queries::{Attempt, AttemptKey, Part, Query};
+use crate::interface::{Action, Nanos, ReplicaId, Settings};
+use crate::queries::{Part, Query};
 use next_step::{next_step, NextStep};
 use retry_limiter::RetryLimiter;
 use rules::latest_send;
@@ -101,29 +101,19 @@
         if !self.is_allowed(query, planned, replicas, settings, now) {
             return Vec::new();
         }
-        let part = &mut query.parts[planned.part_index];
-        let key = AttemptKey {
-            part: part.id,
-            attempt: AttemptNo(part.attempts.len() as u16),
-        };
-        let target = Target {
-            class: query.class,
-            shard: part.shard,
-        };
-        let not_after = latest_send(part, settings.class(query.class), settings);
+        let class = settings.class(query.class);
+        let target = target_of(query, planned.part_index);
         let replica = planned.replica;
+        let part = &mut query.parts[planned.part_index];
+        let not_after = latest_send(part, class, settings);
+        if !part.attempts.is_empty() {
+            self.retries.record_retry(now);
+        }
+        let key = part.add_attempt(replica, now);
         let mut actions = Vec::new();
         if replicas.record_send(key, target, replica, settings, rng, now) {
             actions.push(Action::CloseIdle(replica));
         }
-        if !part.attempts.is_empty() {
-            self.retries.record_retry(now);
-        }
-        part.attempts.push(Attempt {
-            replica,
-            sent_at: now,
-            outcome: None,
-        });
         actions.push(Action::Send {
             part: key.part,
             replica,
@@ -144,10 +134,7 @@
     ) -> bool {
         let class = settings.class(query.class);
         let part = &query.parts[planned.part_index];
-        let target = Target {
-            class: query.class,
-            shard: part.shard,
-        };
+        let target = target_of(query, planned.part_index);
         let is_retry = !part.attempts.is_empty();
         let is_wanted = query.is_open() && query.is_in_step(part) && !part.is_answered();
         let in_time = now < query.deadline && now < latest_send(part, class, settings);
@@ -169,3 +156,11 @@
     };
     part.in_flight().count() < max_in_flight
 }
+
+/// Returns the target of a part.
+fn target_of(query: &Query, part_index: usize) -> Target {
+    Target {
+        class: query.class,
+        shard: query.parts[part_index].shard,
+    }
+}
--- a/src/policy/attempts/retry_limiter.rs
+++ b/src/policy/attempts/retry_limiter.rs
@@ -6,8 +6,8 @@
 
 /// Ticks at the edge of the budget's window that are counted to its disadvantage.
 const WINDOW_MARGIN_TICKS: u64 = 2;
-/// Windows after which events are removed.
-const KEPT_WINDOWS: u64 = 2;
+/// Number of windows for which events are retained.
+const RETAINED_WINDOWS: u64 = 2;
 
 /// Retries and hedged requests, against the queries and parts received.
 #[derive(Debug, Default)]
@@ -40,9 +40,9 @@
 
     /// Removes events that no window covers any more.
     pub fn expire(&mut self, settings: &Settings, now: Nanos) {
-        let kept = settings
+        let retained = settings
             .retry_budget
-            .map_or(0, |rule| KEPT_WINDOWS * rule.window);
-        self.budget.expire(now, kept);
+            .map_or(0, |rule| RETAINED_WINDOWS * rule.window);
+        self.budget.expire(now, retained);
     }
 }
--- a/src/policy/fleet/connections.rs
+++ b/src/policy/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! How often connections are used, and the share of attempts that is lost on them.
+//! Use of connections, and the share of attempts that is lost on them.
 
 use super::FLEET_GAIN;
 use crate::interface::Nanos;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -28,7 +28,7 @@
 };
 use crate::queries::{AttemptKey, Part, Query, QueryNo, QueryTable, Stage};
 use admission::Admission;
-use answers::{due_ending, finish, Ending};
+use answers::{due_resolution, resolve, Resolution};
 use attempts::{attempt_timeout, AttemptSender};
 use polling::EndpointPoll;
 use quality::{measure_quality, take_sample, QUALITY_WINDOW};
@@ -235,50 +235,61 @@
         self.queries.insert(query);
     }
 
-    /// Advances an open query: admits or rejects it, sends its parts, and ends it when that is due.
+    /// Advances an open query: admits or rejects it, sends its parts, and resolves it when that is
+    /// due.
     fn advance(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
-        let Some(query) = self.queries.get_open_mut(number) else {
+        if !self.admit(number) {
+            self.resolve(number, Resolution::GiveUp, actions);
             return;
+        }
+        self.send_parts(number, actions);
+        let query = self.queries.get_open(number);
+        let due = query.and_then(|query| due_resolution(query, &self.settings, self.now));
+        if let Some(resolution) = due {
+            self.resolve(number, resolution, actions);
+        }
+    }
+
+    /// Admits a query if it was received in this batch; returns false if it is rejected.
+    fn admit(&mut self, number: QueryNo) -> bool {
+        let Some(query) = self.queries.get_open_mut(number) else {
+            return true;
         };
-        if query.stage == Stage::Received {
-            let admitted = self
-                .admission
-                .admit(query, &self.replicas, &self.settings, self.now);
-            if !admitted {
-                let ending = Ending::GiveUp;
-                actions.extend(finish(
-                    query,
-                    ending,
-                    &self.settings,
-                    &mut self.rng,
-                    self.now,
-                ));
-                return;
-            }
+        if query.stage != Stage::Received {
+            return true;
+        }
+        let settings = &self.settings;
+        let admitted = self
+            .admission
+            .admit(query, &self.replicas, settings, self.now);
+        if admitted {
             query.stage = Stage::FirstStep;
             self.queries.reindex(number);
         }
+        admitted
+    }
+
+    /// Sends the parts of an open query, as far as that is due.
+    fn send_parts(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get_open_mut(number) else {
             return;
         };
+        let settings = &self.settings;
         let is_shedding = self.admission.is_shedding();
-        let timeout = attempt_timeout(query, is_shedding, &self.settings, self.now);
-        actions.extend(self.attempts.send_parts(
-            query,
-            timeout,
-            &mut self.replicas,
-            &self.settings,
-            &mut self.rng,
-            self.now,
-        ));
-        if let Some(ending) = due_ending(query, &self.settings, self.now) {
-            actions.extend(finish(
-                query,
-                ending,
-                &self.settings,
-                &mut self.rng,
-                self.now,
-            ));
+        let timeout = attempt_timeout(query, is_shedding, settings, self.now);
+        let replicas = &mut self.replicas;
+        let rng = &mut self.rng;
+        let sent = self
+            .attempts
+            .send_parts(query, timeout, replicas, settings, rng, self.now);
+        actions.extend(sent);
+    }
+
+    /// Answers an open query or gives it up.
+    fn resolve(&mut self, number: QueryNo, resolution: Resolution, actions: &mut Vec<Action>) {
+        if let Some(query) = self.queries.get_open_mut(number) {
+            let rng = &mut self.rng;
+            actions.extend(resolve(query, resolution, &self.settings, rng, self.now));
         }
     }
 
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! Which replica: the replicas of the endpoint list, their health and warm-up, and the choice among
+//! Choice of replicas: the replicas of the endpoint list, their health and warm-up, and the choice among
 //! a shard's holders.
 
 mod outlier;
--- a/src/queries/in_flight.rs
+++ b/src/queries/in_flight.rs
@@ -1,54 +1,55 @@
-//! Attempts in flight, by where they are.
+//! Attempts in flight, by their key and by the replica that they were sent to.
 
 use crate::interface::{AttemptNo, ClassId, Nanos, Outcome, PartId, ReplicaId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt: its part, and its number among the part's attempts.
+/// Identity of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The part.
+    /// Part that the attempt was made at.
     pub part: PartId,
-    /// The number of the attempt.
+    /// Ordinal of the attempt among those at its part.
     pub attempt: AttemptNo,
 }
 
-/// What is to be known of an attempt when it ends.
+/// Record of an attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InFlight {
-    /// Where it was sent.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// The class of its query.
+    /// Class of the query.
     pub class: ClassId,
-    /// How many of this instance's attempts were in flight at the replica then, it included.
+    /// Number of this coordinator's attempts in flight at the replica when this one was sent,
+    /// itself included.
     pub concurrency: usize,
-    /// It was sent on a connection that had been idle.
+    /// Whether the attempt was sent on a connection that had been idle.
     pub idle_connection: bool,
 }
 
-/// An attempt that is no longer in flight.
+/// Record of an attempt that ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndedAttempt {
-    /// What was known of it.
+    /// Record from when the attempt was sent.
     pub attempt: InFlight,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// How long ago it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Nanos,
-    /// Its replica answered nothing since it was sent.
+    /// Whether the replica answered nothing since the attempt was sent.
     pub silent: bool,
 }
 
 /// All attempts in flight.
 pub type InFlightTable = BTreeMap<AttemptKey, InFlight>;
 
-/// An attempt in order of age.
+/// An attempt at a replica; ordered by age, the oldest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SentAttempt {
     sent_at: Nanos,
     key: AttemptKey,
 }
 
-/// The attempts in flight at one replica, the oldest first.
+/// Attempts in flight at one replica, the oldest first.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct AttemptsByAge {
     attempts: BTreeSet<SentAttempt>,
@@ -65,19 +66,19 @@
         self.attempts.retain(|attempt| attempt.key != key);
     }
 
-    /// When the oldest attempt was sent.
+    /// Returns the time at which the oldest attempt was sent.
     #[must_use]
     pub fn oldest(&self) -> Option<Nanos> {
         self.attempts.first().map(|attempt| attempt.sent_at)
     }
 
-    /// How many there are.
+    /// Returns the number of attempts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// There are none.
+    /// Returns whether there is no attempt.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -1,6 +1,6 @@
-//! The table of queries, each with its parts, their attempts and how far it is, and of attempts in flight.
+//! Table of queries, with their parts and attempts, and of attempts in flight.
 //!
-//! Plain records that are kept up to date by what happens. What to do about them is for the policy to decide.
+//! The records follow the events; the policy decides what to do about them.
 
 mod in_flight;
 mod query;
@@ -14,20 +14,20 @@
 use crate::interface::{AttemptNo, GroupId, Nanos, Outcome, PartId, QueryId};
 use std::collections::BTreeMap;
 
-/// The number of a query in the table, in order of arrival.
+/// Number of a query in the table, in order of arrival.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryNo(u64);
 
-/// Where a part is: its query, and its place among that one's parts.
+/// Position of a part in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartKey {
-    /// The part's query.
+    /// Query of the part.
     pub query: QueryNo,
-    /// Its index in [`Query::parts`].
+    /// Index of the part in [`Query::parts`].
     pub index: usize,
 }
 
-/// Queries in order of arrival, found by their number, and parts by their id.
+/// Queries in order of arrival, found by number, and their parts, found by identifier.
 #[derive(Debug, Default)]
 pub struct QueryTable {
     queries: BTreeMap<QueryNo, Query>,
@@ -42,7 +42,7 @@
         self.next.0 += 1;
     }
 
-    /// Adds a part to the latest open query of its group; without one it is dropped.
+    /// Adds a part to the latest open query of its group; drops the part if there is none.
     pub fn add_part(&mut self, group: GroupId, part: Part) {
         let mut open = self
             .queries
@@ -65,29 +65,29 @@
         });
     }
 
-    /// A query that is still in the table.
+    /// Returns a query that is still in the table.
     #[must_use]
     pub fn get(&self, number: QueryNo) -> Option<&Query> {
         self.queries.get(&number)
     }
 
-    /// The same, to change it.
+    /// Returns a query that is still in the table, mutably.
     pub fn get_mut(&mut self, number: QueryNo) -> Option<&mut Query> {
         self.queries.get_mut(&number)
     }
 
-    /// A query that awaits its final answer.
+    /// Returns a query that awaits its final answer.
     #[must_use]
     pub fn get_open(&self, number: QueryNo) -> Option<&Query> {
         self.get(number).filter(|query| query.is_open())
     }
 
-    /// The same, to change it.
+    /// Returns a query that awaits its final answer, mutably.
     pub fn get_open_mut(&mut self, number: QueryNo) -> Option<&mut Query> {
         self.get_mut(number).filter(|query| query.is_open())
     }
 
-    /// Closes the open query with this id, whose client has left.
+    /// Closes the open query with this identifier, whose client has left, and returns it.
     pub fn abandon(&mut self, id: QueryId) -> Option<&Query> {
         let query = self
             .queries
@@ -97,37 +97,37 @@
         Some(query)
     }
 
-    /// A part of a query.
+    /// Returns a part by its position.
     #[must_use]
     pub fn part(&self, key: PartKey) -> Option<&Part> {
         self.get(key.query)
             .and_then(|query| query.parts.get(key.index))
     }
 
-    /// The same, to change it.
+    /// Returns a part by its position, mutably.
     pub fn part_mut(&mut self, key: PartKey) -> Option<&mut Part> {
         self.get_mut(key.query)
             .and_then(|query| query.parts.get_mut(key.index))
     }
 
-    /// The numbers of all queries, in order of arrival.
+    /// Returns the numbers of all queries, in order of arrival.
     pub fn numbers(&self) -> impl Iterator<Item = QueryNo> + '_ {
         self.queries.keys().copied()
     }
 
-    /// The queries that await their final answer.
+    /// Returns the queries that await their final answer.
     pub fn open(&self) -> impl Iterator<Item = &Query> {
         self.queries.values().filter(|query| query.is_open())
     }
 
-    /// When open queries are to be answered, and their deadlines, as far as they come after `now`.
+    /// Returns the times after `now` at which open queries are due or have their deadline.
     pub fn due_after(&self, now: Nanos) -> impl Iterator<Item = Nanos> + '_ {
         self.open()
             .flat_map(|query| [query.respond_by, query.deadline])
             .filter(move |at| *at > now)
     }
 
-    /// The queries sampled for the quality of answers, open or closed.
+    /// Returns the queries sampled to measure answer quality, open or closed.
     pub fn samples(&self) -> impl Iterator<Item = &Query> {
         self.queries.values().filter(|query| query.sampled)
     }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Looks up anew where the parts of a query are, after its parts were put in another order.
+    /// Updates the positions of a query's parts after they were reordered.
     pub fn reindex(&mut self, number: QueryNo) {
         let Some(query) = self.queries.get(&number) else {
             return;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Removes closed queries, but for samples received since `horizon`.
+    /// Removes closed queries, except samples received since `horizon`.
     pub fn remove_closed(&mut self, horizon: Nanos) {
         self.queries
             .retain(|_, query| query.is_open() || (query.sampled && query.received_at >= horizon));
--- a/src/queries/query.rs
+++ b/src/queries/query.rs
@@ -1,25 +1,26 @@
-//! The records of one query.
+//! Records of one query: its parts, their attempts, and the answers given.
 
+use super::AttemptKey;
 use crate::interface::{
     Action, AttemptNo, ClassId, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, ShardId,
 };
 
-/// What rounding may take from a sum of weights.
+/// Error that rounding may leave in a sum of weights.
 pub const WEIGHT_TOLERANCE: f64 = 1e-6;
 
 /// An attempt at a part.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// Replica that the attempt was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Nanos,
-    /// How it ended; `None` while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Nothing proves that it did not run at the replica.
+    /// Returns whether the attempt may have run at the replica: nothing proves that it did not.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(Outcome::may_have_run)
@@ -29,24 +30,25 @@
 /// A part of a query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Part {
-    /// Its id.
+    /// Identifier of the part.
     pub id: PartId,
-    /// The shard it asks.
+    /// Shard that has the answer.
     pub shard: ShardId,
-    /// Its share of its step's weight.
+    /// Share of its step's weight, 0 to 1.
     pub weight: f64,
-    /// It belongs to the follow-up step.
+    /// Whether the part belongs to the follow-up step.
     pub follow_up: bool,
-    /// It is to be asked; otherwise the query does without it.
+    /// Whether the part is requested; the query does without it otherwise.
     pub requested: bool,
-    /// The attempts at it, in order.
+    /// Attempts at the part, in order.
     pub attempts: Vec<Attempt>,
-    /// When its answer was received.
+    /// Time at which the answer was received.
     pub answered_at: Option<Nanos>,
 }
 
 impl Part {
-    /// A part that is to be asked. A weight that is no share counts as 0.
+    /// Creates a part that is requested and not attempted yet. A weight that is negative or not
+    /// finite counts as 0.
     #[must_use]
     pub fn new(id: PartId, shard: ShardId, weight: f64) -> Self {
         let weight = if weight.is_finite() {
@@ -65,31 +67,45 @@
         }
     }
 
-    /// Its answer was received.
+    /// Returns whether the part is answered.
     #[must_use]
     pub fn is_answered(&self) -> bool {
         self.answered_at.is_some()
     }
 
-    /// Its attempts in flight, the oldest first.
+    /// Returns the attempts in flight, the oldest first.
     pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
             .filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Some attempt is in flight.
+    /// Returns whether any attempt is in flight.
     #[must_use]
     pub fn is_in_flight(&self) -> bool {
         self.in_flight().next().is_some()
     }
 
-    /// Nothing proves that none of its attempts ran.
+    /// Returns whether any attempt may have run: nothing proves that none did.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
+    /// Records an attempt that is sent now, and returns its identity.
+    pub fn add_attempt(&mut self, replica: ReplicaId, now: Nanos) -> AttemptKey {
+        let attempt = AttemptNo(self.attempts.len() as u16);
+        self.attempts.push(Attempt {
+            replica,
+            sent_at: now,
+            outcome: None,
+        });
+        AttemptKey {
+            part: self.id,
+            attempt,
+        }
+    }
+
     /// Records how an attempt ended.
     pub fn complete_attempt(&mut self, attempt: AttemptNo, outcome: Outcome, now: Nanos) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(attempt.0)) {
@@ -100,7 +116,7 @@
         }
     }
 
-    /// The actions that cancel what is in flight.
+    /// Returns the actions that cancel the attempts in flight.
     pub fn cancellations(&self) -> impl Iterator<Item = Action> + '_ {
         let in_flight = self
             .attempts
@@ -114,59 +130,60 @@
     }
 }
 
-/// How far a query is.
+/// Stage of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Received in this batch; not yet admitted.
+    /// The query was received in this batch and is not admitted yet.
     Received,
-    /// Admitted; the parts of the first step are asked.
+    /// The query is admitted; the parts of the first step are requested.
     FirstStep,
-    /// Answered once; the parts of the follow-up step are awaited or asked.
+    /// The first step is answered; the parts of the follow-up step are awaited or requested.
     FollowUp,
-    /// Its final answer is given.
+    /// The query has its final answer, or its client has left.
     Closed,
 }
 
-/// The answer from the first step.
+/// Answer from the first step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FirstAnswer {
-    /// When it was given.
+    /// Time of the answer.
     pub at: Nanos,
-    /// It was complete.
+    /// Whether the answer was complete.
     pub complete: bool,
 }
 
 /// A query that was received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Query {
-    /// Its id.
+    /// Identifier of the query.
     pub id: QueryId,
-    /// Its class.
+    /// Class of the query.
     pub class: ClassId,
-    /// The number its parts bear.
+    /// Identifier that the query shares with its parts.
     pub group: GroupId,
-    /// The priority weight of its class, less beyond its tenant's quota.
+    /// Priority weight of the class, reduced if the query is beyond its tenant's quota.
     pub priority: f64,
-    /// A draw, 0 to 1, by which it is admitted among its equals.
+    /// Random draw, 0 to 1, that decides among queries of equal priority.
     pub admission_draw: f64,
-    /// How far it is.
+    /// Stage of the query.
     pub stage: Stage,
-    /// When it was received.
+    /// Time at which the query was received.
     pub received_at: Nanos,
-    /// When to answer, so that the client has the answer within its latency objective.
+    /// Time by which to answer, so that the client has the answer within the latency objective.
     pub respond_by: Nanos,
-    /// When to give the final answer at the latest.
+    /// Latest time of the final answer.
     pub deadline: Nanos,
-    /// It is sampled for the quality of answers.
+    /// Whether the query is sampled to measure answer quality.
     pub sampled: bool,
-    /// The answer from its first step.
+    /// Answer from the first step, once it is given.
     pub first_answer: Option<FirstAnswer>,
-    /// Its parts, of both steps.
+    /// Parts of both steps.
     pub parts: Vec<Part>,
 }
 
 impl Query {
-    /// A query that was received at `now`, without parts yet, to be answered at once; the rest is for the caller.
+    /// Creates a query received at `now`: without parts or priority, due and with its deadline at
+    /// once, for the caller to set.
     #[must_use]
     pub fn new(id: QueryId, class: ClassId, group: GroupId, now: Nanos) -> Self {
         Query {
@@ -185,7 +202,7 @@
         }
     }
 
-    /// It awaits its final answer.
+    /// Returns whether the query awaits its final answer.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.stage != Stage::Closed
@@ -202,7 +219,7 @@
         self.parts.iter().filter(|part| self.is_in_step(part))
     }
 
-    /// The weight that was answered in its present step, each part once.
+    /// Returns the answered weight of the present step.
     #[must_use]
     pub fn answered_weight(&self) -> f64 {
         self.step_parts()
@@ -211,13 +228,13 @@
             .sum()
     }
 
-    /// Its present step has parts, and all of them are answered.
+    /// Returns whether the present step has parts and all of them are answered.
     #[must_use]
     pub fn all_answered(&self) -> bool {
         answered(self.step_parts())
     }
 
-    /// Its present step has parts that are to be asked, and all of those are answered.
+    /// Returns whether the present step has requested parts and all of those are answered.
     #[must_use]
     pub fn all_requested_answered(&self) -> bool {
         answered(self.step_parts().filter(|part| part.requested))
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -91,7 +91,8 @@
 fn a_part_that_is_not_requested_is_missing_only_from_the_complete_answer() {
     let mut query = query(1, 7, 0);
     query.stage = Stage::FirstStep;
-    let (mut asked, mut omitted) = (part(10, 0.5), part(11, 0.5));
+    let mut asked = part(10, 0.5);
+    let mut omitted = part(11, 0.5);
     asked.answered_at = Some(5);
     omitted.requested = false;
     query.parts = vec![asked, omitted];
--- a/src/stats/average.rs
+++ b/src/stats/average.rs
@@ -2,32 +2,32 @@
 
 use crate::interface::Nanos;
 
-/// An exponentially weighted moving average (EWMA).
+/// Exponentially weighted moving average (EWMA).
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Ewma {
     value: f64,
 }
 
 impl Ewma {
-    /// An average that starts at `value`.
+    /// Creates an average that starts at `value`.
     #[must_use]
     pub fn new(value: f64) -> Self {
         Ewma { value }
     }
 
-    /// The average so far.
+    /// Returns the average.
     #[must_use]
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Moves the average towards `sample` by the share `gain`, 0 to 1, of their difference.
+    /// Moves the average towards `sample` by the share `gain`, 0 to 1, of the difference.
     pub fn record(&mut self, sample: f64, gain: f64) {
         self.value += (sample - self.value) * gain;
     }
 }
 
-/// An EWMA that falls back to a baseline while nothing is recorded: an old observation says little.
+/// EWMA that decays to a baseline while nothing is recorded.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct DecayingAverage {
     average: Ewma,
@@ -35,7 +35,7 @@
 }
 
 impl DecayingAverage {
-    /// An average that starts at `value`, as if recorded at `now`.
+    /// Creates an average that starts at `value`, as if recorded at `now`.
     #[must_use]
     pub fn new(value: f64, now: Nanos) -> Self {
         DecayingAverage {
@@ -44,32 +44,32 @@
         }
     }
 
-    /// The average at `now`: its distance to `baseline` halves with each `half_life`, in ns, since the last
-    /// record.
+    /// Returns the average at `now`: the distance to `baseline` halves with each `half_life`, in
+    /// ns, since the last record.
     #[must_use]
     pub fn value_at(&self, now: Nanos, half_life: f64, baseline: f64) -> f64 {
         let half_lives = (now - self.updated_at) as f64 / half_life;
         baseline + (self.average.value() - baseline) * 0.5f64.powf(half_lives)
     }
 
-    /// Records a sample on top of the average as it was last recorded, without its decay since.
+    /// Records a sample; the decay since the last record is ignored.
     pub fn record(&mut self, now: Nanos, sample: f64, gain: f64) {
         self.average.record(sample, gain);
         self.updated_at = now;
     }
 
-    /// Records a sample on top of the average as it has decayed towards 0 since the last one.
+    /// Records a sample on top of the average as decayed towards 0 since the last record.
     pub fn record_decayed(&mut self, now: Nanos, half_life: f64, sample: f64, gain: f64) {
         self.average = Ewma::new(self.value_at(now, half_life, 0.0));
         self.record(now, sample, gain);
     }
 
-    /// Records that the observed figure is at least `bound`: a lower average moves, a higher one stays.
+    /// Records a lower bound of a sample: a lower average moves towards it, a higher one stays.
     pub fn record_lower_bound(&mut self, now: Nanos, bound: f64, gain: f64) {
         self.record(now, bound.max(self.average.value()), gain);
     }
 
-    /// Raises the average to `floor` at once, unless it is higher already.
+    /// Raises the average to `floor`, unless it is higher already.
     pub fn raise_to(&mut self, now: Nanos, floor: f64) {
         *self = DecayingAverage::new(self.average.value().max(floor), now);
     }
--- a/src/stats/budget.rs
+++ b/src/stats/budget.rs
@@ -1,9 +1,9 @@
-//! Budgets for rates.
+//! Rate limits: a token bucket and a ratio budget.
 
 use super::{seconds, TimeWindow};
 use crate::interface::Nanos;
 
-/// A token bucket: it fills at a rate up to a burst, and each request takes one token.
+/// Token bucket, which fills at a rate up to a burst; each request takes one token.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     tokens: f64,
@@ -11,7 +11,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `tokens` at `now`.
+    /// Creates a bucket with `tokens` at `now`.
     #[must_use]
     pub fn new(tokens: f64, now: Nanos) -> Self {
         TokenBucket {
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Refills the bucket at `rate` tokens a second, up to `burst`, and takes one token if there is one.
+    /// Refills the bucket at `rate` tokens per second, up to `burst`, and takes one token; returns
+    /// whether there was one.
     pub fn try_take(&mut self, now: Nanos, rate: f64, burst: f64) -> bool {
         let refill = seconds(now - self.refilled_at) * rate;
         self.tokens = (self.tokens + refill).min(burst);
@@ -33,7 +34,7 @@
     }
 }
 
-/// A budget that is a ratio of what was earned in a sliding window, such as retries per request.
+/// Budget that is a ratio of the events in a sliding window, such as retries per request.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct RatioBudget {
     earned: TimeWindow,
@@ -41,18 +42,19 @@
 }
 
 impl RatioBudget {
-    /// Counts one event that earns.
+    /// Records one event that adds to the budget.
     pub fn earn(&mut self, now: Nanos) {
         self.earned.push(now, ());
     }
 
-    /// Counts one event that spends; nothing stops it from overdrawing the budget.
+    /// Records one event that spends from the budget, which may be overdrawn.
     pub fn spend(&mut self, now: Nanos) {
         self.spent.push(now, ());
     }
 
-    /// What is left at `now`: `free` and `ratio` of what was earned within the last `window`, less what was
-    /// spent. What lies within `margin` of the window's edge is counted as spent, not as earned.
+    /// Returns the budget left at `now`: `free`, plus `ratio` for each earning event within the
+    /// last `window`, less the events that spent. Events within `margin` of the edge of the window
+    /// count as spent but not as earned.
     #[must_use]
     pub fn available(
         &self,
@@ -66,7 +68,7 @@
         free + ratio * earned - self.spent.count(now, window + margin) as f64
     }
 
-    /// Drops events older than `span` before `now`.
+    /// Removes events older than `span` before `now`.
     pub fn expire(&mut self, now: Nanos, span: Nanos) {
         self.earned.expire(now, span);
         self.spent.expire(now, span);
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,7 +1,8 @@
-//! Statistics and primitives for the policy: moving averages, sliding windows, budgets, backoff, control.
+//! Statistics and primitives for the policy: moving averages, sliding windows, budgets, backoff and
+//! control.
 //!
-//! Nothing here decides. Times are [`Nanos`] of the caller's clock, handed in with each call; random draws come
-//! from the caller's generator.
+//! Nothing here decides. Times are [`Nanos`] of the caller's clock, passed with each call; random
+//! draws come from the caller's generator.
 
 mod average;
 mod backoff;
@@ -22,19 +23,20 @@
 
 use crate::interface::Nanos;
 
-/// A draw from the exponential distribution with mean 1.
+/// Draws from the exponential distribution with mean 1.
 #[must_use]
 pub fn exponential(rng: &mut fastrand::Rng) -> f64 {
     -rng.f64().max(f64::MIN_POSITIVE).ln()
 }
 
-/// The highest mean of a Poisson count that stays under `limit` within so many standard deviations.
+/// Returns the highest mean of a Poisson count that stays under `limit` within `deviations`
+/// standard deviations.
 #[must_use]
 pub fn safe_mean(limit: f64, deviations: f64) -> f64 {
     (((deviations * deviations / 4.0 + limit).sqrt() - deviations / 2.0).powi(2)).min(limit)
 }
 
-/// Nanoseconds as seconds.
+/// Converts nanoseconds to seconds.
 #[must_use]
 pub fn seconds(time: Nanos) -> f64 {
     time as f64 / 1e9
--- a/src/stats/shares.rs
+++ b/src/stats/shares.rs
@@ -1,22 +1,24 @@
-//! Shares of groups that overlap.
+//! Balancing of load over groups that overlap.
 
 use std::collections::BTreeMap;
 
-/// The part of a group's load that one member carries.
+/// Share of a group's load that one member carries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share<K> {
     /// The member.
     pub member: K,
-    /// Its share of the group's load.
+    /// Share of the group's load, 0 to 1.
     pub share: f64,
 }
 
-/// Shares out the load of each group among its members so that all members bear alike for their capacity, as far
-/// as the groups overlap: iterative proportional fitting from even shares, where each round carries what a member
-/// has too much of one group further. The shares of a group sum to 1 afterwards.
+/// Balances the load of each group over its members, so that all members have the same load for
+/// their capacity, as far as the groups overlap. The shares of a group then sum to 1.
+///
+/// The method is iterative proportional fitting from even shares: each round passes the excess of a
+/// member in one group on to the other groups.
 ///
 /// # Panics
-/// Where a member has no capacity given.
+/// If a member has no entry in `capacities`.
 pub fn balance_shares<K: Ord + Copy>(
     groups: &mut [&mut [Share<K>]],
     capacities: &BTreeMap<K, f64>,
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -197,8 +197,9 @@
 #[test]
 fn shares_are_balanced_over_groups_that_overlap() {
     let group = |members: [usize; 2]| members.map(|member| Share { member, share: 1.0 });
-    // Members 0 and 1 hold the first group, 1 and 2 the second; member 1 can do less than the others.
-    let (mut first, mut second) = (group([0, 1]), group([1, 2]));
+    // Members 0 and 1 hold the first group, 1 and 2 the second; member 1 has less capacity.
+    let mut first = group([0, 1]);
+    let mut second = group([1, 2]);
     let capacities = BTreeMap::from([(0, 1.0), (1, 0.5), (2, 1.0)]);
     balance_shares(&mut [&mut first, &mut second], &capacities, 50);
     let groups = [first, second];
--- a/src/stats/window.rs
+++ b/src/stats/window.rs
@@ -3,14 +3,14 @@
 use crate::interface::Nanos;
 use std::collections::VecDeque;
 
-/// Something observed at a time.
+/// Value observed at a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Observation<T> {
     at: Nanos,
     value: T,
 }
 
-/// What was observed lately, in order of time. A `TimeWindow<()>` only counts.
+/// Recent observations in order of time. A `TimeWindow<()>` only counts them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TimeWindow<T = ()> {
     observations: VecDeque<Observation<T>>,
@@ -25,23 +25,23 @@
 }
 
 impl<T> TimeWindow<T> {
-    /// Adds an observation; it is not earlier than those before.
+    /// Adds an observation, which must not be earlier than the last one.
     pub fn push(&mut self, at: Nanos, value: T) {
         self.observations.push_back(Observation { at, value });
     }
 
-    /// Drops what is older than `span` before `now`.
+    /// Removes observations older than `span` before `now`.
     pub fn expire(&mut self, now: Nanos, span: Nanos) {
         self.observations.retain(|o| o.at + span >= now);
     }
 
-    /// How many observations the last `span` before `now` holds.
+    /// Returns the number of observations in the last `span` before `now`.
     #[must_use]
     pub fn count(&self, now: Nanos, span: Nanos) -> usize {
         self.observations.len() - self.observations.partition_point(|o| o.at + span < now)
     }
 
-    /// When the latest observation was made.
+    /// Returns the time of the latest observation.
     #[must_use]
     pub fn latest(&self) -> Option<Nanos> {
         self.observations.back().map(|o| o.at)
@@ -49,7 +49,7 @@
 }
 
 impl TimeWindow<f64> {
-    /// The sum of the values in the last `span` before `now`, added up from the oldest.
+    /// Returns the sum of the values in the last `span` before `now`, added up from the oldest.
     #[must_use]
     pub fn sum(&self, now: Nanos, span: Nanos) -> f64 {
         self.observations
@@ -60,14 +60,15 @@
     }
 }
 
-/// The last values of a sequence, to rank new ones among them.
+/// Last values of a sequence, among which new ones are ranked.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct RecentValues {
     values: VecDeque<f64>,
 }
 
 impl RecentValues {
-    /// The share, 0 to 1, of the values that `value` exceeds; `tie_break`, 0 to 1, places it among equal ones.
+    /// Returns the share, 0 to 1, of the values that `value` exceeds; `tie_break`, 0 to 1, is the
+    /// position among equal ones.
     #[must_use]
     pub fn rank(&self, value: f64, tie_break: f64) -> f64 {
         let lower = self.values.iter().filter(|v| **v < value).count() as f64;
@@ -75,7 +76,7 @@
         (lower + tie_break * (equal + 1.0)) / (self.values.len() as f64 + 1.0)
     }
 
-    /// Adds a value and keeps the last `capacity`.
+    /// Adds a value and keeps the last `capacity` values.
     pub fn push(&mut self, value: f64, capacity: usize) {
         self.values.push_back(value);
         self.values
