--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -3,6 +3,9 @@
 mod completeness;
 mod resolution;
 
+#[cfg(test)]
+mod tests;
+
 pub use resolution::{due_resolution, Resolution};
 
 use crate::interface::{Action, Effect, Nanos, Settings};
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -4,6 +4,9 @@
 mod retry_limiter;
 mod rules;
 
+#[cfg(test)]
+mod tests;
+
 pub use rules::may_attempt_again;
 
 use super::replicas::{ReplicaTable, Target};
