--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -4,27 +4,22 @@
 mod controller;
 mod omission;
 mod quota;
+mod ramps;
 mod wait_estimate;
 
 use super::quality::QualityReading;
 use super::replicas::ReplicaTable;
 use crate::interface::{Nanos, Settings, TenantId};
 use crate::queries::Query;
-use crate::stats::{FallingRamp, RecentValues};
+use crate::stats::RecentValues;
 use controller::AdmissionController;
 use omission::omit_parts;
 use quota::TenantQuotas;
+use ramps::{LOW_PRIORITY_ADMISSION, TOP_PRIORITY_ADMISSION};
 use wait_estimate::{part_waits, wait_share};
 
 /// Number of recent low-priority queries that the next one is ranked among.
 const RANKED_QUERIES: usize = 64;
-/// Admitted share of low-priority queries, by the share of their time that they will wait.
-const LOW_PRIORITY_ADMISSION: FallingRamp = FallingRamp { from: 0.4, to: 1.1 };
-/// Admitted share of light parts, by the same; lower, since omitting them costs the least.
-const LIGHT_PART_ADMISSION: FallingRamp = FallingRamp { from: 0.2, to: 0.7 };
-/// Admitted share of queries of the highest priority, by the same. It falls around 1, where an
-/// answer would be late, since the estimate errs both ways.
-const TOP_PRIORITY_ADMISSION: FallingRamp = FallingRamp { from: 0.8, to: 1.2 };
 
 /// Admission of queries.
 #[derive(Debug)]
--- a/src/policy/admission/omission.rs
+++ b/src/policy/admission/omission.rs
@@ -1,7 +1,7 @@
 //! Omission: which parts an admitted query does without.
 
+use super::ramps::{LIGHT_PART_ADMISSION, TOP_PRIORITY_ADMISSION};
 use super::wait_estimate::PartWait;
-use super::{LIGHT_PART_ADMISSION, TOP_PRIORITY_ADMISSION};
 use crate::interface::{Class, Nanos};
 use crate::queries::{Part, Query, WEIGHT_TOLERANCE};
 
--- a/src/policy/attempts/rules.rs
+++ b/src/policy/attempts/rules.rs
@@ -1,7 +1,7 @@
 //! The rules on repeating a part, by the effect of its class.
 
 use crate::interface::{Class, Effect, Nanos, Settings};
-use crate::policy::DEADLINE_MARGIN_TICKS;
+use crate::policy::margins::DEADLINE_MARGIN_TICKS;
 use crate::queries::Part;
 
 /// Returns whether another attempt at a part may be allowed, now or later: the rule "no part
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,11 +4,11 @@
 //! or rejected, its parts sent or retried, answered or given up. The parts of the policy decide on
 //! one question each and own the state that it takes:
 //!
-//! * [`admission`]: who is admitted, and which parts an admitted query does without;
-//! * [`attempts`]: what may be sent; [`replicas`]: where to;
-//! * [`answers`]: what may be answered, and when to give up;
-//! * [`quality`]: sampling and measurement of answer quality, the admission controller's input;
-//! * [`polling`]: when to poll for the endpoint list; [`fleet`]: statistics over all replicas.
+//! * `admission`: who is admitted, and which parts an admitted query does without;
+//! * `attempts`: what may be sent; `replicas`: where to;
+//! * `answers`: what may be answered, and when to give up;
+//! * `quality`: sampling and measurement of answer quality, the admission controller's input;
+//! * `polling`: when to poll for the endpoint list; `fleet`: statistics over all replicas.
 //!
 //! The design follows "Obtaining and Managing Answer Quality for Online Data-Intensive Services"
 //! (Ubora, by Kelley et al.): the quality of sampled answers sets how many queries of low priority
@@ -18,6 +18,7 @@
 mod answers;
 mod attempts;
 mod fleet;
+mod margins;
 mod polling;
 mod quality;
 mod replicas;
@@ -30,15 +31,11 @@
 use admission::Admission;
 use answers::{due_resolution, resolve, Resolution};
 use attempts::{attempt_timeout, AttemptSender};
+use margins::{DEADLINE_MARGIN_TICKS, OBJECTIVE_MARGIN_TICKS};
 use polling::EndpointPoll;
 use quality::{measure_quality, take_sample, QUALITY_WINDOW};
 use replicas::ReplicaTable;
 
-/// Ticks reserved before a latency objective: to receive the last answer, to respond, and for the
-/// network.
-const OBJECTIVE_MARGIN_TICKS: u64 = 3;
-/// Ticks reserved before the client's deadline.
-const DEADLINE_MARGIN_TICKS: u64 = 4;
 /// Period of the admission controller, in ticks.
 const CONTROL_PERIOD_TICKS: u64 = 50;
 /// Longest time between two checks of open queries, in ticks.
