--- a/src/levels/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::levels::{Effects, Signal};
+use crate::degradation::{Effects, Signal};
 
 const EVALUATION_INTERVAL: Micros = Micros::from_millis(250);
 
--- a/src/levels/mod.rs
+++ b/src/degradation/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The folder owns the operators' table of levels, the controller that moves between them, and the history of its
 //! transitions; it has no clock and no socket. The decision policy applies a level as settings ([`Effects::apply_to`]).
-//! Nothing in the program enters a level yet; `docs/design-levels.md` lists what comes next.
+//! Nothing in the program enters a level yet; `docs/design-degradation.md` lists what comes next.
 
 mod controller;
 mod effects;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 //! * [`interface`]: settings, events and actions; [`policy`]: the decisions;
 //! * [`coordinator`]: the queries and attempts in progress, and the events and actions on their behalf;
 //! * [`front`]: the requests of clients, translated to queries and back;
-//! * [`limits`] and [`levels`]: adaptive limits of concurrency, admission by cost, levels of reduced service;
+//! * [`limits`] and [`degradation`]: adaptive limits of concurrency, admission by cost, graceful degradation;
 //! * [`proto`]: protocols without sockets; [`net`]: sockets, signals and the processes of two versions;
 //! * [`settings`], [`time`](mod@time), [`log`]: what all of them share.
 //!
@@ -99,9 +99,9 @@
 #![forbid(unsafe_code)]
 
 pub mod coordinator;
+pub mod degradation;
 pub mod front;
 pub mod interface;
-pub mod levels;
 pub mod limits;
 pub mod log;
 pub mod membership;
--- a/tests/levels.rs
+++ b/tests/degradation.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
-use quinceflow::levels::Effects;
+use quinceflow::degradation::Effects;
 use quinceflow::{Action, Class, ClassId, Effect, Event, Nanos, Outcome, Settings};
 
 /// Sends the settings of a level to the policy.
