--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -1,7 +1,7 @@
 //! The controller that moves between levels: one step at a time, after a hold, and with a longer minimum stay in a level that
 //! is entered again soon after it was left.
 
-use super::{Condition, Level, LevelTable, SignalReadings, SignalValue};
+use super::{Condition, DegradationTable, Level, SignalReadings, SignalValue};
 use crate::time::Micros;
 use std::collections::VecDeque;
 
@@ -30,9 +30,9 @@
     pub pinned: bool,
 }
 
-/// The previous visits to a level.
+/// The previous visit_histories to a level.
 #[derive(Debug, Clone, Copy, Default)]
-struct LevelVisits {
+struct VisitHistory {
     /// It was last entered within [`REENTRY_WINDOW`] after it had been left.
     reentered_soon: bool,
     left_at: Option<Micros>,
@@ -40,37 +40,37 @@
 
 /// The present level of service, and how it was reached.
 #[derive(Debug, Clone)]
-pub struct LevelController {
-    table: LevelTable,
+pub struct DegradationController {
+    table: DegradationTable,
     /// Scales all durations of this instance, from 0.8 to 1.2, so that many instances do not move at the same time.
     jitter_factor: f64,
     /// 0 for full service, n for the table's level at index n - 1.
     level: usize,
     entered_at: Micros,
     /// Since when the next level has been wanted.
-    next_requested_since: Option<Micros>,
+    enter_requested_since: Option<Micros>,
     /// Since when the present level has not been wanted.
-    unwanted_since: Option<Micros>,
+    leave_requested_since: Option<Micros>,
     /// For each level of the table.
-    visits: Vec<LevelVisits>,
+    visit_histories: Vec<VisitHistory>,
     /// An operator has fixed the level until then.
     pin_expires_at: Option<Micros>,
     history: VecDeque<Transition>,
 }
 
-impl LevelController {
+impl DegradationController {
     /// A controller in full service. `jitter`, from 0 to 1, is this instance's own: it spreads the holds of many instances.
     #[must_use]
-    pub fn new(table: LevelTable, jitter: f64, now: Micros) -> Self {
-        let visits = vec![LevelVisits::default(); table.levels.len()];
-        LevelController {
+    pub fn new(table: DegradationTable, jitter: f64, now: Micros) -> Self {
+        let visit_histories = vec![VisitHistory::default(); table.levels.len()];
+        DegradationController {
             table,
             jitter_factor: 0.8 + 0.4 * jitter.clamp(0.0, 1.0),
             level: 0,
             entered_at: now,
-            next_requested_since: None,
-            unwanted_since: None,
-            visits,
+            enter_requested_since: None,
+            leave_requested_since: None,
+            visit_histories,
             pin_expires_at: None,
             history: VecDeque::new(),
         }
@@ -128,8 +128,8 @@
             return true;
         }
         self.pin_expires_at = None;
-        self.next_requested_since = None;
-        self.unwanted_since = None;
+        self.enter_requested_since = None;
+        self.leave_requested_since = None;
         self.entered_at = now;
         false
     }
@@ -145,11 +145,11 @@
             met_conditions(next, readings, now, |c| c.enter)
         });
         if causes.is_empty() {
-            self.next_requested_since = None;
+            self.enter_requested_since = None;
             return None;
         }
-        let requested_since = *self.next_requested_since.get_or_insert(now);
-        let hold = self.jittered(next?.enter_after_ms);
+        let requested_since = *self.enter_requested_since.get_or_insert(now);
+        let hold = self.with_jitter(next?.enter_after_ms);
         (now.since(requested_since) >= hold).then_some(causes)
     }
 
@@ -162,20 +162,20 @@
         let index = self.level.checked_sub(1)?;
         let present = &self.table.levels[index];
         if !met_conditions(present, readings, now, |c| c.leave).is_empty() {
-            self.unwanted_since = None;
+            self.leave_requested_since = None;
             return None;
         }
-        let unwanted_since = *self.unwanted_since.get_or_insert(now);
-        let mut min_stay = self.jittered(present.min_stay_ms);
-        if self.visits[index].reentered_soon {
+        let leave_requested_since = *self.leave_requested_since.get_or_insert(now);
+        let mut min_stay = self.with_jitter(present.min_stay_ms);
+        if self.visit_histories[index].reentered_soon {
             min_stay = min_stay.max(REENTRY_WINDOW);
         }
-        let held = now.since(unwanted_since) >= self.jittered(present.leave_after_ms);
+        let held = now.since(leave_requested_since) >= self.with_jitter(present.leave_after_ms);
         if !held || now.since(self.entered_at) < min_stay {
             return None;
         }
         let latest = |condition: &Condition| latest_value(condition, readings, now);
-        Some(present.when.iter().filter_map(latest).collect())
+        Some(present.conditions.iter().filter_map(latest).collect())
     }
 
     /// Changes the level and records the transition.
@@ -188,17 +188,17 @@
     ) -> Option<&Transition> {
         let from = self.level;
         if to < from {
-            self.visits[from - 1].left_at = Some(now);
+            self.visit_histories[from - 1].left_at = Some(now);
         } else if let Some(index) = to.checked_sub(1) {
-            let visits = &mut self.visits[index];
-            visits.reentered_soon = visits
+            let history = &mut self.visit_histories[index];
+            history.reentered_soon = history
                 .left_at
                 .is_some_and(|left_at| now.since(left_at) < REENTRY_WINDOW);
         }
         self.level = to;
         self.entered_at = now;
-        self.next_requested_since = None;
-        self.unwanted_since = None;
+        self.enter_requested_since = None;
+        self.leave_requested_since = None;
         if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
@@ -213,7 +213,7 @@
     }
 
     /// A duration of the table, varied for this instance so that coordinators do not change levels in step.
-    fn jittered(&self, ms: u64) -> Micros {
+    fn with_jitter(&self, ms: u64) -> Micros {
         Micros((ms as f64 * 1e3 * self.jitter_factor) as u64)
     }
 }
@@ -231,7 +231,7 @@
     };
     let group_reached = |condition: &Condition| {
         let mut group = level
-            .when
+            .conditions
             .iter()
             .filter(|other| other.group == condition.group);
         group.all(|other| reached(other).is_some())
@@ -240,7 +240,7 @@
         let value = reached(condition)?;
         (condition.group.is_none() || group_reached(condition)).then_some(value)
     };
-    level.when.iter().filter_map(met).collect()
+    level.conditions.iter().filter_map(met).collect()
 }
 
 /// The value of the condition's signal, if it has a recent one.
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -7,14 +7,14 @@
     Micros::from_secs(secs)
 }
 
-fn built_in_controller(jitter: f64) -> LevelController {
-    LevelController::new(LevelTable::built_in(), jitter, secs(1))
+fn built_in_controller(jitter: f64) -> DegradationController {
+    DegradationController::new(DegradationTable::built_in(), jitter, secs(1))
 }
 
 /// Evaluates the signals for so many seconds, with the readings that `record` adds each time. The result is the number of
 /// transitions.
 fn run(
-    controller: &mut LevelController,
+    controller: &mut DegradationController,
     from: u64,
     seconds: u64,
     mut record: impl FnMut(Micros, &mut SignalReadings),
@@ -37,10 +37,10 @@
 fn a_signal_near_a_bound_causes_few_transitions() {
     // Ten minutes at each bound and 2, 5 and 10% around it, with noise of each size: at most 2 transitions in 5 minutes
     // beyond the first.
-    let table = LevelTable::built_in();
+    let table = DegradationTable::built_in();
     for level in &table.levels {
         for condition in level
-            .when
+            .conditions
             .iter()
             .filter(|condition| condition.group.is_none())
         {
@@ -172,7 +172,7 @@
 
 /// A controller after some evaluations.
 struct ExploredState {
-    controller: LevelController,
+    controller: DegradationController,
     readings: SignalReadings,
     depth: u64,
 }
@@ -218,7 +218,7 @@
 }
 
 /// A table of two levels that are entered by either of two signals.
-fn two_level_table() -> LevelTable {
+fn two_level_table() -> DegradationTable {
     let condition = |signal, enter| Condition {
         signal,
         enter,
@@ -227,7 +227,7 @@
     };
     let level = |name: &str, enter| Level {
         name: name.to_owned(),
-        when: vec![
+        conditions: vec![
             condition(Signal::EjectedNodes, enter),
             condition(Signal::RetryRate, enter),
         ],
@@ -236,7 +236,7 @@
         min_stay_ms: 1_000,
         effects: Effects::default(),
     };
-    LevelTable {
+    DegradationTable {
         levels: vec![level("a", 1.0), level("b", 2.0)],
     }
 }
@@ -246,7 +246,7 @@
 fn no_sequence_of_values_breaks_a_rule() {
     let table = two_level_table();
     assert_eq!(table.validate(4), []);
-    let controller = LevelController::new(table, 0.5, secs(1));
+    let controller = DegradationController::new(table, 0.5, secs(1));
     let mut open = vec![ExploredState {
         controller,
         readings: SignalReadings::default(),
--- a/src/degradation/mod.rs
+++ b/src/degradation/mod.rs
@@ -10,8 +10,8 @@
 mod table;
 mod validate;
 
-pub use controller::{LevelController, Transition};
+pub use controller::{DegradationController, Transition};
 pub use effects::Effects;
 pub use signal::{Signal, SignalReadings, SignalValue, SIGNAL_COUNT};
-pub use table::{Condition, Level, LevelTable};
-pub use validate::{LevelFault, LevelTableError};
+pub use table::{Condition, DegradationTable, Level};
+pub use validate::{DegradationTableError, LevelFault};
--- a/src/degradation/table.rs
+++ b/src/degradation/table.rs
@@ -25,7 +25,8 @@
     /// The name.
     pub name: String,
     /// The level is wanted if any of these is met.
-    pub when: Vec<Condition>,
+    #[serde(rename = "when")]
+    pub conditions: Vec<Condition>,
     /// The level is entered after it has been wanted for this time, in milliseconds.
     #[serde(rename = "enter_ms")]
     pub enter_after_ms: u64,
@@ -42,18 +43,18 @@
 
 /// All levels, from the mildest to the most severe. Level 0, full service, is not in the table.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
-pub struct LevelTable {
+pub struct DegradationTable {
     /// The levels, from level 1 on.
     #[serde(default, rename = "level")]
     pub levels: Vec<Level>,
 }
 
-impl LevelTable {
+impl DegradationTable {
     /// The default table: service is reduced when a fifth of the nodes is ejected or many attempts are retries, and limited
     /// to the essential when half of the nodes is ejected.
     #[must_use]
     pub fn built_in() -> Self {
-        LevelTable {
+        DegradationTable {
             levels: vec![reduced_level(), essential_level()],
         }
     }
@@ -62,9 +63,9 @@
 fn reduced_level() -> Level {
     Level {
         name: "reduced".to_owned(),
-        when: vec![
-            single(Signal::EjectedNodes, 0.2, 0.1),
-            single(Signal::RetryRate, 1.0, 0.6),
+        conditions: vec![
+            ungrouped(Signal::EjectedNodes, 0.2, 0.1),
+            ungrouped(Signal::RetryRate, 1.0, 0.6),
             grouped(Signal::QualityLoss, 0.2, 0.1),
             grouped(Signal::InFlightLoad, 1.5, 1.1),
         ],
@@ -83,10 +84,10 @@
 fn essential_level() -> Level {
     Level {
         name: "essential".to_owned(),
-        when: vec![
-            single(Signal::EjectedNodes, 0.5, 0.35),
-            single(Signal::RetryRate, 2.5, 1.5),
-            single(Signal::LoopDelay, 8.0, 3.0),
+        conditions: vec![
+            ungrouped(Signal::EjectedNodes, 0.5, 0.35),
+            ungrouped(Signal::RetryRate, 2.5, 1.5),
+            ungrouped(Signal::LoopDelay, 8.0, 3.0),
         ],
         enter_after_ms: 2_000,
         leave_after_ms: 8_000,
@@ -102,7 +103,7 @@
 }
 
 /// A condition that counts by itself.
-fn single(signal: Signal, enter: f64, leave: f64) -> Condition {
+fn ungrouped(signal: Signal, enter: f64, leave: f64) -> Condition {
     Condition {
         signal,
         enter,
--- a/src/degradation/table/tests.rs
+++ b/src/degradation/table/tests.rs
@@ -5,7 +5,7 @@
     let text = "[[level]]\nname = \"reduced\"\nenter_ms = 1000\nleave_ms = 2000\nstay_ms = 3000\n\
         when = [{ signal = \"avoided\", enter = 0.3, leave = 0.1, with = \"jam\" }]\n\
         effects = { most_attempts = 2, admit = { lookup = 0.5 }, quiet = true, come_back = 3.0 }\n";
-    let table: LevelTable = toml::from_str(text).expect("a table");
+    let table: DegradationTable = toml::from_str(text).expect("a table");
     assert_eq!(table.validate(4), []);
     let level = &table.levels[0];
     assert_eq!(
@@ -16,14 +16,14 @@
         ),
         (1_000, 2_000, 3_000)
     );
-    assert_eq!(level.when, [grouped(Signal::EjectedNodes, 0.3, 0.1)]);
+    assert_eq!(level.conditions, [grouped(Signal::EjectedNodes, 0.3, 0.1)]);
     assert_eq!(level.effects.admitted_shares["lookup"], 0.5);
     assert_eq!(
         (level.effects.max_attempts, level.effects.skip_late_samples),
         (Some(2), true)
     );
     assert_eq!(level.effects.retry_after_factor, 3.0);
-    assert!(toml::from_str::<LevelTable>(&text.replace("avoided", "weather")).is_err());
+    assert!(toml::from_str::<DegradationTable>(&text.replace("avoided", "weather")).is_err());
 }
 
 #[test]
--- a/src/degradation/validate.rs
+++ b/src/degradation/validate.rs
@@ -1,6 +1,6 @@
 //! The checks of a table of levels.
 
-use super::{Condition, Effects, Level, LevelTable, Signal};
+use super::{Condition, DegradationTable, Effects, Level, Signal};
 use thiserror::Error;
 
 /// The minimum distance of `leave` below `enter`, as a share of `enter`: signals have noise of that size.
@@ -13,7 +13,7 @@
 /// A fault of a level.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("level {level:?}: {fault}")]
-pub struct LevelTableError {
+pub struct DegradationTableError {
     /// The name of the level.
     pub level: String,
     /// What is wrong with it.
@@ -75,21 +75,21 @@
     InvalidRetryAfterFactor,
 }
 
-impl LevelTable {
+impl DegradationTable {
     /// Checks the table: hysteresis that is too small, levels that cannot be entered, effects out of range. `max_attempts`
     /// is the maximum that any class of the settings allows. All faults are returned, none for a valid table.
     #[must_use]
-    pub fn validate(&self, max_attempts: u32) -> Vec<LevelTableError> {
+    pub fn validate(&self, max_attempts: u32) -> Vec<DegradationTableError> {
         let mut errors = Vec::new();
         for (index, level) in self.levels.iter().enumerate() {
             let milder = &self.levels[..index];
             let mut faults = Vec::new();
             check_level(level, milder, &mut faults);
-            for condition in &level.when {
+            for condition in &level.conditions {
                 check_condition(condition, level, milder.last(), &mut faults);
             }
             check_effects(&level.effects, max_attempts, &mut faults);
-            let error = |fault| LevelTableError {
+            let error = |fault| DegradationTableError {
                 level: level.name.clone(),
                 fault,
             };
@@ -103,7 +103,7 @@
     if level.name.is_empty() || milder.iter().any(|other| other.name == level.name) {
         faults.push(LevelFault::InvalidName);
     }
-    if level.when.is_empty() {
+    if level.conditions.is_empty() {
         faults.push(LevelFault::NoCondition);
     }
     if [
@@ -143,7 +143,7 @@
         faults.push(LevelFault::UngroupedQualityLoss);
     }
     let same = |other: &&Condition| other.signal == signal && other.group == condition.group;
-    let milder_condition = milder.and_then(|milder| milder.when.iter().find(same));
+    let milder_condition = milder.and_then(|milder| milder.conditions.iter().find(same));
     if milder_condition.is_some_and(|milder| milder.enter >= enter) {
         faults.push(LevelFault::NotAboveMilderLevel { signal });
     }
@@ -153,7 +153,7 @@
 fn is_grouped(condition: &Condition, level: &Level) -> bool {
     let in_group = |other: &Condition| other.group.is_some() && other.group == condition.group;
     level
-        .when
+        .conditions
         .iter()
         .any(|other| in_group(other) && other.signal != condition.signal)
 }
--- a/src/degradation/validate/tests.rs
+++ b/src/degradation/validate/tests.rs
@@ -2,19 +2,19 @@
 
 #[test]
 fn the_built_in_table_is_valid() {
-    assert_eq!(LevelTable::built_in().validate(4), []);
+    assert_eq!(DegradationTable::built_in().validate(4), []);
 }
 
 #[test]
 fn each_fault_is_reported_with_its_level() {
-    let mut table = LevelTable::built_in();
-    table.levels[0].when[0].leave = 0.19;
-    table.levels[0].when.remove(3);
-    table.levels[1].when[0].enter = 0.2;
-    table.levels[1].when[0].leave = 0.1;
+    let mut table = DegradationTable::built_in();
+    table.levels[0].conditions[0].leave = 0.19;
+    table.levels[0].conditions.remove(3);
+    table.levels[1].conditions[0].enter = 0.2;
+    table.levels[1].conditions[0].leave = 0.1;
     table.levels[1].effects.max_attempts = Some(5);
     table.levels[1].effects.retry_after_factor = 0.5;
-    let error = |level: &str, fault| LevelTableError {
+    let error = |level: &str, fault| DegradationTableError {
         level: level.to_owned(),
         fault,
     };
@@ -36,7 +36,7 @@
             error("essential", LevelFault::InvalidRetryAfterFactor),
         ]
     );
-    table.levels[0].when.clear();
+    table.levels[0].conditions.clear();
     table.levels[1].min_stay_ms = 0;
     let errors = table.validate(4);
     assert!(
