--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -1,16 +1,18 @@
-//! The controller that moves between levels: one step at a time, after a hold, and with a longer minimum stay in a level that
-//! is entered again soon after it was left.
+//! The controller that moves between degradation levels.
+//!
+//! The level changes one step at a time. A step needs its conditions for a minimum duration, and a
+//! level has a minimum stay, which is longer if the level is entered again soon after it was left.
 
 use super::{Condition, DegradationTable, Level, SignalReadings, SignalValue};
 use crate::time::Micros;
 use std::collections::VecDeque;
 
-/// A value older than this is ignored: it neither enters a level nor keeps it.
+/// The maximum age of a reading: an older one neither enters a level nor keeps it in force.
 const MAX_READING_AGE: Micros = Micros::from_secs(5);
 /// The number of transitions that are remembered.
 const MAX_HISTORY: usize = 64;
-/// A level that is entered again within this time after it was left was left too soon, and lasts at least this time then. So a
-/// flapping signal enters, leaves and enters a level again at most once in this time.
+/// The time after a level was left in which entering it again counts as flapping. The level then
+/// lasts at least this time, so a flapping signal enters it at most once in this time.
 const REENTRY_WINDOW: Micros = Micros::from_secs(300);
 /// The name of level 0.
 const FULL_SERVICE: &str = "full";
@@ -18,48 +20,52 @@
 /// A transition between two levels.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transition {
-    /// The time.
+    /// The time of the transition.
     pub at: Micros,
     /// The level before, 0 for full service.
     pub from: usize,
     /// The level after.
     pub to: usize,
-    /// The signals that caused it; none for a pin, or if a level is left because its signals have no recent value.
+    /// The signals that caused the transition; empty for a pin, or if the signals of the level have
+    /// no recent value.
     pub causes: Vec<SignalValue>,
-    /// An operator caused it by pinning the level.
+    /// Whether an operator caused the transition by pinning the level.
     pub pinned: bool,
 }
 
-/// The previous visit_histories to a level.
+/// The previous visits to one level.
 #[derive(Debug, Clone, Copy, Default)]
 struct VisitHistory {
-    /// It was last entered within [`REENTRY_WINDOW`] after it had been left.
+    /// Whether the level was last entered within [`REENTRY_WINDOW`] after it had been left.
     reentered_soon: bool,
+    /// The time when the level was last left.
     left_at: Option<Micros>,
 }
 
-/// The present level of service, and how it was reached.
+/// The current level of service, and its history.
 #[derive(Debug, Clone)]
 pub struct DegradationController {
     table: DegradationTable,
-    /// Scales all durations of this instance, from 0.8 to 1.2, so that many instances do not move at the same time.
+    /// The factor of all durations of this instance, 0.8 to 1.2, so that many instances do not
+    /// change levels at the same time.
     jitter_factor: f64,
-    /// 0 for full service, n for the table's level at index n - 1.
+    /// The current level: 0 for full service, n for the table's level at index n - 1.
     level: usize,
     entered_at: Micros,
-    /// Since when the next level has been wanted.
+    /// The time since which the next level has been requested.
     enter_requested_since: Option<Micros>,
-    /// Since when the present level has not been wanted.
+    /// The time since which the current level has not been requested.
     leave_requested_since: Option<Micros>,
-    /// For each level of the table.
+    /// The visits to each level of the table.
     visit_histories: Vec<VisitHistory>,
-    /// An operator has fixed the level until then.
+    /// The time until which an operator has pinned the level.
     pin_expires_at: Option<Micros>,
     history: VecDeque<Transition>,
 }
 
 impl DegradationController {
-    /// A controller in full service. `jitter`, from 0 to 1, is this instance's own: it spreads the holds of many instances.
+    /// Creates a controller in full service. `jitter`, from 0 to 1, is specific to this instance:
+    /// it spreads the durations of many instances.
     #[must_use]
     pub fn new(table: DegradationTable, jitter: f64, now: Micros) -> Self {
         let visit_histories = vec![VisitHistory::default(); table.levels.len()];
@@ -76,13 +82,13 @@
         }
     }
 
-    /// The present level: 0 is full service, 1 the first level of the table.
+    /// Returns the current level: 0 is full service, 1 the first level of the table.
     #[must_use]
     pub fn level(&self) -> usize {
         self.level
     }
 
-    /// The name of the present level.
+    /// Returns the name of the current level.
     #[must_use]
     pub fn name(&self) -> &str {
         match self.level.checked_sub(1) {
@@ -91,12 +97,13 @@
         }
     }
 
-    /// The last transitions, the oldest first.
+    /// Returns the last transitions, the oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Transition> {
         self.history.iter()
     }
 
-    /// Moves to a level and stays there until the given time, whatever the signals are. A level beyond the table is its last.
+    /// Moves to a level and stays there until the given time, whatever the signals are. A level
+    /// beyond the table stands for the last one.
     pub fn pin(&mut self, level: usize, until: Micros, now: Micros) {
         let level = level.min(self.table.levels.len());
         self.pin_expires_at = Some(until);
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Evaluates the signals; the transition, if there is one.
+    /// Evaluates the signals, and returns the transition if there is one.
     pub fn evaluate(&mut self, readings: &SignalReadings, now: Micros) -> Option<&Transition> {
         if self.is_pinned(now) {
             return None;
@@ -119,7 +126,7 @@
         None
     }
 
-    /// True while a pin is in force. When it ends, signals count from there on, and each step needs its full hold.
+    /// Returns whether a pin is in force. At its end all durations start anew.
     fn is_pinned(&mut self, now: Micros) -> bool {
         let Some(until) = self.pin_expires_at else {
             return false;
@@ -134,7 +141,7 @@
         false
     }
 
-    /// The signals that want the next level, if they have for its hold.
+    /// Returns the signals that request the next level, if they have done so for long enough.
     fn causes_to_enter_next(
         &mut self,
         readings: &SignalReadings,
@@ -153,7 +160,8 @@
         (now.since(requested_since) >= hold).then_some(causes)
     }
 
-    /// The present values of the level's signals, if they have not wanted the level for its hold and its minimum stay is over.
+    /// Returns the current values of the level's signals, if they have not requested the level for
+    /// long enough and its minimum stay is over.
     fn causes_to_leave(
         &mut self,
         readings: &SignalReadings,
@@ -212,14 +220,14 @@
         self.history.back()
     }
 
-    /// A duration of the table, varied for this instance so that coordinators do not change levels in step.
+    /// Scales a duration of the table, in milliseconds, by the jitter of this instance.
     fn with_jitter(&self, ms: u64) -> Micros {
         Micros((ms as f64 * 1e3 * self.jitter_factor) as u64)
     }
 }
 
-/// The conditions of a level that are met, with the values of their signals. `bound` selects the bound to enter or to leave. A
-/// condition of a group is met only if all of the group are.
+/// Returns the signals of the level's conditions that are met. `bound` selects the bound to enter
+/// or to leave. A condition of a group is met only if all of the group are.
 fn met_conditions(
     level: &Level,
     readings: &SignalReadings,
@@ -243,7 +251,7 @@
     level.conditions.iter().filter_map(met).collect()
 }
 
-/// The value of the condition's signal, if it has a recent one.
+/// Returns the value of the condition's signal, if it has a recent one.
 fn latest_value(
     condition: &Condition,
     readings: &SignalReadings,
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -11,8 +11,8 @@
     DegradationController::new(DegradationTable::built_in(), jitter, secs(1))
 }
 
-/// Evaluates the signals for so many seconds, with the readings that `record` adds each time. The result is the number of
-/// transitions.
+/// Evaluates the signals for so many seconds, with the readings that `record` adds each time. The
+/// result is the number of transitions.
 fn run(
     controller: &mut DegradationController,
     from: u64,
@@ -35,8 +35,8 @@
 
 #[test]
 fn a_signal_near_a_bound_causes_few_transitions() {
-    // Ten minutes at each bound and 2, 5 and 10% around it, with noise of each size: at most 2 transitions in 5 minutes
-    // beyond the first.
+    // Ten minutes at each bound and 2, 5 and 10% around it, with noise of each size: at most 2
+    // transitions in 5 minutes beyond the first.
     let table = DegradationTable::built_in();
     for level in &table.levels {
         for condition in level
@@ -178,7 +178,8 @@
 }
 
 impl ExploredState {
-    /// Records the values, if any, and evaluates them a second later than the last ones. Checks the step.
+    /// Records the values, if any, and evaluates them a second later than the last ones. Checks the
+    /// step.
     fn after(&self, ejected: Option<f64>, retries: Option<f64>) -> ExploredState {
         let (mut controller, mut readings) = (self.controller.clone(), self.readings.clone());
         let now = secs(2 + self.depth);
@@ -241,7 +242,8 @@
     }
 }
 
-/// Explores all states within small bounds: every sequence of the values of two signals, and of missing values.
+/// Explores all states within small bounds: every sequence of the values of two signals, and of
+/// missing values.
 #[test]
 fn no_sequence_of_values_breaks_a_rule() {
     let table = two_level_table();
--- a/src/degradation/effects.rs
+++ b/src/degradation/effects.rs
@@ -1,4 +1,4 @@
-//! What a level of reduced service changes.
+//! The effects of a degradation level on the settings of the decision policy.
 
 use crate::interface::{Class, ServiceReduction, Settings};
 use serde::Deserialize;
@@ -8,17 +8,19 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Effects {
-    /// The share of queries that are admitted, by the name of their class; 1 for a class that is not named.
+    /// The share of queries that are admitted, 0 to 1, by the name of their class; 1 for a class
+    /// that is not named.
     #[serde(rename = "admit")]
     pub admitted_shares: BTreeMap<String, f64>,
-    /// The maximum of attempts at a part.
+    /// The maximum number of attempts at a part; `None` keeps that of the settings.
     #[serde(rename = "most_attempts")]
     pub max_attempts: Option<u32>,
-    /// Parts that are late for their answer are cancelled, where otherwise a sample of them runs on to measure latency.
+    /// Whether parts that are late for their answer are cancelled. Otherwise a sample of them runs
+    /// on to measure latency.
     #[serde(rename = "quiet")]
     pub skip_late_samples: bool,
-    /// A class that allows partial answers is answered after this share of its latency objective, but never below its
-    /// minimum share.
+    /// The share of the latency objective, 0 to 1, after which a class that allows partial answers
+    /// is answered, but never with less than its minimum share of the parts; `None` for 1.
     pub answer_after: Option<f64>,
     /// The factor by which `Retry-After` is extended, at least 1.
     #[serde(rename = "come_back")]
@@ -38,8 +40,8 @@
 }
 
 impl Effects {
-    /// The settings with these effects. A level only takes away: it grants no attempts beyond the settings and no wait
-    /// beyond what clients follow.
+    /// Returns the settings with these effects. A level only restricts: it never allows more
+    /// attempts than the settings, nor a `Retry-After` beyond their maximum.
     #[must_use]
     pub fn apply_to(&self, settings: &Settings) -> Settings {
         let mut settings = settings.clone();
@@ -60,6 +62,7 @@
         settings
     }
 
+    /// Returns the share of the class's queries that are admitted, 0 to 1.
     fn admitted_share(&self, class: &Class) -> f64 {
         self.admitted_shares
             .get(&class.name)
--- a/src/degradation/mod.rs
+++ b/src/degradation/mod.rs
@@ -1,8 +1,14 @@
-//! Levels of reduced service: from signals of overload to a level, and from a level to its effects.
+//! Graceful degradation: from signals of overload to a level of service, and from a level to its
+//! effects.
 //!
-//! The folder owns the operators' table of levels, the controller that moves between them, and the history of its
-//! transitions; it has no clock and no socket. The decision policy applies a level as settings ([`Effects::apply_to`]).
-//! Nothing in the program enters a level yet; `docs/design-degradation.md` lists what comes next.
+//! This module owns the operators' table of levels, the controller that moves between levels, and
+//! the history of its transitions. It has no clock and no socket: callers pass the time and the
+//! readings. The decision policy carries out the effects, which reach it as settings
+//! ([`Effects::apply_to`]). Nothing in the program enters a level yet; `docs/design-degradation.md`
+//! lists the next steps.
+//!
+//! Times are [`Micros`](crate::time::Micros); the durations of the operators' table are
+//! milliseconds.
 
 mod controller;
 mod effects;
--- a/src/degradation/signal.rs
+++ b/src/degradation/signal.rs
@@ -1,4 +1,4 @@
-//! The signals by which levels are entered and left, and their latest values.
+//! The signals by which degradation levels are entered and left, and their latest values.
 
 use crate::time::Micros;
 use serde::Deserialize;
@@ -16,14 +16,14 @@
     /// Share of shards without a healthy replica.
     #[serde(rename = "no_holder")]
     UnavailableShards,
-    /// 1 minus the quality that the decision policy measures. Hung and lost parts drop out of that figure, so a
-    /// table must pair this signal with another one.
+    /// 1 minus the answer quality that the decision policy measures. Hung and lost parts are
+    /// missing from that figure, so a table must combine this signal with another one.
     #[serde(rename = "lacking")]
     QualityLoss,
-    /// Duration of one turn of the event loop over the target for a turn.
+    /// Duration of one turn of the event loop, relative to the target for a turn.
     #[serde(rename = "turn_delay")]
     LoopDelay,
-    /// Parts in flight over the number that the fleet has sustained.
+    /// Parts in flight, relative to the number that the fleet has sustained.
     #[serde(rename = "out")]
     InFlightLoad,
     /// Attempts per part, minus 1.
@@ -44,7 +44,7 @@
 pub const SIGNAL_COUNT: usize = 10;
 
 impl Signal {
-    /// All signals.
+    /// All signals, in the order of their declaration.
     pub const ALL: [Signal; SIGNAL_COUNT] = [
         Signal::EjectedNodes,
         Signal::SingleReplicaShards,
@@ -60,7 +60,7 @@
 }
 
 impl fmt::Display for Signal {
-    /// The name that messages to operators use.
+    /// Writes the name that messages to operators use.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Signal::EjectedNodes => "Avoided",
@@ -82,11 +82,11 @@
 pub struct SignalValue {
     /// The signal.
     pub signal: Signal,
-    /// Its value.
+    /// The value of the signal.
     pub value: f64,
 }
 
-/// A value, and when it was recorded.
+/// A recorded value with the time of its recording.
 #[derive(Debug, Clone, Copy)]
 struct Reading {
     value: f64,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The latest value, unless it is older than `max_age`.
+    /// Returns the latest value, unless it is older than `max_age`.
     #[must_use]
     pub fn latest(&self, signal: Signal, now: Micros, max_age: Micros) -> Option<f64> {
         let reading = self.0[signal as usize]?;
--- a/src/degradation/table.rs
+++ b/src/degradation/table.rs
@@ -1,42 +1,47 @@
-//! The table of levels, as operators write it.
+//! The table of degradation levels, in the form in which operators write it.
+//!
+//! Each field has the field's usual name here, and the key of the operators' file in its `serde`
+//! attribute.
 
 use super::{Effects, Signal};
 use serde::Deserialize;
 
-/// A condition: a signal reaches a value.
+/// A condition of a level: a signal reaches a bound.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Condition {
     /// The signal.
     pub signal: Signal,
-    /// From this value on the level is wanted.
+    /// The bound to enter the level: the condition is met from this value on.
     pub enter: f64,
-    /// Below this value the level is no longer wanted. The distance from `enter` is the hysteresis.
+    /// The bound to leave the level: while the level is in force, the condition is met from this
+    /// value on. The distance below `enter` is the hysteresis.
     pub leave: f64,
-    /// The condition counts only together with all others of this group; without a group it counts by itself.
+    /// The group of the condition, which is met only together with all others of its group; `None`
+    /// for a condition that counts by itself.
     #[serde(rename = "with")]
     pub group: Option<String>,
 }
 
-/// A level of reduced service.
+/// A level of graceful degradation.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Level {
-    /// The name.
+    /// The name of the level, unique in the table.
     pub name: String,
-    /// The level is wanted if any of these is met.
+    /// The conditions; any one of them requests the level.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// The level is entered after it has been wanted for this time, in milliseconds.
+    /// The time for which the level must be requested before it is entered, in milliseconds.
     #[serde(rename = "enter_ms")]
     pub enter_after_ms: u64,
-    /// The level is left after it has not been wanted for this time, in milliseconds,
+    /// The time for which the level must not be requested before it is left, in milliseconds.
     #[serde(rename = "leave_ms")]
     pub leave_after_ms: u64,
-    /// but not before it has lasted this time, in milliseconds.
+    /// The minimum time in the level, in milliseconds.
     #[serde(rename = "stay_ms")]
     pub min_stay_ms: u64,
-    /// What changes in this level.
+    /// The effects while the level is in force.
     #[serde(default)]
     pub effects: Effects,
 }
@@ -50,8 +55,8 @@
 }
 
 impl DegradationTable {
-    /// The default table: service is reduced when a fifth of the nodes is ejected or many attempts are retries, and limited
-    /// to the essential when half of the nodes is ejected.
+    /// Returns the default table: service is reduced when a fifth of the nodes is ejected or many
+    /// attempts are retries, and limited to the essential when half of the nodes is ejected.
     #[must_use]
     pub fn built_in() -> Self {
         DegradationTable {
@@ -60,6 +65,7 @@
     }
 }
 
+/// Returns level 1 of the default table.
 fn reduced_level() -> Level {
     Level {
         name: "reduced".to_owned(),
@@ -81,6 +87,7 @@
     }
 }
 
+/// Returns level 2 of the default table.
 fn essential_level() -> Level {
     Level {
         name: "essential".to_owned(),
@@ -102,7 +109,7 @@
     }
 }
 
-/// A condition that counts by itself.
+/// Returns a condition that counts by itself.
 fn ungrouped(signal: Signal, enter: f64, leave: f64) -> Condition {
     Condition {
         signal,
@@ -112,7 +119,7 @@
     }
 }
 
-/// A condition of the group of signals that together indicate congestion.
+/// Returns a condition of the group of signals that together indicate congestion.
 fn grouped(signal: Signal, enter: f64, leave: f64) -> Condition {
     Condition {
         signal,
--- a/src/degradation/validate.rs
+++ b/src/degradation/validate.rs
@@ -1,36 +1,39 @@
-//! The checks of a table of levels.
+//! The validation of a degradation table: bounds, durations and effects in range, and levels that
+//! can be entered.
 
 use super::{Condition, DegradationTable, Effects, Level, Signal};
 use thiserror::Error;
 
-/// The minimum distance of `leave` below `enter`, as a share of `enter`: signals have noise of that size.
+/// The minimum distance of `leave` below `enter`, as a share of `enter`: signals have noise of that
+/// size.
 const MIN_HYSTERESIS: f64 = 0.15;
-/// The minimum of all holds: in this time, in milliseconds, each signal is refreshed twice.
+/// The minimum of all durations of a level, in milliseconds: each signal is refreshed twice in this
+/// time.
 const MIN_DURATION_MS: u64 = 500;
 /// The maximum factor by which `Retry-After` is extended.
 const MAX_RETRY_AFTER_FACTOR: f64 = 60.0;
 
-/// A fault of a level.
+/// A fault of a level in the table.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("level {level:?}: {fault}")]
 pub struct DegradationTableError {
     /// The name of the level.
     pub level: String,
-    /// What is wrong with it.
+    /// The fault.
     #[source]
     pub fault: LevelFault,
 }
 
-/// What is wrong with a level. Texts use the keys and signal names of the operators' file.
+/// A fault of a level. Its texts use the keys and signal names of the operators' file.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum LevelFault {
     /// The name is empty, or an earlier level has it.
     #[error("its name is empty or there twice")]
     InvalidName,
-    /// No condition can enter it.
+    /// No condition can enter the level.
     #[error("it is out of reach: no condition enters it")]
     NoCondition,
-    /// A hold is shorter than the signals are refreshed.
+    /// A duration is shorter than the interval at which signals are refreshed.
     #[error("enter_ms, leave_ms and stay_ms must be {MIN_DURATION_MS} or more")]
     DurationTooShort,
     /// A bound is not finite or has the wrong sign.
@@ -39,7 +42,7 @@
         /// The signal of the condition.
         signal: Signal,
     },
-    /// Noise would make the level flap.
+    /// The bounds are so close that noise would make the level flap.
     #[error("{signal}: between enter {enter} and leave {leave} noise would swing it")]
     HysteresisTooSmall {
         /// The signal of the condition.
@@ -52,7 +55,7 @@
     /// The loss of quality is not grouped with another signal.
     #[error("Lacking must not be believed alone: name another signal with the same `with`")]
     UngroupedQualityLoss,
-    /// A milder level needs the same value of the signal or more.
+    /// The next milder level has the same condition with the same bound to enter or a higher one.
     #[error("{signal}: it is entered by no more than the level below it")]
     NotAboveMilderLevel {
         /// The signal of the condition.
@@ -61,23 +64,24 @@
     /// An admitted share lies outside 0 to 1.
     #[error("admit: shares must be from 0 to 1")]
     InvalidAdmittedShare,
-    /// No attempt is allowed, or more than the settings allow.
+    /// The maximum of attempts is 0, or exceeds that of the settings.
     #[error("most_attempts must be from 1 to {max}")]
     InvalidMaxAttempts {
         /// The maximum over all classes of the settings.
         max: u32,
     },
-    /// The share of the latency objective lies outside 0 to 1.
+    /// The share of the latency objective lies outside 0 to 1, or is 0.
     #[error("answer_after must be above 0 and at most 1")]
     InvalidAnswerAfter,
-    /// The factor is too small or too large.
+    /// The factor of `Retry-After` is too small or too large.
     #[error("come_back must be from 1 to 60")]
     InvalidRetryAfterFactor,
 }
 
 impl DegradationTable {
-    /// Checks the table: hysteresis that is too small, levels that cannot be entered, effects out of range. `max_attempts`
-    /// is the maximum that any class of the settings allows. All faults are returned, none for a valid table.
+    /// Returns all faults of the table, none for a valid one: hysteresis that is too small, levels
+    /// that cannot be entered, effects out of range. `max_attempts` is the maximum that any class
+    /// of the settings allows.
     #[must_use]
     pub fn validate(&self, max_attempts: u32) -> Vec<DegradationTableError> {
         let mut errors = Vec::new();
@@ -99,6 +103,7 @@
     }
 }
 
+/// Checks the level's name, conditions and durations; `milder` are the levels before it.
 fn check_level(level: &Level, milder: &[Level], faults: &mut Vec<LevelFault>) {
     if level.name.is_empty() || milder.iter().any(|other| other.name == level.name) {
         faults.push(LevelFault::InvalidName);
@@ -118,6 +123,7 @@
     }
 }
 
+/// Checks one condition of the level; `milder` is the level before it.
 fn check_condition(
     condition: &Condition,
     level: &Level,
@@ -149,7 +155,7 @@
     }
 }
 
-/// True if another signal of the level is in the condition's group.
+/// Returns whether another signal of the level is in the condition's group.
 fn is_grouped(condition: &Condition, level: &Level) -> bool {
     let in_group = |other: &Condition| other.group.is_some() && other.group == condition.group;
     level
@@ -158,6 +164,7 @@
         .any(|other| in_group(other) && other.signal != condition.signal)
 }
 
+/// Checks that the effects are in range.
 fn check_effects(effects: &Effects, max_attempts: u32, faults: &mut Vec<LevelFault>) {
     if effects
         .admitted_shares
