--- a/src/coordinator/active_settings.rs
+++ b/src/coordinator/active_settings.rs
@@ -1,15 +1,17 @@
-//! The active settings and their form for the policy.
+//! The active settings, and the form of them that the policy gets.
+//!
+//! The settings are in nanoseconds, as the policy has them; the coordinator's own times are
+//! [`Micros`].
 
 use super::messages::ProcessGeneration;
 use crate::interface::{Class, RetryBudget, Settings};
 use crate::time::Micros;
 
-/// Kept free of a latency objective for the turn, the rendering of some hundred values and their way to the
-/// client: the time of an answer is that of its last byte. The policy keeps a margin of a few of its own
-/// ticks, which are short on some sites: without this one an answer that was given from some of its parts
-/// just before the objective arrived after it.
+/// The time before a latency objective in which the coordinator ends its turn, renders some hundred
+/// values and sends them: an answer arrives with its last byte. The policy's own margin is a few of
+/// its ticks, which are short on some sites.
 const RESPONSE_MARGIN: Micros = Micros::from_millis(10);
-/// During a hand-over two processes share the limits of one.
+/// The number of processes that share the limits of one during a handover.
 const PROCESSES_IN_HANDOVER: u32 = 2;
 
 /// The active settings, the limit of reserved slots, and whether another process shares both.
@@ -17,12 +19,12 @@
 pub(super) struct ActiveSettings {
     settings: Settings,
     max_in_flight: usize,
-    /// Which process this one is while another one shares the limits.
+    /// The role of this process while another one shares the limits; `None` without one.
     generation: Option<ProcessGeneration>,
 }
 
 impl ActiveSettings {
-    /// The settings of a process that has the limits to itself.
+    /// Creates the settings of a process that does not share its limits.
     pub(super) fn new(settings: Settings, max_in_flight: usize) -> Self {
         Self {
             settings: without_follow_ups(settings),
@@ -37,17 +39,17 @@
         self.max_in_flight = max_in_flight;
     }
 
-    /// Another process shares the limits from now on, or no longer does.
+    /// Sets the role of this process while another one shares the limits; `None` once none does.
     pub(super) fn set_generation(&mut self, generation: Option<ProcessGeneration>) {
         self.generation = generation;
     }
 
-    /// The configured classes.
+    /// Returns the configured classes.
     pub(super) fn classes(&self) -> &[Class] {
         &self.settings.classes
     }
 
-    /// How many queries and parts may be reserved now.
+    /// Returns the number of queries and parts that may be reserved now.
     pub(super) fn max_reserved_slots(&self) -> usize {
         match self.generation {
             Some(_) => self.max_in_flight / PROCESSES_IN_HANDOVER as usize,
@@ -55,29 +57,29 @@
         }
     }
 
-    /// How many attempts one call to a server may carry; at least 1.
+    /// Returns the maximum number of attempts in one call to a server, at least 1.
     pub(super) fn max_batch(&self) -> usize {
         self.settings.max_batch.max(1) as usize
     }
 
-    /// Whether a part may have two attempts in flight.
+    /// Returns whether a part may have two attempts in flight.
     pub(super) fn hedging(&self) -> bool {
         self.settings.hedging
     }
 
-    /// The longest `Retry-After` of a rejected client; `None` where rejections carry none.
+    /// Returns the longest `Retry-After` of a rejected client; `None` where rejections carry none.
     pub(super) fn max_retry_after(&self) -> Option<Micros> {
         self.settings.max_retry_after.map(Micros::from_nanos)
     }
 
-    /// The settings for a new policy.
+    /// Returns the settings for a new policy.
     pub(super) fn for_new_policy(&self) -> Settings {
         with_response_margin(self.settings.clone())
     }
 
-    /// The settings for the running policy, with the classes that it is to know. One of two processes counts
-    /// as two coordinators, which halves its share of every limit; free retries stay with the predecessor,
-    /// which may have used them.
+    /// Returns the settings for the running policy, with these classes. Each of two processes
+    /// counts as two coordinators, which halves its share of every limit. The successor has no free
+    /// retries, since the predecessor may have used them.
     pub(super) fn for_policy(&self, classes: Vec<Class>) -> Settings {
         let mut settings = Settings {
             classes,
@@ -96,7 +98,7 @@
     }
 }
 
-/// Moves each latency objective ahead by the response margin, but by no more than half of it.
+/// Moves each latency objective ahead by the response margin, but by at most half of itself.
 fn with_response_margin(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         let ahead = class
@@ -107,7 +109,7 @@
     settings
 }
 
-/// Neither front has queries with a second step.
+/// Removes the follow-up parts: neither front has queries with a second step.
 fn without_follow_ups(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         class.follow_up_parts = 0;
--- a/src/coordinator/batching.rs
+++ b/src/coordinator/batching.rs
@@ -1,9 +1,10 @@
-//! Batching of dispatches: one call to a server carries several attempts where the settings allow it.
+//! Batching of dispatches: one call to a server carries several attempts where the settings allow
+//! it.
 
 use super::messages::Command;
 
-/// Joins the dispatches to one server into calls of at most `max_batch` attempts, each in the place of its
-/// first attempt.
+/// Joins the dispatches to one server into calls of at most `max_batch` attempts, each in the place
+/// of its first attempt. Commands of other kinds keep their places.
 pub(super) fn batch_dispatches(commands: &mut Vec<Command>, max_batch: usize) {
     if max_batch < 2 {
         return;
@@ -17,7 +18,8 @@
     *commands = batched;
 }
 
-/// Appends the attempts of a dispatch to the first call to its server that has room for more.
+/// Appends the attempts of a dispatch to the first call to the same server with free capacity;
+/// returns whether there was one.
 fn joins_a_batch(command: &Command, batched: &mut [Command], max_batch: usize) -> bool {
     let Command::Dispatch { replica, attempts } = command else {
         return false;
--- a/src/coordinator/classes.rs
+++ b/src/coordinator/classes.rs
@@ -1,31 +1,35 @@
-//! The classes by name and by number. The policy knows a class by its number, which is its slot here; clients
-//! and the configuration know it by its name.
+//! The query classes, by name and by number.
+//!
+//! The policy identifies a class by its number, which is its slot here; clients and the
+//! configuration identify it by its name. A reload may give a name another slot.
 
 use super::metrics::{ClassMetrics, Metrics};
 use crate::interface::{Class, ClassId};
 use std::sync::Arc;
 
-/// The predecessor of a new class: it continues no other class's statistics.
+/// The predecessor of a new class, which continues the statistics of no other class.
 const NO_PREDECESSOR: ClassId = ClassId(u16::MAX);
 
+/// A class with its metrics and the number of its users.
 #[derive(Debug)]
 struct ClassSlot {
     class: Class,
     metrics: Arc<ClassMetrics>,
-    /// Pending queries and in-flight attempts of the class.
+    /// The number of pending queries and in-flight attempts of the class.
     users: usize,
 }
 
 /// A class of a reloaded configuration.
 struct ReloadedClass<'a> {
     class: &'a Class,
-    /// The active class of the same name.
+    /// The active class of the same name, if any.
     current: Option<ClassId>,
-    /// Whether the reload leaves it as it is.
+    /// Whether the reload leaves the class as it is.
     unchanged: bool,
 }
 
-/// The active classes, and those that a reload dropped or changed while queries or attempts still use them.
+/// The active classes, and those that a reload dropped or changed while queries or attempts still
+/// use them.
 #[derive(Debug)]
 pub(super) struct Classes {
     slots: Vec<ClassSlot>,
@@ -33,7 +37,7 @@
 }
 
 impl Classes {
-    /// The classes of the first configuration.
+    /// Creates the classes of the first configuration.
     pub(super) fn new(classes: &[Class], metrics: Arc<Metrics>) -> Self {
         let mut all = Classes {
             slots: Vec::new(),
@@ -43,7 +47,7 @@
         all
     }
 
-    /// The number of the active class of this name.
+    /// Returns the number of the active class of this name.
     pub(super) fn find(&self, name: &str) -> Option<ClassId> {
         let index = self
             .slots
@@ -52,34 +56,34 @@
         Some(class_id(index))
     }
 
-    /// The class of this number.
+    /// Returns the class of this number.
     pub(super) fn get(&self, id: ClassId) -> &Class {
         &self.slots[usize::from(id.0)].class
     }
 
-    /// The metrics of a class; a class that a reload changed keeps those of its name.
+    /// Returns the metrics of a class. A class that a reload changed keeps those of its name.
     pub(super) fn metrics(&self, id: ClassId) -> &Arc<ClassMetrics> {
         &self.slots[usize::from(id.0)].metrics
     }
 
-    /// A query or an attempt begins to use a class.
+    /// Counts a query or an attempt that starts to use a class.
     pub(super) fn acquire(&mut self, id: ClassId) {
         self.slots[usize::from(id.0)].users += 1;
     }
 
-    /// A query or an attempt of a class has ended.
+    /// Counts a query or an attempt of a class that has ended.
     pub(super) fn release(&mut self, id: ClassId) {
         self.slots[usize::from(id.0)].users -= 1;
     }
 
-    /// Activates the classes of a reload. An unchanged class keeps its slot; a changed one gets another,
-    /// so that the queries that use the old one keep its rules. A slot is reused once its class is not in
-    /// force and has no users.
+    /// Activates the classes of a reload. An unchanged class keeps its slot. A changed one gets
+    /// another, so that the queries that use the old one keep its rules. A slot is reused once its
+    /// class is inactive and has no users.
     ///
     /// Returns for each slot the class whose statistics the policy continues there.
     pub(super) fn replace(&mut self, classes: &[Class]) -> Vec<ClassId> {
-        // Compared before the first slot is reused: it may be that of a class that comes later in the
-        // configuration.
+        // Compared before the first slot is reused: it may be that of a class that comes later in
+        // the configuration.
         let reloaded: Vec<ReloadedClass<'_>> =
             classes.iter().map(|class| self.compare(class)).collect();
         self.keep_active(&reloaded);
@@ -98,11 +102,12 @@
         predecessors
     }
 
-    /// All classes by number, for the policy.
+    /// Returns all classes by number, for the policy.
     pub(super) fn all(&self) -> Vec<Class> {
         self.slots.iter().map(|slot| slot.class.clone()).collect()
     }
 
+    /// Compares a class of a reload with the active class of its name.
     fn compare<'a>(&self, class: &'a Class) -> ReloadedClass<'a> {
         let current = self.find(&class.name);
         let unchanged = current.is_some_and(|id| *self.get(id) == activated(class));
--- a/src/coordinator/classes/tests.rs
+++ b/src/coordinator/classes/tests.rs
@@ -30,8 +30,8 @@
 
 #[test]
 fn reload_that_changes_all_classes_keeps_all_active() {
-    // Regression: the slot of a later class was given to an earlier one, and the later one was taken for
-    // unchanged.
+    // Regression: the slot of a later class was given to an earlier one, and the later one was
+    // taken for unchanged.
     let mut classes = Classes::new(&[class("a", 4), class("b", 4)], Arc::default());
     let predecessors = classes.replace(&[class("a", 2), class("b", 2), class("c", 2)]);
     let names: Vec<_> = active_classes(&classes)
@@ -67,8 +67,8 @@
         classes.get(classes.find("a").expect("active")).max_attempts,
         1
     );
-    // Class a is dropped while its first slot is in use, so c needs a third one; after the release the slot
-    // is reused.
+    // Class a is dropped while its first slot is in use, so c needs a third one; after the release
+    // the slot is reused.
     classes.replace(&[class("b", 4), class("c", 1)]);
     assert_eq!(
         (classes.find("a"), classes.find("c")),
--- a/src/coordinator/counters.rs
+++ b/src/coordinator/counters.rs
@@ -1,4 +1,7 @@
 //! The counters of the process, logged on SIGUSR1 and at its exit.
+//!
+//! [`COUNTERS`] is global, since each counts the process as a whole and is incremented in modules
+//! that share nothing else.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
@@ -22,12 +25,12 @@
     };
 }
 
-/// A number that only grows.
+/// A number that only increases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// A counter at 0.
+    /// Creates a counter at 0.
     #[must_use]
     pub const fn new() -> Self {
         Counter(AtomicU64::new(0))
@@ -43,7 +46,7 @@
         self.0.fetch_add(n as u64, Relaxed);
     }
 
-    /// The number of events so far.
+    /// Returns the number of events so far.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.load(Relaxed)
--- a/src/coordinator/diagnostics.rs
+++ b/src/coordinator/diagnostics.rs
@@ -1,9 +1,13 @@
 //! Throttled log lines and checked invariants.
+//!
+//! The throttling has no state of its own: it follows the counters, which are global
+//! ([`COUNTERS`]).
 
 use super::counters::{Counter, COUNTERS};
 
-/// Counts an event that may occur too often to log each time, and logs the 1st, 2nd, 4th, 8th of its counter
-/// and so on, by calling `log_event`. Standard error may be a pipe, and a full one would block the worker.
+/// Counts an event, and calls `log_event` for the 1st, 2nd, 4th, 8th and so on of its counter. The
+/// event may occur too often to log each time: standard error may be a pipe, and a full one would
+/// block the worker.
 pub fn log_throttled(counter: &Counter, log_event: impl FnOnce()) {
     counter.increment();
     if counter.get().is_power_of_two() {
@@ -11,7 +15,11 @@
     }
 }
 
-/// Checks what must hold: asserted in debug builds, counted and logged in release builds.
+/// Checks an invariant.
+///
+/// # Panics
+///
+/// In debug builds, if it does not hold. A release build counts and logs the defect instead.
 pub fn check_invariant(holds: bool, description: &str) {
     debug_assert!(holds, "invariant: {description}");
     if !holds {
--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -1,5 +1,8 @@
-//! The registry of endpoints: the servers that endpoint lists have named, their ids, and what is known of
-//! each.
+//! The registry of endpoints: the servers that endpoint lists have named, their ids, and their last
+//! known state.
+//!
+//! The registry decides which lines of an endpoint list apply; the policy and the drivers get the
+//! result as events and commands.
 
 use super::counters::COUNTERS;
 use super::diagnostics::log_throttled;
@@ -13,26 +16,27 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A removed endpoint is remembered this long: it may come back under its name.
+/// The time for which a removed endpoint is remembered: it may return under its name.
 const REMOVED_RETENTION: Micros = Micros::from_secs(30);
-/// Two start times this close are of the same incarnation: each is computed from two clocks and varies a
-/// little.
+/// The maximum distance of two start times of one incarnation: each is computed from two clocks and
+/// varies a little.
 const START_TIME_TOLERANCE: Micros = Micros::from_millis(500);
 
-/// An endpoint that some list has named.
+/// An endpoint that a list has named.
 #[derive(Debug)]
 struct KnownEndpoint {
     name: Arc<str>,
     address: Arc<str>,
     ready: bool,
-    /// When it last started, according to the lists received.
+    /// The time of its last start, according to the lists received.
     started_at: Option<Micros>,
-    /// Since when it has been removed from the list, or missing in it.
+    /// The time since which it has been removed from the list, or missing in it.
     removed_at: Option<Micros>,
 }
 
 impl KnownEndpoint {
-    /// Whether a list speaks of a later incarnation than the known one.
+    /// Returns whether a line with this start time describes a later incarnation than the known
+    /// one.
     fn is_later_incarnation(&self, started_at: Option<Micros>) -> bool {
         started_at.is_some_and(|start| {
             self.started_at
@@ -40,16 +44,17 @@
         })
     }
 
-    /// Whether a list speaks of an earlier incarnation than the known one.
+    /// Returns whether a line with this start time describes an earlier incarnation than the known
+    /// one.
     fn is_earlier_incarnation(&self, started_at: Option<Micros>) -> bool {
         self.started_at.is_some_and(|known| {
             started_at.is_none_or(|start| start + START_TIME_TOLERANCE < known)
         })
     }
 
-    /// Whether a line of a stale list is news. An incarnation that is draining or removed never becomes ready
-    /// again, so that is believed however old the list is, and so is a later incarnation. All else the newer
-    /// list knew better.
+    /// Returns whether a line of a stale list still applies. A drain or a removal does, since an
+    /// incarnation never becomes ready again after it, and so does a later incarnation. In all else
+    /// the newer list is right.
     fn accepts_stale(&self, node: &NodeEndpoint) -> bool {
         let stops = self.ready && node.state != EndpointState::Ready;
         self.is_later_incarnation(node.started_at)
@@ -57,24 +62,24 @@
     }
 }
 
-/// All endpoints that are listed, or were not long ago.
+/// All endpoints that are listed, or were until recently.
 #[derive(Debug, Default)]
 pub(super) struct EndpointRegistry {
     ids: HashMap<Arc<str>, ReplicaId>,
     endpoints: BTreeMap<ReplicaId, KnownEndpoint>,
-    /// The highest version of the list that was received.
+    /// The highest version of a list received so far.
     version: u64,
-    /// The number of the next new endpoint; never reused.
+    /// The id of the next new endpoint; never reused.
     next_id: u32,
 }
 
 impl EndpointRegistry {
-    /// Endpoints that are remembered, listed or not.
+    /// Returns the number of endpoints that are remembered, listed or not.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Endpoints that are listed now, draining ones included.
+    /// Returns the number of endpoints that are listed now, draining ones included.
     pub(super) fn count_listed(&self) -> usize {
         self.endpoints
             .values()
@@ -82,7 +87,7 @@
             .count()
     }
 
-    /// Applies a list or a change to it, and passes it on to the policy and the drivers.
+    /// Applies a list or a change to it, and reports it to the policy and the drivers.
     pub(super) fn apply(&mut self, mut update: EndpointUpdate, turn: &mut Turn<'_>) {
         COUNTERS.endpoint_updates.increment();
         self.filter_stale(&mut update);
@@ -105,9 +110,11 @@
         });
     }
 
-    /// Discovery that was moved, or came back from an older copy, may send an older list than the current
-    /// one: endpoints that it lacks may be newer than it, and those that it calls ready may have begun to
-    /// drain since.
+    /// Reduces a list that is older than the current one to the lines that still apply.
+    ///
+    /// Discovery that has moved, or was restored from an older copy, may send such a list.
+    /// Endpoints that are not in it may be newer than it, and those that it calls ready may be
+    /// draining by now.
     fn filter_stale(&mut self, update: &mut EndpointUpdate) {
         let Some(version) = update.version else {
             return;
@@ -172,7 +179,7 @@
         }
     }
 
-    /// The id of an endpoint; a new name gets the next one.
+    /// Returns the id of an endpoint; a new name gets the next id.
     fn id_of(&mut self, name: &Arc<str>) -> ReplicaId {
         let next_id = &mut self.next_id;
         *self.ids.entry(name.clone()).or_insert_with(|| {
@@ -182,7 +189,7 @@
         })
     }
 
-    /// A complete list that lacks an endpoint removes it.
+    /// Marks the endpoints that a complete list does not contain as removed.
     fn remove_unlisted(&mut self, listed: &BTreeSet<ReplicaId>, turn: &mut Turn<'_>) {
         for (replica, endpoint) in &mut self.endpoints {
             if listed.contains(replica) {
@@ -200,8 +207,9 @@
         }
     }
 
-    /// Forgets endpoints that were removed long ago and have no attempt in flight: servers are replaced by
-    /// new ones with new names for as long as the program runs.
+    /// Drops endpoints that were removed long ago and have no attempt in flight. Servers are
+    /// replaced by new ones with new names for as long as the program runs, so the registry would
+    /// grow without bound.
     pub(super) fn purge_removed(
         &mut self,
         has_attempts: impl Fn(ReplicaId) -> bool,
--- a/src/coordinator/messages.rs
+++ b/src/coordinator/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the coordinator and the program around it: inputs, commands and answers as plain
-//! data.
+//! The messages between the coordinator and the program around it: inputs, commands and answers as
+//! plain data.
 
 use super::metrics::ClassMetrics;
 use super::request::{AttemptKey, Request, RequestContext, Token, Value};
@@ -7,167 +7,169 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// What reaches the coordinator.
+/// An input of the coordinator.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// An endpoint list, or a change to it.
     EndpointUpdate(EndpointUpdate),
-    /// A front submits a request.
+    /// A request that a front submits.
     Submit(Request),
-    /// The client of a request has closed its connection.
+    /// The end of a client's connection: the request needs no answer any more.
     ClientLeft(Token),
-    /// Some of an attempt's request was written. The rest follows, so it can't be taken back.
+    /// The start of an attempt's write. Some of its request is written and the rest follows, so the
+    /// attempt can no longer be withdrawn.
     WriteStarted(AttemptKey),
-    /// An attempt's request was written to the last byte.
+    /// The end of an attempt's write: the last byte of its request is written.
     FullyWritten(AttemptKey),
-    /// An attempt ended.
+    /// The end of an attempt.
     AttemptEnded {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
-        /// How it ended.
+        /// The way in which it ended.
         end: AttemptEnd,
     },
-    /// The configuration was reloaded.
+    /// The settings of a reloaded configuration.
     Settings {
         /// The settings from now on.
         settings: Box<Settings>,
-        /// How many queries and parts may be pending at the same time from now on.
+        /// The number of queries and parts that may be pending at the same time from now on.
         max_in_flight: usize,
     },
-    /// The timer fired: something is due.
+    /// The expiry of the driver's timer: something is due.
     TimerDue,
 }
 
 /// A server as an endpoint list describes it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeEndpoint {
-    /// Its name, which it keeps over restarts.
+    /// The name of the server, which is the same after a restart.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: Arc<str>,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: u16,
-    /// Its cell.
+    /// The cell of the server.
     pub cell: u16,
-    /// The shards that it holds; `None` if those of its cell.
+    /// The shards that the server holds; `None` for those of its cell.
     pub shards: Option<Vec<ShardId>>,
-    /// Its state.
+    /// The state of the server.
     pub state: EndpointState,
-    /// When it last started; `None`: long ago.
+    /// The time of the server's last start; `None` if that was long ago.
     pub started_at: Option<Micros>,
 }
 
 /// An endpoint list, or a change to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether it is complete.
+    /// The kind of list: complete, or a change to the one before.
     pub kind: EndpointListKind,
-    /// Its version, where lists have one: it never decreases from one list to the next.
+    /// The version of the list, where lists have one. The version of a newer list is never lower.
     pub version: Option<u64>,
-    /// The endpoints in it.
+    /// The endpoints in the list.
     pub endpoints: Vec<NodeEndpoint>,
 }
 
-/// How an attempt ended, as its driver saw it.
+/// The end of an attempt, as its driver observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The server returned this value.
+    /// A value that the server returned.
     Served(Value),
-    /// Any other end; never [`Outcome::Ok`].
+    /// An end without a value; never [`Outcome::Ok`].
     Failed(Outcome),
 }
 
-/// Which of two processes this one is while a new version is started beside the running one.
+/// The role of this process while a new version is started beside the running one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessGeneration {
-    /// The one that has served so far.
+    /// The process that has served so far.
     Predecessor,
-    /// The one that takes over.
+    /// The process that takes over.
     Successor,
 }
 
-/// What the drivers are to do, in order.
+/// A command to the drivers, which carry commands out in order.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// A server was added, or its address or readiness changed.
+    /// Registers a server, or a change of its address or readiness.
     UpdateServer {
         /// The server.
         replica: ReplicaId,
-        /// Where it listens.
+        /// The address on which the server listens.
         address: Arc<str>,
-        /// Whether it accepts new attempts.
+        /// Whether the server accepts new attempts.
         ready: bool,
     },
-    /// Start these attempts in one call.
+    /// Starts the attempts in one call.
     Dispatch {
         /// The server to call.
         replica: ReplicaId,
         /// The attempts, at most `max_batch` of them.
         attempts: Vec<AttemptRequest>,
     },
-    /// Stop waiting for an attempt.
+    /// Ends the wait for an attempt.
     CancelAttempt {
-        /// The server that it was dispatched to.
+        /// The server to which the attempt was dispatched.
         replica: ReplicaId,
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
     },
-    /// A server was removed long ago: nothing of it needs to be kept.
+    /// Removes all state of a server that was removed from the list long ago.
     RemoveServer(ReplicaId),
-    /// Close the idle connections to a server.
+    /// Closes the idle connections to a server.
     CloseIdle(ReplicaId),
-    /// Give a request its final answer.
+    /// Gives a request its final answer.
     Reply {
         /// The request.
         token: Token,
-        /// Its answer.
+        /// The answer.
         answer: Answer,
     },
 }
 
-/// What an attempt asks of a server.
+/// The request of an attempt to a server.
 #[derive(Debug, Clone)]
 pub struct AttemptRequest {
-    /// Which attempt.
+    /// The attempt.
     pub key: AttemptKey,
-    /// The id of its request.
+    /// The id of the request to which the attempt belongs.
     pub request_id: Arc<str>,
-    /// The shard that is asked.
+    /// The shard that is queried.
     pub shard: ShardId,
-    /// The bytes that it carries.
+    /// The bytes that the attempt carries to the server.
     pub payload: Arc<[u8]>,
-    /// What the front added for its driver.
+    /// The data that the front added for its driver.
     pub context: Option<RequestContext>,
-    /// How long the coordinator waits for its end.
+    /// The time for which the coordinator waits for the end of the attempt.
     pub timeout: Micros,
-    /// Where it is counted once its last byte is written.
+    /// The counters that count the attempt once its last byte is written.
     pub metrics: Arc<ClassMetrics>,
 }
 
 /// The final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// Answered from some or all of its parts.
+    /// An answer from some or all parts of the request.
     Served {
-        /// Whether the class's required share of the parts was answered.
+        /// Whether the required share of the class was answered.
         complete: bool,
         /// The parts that were answered, in the request's order.
         parts: Vec<ServedPart>,
     },
-    /// Rejected: a retry does no harm.
+    /// A rejection: nothing of the request ran, so a retry is safe.
     Rejected {
-        /// After what time a retry has better prospects, where clients are informed of it.
+        /// The time after which a retry has better prospects; `None` where clients are not notified
+        /// of it.
         retry_after: Option<Micros>,
-        /// Its time ran out.
+        /// Whether the time of the request ran out.
         late: bool,
     },
-    /// Its id is that of a pending request: nothing of it was sent.
+    /// A rejection because a pending request has the same id. Nothing was sent to a server.
     DuplicateRequestId,
-    /// Its class does not exist, or no longer does: nothing of it was sent.
+    /// A rejection because no class of this name is active. Nothing was sent to a server.
     UnknownClass,
-    /// Failed: parts of it may have run.
+    /// A failure: parts of the request may have run.
     Failed {
-        /// Its time ran out.
+        /// Whether the time of the request ran out.
         late: bool,
     },
 }
@@ -175,8 +177,8 @@
 /// A part of a request that was answered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServedPart {
-    /// The shard that was asked.
+    /// The shard that was queried.
     pub shard: ShardId,
-    /// What the server returned.
+    /// The value that the server returned.
     pub value: Value,
 }
--- a/src/coordinator/metrics.rs
+++ b/src/coordinator/metrics.rs
@@ -1,8 +1,9 @@
-//! The figures that operators read at the admin address, by class name where they belong to a class.
+//! The metrics that operators read at the admin endpoint, by class name where they belong to a
+//! class.
 //!
-//! Each is counted in one place, where it happens: an answer where the coordinator gives it, an attempt where
-//! its last byte is written. So both fronts count, and a class that a reload brings counts from its first
-//! request on.
+//! Each is counted in one place, where it happens: an answer where the coordinator gives it, an
+//! attempt where its last byte is written. So both fronts count, and a class that a reload adds
+//! counts from its first request on.
 
 use super::counters::Counter;
 use crate::sync::lock;
@@ -24,7 +25,7 @@
     pub attempts: Counter,
 }
 
-/// A figure that rises and falls: the sum of what each coordinator of the process last reported.
+/// A value that rises and falls: the sum of the last reports of all coordinators of the process.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicUsize);
 
@@ -34,14 +35,14 @@
         self.0.fetch_add(current.wrapping_sub(previous), Relaxed);
     }
 
-    /// The sum over all coordinators.
+    /// Returns the sum over all coordinators.
     #[must_use]
     pub fn get(&self) -> usize {
         self.0.load(Relaxed)
     }
 }
 
-/// All figures of the process.
+/// All metrics of the process.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Mutex<BTreeMap<String, Arc<ClassMetrics>>>,
@@ -49,7 +50,7 @@
     pub active: Gauge,
     /// Servers in the endpoint list.
     pub pool_size: Gauge,
-    /// Those of them that the policy has avoided for a while.
+    /// Servers of the endpoint list that the policy has avoided for a while.
     pub pool_ejected: Gauge,
     /// Configurations applied at SIGHUP.
     pub config_applied: Counter,
@@ -58,13 +59,14 @@
 }
 
 impl Metrics {
-    /// The metrics of a class. A class that is dropped keeps them: they count from the start of the process.
+    /// Returns the metrics of a class. They count from the start of the process: a class that is
+    /// dropped keeps them.
     pub fn class(&self, name: &str) -> Arc<ClassMetrics> {
         let mut classes = lock(&self.classes);
         classes.entry(name.to_owned()).or_default().clone()
     }
 
-    /// All figures, one on each line.
+    /// Returns all metrics as text, one on each line.
     #[must_use]
     pub fn dump(&self) -> String {
         let mut text = String::new();
@@ -85,6 +87,7 @@
     }
 }
 
+/// Appends the lines of one class.
 fn append_class(text: &mut String, class: &str, metrics: &ClassMetrics) {
     let counters = [
         ("ok", &metrics.ok),
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -1,9 +1,12 @@
-//! The state of one coordinator. It holds the policy, pending queries, attempts, timers and endpoints, and
-//! knows no wire format and no socket.
+//! The state of one coordinator: the policy, pending queries, attempts, timers and endpoints.
 //!
-//! A driver collects inputs and calls [`Coordinator::turn`] with all of them and one reading of the clock.
-//! The turn hands the policy its events, executes its actions in order and returns the commands for the
-//! drivers.
+//! A driver collects inputs and calls [`Coordinator::turn`] with all of them and one reading of the
+//! clock. The turn passes the policy its events, executes its actions in order and returns the
+//! commands for the drivers.
+//!
+//! The module leaves decisions to the policy, and wire formats and sockets to the fronts and
+//! drivers. Its own times are [`Micros`]; those of events and actions are nanoseconds, and
+//! [`time`](mod@crate::time) converts between the two.
 
 mod active_settings;
 mod batching;
@@ -45,19 +48,19 @@
 #[derive(Debug)]
 pub struct Coordinator {
     policy: DecisionPolicy,
-    /// When the policy wants to be called at the latest.
+    /// The latest time of the policy's next call, if it has asked for one.
     policy_timer: Option<Micros>,
     settings: ActiveSettings,
     endpoints: EndpointRegistry,
     queries: QueryTracker,
     reporter: MetricsReporter,
-    /// Events for the policy that arose after it was called.
+    /// The events for the policy that arose after it was called.
     deferred_events: Vec<Event>,
 }
 
 impl Coordinator {
-    /// A coordinator without queries or endpoints. At most `max_in_flight` queries and parts are pending at
-    /// the same time; `seed` starts the policy's random generator.
+    /// Creates a coordinator without queries or endpoints. At most `max_in_flight` queries and
+    /// parts are pending at the same time; `seed` initializes the policy's random generator.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -78,31 +81,31 @@
         }
     }
 
-    /// The number of queries without a final answer.
+    /// Returns the number of queries without a final answer.
     #[must_use]
     pub fn pending_queries(&self) -> usize {
         self.queries.pending_queries()
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     #[must_use]
     pub fn attempts_in_flight(&self) -> usize {
         self.queries.attempts_in_flight()
     }
 
-    /// Whether this attempt is in flight.
+    /// Returns whether this attempt is in flight.
     #[must_use]
     pub fn is_in_flight(&self, key: AttemptKey) -> bool {
         self.queries.is_in_flight(key)
     }
 
-    /// The number of endpoints that are remembered, listed or not.
+    /// Returns the number of endpoints that are remembered, listed or not.
     #[must_use]
     pub fn known_endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// When the next turn is due at the latest; `None` if nothing is due at any time.
+    /// Returns the latest time of the next turn; `None` if nothing is due at any time.
     #[must_use]
     pub fn next_turn_due(&self) -> Option<Micros> {
         if !self.deferred_events.is_empty() {
@@ -114,21 +117,22 @@
             .min()
     }
 
-    /// The program shuts down: every pending query, and every later one, has its answer by then.
+    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
+    /// deadline.
     pub fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.queries.set_final_deadline(final_deadline);
     }
 
-    /// Another process of a hand-over shares the limits of this one from now on, or no longer does. Limits
-    /// hold for the sum of both.
+    /// Sets the role of this process while another one of a handover shares its limits; `None` once
+    /// none does. The limits hold for the sum of both processes.
     pub fn set_process_generation(&mut self, generation: Option<ProcessGeneration>) {
         self.settings.set_generation(generation);
         let event = self.settings_event();
         self.deferred_events.push(event);
     }
 
-    /// One turn: handles the inputs, calls the policy with their events, executes its actions, and appends
-    /// the commands for the drivers in order.
+    /// Executes one turn: handles the inputs, calls the policy with their events, executes its
+    /// actions, and appends the commands for the drivers in order.
     pub fn turn(
         &mut self,
         now: Micros,
@@ -142,7 +146,8 @@
         self.queries.expire_attempts(&mut turn);
         self.fire_policy_timer(&mut turn);
         self.run_policy(&mut turn);
-        // After the policy: in a turn that comes late, the policy still is to end the queries that are over.
+        // After the policy: in a turn that comes late, the policy still is to end the queries that
+        // are over.
         self.queries.expire_queries(&mut turn);
         self.deferred_events = turn.deferred_events;
         batch_dispatches(commands, self.settings.max_batch());
@@ -177,8 +182,8 @@
             .purge_removed(|replica| self.queries.has_attempts_at(replica), turn);
     }
 
-    /// Brings the classes up to the active settings, and tells the policy both. A pending query keeps its
-    /// class.
+    /// Updates the classes to the active settings, and returns the event that passes both to the
+    /// policy. A pending query keeps its class.
     fn settings_event(&mut self) -> Event {
         let class_mapping = self.queries.replace_classes(self.settings.classes());
         let settings = self.settings.for_policy(self.queries.classes());
--- a/src/coordinator/queries/admission.rs
+++ b/src/coordinator/queries/admission.rs
@@ -42,7 +42,8 @@
             .insert(PendingQuery::new(request, class, deadline, objective), turn);
     }
 
-    /// Why a request can't be accepted. Nothing of it was sent, so a retry does no harm.
+    /// Returns the rejection of a request that cannot be accepted. Nothing of the request was sent,
+    /// so a retry is safe.
     fn rejection(
         &self,
         request: &Request,
--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: dispatch, outcome, timeout and cancellation.
+//! The life cycle of an attempt: dispatch, outcome, timeout and cancellation.
 
 use super::in_flight::InFlightAttempt;
 use super::QueryTracker;
@@ -11,16 +11,16 @@
 use crate::interface::{Event, Outcome, PartId, ReplicaId};
 use crate::time::Micros;
 
-/// What the policy orders: an attempt at a part.
+/// An attempt at a part that the policy orders.
 pub(in crate::coordinator) struct DispatchOrder {
     /// The part.
     pub(in crate::coordinator) part: PartId,
     /// The server.
     pub(in crate::coordinator) replica: ReplicaId,
-    /// How long to wait for the value.
+    /// The time for which to wait for the value.
     pub(in crate::coordinator) timeout: Micros,
-    /// When the write must have started, or never may: later it would repeat a part outside the window of its
-    /// class.
+    /// The time by which the write must have started; a later one would repeat the part outside the
+    /// deduplication window of its class.
     pub(in crate::coordinator) write_by: Micros,
 }
 
@@ -48,8 +48,8 @@
             replica: order.replica,
             dispatched_at: turn.now,
             deadline,
-            // A connection may be established much later: what must not be written by then is cancelled
-            // before.
+            // A connection may be established much later: what must not be written by then is
+            // cancelled before.
             timer_at: deadline.min(order.write_by),
             write_started: false,
             request_id: query.request.request_id.clone(),
@@ -73,12 +73,12 @@
         });
     }
 
-    /// Some of an attempt's request was written.
+    /// Records that some of an attempt's request was written.
     pub(in crate::coordinator) fn write_started(&mut self, key: AttemptKey) {
         self.in_flight.mark_write_started(key);
     }
 
-    /// An attempt's request was written to the last byte.
+    /// Records that an attempt's request was written to the last byte.
     pub(in crate::coordinator) fn fully_written(&mut self, key: AttemptKey) {
         COUNTERS
             .attempts_fully_written
@@ -86,7 +86,8 @@
         self.in_flight.mark_write_started(key);
     }
 
-    /// An attempt has ended. If it was cancelled or has timed out, it has had its outcome before.
+    /// Records the end of an attempt. An attempt that was cancelled or has timed out is ignored,
+    /// since its outcome is already recorded.
     pub(in crate::coordinator) fn attempt_ended(
         &mut self,
         key: AttemptKey,
@@ -117,8 +118,9 @@
                 replica: attempt.replica,
                 key,
             });
-            // An attempt whose write never started is taken back, so it never ran, and a part that must not
-            // be repeated may be sent again. One whose write has started goes on to its last byte, and runs.
+            // An attempt whose write never started is taken back, so it never ran, and a part that
+            // must not be repeated may be sent again. One whose write has started goes on to its
+            // last byte, and runs.
             let outcome = if attempt.write_started {
                 Outcome::TimedOut
             } else {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Cancels an attempt; the policy hears of its end in the next turn.
+    /// Cancels an attempt; the policy is notified of its end in the next turn.
     pub(in crate::coordinator) fn cancel(&mut self, key: AttemptKey, turn: &mut Turn<'_>) {
         let Some(attempt) = self.remove_attempt(key) else {
             return;
@@ -147,7 +149,7 @@
             .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
-    /// Removes an attempt with all that it uses: after this it can have no second outcome.
+    /// Removes an attempt with all that it uses, so that it can have no second outcome.
     fn remove_attempt(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let attempt = self.in_flight.remove(key)?;
         self.request_ids.release(&attempt.request_id);
@@ -156,7 +158,7 @@
     }
 }
 
-/// Counts the outcome of an attempt and returns the policy's event of it.
+/// Counts the outcome of an attempt and returns the event of it for the policy.
 fn record_outcome(
     key: AttemptKey,
     attempt: &InFlightAttempt,
@@ -173,6 +175,7 @@
     }
 }
 
+/// Returns the counter of the attempts with this outcome.
 fn outcome_counter(outcome: Outcome) -> &'static Counter {
     match outcome {
         Outcome::Ok => &COUNTERS.attempts_served,
--- a/src/coordinator/queries/completion.rs
+++ b/src/coordinator/queries/completion.rs
@@ -1,4 +1,5 @@
-//! Completion: each pending query ends once, with its final answer or without one if its client has left.
+//! Completion: each pending query ends once, with its final answer, or without one if its client
+//! has left.
 
 use super::pending::{part_ids, PendingQuery};
 use super::QueryTracker;
@@ -10,11 +11,12 @@
 use crate::interface::{ClassId, Event, QueryId};
 use crate::time::Micros;
 
-/// Weights of parts are rounded: their sum may fall short of a share by this much.
+/// The tolerance in sums of part weights, which are rounded: a sum may fall short of a share by
+/// this much.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
 
 impl QueryTracker {
-    /// The client of a query closed its connection.
+    /// Removes the query of a client that has closed its connection.
     pub(in crate::coordinator) fn abandon(&mut self, token: Token, turn: &mut Turn<'_>) {
         let Some(query) = self.pending.find(token) else {
             return;
@@ -55,7 +57,7 @@
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
-    /// Rejects a query: a retry does no harm.
+    /// Rejects a query: a retry is safe.
     pub(in crate::coordinator) fn reject(
         &mut self,
         query: QueryId,
@@ -85,8 +87,8 @@
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
-    /// Fails the queries whose deadline has passed. The policy ends each query in time, other than at a
-    /// shutdown; should it not, the client still gets its one answer.
+    /// Fails the queries whose deadline has passed. The policy ends each query before that, except
+    /// at a shutdown; if it does not, the client still gets its one answer.
     pub(in crate::coordinator) fn expire_queries(&mut self, turn: &mut Turn<'_>) {
         while let Some(query) = self.pending.next_expired(turn.now) {
             if let Some(pending) = self.remove_query(query, turn) {
@@ -104,9 +106,9 @@
         }
     }
 
-    /// Removes a query with all that it uses. Its attempts whose write has not started are cancelled, whether
-    /// or not the settings allow cancellation at the servers: one that waited for its connection would run to
-    /// no use.
+    /// Removes a query with all that it uses. Its attempts whose write has not started are
+    /// cancelled even if the settings do not allow cancellation at the servers: the result of an
+    /// attempt that still waits for a connection would be of no use.
     fn remove_query(&mut self, query: QueryId, turn: &mut Turn<'_>) -> Option<PendingQuery> {
         let pending = self.pending.remove(query)?;
         self.request_ids.release(&pending.request.request_id);
@@ -120,7 +122,8 @@
         Some(pending)
     }
 
-    /// Gives a request its final answer. The metrics of its class are counted nowhere else.
+    /// Gives a request its final answer and counts it in the metrics of its class. Answers are
+    /// counted nowhere else.
     pub(super) fn reply(
         &self,
         class: ClassId,
--- a/src/coordinator/queries/in_flight.rs
+++ b/src/coordinator/queries/in_flight.rs
@@ -9,20 +9,20 @@
 /// An attempt that was dispatched and has not ended.
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
-    /// The server that it was dispatched to.
+    /// The server to which the attempt was dispatched.
     pub(super) replica: ReplicaId,
-    /// When it was dispatched.
+    /// The time of the dispatch.
     pub(super) dispatched_at: Micros,
-    /// When it times out.
+    /// The time at which the attempt times out.
     pub(super) deadline: Micros,
-    /// When its timer fires: at the deadline, or at the time by which its write must have started if that is
-    /// earlier.
+    /// The time of the attempt's timer: the deadline, or the time by which the write must have
+    /// started if that is earlier.
     pub(super) timer_at: Micros,
-    /// Some of its request was written: it may run.
+    /// Whether some of the request was written, so that the attempt may run.
     pub(super) write_started: bool,
-    /// The id of its request.
+    /// The id of the request.
     pub(super) request_id: Arc<str>,
-    /// The class of its query.
+    /// The class of the query.
     pub(super) class: ClassId,
 }
 
@@ -42,34 +42,34 @@
 }
 
 impl InFlightAttempts {
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether this attempt is in flight.
+    /// Returns whether this attempt is in flight.
     pub(super) fn contains(&self, key: AttemptKey) -> bool {
         self.attempts.contains_key(&key)
     }
 
-    /// Whether an attempt at this part is in flight.
+    /// Returns whether an attempt at this part is in flight.
     pub(super) fn contains_part(&self, part: PartId) -> bool {
         self.attempts.keys().any(|key| key.part == part)
     }
 
-    /// Whether an attempt is in flight to this server.
+    /// Returns whether an attempt is in flight to this server.
     pub(super) fn contains_replica(&self, replica: ReplicaId) -> bool {
         self.attempts
             .values()
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// When the next timer fires.
+    /// Returns the time of the next timer.
     pub(super) fn next_timer(&self) -> Option<Micros> {
         self.timers.first().map(|timer| timer.at)
     }
 
-    /// The key of the next attempt at a part.
+    /// Returns the key of the next attempt at a part.
     pub(super) fn next_key(&mut self, part: PartId) -> AttemptKey {
         let number = self.next_numbers.entry(part).or_insert(0);
         let key = AttemptKey {
@@ -80,7 +80,7 @@
         key
     }
 
-    /// A part that has ended gets no further attempts.
+    /// Removes the numbering of a part that has ended: no further attempt follows.
     pub(super) fn remove_part(&mut self, part: PartId) {
         self.next_numbers.remove(&part);
     }
@@ -94,7 +94,7 @@
         self.attempts.insert(key, attempt);
     }
 
-    /// Removes an attempt and its timer: after this it can have no second outcome.
+    /// Removes an attempt and its timer, so that it can have no second outcome.
     pub(super) fn remove(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let attempt = self.attempts.remove(&key)?;
         self.timers.remove(&AttemptTimer {
@@ -104,14 +104,14 @@
         Some(attempt)
     }
 
-    /// Some of an attempt's request was written.
+    /// Records that some of an attempt's request was written.
     pub(super) fn mark_write_started(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get_mut(&key) {
             attempt.write_started = true;
         }
     }
 
-    /// The attempts at a part of which nothing was written yet.
+    /// Returns the attempts at a part whose write has not started.
     pub(super) fn unwritten_at(&self, part: PartId) -> Vec<AttemptKey> {
         let key = |number| AttemptKey {
             part,
@@ -124,8 +124,8 @@
             .collect()
     }
 
-    /// The first attempt that has expired: its deadline has passed, or its write has not started in time. One
-    /// whose write has started gets a timer for its deadline.
+    /// Returns the first attempt that has expired: its deadline has passed, or its write has not
+    /// started in time. An attempt whose write has started gets a timer for its deadline instead.
     pub(super) fn next_expired(&mut self, now: Micros) -> Option<AttemptKey> {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= now) {
             self.timers.pop_first();
--- a/src/coordinator/queries/mod.rs
+++ b/src/coordinator/queries/mod.rs
@@ -1,7 +1,8 @@
 //! The pending queries and their attempts, from the request to the final answer.
 //!
-//! [`admission`] turns requests into pending queries, [`attempts`] dispatches attempts at their parts and
-//! records the outcomes, [`completion`] gives the final answers.
+//! [`admission`] turns requests into pending queries, [`attempts`] dispatches attempts at their
+//! parts and records the outcomes, [`completion`] gives the final answers. The decisions are the
+//! policy's.
 
 mod admission;
 mod attempts;
@@ -20,7 +21,8 @@
 use pending::PendingQueries;
 use request_ids::RequestIds;
 
-/// Tracks pending queries and in-flight attempts, with the classes and the request ids that they use.
+/// Tracks pending queries and in-flight attempts, with the classes and the request ids that they
+/// use.
 #[derive(Debug)]
 pub(super) struct QueryTracker {
     classes: Classes,
@@ -30,7 +32,7 @@
 }
 
 impl QueryTracker {
-    /// A tracker without queries.
+    /// Creates a tracker without queries.
     pub(super) fn new(classes: Classes) -> Self {
         Self {
             classes,
@@ -40,43 +42,44 @@
         }
     }
 
-    /// The number of pending queries.
+    /// Returns the number of pending queries.
     pub(super) fn pending_queries(&self) -> usize {
         self.pending.len()
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether this attempt is in flight.
+    /// Returns whether this attempt is in flight.
     pub(super) fn is_in_flight(&self, key: AttemptKey) -> bool {
         self.in_flight.contains(key)
     }
 
-    /// Whether an attempt is in flight to this server.
+    /// Returns whether an attempt is in flight to this server.
     pub(super) fn has_attempts_at(&self, replica: ReplicaId) -> bool {
         self.in_flight.contains_replica(replica)
     }
 
-    /// When the next attempt or query expires.
+    /// Returns the time at which the next attempt or query expires.
     pub(super) fn next_expiry(&self) -> Option<Micros> {
         let expiries = [self.in_flight.next_timer(), self.pending.next_deadline()];
         expiries.into_iter().flatten().min()
     }
 
-    /// The program shuts down: every pending query, and every later one, has its answer by then.
+    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
+    /// deadline.
     pub(super) fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.pending.set_final_deadline(final_deadline);
     }
 
-    /// Activates other classes; returns the class that each one succeeds.
+    /// Activates the classes of a reload; returns the predecessor of each class.
     pub(super) fn replace_classes(&mut self, classes: &[Class]) -> Vec<ClassId> {
         self.classes.replace(classes)
     }
 
-    /// All classes that queries or attempts may have.
+    /// Returns all classes that queries or attempts may have.
     pub(super) fn classes(&self) -> Vec<Class> {
         self.classes.all()
     }
--- a/src/coordinator/queries/pending.rs
+++ b/src/coordinator/queries/pending.rs
@@ -7,29 +7,30 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Kept free of a client's timeout for the way here, the turn and the way back; the policy keeps its own
-/// ticks.
+/// The time of a client's timeout that is reserved for the way here, the turn and the way back. The
+/// margin for the policy's ticks is the policy's own.
 pub(super) const NETWORK_MARGIN: Micros = Micros::from_millis(3);
-/// An end this close to the objective was brought about by it: the policy ends a query some ticks ahead.
+/// The distance from the objective within which an end counts as caused by it: the policy ends a
+/// query some ticks ahead.
 const LATE_TOLERANCE: Micros = Micros::from_millis(25);
 
 /// A query that has no final answer yet.
 #[derive(Debug)]
 pub(super) struct PendingQuery {
-    /// The request that brought it.
+    /// The request of the query.
     pub(super) request: Request,
-    /// Its class.
+    /// The class of the query.
     pub(super) class: ClassId,
-    /// When it must have its answer.
+    /// The time by which the query must have its answer.
     pub(super) deadline: Micros,
-    /// When its answer is wanted.
+    /// The time at which the answer is due according to the latency objective.
     objective: Micros,
-    /// What servers returned for its parts, in the request's order.
+    /// The values that servers returned for the parts, in the request's order.
     values: Vec<Option<Value>>,
 }
 
 impl PendingQuery {
-    /// A query whose parts have no values yet.
+    /// Creates a query whose parts have no values yet.
     pub(super) fn new(
         request: Request,
         class: ClassId,
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether an end at this time counts as out of time.
+    /// Returns whether an end at this time counts as out of time.
     pub(super) fn is_late(&self, now: Micros) -> bool {
         now + LATE_TOLERANCE >= self.objective.min(self.deadline)
     }
 
-    /// The weight of the parts that have a value.
+    /// Returns the weight of the parts that have a value.
     pub(super) fn served_weight(&self) -> f64 {
         let parts = self.request.parts.iter().zip(&self.values);
         parts
@@ -74,7 +75,7 @@
             .collect()
     }
 
-    /// The sum of the parts' expected work, where each part states it.
+    /// Returns the sum of the parts' expected work; `None` unless each part states it.
     fn expected_work(&self) -> Option<Micros> {
         let parts = &self.request.parts;
         if parts.is_empty() {
@@ -86,22 +87,22 @@
     }
 }
 
-/// How many slots a query reserves: one for itself and one for each part.
+/// Returns the number of slots that a query reserves: one for itself and one for each part.
 pub(super) fn slots(request: &Request) -> usize {
     1 + request.parts.len()
 }
 
-/// The ids of a query's parts follow its own.
+/// Returns the id of a part: the ids of a query's parts follow its own.
 fn part_id(query: QueryId, index: usize) -> PartId {
     PartId(query.0 + 1 + index as u64)
 }
 
-/// The ids of all parts of a query.
+/// Returns the ids of all parts of a query.
 pub(super) fn part_ids(query: QueryId, request: &Request) -> impl Iterator<Item = PartId> {
     (0..request.parts.len()).map(move |index| part_id(query, index))
 }
 
-/// Where a part belongs.
+/// The query of a part, and the index of the part in it.
 #[derive(Debug, Clone, Copy)]
 struct PartLocation {
     query: QueryId,
@@ -110,9 +111,9 @@
 
 /// A part of a pending query.
 pub(super) struct PendingPart<'a> {
-    /// Its query.
+    /// The query of the part.
     pub(super) query: &'a PendingQuery,
-    /// What is asked of a server.
+    /// The request of the part to its shard.
     pub(super) part: &'a PartRequest,
 }
 
@@ -130,16 +131,17 @@
     by_token: HashMap<Token, QueryId>,
     parts: HashMap<PartId, PartLocation>,
     deadlines: BTreeSet<QueryDeadline>,
+    /// The slots that all pending queries reserve.
     reserved_slots: usize,
-    /// At a shutdown: when every answer must be given.
+    /// The time by which every answer must be given, during a shutdown.
     final_deadline: Option<Micros>,
-    /// Ids of queries and parts are never reused.
+    /// The next id of a query or a part; never reused.
     next_id: u64,
     next_group: u32,
 }
 
 impl PendingQueries {
-    /// No pending queries.
+    /// Creates the collection without a query.
     pub(super) fn new() -> Self {
         Self {
             queries: BTreeMap::new(),
@@ -153,22 +155,22 @@
         }
     }
 
-    /// The number of pending queries.
+    /// Returns the number of pending queries.
     pub(super) fn len(&self) -> usize {
         self.queries.len()
     }
 
-    /// The slots that pending queries and their parts reserve.
+    /// Returns the number of slots that pending queries and their parts reserve.
     pub(super) fn reserved_slots(&self) -> usize {
         self.reserved_slots
     }
 
-    /// The query that a token stands for.
+    /// Returns the query of a token.
     pub(super) fn find(&self, token: Token) -> Option<QueryId> {
         self.by_token.get(&token).copied()
     }
 
-    /// The part of this id.
+    /// Returns the part of this id.
     pub(super) fn part(&self, part: PartId) -> Option<PendingPart<'_>> {
         let location = self.parts.get(&part)?;
         let query = self.queries.get(&location.query)?;
@@ -178,12 +180,12 @@
         })
     }
 
-    /// When the next query's deadline passes.
+    /// Returns the earliest deadline of a query.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// The first query whose deadline has passed.
+    /// Returns the first query whose deadline has passed.
     pub(super) fn next_expired(&self, now: Micros) -> Option<QueryId> {
         self.deadlines
             .first()
@@ -191,7 +193,8 @@
             .map(|deadline| deadline.query)
     }
 
-    /// The program shuts down: every pending query, and every later one, has its answer by then.
+    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
+    /// deadline.
     pub(super) fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.final_deadline = Some(final_deadline);
         let last_in_time = QueryDeadline {
@@ -211,18 +214,18 @@
         }
     }
 
-    /// A deadline, or the final one if that is earlier.
+    /// Returns a deadline, or the final one if that is earlier.
     pub(super) fn bounded_deadline(&self, deadline: Micros) -> Micros {
         self.final_deadline
             .map_or(deadline, |last| deadline.min(last))
     }
 
-    /// Whether a deadline is that of the shutdown.
+    /// Returns whether a deadline is that of the shutdown.
     pub(super) fn is_final(&self, deadline: Micros) -> bool {
         self.final_deadline.is_some_and(|last| deadline >= last)
     }
 
-    /// Adds a query, reserves its slots, and hands it and its parts to the policy.
+    /// Adds a query, reserves its slots, and passes it and its parts to the policy.
     pub(super) fn insert(&mut self, query: PendingQuery, turn: &mut Turn<'_>) {
         let slots = slots(&query.request);
         let id = QueryId(self.next_id);
@@ -257,7 +260,7 @@
         self.queries.insert(id, query);
     }
 
-    /// Removes a query and frees its slots: after this it can have no second answer.
+    /// Removes a query and frees its slots, so that it can have no second answer.
     pub(super) fn remove(&mut self, id: QueryId) -> Option<PendingQuery> {
         let query = self.queries.remove(&id)?;
         self.reserved_slots -= slots(&query.request);
@@ -272,7 +275,7 @@
         Some(query)
     }
 
-    /// Stores what a server returned for a part, unless the query has ended.
+    /// Stores the value that a server returned for a part, unless the query has ended.
     pub(super) fn store(&mut self, part: PartId, value: Value) {
         let Some(location) = self.parts.get(&part) else {
             return;
--- a/src/coordinator/queries/request_ids.rs
+++ b/src/coordinator/queries/request_ids.rs
@@ -3,25 +3,25 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The ids of pending queries and in-flight attempts, with the number of their users. Servers know parts by
-/// the id of their request, so two requests must not share one.
+/// The ids of pending queries and in-flight attempts, with the number of their users. Servers
+/// identify parts by the id of their request, so two requests must not share one.
 #[derive(Debug, Default)]
 pub(super) struct RequestIds {
     users: HashMap<Arc<str>, usize>,
 }
 
 impl RequestIds {
-    /// Whether a query or an attempt uses this id.
+    /// Returns whether a query or an attempt uses this id.
     pub(super) fn is_in_use(&self, id: &Arc<str>) -> bool {
         self.users.contains_key(id)
     }
 
-    /// One more user of an id.
+    /// Adds a user of an id.
     pub(super) fn acquire(&mut self, id: &Arc<str>) {
         *self.users.entry(id.clone()).or_insert(0) += 1;
     }
 
-    /// One user less; with the last one the id is free again.
+    /// Removes a user of an id; without users the id is free again.
     pub(super) fn release(&mut self, id: &Arc<str>) {
         let Some(users) = self.users.get_mut(id) else {
             return;
--- a/src/coordinator/reporting.rs
+++ b/src/coordinator/reporting.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The policy's view of the servers is polled this often.
+/// The interval at which the policy's view of the servers is polled.
 const POLICY_POLL_INTERVAL: Micros = Micros::from_millis(100);
-/// A server counts as ejected once the policy has avoided it for this long: many are avoided for a moment,
-/// while another one is faster.
+/// The time after which a server that the policy avoids counts as ejected. Many servers are avoided
+/// for a moment, while another one is faster.
 const EJECTED_AFTER: Micros = Micros::from_secs(1);
 
-/// This coordinator's share of each gauge.
+/// The share of this coordinator in each gauge.
 #[derive(Debug, Default, Clone, Copy)]
 struct GaugeValues {
     active: usize,
@@ -25,15 +25,15 @@
 #[derive(Debug)]
 pub(super) struct MetricsReporter {
     metrics: Arc<Metrics>,
-    /// What was reported last.
+    /// The values of the last report.
     reported: GaugeValues,
     last_policy_poll: Micros,
-    /// Since when the policy has avoided which servers.
+    /// The servers that the policy avoids, with the time since which it does.
     avoided_since: BTreeMap<ReplicaId, Micros>,
 }
 
 impl MetricsReporter {
-    /// A reporter that has reported nothing.
+    /// Creates a reporter that has reported nothing.
     pub(super) fn new(metrics: Arc<Metrics>) -> Self {
         Self {
             metrics,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Reports the pending queries in each turn, and the state of the servers every [`POLICY_POLL_INTERVAL`].
+    /// Reports the pending queries in each turn, and the state of the servers every
+    /// [`POLICY_POLL_INTERVAL`].
     pub(super) fn report(
         &mut self,
         now: Micros,
@@ -63,6 +64,7 @@
         self.publish(values);
     }
 
+    /// Returns the number of servers that have been avoided for [`EJECTED_AFTER`] or longer.
     fn count_ejected(&mut self, now: Micros, avoided: Vec<ReplicaId>) -> usize {
         self.avoided_since
             .retain(|replica, _| avoided.contains(replica));
@@ -75,6 +77,7 @@
             .count()
     }
 
+    /// Updates the gauges of the process.
     fn publish(&mut self, values: GaugeValues) {
         let previous = std::mem::replace(&mut self.reported, values);
         self.metrics.active.update(previous.active, values.active);
