--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -1,8 +1,11 @@
-//! Admission of queries by their cost, against the throughput of the servers and the memory for responses.
+//! Admission of queries by their cost, against the throughput of the servers and the memory for
+//! responses.
 //!
-//! The cost of a query is the number of pages it will request, with the work done here on them. All pages in flight over the
-//! servers' throughput is the time that a new query waits. A cheap query is admitted while that wait leaves it in time;
-//! an expensive one only while most of that time is left, so that a map of everything never crowds out small queries.
+//! The cost of a query is the number of pages that it will request, with the work done here on
+//! them. A new query waits for all pages in flight, divided by the servers' throughput. A cheap
+//! query is admitted while that wait leaves enough of its latency objective. An expensive one is
+//! admitted only while the wait leaves most of it, so that a query for everything does not starve
+//! small queries.
 
 use crate::time::Micros;
 
@@ -12,8 +15,8 @@
 const CHEAP_WAIT_SHARE: f64 = 0.8;
 /// The share of its latency objective that an expensive query may wait.
 const EXPENSIVE_WAIT_SHARE: f64 = 0.35;
-/// Cheap queries are admitted below this number of pages in flight, however slow the servers seem: too little work is in
-/// flight to measure them.
+/// The number of pages in flight below which cheap queries are always admitted: too little work is
+/// in flight to measure the throughput.
 const ALWAYS_ADMITTED_PAGES: f64 = 8.0;
 /// The maximum of pages in flight while the throughput is unknown.
 const MAX_PAGES_AT_UNKNOWN_THROUGHPUT: f64 = 64.0;
@@ -23,25 +26,25 @@
 const INITIAL_PAGE_BYTES: f64 = 64.0 * 1024.0;
 /// The share of the memory for responses that may be reserved after an expensive query is admitted.
 const EXPENSIVE_MEMORY_SHARE: f64 = 0.7;
-/// The shortest wait that a rejected client is asked for.
+/// The minimum `Retry-After` of a rejected client.
 const MIN_RETRY_AFTER: Micros = Micros::from_millis(500);
-/// The longest wait that a rejected client is asked for, where throughput is short.
+/// The maximum `Retry-After` of a client that is rejected for lack of throughput.
 const MAX_RETRY_AFTER: Micros = Micros::from_secs(30);
-/// The cost of the lookup at each further shard that is asked at the same time, in pages.
+/// The cost of the lookup at each further shard that is queried at the same time, in pages.
 const LOOKUP_PAGES: f64 = 0.25;
-/// A filter of this weight, evaluated here, doubles the cost of the pages.
+/// The weight of a filter, evaluated here, that doubles the cost of the pages.
 const DOUBLING_FILTER_WEIGHT: f64 = 50.0;
 
 /// The cost of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryCost {
-    /// Pages to request, with the work done here on them.
+    /// The pages to request, with the work done here on them.
     pub pages: f64,
-    /// Pages whose bytes the response holds in memory.
+    /// The pages whose bytes the response holds in memory.
     pub buffered_pages: f64,
 }
 
-/// What the cost of a query is estimated from.
+/// The properties of a query from which its cost is estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueryShape {
     /// The maximum number of features in the response.
@@ -50,11 +53,12 @@
     pub page_size: usize,
     /// The number of shards with features of the query.
     pub shards: usize,
-    /// How many shards are asked at the same time at first.
+    /// The number of shards that are queried at the same time at first.
     pub parallel_shards: usize,
-    /// The weight of the filter, if it is evaluated here; else 0.
+    /// The weight of the filter if it is evaluated here, else 0.
     pub filter_weight: usize,
-    /// The maximum number of pages to read, if the query is sorted here; such a query reads everything.
+    /// The maximum number of pages to read if the query is sorted here, which needs all of its
+    /// pages; `None` for other queries.
     pub max_sorted_pages: Option<usize>,
 }
 
@@ -77,13 +81,15 @@
         }
     }
 
+    /// Returns whether the query counts as cheap.
     fn is_cheap(self) -> bool {
         self.pages <= MAX_CHEAP_PAGES
     }
 }
 
 impl QueryShape {
-    /// The cost of the lookups at all shards but the first, in pages; none where shards are asked one after the other.
+    /// Returns the cost of the lookups at all shards but the first, in pages; 0 where shards are
+    /// queried one after the other.
     fn lookup_pages(&self) -> f64 {
         if self.shards <= self.parallel_shards {
             self.shards.saturating_sub(1) as f64 * LOOKUP_PAGES
@@ -93,7 +99,7 @@
     }
 }
 
-/// Why a query is not admitted.
+/// The reason for which a query is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
     /// The response would not fit into the memory for responses.
@@ -102,25 +108,25 @@
     Throughput,
 }
 
-/// A query that is not admitted.
+/// A rejection of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// The wait that the client is asked for.
+    /// The time after which the client may retry.
     pub retry_after: Micros,
-    /// Why it is rejected.
+    /// The reason.
     pub reason: RejectionReason,
 }
 
 /// The pages and bytes of all admitted queries that have not been released.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct InFlight {
-    /// Pages to request; see [`QueryCost::pages`].
+    /// The pages to request; see [`QueryCost::pages`].
     pub pages: f64,
-    /// Bytes reserved for responses.
+    /// The bytes reserved for responses.
     pub bytes: f64,
 }
 
-/// Admits queries, and accounts for those in flight.
+/// The admission of queries, with the cost of those in flight.
 #[derive(Debug)]
 pub struct AdmissionController {
     in_flight: InFlight,
@@ -131,7 +137,7 @@
 }
 
 impl AdmissionController {
-    /// A controller with nothing in flight; responses may hold `max_bytes` bytes of memory.
+    /// Creates a controller with nothing in flight; responses may hold `max_bytes` bytes of memory.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         AdmissionController {
@@ -141,7 +147,8 @@
         }
     }
 
-    /// Records the size of a page of `bytes` bytes, which was requested for `page_size` features and contains `features`.
+    /// Records the size of a page of `bytes` bytes, which was requested for `page_size` features
+    /// and contains `features`.
     pub fn record_page(&mut self, bytes: usize, features: usize, page_size: usize) {
         let full_page = bytes as f64 * page_size.max(1) as f64 / features.max(1) as f64;
         if features > 0 {
@@ -149,13 +156,15 @@
         }
     }
 
-    /// Admits a query with this latency objective, given the throughput of all servers in pages per second, if known. The
-    /// result is the number of bytes reserved for its response. Release the cost with
-    /// [`AdmissionController::release_pages`] and the bytes with [`AdmissionController::release_bytes`].
+    /// Admits a query with this latency objective, given the throughput of all servers in pages per
+    /// second, if known. Returns the number of bytes reserved for its response. Release the cost
+    /// with [`AdmissionController::release_pages`] and the bytes with
+    /// [`AdmissionController::release_bytes`].
     ///
     /// # Errors
     ///
-    /// The rejection, if the memory or the throughput does not suffice. It changes nothing.
+    /// The rejection, if the memory or the throughput does not suffice. A rejected query changes
+    /// nothing.
     pub fn admit(
         &mut self,
         cost: QueryCost,
@@ -170,23 +179,24 @@
         Ok(bytes)
     }
 
-    /// A query's pages are no longer in flight.
+    /// Releases the pages of a query that are no longer in flight.
     pub fn release_pages(&mut self, cost: QueryCost) {
         self.in_flight.pages = (self.in_flight.pages - cost.pages).max(0.0);
     }
 
-    /// The bytes reserved for a response are free: it has been written.
+    /// Releases the bytes reserved for a response that has been written.
     pub fn release_bytes(&mut self, bytes: f64) {
         self.in_flight.bytes = (self.in_flight.bytes - bytes).max(0.0);
     }
 
-    /// What is in flight.
+    /// Returns the pages and bytes in flight.
     #[must_use]
     pub fn in_flight(&self) -> InFlight {
         self.in_flight
     }
 
-    /// While nothing is reserved any response is admitted: one that exceeds the memory alone would never be.
+    /// Checks that the response fits into the memory. While nothing is reserved any response is
+    /// admitted; otherwise one that exceeds the memory alone would always be rejected.
     fn check_memory(
         &self,
         cost: QueryCost,
@@ -209,7 +219,7 @@
         Ok(())
     }
 
-    /// The wait for pages in flight, in microseconds, must leave enough of the latency objective.
+    /// Checks that the wait for the pages in flight leaves enough of the latency objective.
     fn check_throughput(
         &self,
         cost: QueryCost,
@@ -233,7 +243,8 @@
             }
             None => pages <= MAX_PAGES_AT_UNKNOWN_THROUGHPUT,
         };
-        // An expensive query alone is admitted, however long it takes: no other query waits for it yet.
+        // An expensive query alone is admitted, however long it takes: no other query waits for it
+        // yet.
         if fits || self.in_flight.pages < 1.0 {
             return Ok(());
         }
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -9,7 +9,8 @@
     AdmissionController::new(100 * MIB)
 }
 
-/// A query without a filter and a sort order, with the page size and the parallel shards of the defaults.
+/// A query without a filter and a sort order, with the page size and the parallel shards of the
+/// defaults.
 fn shape(limit: usize, shards: usize) -> QueryShape {
     QueryShape {
         limit,
@@ -89,7 +90,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
-    /// In any order of queries: releasing all that was admitted leaves nothing in flight, and a rejection changes nothing.
+    /// In any order of queries: releasing all that was admitted leaves nothing in flight, and a
+    /// rejection changes nothing.
     #[test]
     fn all_that_is_admitted_is_released(steps in proptest::collection::vec((1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0), 0..100)) {
         let mut admission = controller();
--- a/src/limits/latency.rs
+++ b/src/limits/latency.rs
@@ -1,17 +1,21 @@
-//! The latency of a server: what it is now, and what it was without a queue.
+//! The latency of a server, and its baseline without a queue.
+//!
+//! Latencies are microseconds as `f64`.
 
 use crate::time::Micros;
 use std::collections::VecDeque;
 
 /// The weight of a new sample in a moving average of latencies.
 const SMOOTHING: f64 = 0.2;
-/// Latencies up to this multiple of the baseline still count as the baseline: noise, and a queue of a few requests.
+/// The multiple of the baseline up to which a latency counts as the baseline: noise, and a queue of
+/// a few requests.
 const TOLERANCE: f64 = 1.8;
-/// The least gradient: one update at most halves the limit.
+/// The minimum of the gradient: one update at most halves the limit.
 const MIN_GRADIENT: f64 = 0.5;
-/// The baseline is the minimum over this number of windows
+/// The number of windows over which the baseline is the minimum. A server that became slower for
+/// good has a new baseline after all of them.
 const WINDOWS: usize = 6;
-/// of this length. A server that became slower for good has a new baseline after all of them.
+/// The length of a window.
 const WINDOW: Micros = Micros::from_secs(5);
 
 /// An exponentially weighted moving average of latencies, in microseconds.
@@ -19,17 +23,17 @@
 pub(super) struct SmoothedLatency(f64);
 
 impl SmoothedLatency {
-    /// The average, 0 before the first sample.
+    /// Returns the average, 0 before the first sample.
     pub(super) fn micros(self) -> f64 {
         self.0
     }
 
-    /// True once there was a sample.
+    /// Returns whether there is a sample.
     pub(super) fn is_known(self) -> bool {
         self.0 > 0.0
     }
 
-    /// Adds a sample; the first one is the average.
+    /// Adds a sample in microseconds; the first one becomes the average.
     pub(super) fn record(&mut self, latency: f64) {
         self.0 = if self.0 == 0.0 {
             latency
@@ -38,21 +42,21 @@
         };
     }
 
-    /// Forgets all samples.
+    /// Removes all samples.
     pub(super) fn reset(&mut self) {
         self.0 = 0.0;
     }
 }
 
-/// The least latency of one window.
+/// The minimum latency of one window.
 #[derive(Debug, Clone)]
 struct WindowMinimum {
     began: Micros,
     latency: f64,
 }
 
-/// The latency of responses of one size, and its baseline: the minimum of the last windows, which is what the server needs
-/// while no request waits in its queue.
+/// The latency of responses of one size, and its baseline: the minimum of the last windows, which
+/// is the latency of the server while no request waits in its queue.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LatencyGradient {
     smoothed: SmoothedLatency,
@@ -60,8 +64,8 @@
 }
 
 impl LatencyGradient {
-    /// Adds a sample in microseconds. The result is the ratio of the tolerated baseline to the smoothed latency: 1 while
-    /// the server has no queue, less the longer the queue is.
+    /// Adds a sample in microseconds. Returns the ratio of the tolerated baseline to the smoothed
+    /// latency: 1 while the server has no queue, less the longer the queue is.
     pub(super) fn record(&mut self, now: Micros, latency: f64) -> f64 {
         self.smoothed.record(latency);
         match self.minima.back_mut() {
@@ -84,7 +88,7 @@
         (TOLERANCE * baseline / self.smoothed.micros()).clamp(MIN_GRADIENT, 1.0)
     }
 
-    /// Forgets the smoothed latency; the baseline stays.
+    /// Removes the smoothed latency; the baseline remains.
     pub(super) fn reset_smoothed(&mut self) {
         self.smoothed.reset();
     }
--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -1,70 +1,80 @@
 //! The limit of concurrent requests to one server, adapted to its latency.
 //!
-//! Considered and rejected: a fixed limit, which is too high for a server that lost cores or too low for one that has them;
-//! and AIMD on errors alone, since a server that queues returns no errors until everything is late. The limiter follows the
-//! gradient of latency, as in Netflix's `concurrency-limits` (Gradient2): where the smoothed latency exceeds the baseline,
-//! requests wait in a queue, and the limit shrinks by that ratio; otherwise it grows by its square root, which lets a short
-//! queue stand. Errors that report overload decrease it multiplicatively, as AIMD does. From time to time the limit drops to
-//! its minimum for a moment, so that the queue drains and the baseline can be measured (as in BBR's `PROBE_RTT`).
+//! The limiter follows the gradient of latency, as Netflix's `concurrency-limits` does (Gradient2).
+//! Where the smoothed latency exceeds the baseline, requests wait in a queue, and the limit shrinks
+//! by that ratio; otherwise it grows by its square root, which permits a short queue. Errors that
+//! report overload decrease the limit multiplicatively, as in AIMD. At intervals the limit drops to
+//! its minimum for a moment, so that the queue drains and the baseline can be measured (as in BBR's
+//! `PROBE_RTT`).
+//!
+//! The alternatives have drawbacks: a fixed limit is too high for a server that has lost cores, or
+//! too low for one that has them; and AIMD on errors alone reacts late, since a server that queues
+//! returns no errors until its requests time out.
 
 use super::latency::{LatencyGradient, SmoothedLatency};
 use crate::time::Micros;
 
-/// The weight of a newly computed limit against the present one.
+/// The weight of a newly computed limit against the current one.
 const LIMIT_SMOOTHING: f64 = 0.4;
-/// The interval of baseline probes. A server that always has a queue would never show its baseline otherwise.
+/// The interval of baseline probes. A server that always has a queue would never show its baseline
+/// otherwise.
 const PROBE_INTERVAL: Micros = Micros::from_secs(8);
-/// The first probe comes after this fraction of the interval.
+/// The divisor of the interval that gives the time of the first probe.
 const FIRST_PROBE_FRACTION: u64 = 8;
-/// A probe lasts for this multiple of the smoothed latency: the queue ends, and what comes after it shows the baseline.
+/// The duration of a probe, as a multiple of the smoothed latency: the queue drains, and the
+/// responses after that show the baseline.
 const PROBE_LATENCIES: f64 = 2.5;
-/// The factor by which overload decreases the limit, at most once per smoothed latency
+/// The factor by which overload decreases the limit.
 const DECREASE_FACTOR: f64 = 0.7;
-/// or per this time in microseconds, whichever is longer.
+/// The minimum interval between two decreases, in microseconds. A longer smoothed latency takes its
+/// place.
 const MIN_DECREASE_INTERVAL: f64 = 10_000.0;
-/// A limit grows only while at least this share of it is in use: otherwise nothing shows what more would do.
+/// The minimum share of the limit in use for it to grow: below that, nothing shows the effect of a
+/// higher limit.
 const MIN_UTILIZATION: f64 = 0.5;
 /// The longest backoff that a server can request.
 const MAX_BACKOFF: Micros = Micros::from_secs(30);
-/// A request cancelled after more than this multiple of the smoothed latency counts as a sign of overload.
+/// The multiple of the smoothed latency beyond which a cancelled request counts as a sign of
+/// overload.
 const OVERLOAD_LATENCIES: f64 = 4.0;
-/// Latencies are compared among responses of similar size: a page of five hundred features takes longer than a single
-/// feature, without any queue.
+/// The number of size classes. Latencies are compared among responses of similar size: a page of
+/// five hundred features takes longer than a single feature, without any queue.
 const SIZE_CLASSES: usize = 6;
 
-/// How the limit of a server is determined.
+/// The rule that determines the limit of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitRule {
-    /// Always this number of requests.
+    /// A constant number of requests.
     Fixed(usize),
-    /// Adapted to latency, within bounds.
+    /// A limit that adapts to latency, within bounds.
     Adaptive {
-        /// The limit of a server of which nothing is known.
+        /// The limit before the first response.
         initial: usize,
-        /// The minimum: a server without requests would show nothing.
+        /// The minimum: a server without requests would give no measurement.
         min: usize,
         /// The maximum.
         max: usize,
     },
 }
 
-/// How a request ended, as far as limits are concerned.
+/// The outcome of a request, as far as limits are concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was answered, with this number of features.
+    /// An answer with this number of features.
     Success(usize),
-    /// The server reported overload.
+    /// A report of overload by the server.
     Overloaded,
-    /// The coordinator cancelled it: a sign of overload if it had waited for long, otherwise ignored.
+    /// A cancellation by the coordinator: a sign of overload if the request had waited for long,
+    /// otherwise ignored.
     Cancelled,
-    /// It says nothing about the server's load.
+    /// An end that shows nothing about the server's load.
     Ignored,
 }
 
 /// A baseline probe in progress: the limit is at its minimum.
 #[derive(Debug, Clone, Copy)]
 struct BaselineProbe {
-    /// The limit afterwards.
+    /// The limit after the probe.
     restored_limit: f64,
     ends_at: Micros,
 }
@@ -74,10 +84,10 @@
 pub struct ConcurrencyLimiter {
     rule: LimitRule,
     limit: f64,
-    /// Over responses of all sizes.
+    /// The smoothed latency of responses of all sizes.
     latency: SmoothedLatency,
     gradients: [LatencyGradient; SIZE_CLASSES],
-    /// `None` before the first response.
+    /// The time of the next probe; `None` before the first response.
     next_probe_at: Option<Micros>,
     probe: Option<BaselineProbe>,
     last_updated: Micros,
@@ -86,7 +96,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// A limiter at the rule's initial limit.
+    /// Creates a limiter at the rule's initial limit.
     #[must_use]
     pub fn new(rule: LimitRule) -> Self {
         let limit = match rule {
@@ -106,30 +116,31 @@
         }
     }
 
-    /// The number of requests that may be in flight.
+    /// Returns the number of requests that may be in flight.
     #[must_use]
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// True if a request may start while `in_flight` others are in flight.
+    /// Returns whether a request may start while `in_flight` others are in flight.
     #[must_use]
     pub fn has_capacity(&self, in_flight: usize, now: Micros) -> bool {
         in_flight < self.limit() && !self.is_backing_off(now)
     }
 
-    /// True while the server wants no requests.
+    /// Returns whether the server has requested a backoff that is not over.
     #[must_use]
     pub fn is_backing_off(&self, now: Micros) -> bool {
         now < self.backoff_ends_at
     }
 
-    /// The server wants no requests for this time; at most 30 s of it are granted.
+    /// Starts a backoff of this time, at most 30 s, which the server has requested.
     pub fn back_off(&mut self, now: Micros, retry_after: Micros) {
         self.backoff_ends_at = self.backoff_ends_at.max(now + retry_after.min(MAX_BACKOFF));
     }
 
-    /// The throughput at the present limit and latency in requests per second; `None` before the first response.
+    /// Returns the throughput at the current limit and latency, in requests per second; `None`
+    /// before the first response.
     #[must_use]
     pub fn throughput(&self) -> Option<f64> {
         let limit = self.probe.map_or(self.limit, |probe| probe.restored_limit);
@@ -138,7 +149,8 @@
             .then(|| limit * 1e6 / self.latency.micros())
     }
 
-    /// Records the end of a request that took `latency`, with `in_flight` requests in flight up to then.
+    /// Records the end of a request that took `latency`, with `in_flight` requests in flight up to
+    /// then.
     pub fn record(
         &mut self,
         now: Micros,
@@ -157,11 +169,12 @@
         }
     }
 
+    /// Returns whether a cancelled request had waited so long that it indicates overload.
     fn is_overdue(&self, latency: Micros) -> bool {
         self.latency.is_known() && latency.0 as f64 > OVERLOAD_LATENCIES * self.latency.micros()
     }
 
-    /// Decreases an adaptive limit for overload. Of a burst of errors with one cause, one counts.
+    /// Decreases an adaptive limit for overload. A burst of errors decreases it once.
     fn decrease(&mut self, now: Micros) {
         let LimitRule::Adaptive { min, .. } = self.rule else {
             return;
@@ -178,6 +191,7 @@
         }
     }
 
+    /// Updates the latency and, for an adaptive rule, the limit.
     fn record_success(&mut self, now: Micros, features: usize, latency: Micros, in_flight: usize) {
         let latency = (latency.0 as f64).max(1.0);
         self.latency.record(latency);
@@ -188,7 +202,8 @@
         if self.probe_baseline(now, min) {
             return;
         }
-        // Once per smoothed latency: responses that come sooner belong to requests under the previous limit.
+        // Once per smoothed latency: responses that come sooner belong to requests under the
+        // previous limit.
         if now.since(self.last_updated) < Micros(self.latency.micros() as u64) {
             return;
         }
@@ -201,8 +216,8 @@
         self.limit = next.clamp(min as f64, max as f64);
     }
 
-    /// Ends or starts a baseline probe if it is time; true while one is in progress. Only a limit above its minimum needs
-    /// one, and it is restored afterwards.
+    /// Ends or starts a baseline probe if it is due; returns whether one is in progress. Only a
+    /// limit above its minimum needs one.
     fn probe_baseline(&mut self, now: Micros, min: usize) -> bool {
         if let Some(probe) = self.probe {
             if now < probe.ends_at {
@@ -226,7 +241,8 @@
         true
     }
 
-    /// Restores the limit. The smoothed latencies start anew, since they still contain the queue from before the probe.
+    /// Restores the limit. The smoothed latencies are reset, since they still contain the queue
+    /// from before the probe.
     fn end_probe(&mut self, probe: BaselineProbe) {
         self.limit = probe.restored_limit;
         self.probe = None;
@@ -237,7 +253,8 @@
     }
 }
 
-/// The size class of a response: each is four times as large as the one before, the last has no upper bound.
+/// Returns the size class of a response: each is four times as large as the one before, the last
+/// has no upper bound.
 fn size_class(features: usize) -> usize {
     let class = features.checked_ilog2().map_or(0, |log| log / 2 + 1);
     (class as usize).min(SIZE_CLASSES - 1)
--- a/src/limits/limiter/tests.rs
+++ b/src/limits/limiter/tests.rs
@@ -17,8 +17,8 @@
     work_left_ms: f64,
 }
 
-/// Simulates a server that serves `slots` requests at a time, under more load than any limit admits, in steps of a
-/// millisecond. The result is the maximum in flight in the second half.
+/// Simulates a server that serves `slots` requests at a time, under more load than any limit
+/// admits, in steps of a millisecond. The result is the maximum in flight in the second half.
 fn simulate(limiter: &mut ConcurrencyLimiter, slots: usize, from: u64, steps: u64) -> usize {
     let millis = Micros::from_millis;
     let mut in_flight: Vec<SimulatedRequest> = Vec::new();
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,8 +1,12 @@
-//! Limits that adapt to the capacity of the servers: how many requests to each may be in flight, and which queries are admitted.
+//! Limits that adapt to the capacity of the servers: the number of requests in flight to each
+//! server, and the admission of queries.
 //!
-//! The folder owns these decisions and their state; it has no clock, no socket and no thread. Callers ask it before they
-//! start a request and report how the request ended. Which server an attempt goes to, and whether it is retried, is
-//! decided by the [decision policy](crate::policy).
+//! This module owns these decisions and their state; it has no clock, no socket and no thread.
+//! Callers consult it before they start a request and report the end of the request. The [decision
+//! policy](crate::policy) chooses the server of an attempt, and decides about retries.
+//!
+//! Times are [`Micros`](crate::time::Micros); latencies in moving averages are microseconds as
+//! `f64`.
 
 mod admission;
 mod latency;
@@ -15,5 +19,6 @@
 pub use limiter::{ConcurrencyLimiter, LimitRule, RequestOutcome};
 pub use server_capacity::ServerCapacity;
 
-/// The memory that every process of this program needs before it has a client, in bytes; limits distribute the rest.
+/// The memory that every process of this program needs before it has a client, in bytes; limits
+/// distribute the rest.
 pub const BASE_MEMORY: usize = 16 * 1024 * 1024;
