--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,11 +1,12 @@
-//! Errors of settings: what cannot be read, and what a coordinator cannot run with.
+//! Errors of settings: an unreadable settings object, and values with which a coordinator cannot
+//! run.
 
 use thiserror::Error;
 
-/// Why settings are not used.
+/// The reason for which settings are rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON, or a value is absent or has the wrong type.
+    /// The text is not valid JSON, or a value is absent or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A class states an effect that is not in the wire protocol.
@@ -22,12 +23,12 @@
         /// The key in the settings object.
         key: &'static str,
     },
-    /// A class cannot be served as it is described.
+    /// A class has a value with which it cannot be served.
     #[error("class {class:?}: {fault}")]
     InvalidClass {
         /// The name of the class.
         class: String,
-        /// What is wrong with it.
+        /// The fault of the class.
         fault: ClassFault,
     },
     /// The list of classes is empty.
@@ -35,28 +36,28 @@
     NoClasses,
 }
 
-/// What is wrong with a class.
+/// A fault of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ClassFault {
-    /// Its name is empty.
+    /// The name is empty.
     #[error("it has no name")]
     Unnamed,
     /// An earlier class has the same name.
     #[error("it is named twice")]
     DuplicateName,
-    /// Its deadline is 0.
+    /// The deadline is 0.
     #[error("its deadline is not above 0")]
     NoDeadline,
-    /// It allows no attempt.
+    /// The maximum of attempts is 0.
     #[error("its attempts (limits.max-attempts) are not above 0")]
     NoAttempts,
     /// The share that completes an answer lies outside 0 to 1.
     #[error("its class-need is no share")]
     RequiredShareOutOfRange,
-    /// The least share of an answer lies outside 0 to 1.
+    /// The minimum share of an answer lies outside 0 to 1.
     #[error("its least-share is no share")]
     MinShareOutOfRange,
-    /// One of its priority weights is negative.
+    /// A priority weight is negative.
     #[error("its worth is below 0")]
     NegativeWeight,
 }
--- a/src/settings/missing_key.rs
+++ b/src/settings/missing_key.rs
@@ -1,12 +1,13 @@
-//! A guard for replaced settings: keys that were there before must still be there.
+//! A guard for replaced settings: keys of the old settings must be in the new ones too.
 //!
-//! An absent key is not an error when settings are read: it has a default. When an operator replaces the file of a running
-//! program, though, a key that has gone is more likely an editing mistake or a truncated file than a wish for the default,
-//! so such a file is rejected.
+//! An absent key is no error when settings are read: it has a default. When an operator replaces
+//! the file of a running program, though, a missing key is more likely a mistake or a truncated
+//! file than a request for the default, so such a file is rejected.
 
 use serde_json::Value;
 
-/// Keys that a replaced file may omit at any depth: in the wire protocol their absence switches a feature off.
+/// The keys that a replaced file may omit at any depth: in the wire protocol their absence switches
+/// a feature off.
 const OPTIONAL_KEYS: [&str; 5] = [
     "aim-stretch",
     "warm-keys",
@@ -15,10 +16,11 @@
     "look-back",
 ];
 
-/// Finds the first key that `old` has and `new` lacks, at any depth, as a path with dots (`limits.max-attempts`).
+/// Finds the first key that `old` has and `new` lacks, at any depth, as a path with dots
+/// (`limits.max-attempts`).
 ///
-/// The first element of an array in `old` is the model for all elements of the array in `new`. Where `old` has an object
-/// and `new` a value of another type, the object's first key is missing.
+/// The first element of an array in `old` is the model for all elements of the array in `new`.
+/// Where `old` has an object and `new` a value of another type, the object's first key is missing.
 #[must_use]
 pub fn find_missing_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,9 @@
-//! The settings that the platform gives a new instance: from JSON to typed values, and the checks on them.
+//! The settings that the platform gives a new instance: from JSON to typed values, and their
+//! validation.
+//!
+//! All times are nanoseconds, as on the wire. The configuration file of a process and the edge file
+//! are read elsewhere: see [`net::config`](crate::net::config) and
+//! [`front::ogc::config`](crate::front::ogc::config).
 
 mod error;
 mod missing_key;
@@ -15,21 +20,22 @@
 use object::{SettingsObject, TransportLimits};
 use policy::policy_settings;
 
-/// Time to connect where the settings state none: 250 ms.
+/// The time to connect where the settings state none: 250 ms.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// Idle time after which servers close a connection where the settings state none: 15 s.
+/// The idle time after which servers close a connection where the settings state none: 15 s.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// Concurrent calls on one connection where the settings state none.
+/// The number of concurrent calls on one connection where the settings state none.
 const DEFAULT_MAX_STREAMS: usize = 100;
 
-/// The settings of a coordinator on sockets: those of the decision policy and the limits of its connections.
+/// The settings of a coordinator on sockets: those of the decision policy and the limits of its
+/// connections.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CoordinatorSettings {
     /// The settings of the decision policy.
     pub policy: Settings,
-    /// A connection that is not established within this time has failed.
+    /// The time within which a connection must be established, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// The other side closes a connection that has been idle for this time, at the latest.
+    /// The idle time after which the other side closes a connection at the latest, in nanoseconds.
     pub idle_timeout: Nanos,
     /// The number of concurrent calls on one connection, at least 1.
     pub max_streams_per_connection: usize,
@@ -56,14 +62,14 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError::Json`] if the text has the wrong form, [`SettingsError::UnknownEffect`] for a class with an effect that
-/// the wire protocol does not have. The values are not checked further.
+/// [`SettingsError::Json`] if the text has the wrong form, [`SettingsError::UnknownEffect`] for a
+/// class with an effect that the wire protocol does not have. The values are not checked further.
 pub fn parse_policy_settings(text: &str) -> Result<Settings, SettingsError> {
     policy_settings(serde_json::from_str(text)?)
 }
 
-/// Reads the settings of a coordinator on sockets from a settings object; see [`CoordinatorSettings::validate`] for the
-/// checks that follow.
+/// Reads the settings of a coordinator on sockets from a settings object; see
+/// [`CoordinatorSettings::validate`] for the checks that follow.
 ///
 /// # Errors
 ///
--- a/src/settings/object.rs
+++ b/src/settings/object.rs
@@ -1,6 +1,9 @@
-//! The settings object as the platform sends it. Unknown keys are skipped; an absent key has the meaning that the wire
-//! protocol gives to its absence. Each field has its usual name here, and the key of the wire in its `serde` attribute;
-//! spans of time are nanoseconds. `expecting` keeps the type names that messages of the JSON reader have always shown.
+//! The settings object as the platform sends it.
+//!
+//! Unknown keys are skipped; an absent key has the meaning that the wire protocol gives to its
+//! absence. Each field has its usual name here, and the key of the wire in its `serde` attribute.
+//! Times are nanoseconds. `expecting` preserves the type names that messages of the JSON reader
+//! have always shown.
 
 use crate::interface::Nanos;
 use serde::Deserialize;
@@ -47,8 +50,8 @@
     pub name: String,
 }
 
-/// The shape of the queries: how many shards and cells there are, and what each class needs of them. The lists
-/// run parallel to the classes and may be shorter.
+/// The shape of the queries: how many shards and cells there are, and what each class needs of
+/// them. The lists run parallel to the classes and may be shorter.
 #[derive(Deserialize)]
 #[serde(expecting = "struct FamilyInfo", rename_all = "kebab-case")]
 pub struct QueryFamily {
@@ -69,7 +72,8 @@
     pub shards: u32,
 }
 
-/// What the platform demands of every coordinator: its retry budget, its polling interval and slow start.
+/// The platform's requirements on every coordinator: its retry budget, its polling interval and
+/// slow start.
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Invariants", rename_all = "kebab-case", default)]
 pub struct PlatformRules {
@@ -89,7 +93,7 @@
     pub warm_up: Option<Nanos>,
 }
 
-/// Limits of connections and attempts, and the optional features that the platform allows.
+/// The limits of connections and attempts, and the optional features that the platform allows.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(expecting = "struct Limits", rename_all = "kebab-case", default)]
 pub struct TransportLimits {
@@ -118,6 +122,7 @@
     pub quota: Option<f64>,
 }
 
+/// Returns the default of a weight.
 fn one() -> f64 {
     1.0
 }
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -6,10 +6,15 @@
     Class, Effect, Nanos, RetryBudget, ServiceReduction, Settings, SlowStartRule, Tenant,
 };
 
-/// The form of discovery in which the coordinator polls for the endpoint list.
+/// The kind of discovery in which the coordinator polls for the endpoint list.
 const POLLED_DISCOVERY: &str = "ask";
 
-/// Converts a settings object; only the effects of classes can be wrong at this point.
+/// Converts a settings object into the settings of the policy.
+///
+/// # Errors
+///
+/// [`SettingsError::UnknownEffect`] for a class with an effect that the wire protocol does not
+/// have.
 pub fn policy_settings(object: SettingsObject) -> Result<Settings, SettingsError> {
     let (family, rules, limits) = (object.query_family, object.rules, object.limits);
     let mut classes = Vec::new();
@@ -78,7 +83,7 @@
     })
 }
 
-/// The effects of the wire protocol; `None` for any other word.
+/// Returns the effect of this name in the wire protocol; `None` for any other name.
 fn parse_effect(word: &str, deduplication_window: Nanos) -> Option<Effect> {
     match word {
         "read_like" => Some(Effect::Idempotent),
@@ -88,7 +93,7 @@
     }
 }
 
-/// The retry budget, which the platform sets by stating its window.
+/// Returns the retry budget, which the platform sets by stating its window.
 fn retry_budget(rules: &PlatformRules) -> Option<RetryBudget> {
     let window = rules.retry_window?;
     Some(RetryBudget {
@@ -98,7 +103,7 @@
     })
 }
 
-/// The slow start, which the platform sets by stating when a server counts as overloaded.
+/// Returns the slow start, which the platform sets by stating when a server counts as overloaded.
 fn slow_start(rules: &PlatformRules) -> Option<SlowStartRule> {
     Some(SlowStartRule {
         overload_factor: rules.overload_factor?,
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! What settings must satisfy before a program runs with them.
+//! The validation of settings before a program runs with them.
 
 use super::{ClassFault, CoordinatorSettings, SettingsError};
 use crate::interface::{Class, Settings};
