--- a/src/bin/quinceflow-sim-adapter/error.rs
+++ b/src/bin/quinceflow-sim-adapter/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with the input, and where.
+//! Errors of the adapter's input and output, with their position.
 
 use std::error::Error;
 use std::io;
 use std::string::FromUtf8Error;
 use thiserror::Error;
 
-/// Why the adapter stops.
+/// The reason for which the adapter stops.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// Fields of a frame or record reach beyond its end.
@@ -16,7 +16,7 @@
         offset: usize,
         available: usize,
     },
-    /// A number that travels as a float is none.
+    /// A float that stands for an integer is not a number, or is out of range.
     #[error("{context}: {value} at {offset} is no number")]
     NotANumber {
         context: &'static str,
@@ -29,7 +29,7 @@
     /// Reading a frame header failed.
     #[error("frame header: {0}")]
     ReadHeader(#[source] io::Error),
-    /// A frame says that it is shorter than its fixed fields.
+    /// The stated length of a frame is less than its fixed fields.
     #[error("frame header: length {length} is under {minimum}")]
     FrameTooShort { length: u32, minimum: u32 },
     /// Reading a frame failed.
@@ -38,7 +38,7 @@
     /// The input ends within a frame.
     #[error("frame: {announced} bytes announced, input ends after {received}")]
     FrameTruncated { announced: u32, received: usize },
-    /// A batch holds more than its records.
+    /// A batch has bytes left after its records.
     #[error("batch {batch}: bytes left after {records} records")]
     TrailingBytes { batch: u32, records: u32 },
     /// A record is malformed.
@@ -48,19 +48,19 @@
         record: u32,
         source: Box<AdapterError>,
     },
-    /// A record of a code that there is none of.
+    /// The code of a record is unknown.
     #[error("unknown event code {0}")]
     UnknownRecord(u8),
-    /// A list of a kind that there is none of.
+    /// The kind of an endpoint list is unknown.
     #[error("MEMBERSHIP: unknown kind {0}")]
     UnknownListKind(u8),
-    /// A replica in a state that there is none of.
+    /// The state of a replica is unknown.
     #[error("POOL: unknown state {0}")]
     UnknownState(u8),
-    /// An attempt that ended as none can.
+    /// The outcome of an attempt is unknown.
     #[error("VERDICT: unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// The settings of an instance are no text.
+    /// The settings of an instance are not valid UTF-8.
     #[error("NEW_INSTANCE: boot-info: {}", .0.utf8_error())]
     SettingsEncoding(#[source] FromUtf8Error),
     /// The settings of an instance are malformed.
@@ -69,13 +69,13 @@
         batch: u32,
         source: Box<dyn Error + Send + Sync>,
     },
-    /// An event that is no instance's.
+    /// An event comes before any record that selects an instance.
     #[error("batch {batch}: an event comes before any ON record")]
     NoCurrentInstance { batch: u32 },
-    /// A list that refers to endpoints that were not sent.
+    /// A list refers to endpoints that were not sent.
     #[error("batch {batch}: MEMBERSHIP names no POOL {pool}")]
     UnknownPool { batch: u32, pool: u16 },
-    /// An event for an instance that was not started.
+    /// An event is for an instance that was not started.
     #[error("batch {batch}: no instance {instance} was started")]
     UnknownInstance { batch: u32, instance: u16 },
     /// Writing a reply failed.
--- a/src/bin/quinceflow-sim-adapter/fields.rs
+++ b/src/bin/quinceflow-sim-adapter/fields.rs
@@ -1,13 +1,13 @@
-//! A reader over the fields of a frame or record: little-endian, one after the other.
+//! A reader of the fields of a frame or record, which are little-endian and have no separators.
 
 use crate::error::AdapterError;
 use quinceflow::ReplicaId;
 
-/// The fields that are left of a frame or record.
+/// The remaining fields of a frame or record.
 pub struct Fields<'a> {
     bytes: &'a [u8],
     offset: usize,
-    /// What is read, for errors.
+    /// The name of the frame or record, for errors.
     context: &'static str,
 }
 
@@ -20,6 +20,7 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Creates a reader of all fields of a frame or record.
     pub fn new(bytes: &'a [u8], context: &'static str) -> Self {
         Self {
             bytes,
@@ -30,7 +31,7 @@
 
     little_endian!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32);
 
-    /// So many bytes as they are.
+    /// Reads this number of bytes.
     pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], AdapterError> {
         let end = self
             .offset
@@ -49,11 +50,12 @@
         Ok(bytes)
     }
 
+    /// Reads the address of a replica.
     pub fn replica(&mut self) -> Result<ReplicaId, AdapterError> {
         self.array().map(ReplicaId)
     }
 
-    /// The values of a load report, which the policy has no use for.
+    /// Skips the values of a load report, which the policy does not use.
     pub fn skip_load_report(&mut self) -> Result<(), AdapterError> {
         for _ in 0..self.u8()? {
             self.f32()?;
@@ -61,7 +63,7 @@
         Ok(())
     }
 
-    /// An integer that travels as a float; `None` below 0.
+    /// Reads an integer that is sent as a float; `None` for a negative one.
     pub fn integer(&mut self) -> Result<Option<u32>, AdapterError> {
         let value = self.f32()?;
         if !value.is_finite() || value > u32::MAX as f32 {
@@ -75,11 +77,12 @@
         Ok((value >= 0.0).then_some(value as u32))
     }
 
-    /// Nothing is left.
+    /// Returns whether all fields are read.
     pub fn is_empty(&self) -> bool {
         self.offset == self.bytes.len()
     }
 
+    /// Reads a fixed number of bytes.
     fn array<const N: usize>(&mut self) -> Result<[u8; N], AdapterError> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N)?);
--- a/src/bin/quinceflow-sim-adapter/frame.rs
+++ b/src/bin/quinceflow-sim-adapter/frame.rs
@@ -1,25 +1,25 @@
-//! Frames: a batch of records on the way in, a reply of records on the way out.
+//! The frames of the input: batches of records.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
 use quinceflow::Nanos;
 use std::io::{ErrorKind, Read};
 
-/// Bytes before a frame's length counts: the number of records, and the length.
+/// The bytes of a frame that its length does not count: the number of records, and the length.
 const HEADER_LENGTH: usize = 8;
-/// Bytes of a frame before its records: the time, and the number of the batch.
+/// The bytes of a frame before its records: the time, and the number of the batch.
 const FIXED_LENGTH: u32 = 12;
 
-/// One batch, its records still as bytes.
+/// A batch of records, which are not parsed yet.
 #[derive(Debug)]
 pub struct Batch {
-    /// How many records it holds.
+    /// The number of records.
     pub records: u32,
-    /// The time of its events.
+    /// The time of the events, in nanoseconds.
     pub now: Nanos,
-    /// Its number, which the reply bears too.
+    /// The number of the batch, which its reply repeats.
     pub number: u32,
-    /// Its records.
+    /// The records.
     pub body: Vec<u8>,
 }
 
@@ -59,6 +59,7 @@
     }
 }
 
+/// Reads the header of a frame; `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_LENGTH]>, AdapterError> {
     let mut header = [0; HEADER_LENGTH];
     let mut received = 0;
--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -1,4 +1,4 @@
-//! The instances in this process, and which events are whose.
+//! The instances of the policy in this process, and the distribution of events to them.
 
 use crate::error::AdapterError;
 use crate::frame::Batch;
@@ -10,7 +10,7 @@
 /// The events of one batch by instance, in order.
 type Inboxes = BTreeMap<u16, Vec<Event>>;
 
-/// All instances of this process; they share nothing but the wire.
+/// All instances of this process; they share no state.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, DecisionPolicy>,
@@ -18,7 +18,7 @@
 }
 
 impl Host {
-    /// Hands a batch to the instances it is for and gathers their reply.
+    /// Passes a batch to its instances and returns their reply.
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let mut inboxes = Inboxes::new();
         let mut current = None;
@@ -78,6 +78,7 @@
         Ok(())
     }
 
+    /// Returns the endpoints of a list; none for a failed one.
     fn endpoints(
         &self,
         kind: EndpointListKind,
@@ -96,7 +97,7 @@
             })
     }
 
-    /// Has each instance handle its events.
+    /// Lets each instance handle its events, and returns the reply.
     fn reply(&mut self, batch: &Batch, inboxes: Inboxes) -> Result<Vec<u8>, AdapterError> {
         let mut reply = Reply::new(batch.number);
         let mut actions = Vec::new();
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the policy and speaks the simulator's protocol on standard input and output. Decides nothing.
+//! Hosts instances of the policy and speaks the simulator's protocol on standard input and output.
+//! It makes no decisions; times are nanoseconds, as in the protocol and the policy.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -22,6 +23,7 @@
     }
 }
 
+/// Answers each batch of the input until its end.
 fn serve() -> Result<(), AdapterError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
--- a/src/bin/quinceflow-sim-adapter/record.rs
+++ b/src/bin/quinceflow-sim-adapter/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch: what happened to which instance.
+//! The records of a batch: the events of instances, and the instances' start and end.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -8,12 +8,12 @@
     PartId, QueryId, ShardId, TenantId, ZoneId,
 };
 
-/// The codes of records, by their meaning.
+/// The codes of records; their names are those of the protocol.
 mod code {
     pub const NEW_INSTANCE: u8 = 1;
     pub const MEMBERSHIP: u8 = 2;
     pub const REQUEST: u8 = 3;
-    /// An answer has started; no class streams here.
+    /// The start of an answer; no class streams here.
     pub const ACCEPTED: u8 = 4;
     pub const VERDICT: u8 = 5;
     pub const LAPSED: u8 = 6;
@@ -26,25 +26,25 @@
     pub const ON: u8 = 12;
 }
 
-/// A query states the work that it expects.
+/// The flag of a query that states its expected work.
 const WORK_STATED: u8 = 1;
 
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// What follows is for this instance.
+    /// Selects the instance to which the following records belong.
     On(u16),
-    /// The endpoints that later lists refer to by this number.
+    /// Defines the endpoints to which later lists refer by this number.
     Pool { pool: u16, endpoints: Vec<Endpoint> },
-    /// The instance starts.
+    /// Starts the instance.
     New { seed: u64, settings: String },
-    /// The instance receives an endpoint list.
+    /// Sends the instance an endpoint list.
     EndpointList { kind: EndpointListKind, pool: u16 },
-    /// The instance ends.
+    /// Ends the instance.
     Destroy,
-    /// An event for the instance.
+    /// Sends the instance an event.
     Event(Event),
-    /// A record that the policy has no use for.
+    /// A record that the policy does not use.
     Other,
 }
 
@@ -70,6 +70,7 @@
         Ok(records)
     }
 
+    /// Reads one record.
     fn read(body: &mut Fields<'_>) -> Result<Record, AdapterError> {
         let (code, length) = (body.u8()?, body.u32()?);
         let bytes = body.bytes(length as usize)?;
--- a/src/bin/quinceflow-sim-adapter/reply.rs
+++ b/src/bin/quinceflow-sim-adapter/reply.rs
@@ -1,8 +1,8 @@
-//! A reply: the actions of all instances to one batch.
+//! The reply to a batch: the actions of all instances.
 
 use quinceflow::Action;
 
-/// The codes of records in a reply.
+/// The codes of records in a reply; their names are those of the protocol.
 mod code {
     pub const SEND: u8 = 65;
     pub const REJECT: u8 = 66;
@@ -15,28 +15,28 @@
     pub const FROM: u8 = 78;
 }
 
-/// Bytes of a frame's length, which counts what follows it.
+/// The size of a frame's length, which counts the bytes that follow it.
 const LENGTH_BYTES: usize = 4;
 
-/// A reply in the making.
+/// An unfinished reply.
 pub struct Reply {
     bytes: Vec<u8>,
 }
 
 impl Reply {
-    /// An empty reply to the batch of this number.
+    /// Creates an empty reply to the batch of this number.
     pub fn new(batch: u32) -> Self {
         let mut bytes = vec![0; LENGTH_BYTES];
         bytes.extend(batch.to_le_bytes());
         Reply { bytes }
     }
 
-    /// The actions that follow are this instance's.
+    /// Selects the instance to which the following actions belong.
     pub fn from(&mut self, instance: u16) {
         self.record(code::FROM, &[&instance.to_le_bytes()]);
     }
 
-    /// Adds an action.
+    /// Appends an action.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Send {
@@ -78,13 +78,14 @@
         }
     }
 
-    /// The finished frame.
+    /// Writes the length of the frame and returns it.
     pub fn finish(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
         self.bytes
     }
 
+    /// Appends a record: its code, its length and its fields.
     fn record(&mut self, code: u8, fields: &[&[u8]]) {
         let length: usize = fields.iter().map(|field| field.len()).sum();
         self.bytes.push(code);
--- a/src/bin/quinceflow.rs
+++ b/src/bin/quinceflow.rs
@@ -1,7 +1,7 @@
 //! The coordinator on real sockets.
 //!
-//! `NODE_CONFIG` names the platform's configuration; `--edge FILE` names the operator's file that sets up the front
-//! for feature queries. Either is enough, and both may be given.
+//! `NODE_CONFIG` names the platform's configuration; `--edge FILE` names the operator's file that
+//! sets up the front for feature queries. At least one of them must be given.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -13,10 +13,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code of a check that found faults.
+/// The exit code of a check that found faults.
 const EXIT_FAULTS: u8 = 2;
 
-/// A query coordinator: serves the platform's protocol as NODE_CONFIG sets it up, and feature queries as an edge file does
+/// A query coordinator: serves the platform's protocol as NODE_CONFIG sets it up, and feature
+/// queries as an edge file does
 #[derive(Parser)]
 #[command(name = "quinceflow", version, args_conflicts_with_subcommands = true)]
 struct Arguments {
@@ -32,7 +33,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read an edge file and its inventory and tell every fault with its line; exit 0 if there is none, else 2
+    /// Read an edge file and its inventory and tell every fault with its line; exit 0 if there is
+    /// none, else 2
     Check {
         /// The edge file
         file: PathBuf,
@@ -71,7 +73,8 @@
     }
 }
 
-/// Runs the coordinator until a shutdown was requested and is complete. `edge`: the edge file, if any.
+/// Runs the coordinator until a shutdown was requested and is complete. `edge` is the path of the
+/// edge file, if any.
 fn serve(edge: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let edge = edge.map(|file| EdgeConfig::load(&file)).transpose()?;
     let platform = match std::env::var_os("NODE_CONFIG") {
