--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,30 @@
-//! A query coordinator: the decisions, protocols and sockets of a program that answers a query from many shards.
+//! A query coordinator: the decisions, protocols and sockets of a program that answers a query from
+//! many shards.
 //!
-//! A coordinator receives queries. Each consists of parts, a part needs an answer from one shard, and each shard is served by
-//! several replicas. [`DecisionPolicy`] decides where each attempt at a part goes, how long to wait for it, whether to retry
-//! or hedge, when to answer the query, and which queries to reject. It opens no socket and reads no clock: the caller
-//! passes it the events of a moment, carries out the returned actions in order, and calls it again when its timer fires.
+//! A coordinator receives queries. Each consists of parts, a part needs an answer from one shard,
+//! and each shard is served by several replicas. [`DecisionPolicy`] decides where each attempt at a
+//! part goes, how long to wait for it, whether to retry or hedge, when to answer the query, and
+//! which queries to reject. It opens no socket and reads no clock: the caller passes it the events
+//! of a moment, carries out the returned actions in order, and calls it again when its timer fires.
 //!
 //! The modules, from the decisions outwards:
 //!
 //! * [`interface`]: settings, events and actions; [`policy`]: the decisions;
-//! * [`coordinator`]: the queries and attempts in progress, and the events and actions on their behalf;
+//! * [`queries`], [`membership`], [`stats`]: the policy's query table, endpoint list and statistics;
+//! * [`coordinator`]: the queries and attempts in progress, and the events and actions on their
+//!   behalf;
 //! * [`front`]: the requests of clients, translated to queries and back;
-//! * [`limits`] and [`degradation`]: adaptive limits of concurrency, admission by cost, graceful degradation;
-//! * [`proto`]: protocols without sockets; [`net`]: sockets, signals and the processes of two versions;
-//! * [`settings`], [`time`](mod@time), [`log`]: what all of them share.
+//! * [`limits`] and [`degradation`]: adaptive limits of concurrency, admission by cost, graceful
+//!   degradation;
+//! * [`proto`]: protocols without sockets; [`net`]: sockets, signals and the processes of two
+//!   versions;
+//! * [`settings`], [`time`](mod@time), [`log`], [`sync`]: shared by all of them.
+//!
+//! The policy's times are nanoseconds ([`Nanos`]), all others [`time::Micros`].
+//!
+//! Global in a process are its counters ([`coordinator::COUNTERS`]), by which log lines are
+//! throttled, the sequence numbers of requests, and the log: they concern the process as a whole.
+//! All other state belongs to a value that its owner passes on.
 //!
 //! ```
 //! use quinceflow::*;
@@ -55,9 +67,19 @@
 //!
 //! // The coordinator's loop: events in, actions out.
 //! let replica = ReplicaId([10, 0, 0, 1, 0, 80]);
-//! let endpoint = Endpoint { replica, zone: ZoneId(0), cell: CellId(0), state: EndpointState::Ready, started_at: 0 };
+//! let endpoint = Endpoint {
+//!     replica,
+//!     zone: ZoneId(0),
+//!     cell: CellId(0),
+//!     state: EndpointState::Ready,
+//!     started_at: 0,
+//! };
+//! let endpoint_list = Event::Endpoints {
+//!     kind: EndpointListKind::Cached,
+//!     endpoints: vec![endpoint],
+//! };
 //! let batches = vec![
-//!     (5 * MS, vec![Event::Endpoints { kind: EndpointListKind::Cached, endpoints: vec![endpoint] }]),
+//!     (5 * MS, vec![endpoint_list]),
 //!     (
 //!         10 * MS,
 //!         vec![
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,6 @@
 //! The log: lines on standard error, as text or as JSON objects.
+//!
+//! The subscriber of `tracing` is global, since a process has one standard error.
 
 use clap::ValueEnum;
 use std::fmt;
@@ -13,11 +15,13 @@
     /// A line an event: `quinceflow: `, the level, the message and the fields as `name=value`.
     #[default]
     Text,
-    /// A JSON object a line: `timestamp`, `level`, `target` and `fields`, with the message in `fields.message`.
+    /// A JSON object a line: `timestamp`, `level`, `target` and `fields`, with the message in
+    /// `fields.message`.
     Json,
 }
 
-/// Formats an event as its level, its message and its fields. The time is left to what collects the lines, and there is no colour.
+/// The text format: the level, the message and the fields, without a time and without colours. The
+/// collector of the lines adds the time.
 struct PlainFormat;
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
--- a/src/test_fixtures.rs
+++ b/src/test_fixtures.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{Class, Effect};
 
-/// An idempotent class of this name.
+/// Returns an idempotent class of this name.
 pub(crate) fn class(name: &str) -> Class {
     Class {
         name: name.to_owned(),
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,11 @@
-//! Time outside the decision policy: whole microseconds of the monotonic clock, and its conversion to and from other clocks.
+//! Time outside the decision policy: whole microseconds of the monotonic clock, and the conversion
+//! to and from other clocks and units.
+//!
+//! The decision policy, the settings and the simulator's protocol have nanoseconds ([`Nanos`]); the
+//! coordinator, the limits, the fronts and the drivers have [`Micros`]. [`Micros::to_nanos`] and
+//! [`Micros::from_nanos`] are the conversion between them.
+//!
+//! No clock is global: a [`Clock`] is started once and copied to its users.
 
 use crate::interface::Nanos;
 use std::ops::{Add, Sub};
@@ -12,13 +19,13 @@
     /// The origin of time, or an empty span.
     pub const ZERO: Micros = Micros(0);
 
-    /// A span of `millis` milliseconds.
+    /// Returns a span of `millis` milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Micros(millis * 1_000)
     }
 
-    /// A span of `secs` seconds.
+    /// Returns a span of `secs` seconds.
     #[must_use]
     pub const fn from_secs(secs: u64) -> Self {
         Micros(secs * 1_000_000)
@@ -36,7 +43,7 @@
         Micros(nanos / 1_000)
     }
 
-    /// The span from `earlier` to this point; zero if `earlier` is later.
+    /// Returns the span from `earlier` to this point; zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
@@ -63,7 +70,8 @@
     }
 }
 
-/// What a new clock shows: one day, so that events shortly before the program's start have a time too.
+/// The time at the start of a clock: one day, so that events shortly before the program's start
+/// have a time too.
 const CLOCK_ORIGIN: Micros = Micros::from_secs(86_400);
 
 /// The monotonic clock.
@@ -73,7 +81,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Clock {
@@ -81,14 +89,14 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Micros {
         CLOCK_ORIGIN + Micros(u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-/// The present time in milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 #[must_use]
 pub fn unix_ms() -> u64 {
     SystemTime::now()
@@ -98,9 +106,10 @@
         })
 }
 
-/// Converts the start of a process from Unix time, in milliseconds, to monotonic time; `unix_now_ms` and `now` are the same
-/// moment on the two clocks. `None` if the start is unknown (0) or lies before the origin of the monotonic clock. A start
-/// in the future counts as now, since the clocks of two machines differ a little.
+/// Converts the start of a process from Unix time, in milliseconds, to monotonic time;
+/// `unix_now_ms` and `now` are the same moment on the two clocks. Returns `None` if the start is
+/// unknown (0) or lies before the origin of the monotonic clock. A start in the future counts as
+/// now, since the clocks of two machines differ a little.
 #[must_use]
 pub fn monotonic_start(start_unix_ms: u64, unix_now_ms: u64, now: Micros) -> Option<Micros> {
     let age = Micros::from_millis(unix_now_ms.saturating_sub(start_unix_ms));
