--- a/src/bin/quinceflow-sim-adapter/frame.rs
+++ b/src/bin/quinceflow-sim-adapter/frame.rs
@@ -30,7 +30,8 @@
             return Ok(None);
         };
         let mut header = Fields::new(&header, "frame header");
-        let (records, length) = (header.u32()?, header.u32()?);
+        let records = header.u32()?;
+        let length = header.u32()?;
         if length < FIXED_LENGTH {
             return Err(AdapterError::FrameTooShort {
                 length,
@@ -49,7 +50,8 @@
             });
         }
         let mut fields = Fields::new(&rest, "frame header");
-        let (now, number) = (fields.u64()?, fields.u32()?);
+        let now = fields.u64()?;
+        let number = fields.u32()?;
         Ok(Some(Batch {
             records,
             now,
--- a/src/bin/quinceflow-sim-adapter/record.rs
+++ b/src/bin/quinceflow-sim-adapter/record.rs
@@ -72,7 +72,8 @@
 
     /// Reads one record.
     fn read(body: &mut Fields<'_>) -> Result<Record, AdapterError> {
-        let (code, length) = (body.u8()?, body.u32()?);
+        let code = body.u8()?;
+        let length = body.u32()?;
         let bytes = body.bytes(length as usize)?;
         let fields = |context| Fields::new(bytes, context);
         match code {
@@ -98,7 +99,8 @@
 }
 
 fn read_new(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
-    let (seed, length) = (fields.u64()?, fields.u32()?);
+    let seed = fields.u64()?;
+    let length = fields.u32()?;
     let text = fields.bytes(length as usize)?.to_vec();
     let settings = String::from_utf8(text).map_err(AdapterError::SettingsEncoding)?;
     Ok(Record::New { seed, settings })
@@ -106,7 +108,8 @@
 
 fn read_endpoint_list(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
     let kind = fields.u8()?;
-    let (_version, pool) = (fields.u32()?, fields.u16()?);
+    let _version = fields.u32()?;
+    let pool = fields.u16()?;
     let kind = match kind {
         0 => EndpointListKind::Delta,
         1 => EndpointListKind::Full,
@@ -120,15 +123,14 @@
 fn read_query_or_part(fields: &mut Fields<'_>) -> Result<Event, AdapterError> {
     let id = fields.u64()?;
     let group = GroupId(fields.integer()?.unwrap_or(0));
-    let (work, _key, marks, tenant) = (
-        fields.u64()?,
-        fields.u64()?,
-        fields.u8()?,
-        TenantId(fields.u32()?),
-    );
+    let expected_work = fields.u64()?;
+    let _key = fields.u64()?;
+    let flags = fields.u8()?;
+    let tenant = TenantId(fields.u32()?);
     let shard = fields.integer()?;
     let weight = f64::from(fields.f32()?);
-    let (class, time_left) = (ClassId(u16::from(fields.u8()?)), fields.u64()?);
+    let class = ClassId(u16::from(fields.u8()?));
+    let time_left = fields.u64()?;
     Ok(match shard {
         Some(shard) => Event::Part {
             part: PartId(id),
@@ -141,15 +143,16 @@
             group,
             class,
             tenant,
-            expected_work: (marks & WORK_STATED != 0).then_some(work),
+            expected_work: (flags & WORK_STATED != 0).then_some(expected_work),
             time_left,
         },
     })
 }
 
 fn read_outcome(fields: &mut Fields<'_>) -> Result<Event, AdapterError> {
-    let (part, attempt) = (PartId(fields.u64()?), AttemptNo(fields.u16()?));
-    fields.replica()?;
+    let part = PartId(fields.u64()?);
+    let attempt = AttemptNo(fields.u16()?);
+    let _replica = fields.replica()?;
     let outcome = outcome(fields.u8()?)?;
     let elapsed = fields.u64()?;
     let _flags = fields.u8()?;
@@ -163,15 +166,16 @@
 }
 
 fn read_health_check(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
-    fields.replica()?;
-    outcome(fields.u8()?)?;
+    let _replica = fields.replica()?;
+    let _outcome = outcome(fields.u8()?)?;
     let _elapsed = fields.u64()?;
     fields.skip_load_report()?;
     Ok(Record::Other)
 }
 
 fn read_pool(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
-    let (pool, count) = (fields.u16()?, fields.u32()?);
+    let pool = fields.u16()?;
+    let count = fields.u32()?;
     let endpoints = (0..count)
         .map(|_| read_endpoint(fields))
         .collect::<Result<_, _>>()?;
@@ -179,8 +183,10 @@
 }
 
 fn read_endpoint(fields: &mut Fields<'_>) -> Result<Endpoint, AdapterError> {
-    let (replica, zone) = (fields.replica()?, ZoneId(fields.u16()?));
-    let (_kind, cell) = (fields.u16()?, CellId(fields.u16()?));
+    let replica = fields.replica()?;
+    let zone = ZoneId(fields.u16()?);
+    let _kind = fields.u16()?;
+    let cell = CellId(fields.u16()?);
     let state = match fields.u8()? {
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
