--- a/src/proto/admin.rs
+++ b/src/proto/admin.rs
@@ -1,18 +1,19 @@
-//! The protocol of the admin endpoint: one command a connection, a line each way.
+//! The protocol of the admin endpoint: each connection carries one command and its reply, a line
+//! each. The endpoint in `net::admin` owns the sockets and writes the replies.
 
 use super::buffer::Buffer;
 
 /// The maximum length of a command's line, in bytes.
 const MAX_LINE: usize = 256;
 
-/// What an operator can request.
+/// A command of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// `HEALTH`: whether this process can serve.
+    /// `HEALTH`: asks whether this process can serve requests.
     Health,
-    /// `DUMP`: all metrics.
+    /// `DUMP`: asks for all metrics.
     Dump,
-    /// Any other line, also one that is too long.
+    /// Any other line, including one that exceeds the maximum length.
     Unknown,
 }
 
@@ -24,8 +25,8 @@
 }
 
 impl AdminConnection {
-    /// The command, once its line is complete; the end of the input (`input_ended`) completes it too. `None` if more input
-    /// is needed, or if the input ended without any.
+    /// Returns the command once its line is complete, which the end of the input (`input_ended`)
+    /// also does. Returns `None` if more input is needed, or if the input ended without a command.
     #[must_use]
     pub fn command(&self, input_ended: bool) -> Option<AdminCommand> {
         let data = self.input.data();
--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -1,4 +1,5 @@
-//! Bodies of responses: owned bytes, and ranges of shared ones that are written without being copied.
+//! Bodies of responses: queues of owned bytes and of ranges of shared bytes, which are written
+//! without being copied.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -7,12 +8,13 @@
 /// Bytes with several owners, such as a page in a cache.
 pub type SharedBytes = Arc<dyn AsRef<[u8]> + Send + Sync>;
 
-/// Adjacent owned pieces are joined up to this many bytes: another system call costs more than the copy.
+/// The size up to which adjacent owned pieces are joined, in bytes: another system call costs more
+/// than the copy.
 const MAX_JOINED: usize = 16 * 1024;
-/// Shared ranges of at most this many bytes are copied, since a piece of their own costs more.
+/// The size up to which shared ranges are copied, in bytes: a piece of its own costs more.
 const MAX_COPIED: usize = 512;
 
-/// A consecutive part of a body.
+/// A contiguous part of a body.
 #[derive(Clone)]
 enum Piece {
     Owned(Vec<u8>),
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The memory that is released with this piece, in bytes.
+    /// Returns the memory that is released with this piece, in bytes; shared bytes do not count.
     fn owned_memory(&self) -> usize {
         match self {
             Piece::Owned(bytes) => bytes.capacity(),
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Appends a range of shared bytes, which are referenced until they are written. A range outside of them adds nothing.
+    /// Appends a range of shared bytes, which are referenced until they are written. Appends
+    /// nothing if the range is out of bounds.
     pub fn push_shared(&mut self, shared: SharedBytes, range: Range<usize>) {
         let length = shared
             .as_ref()
@@ -77,10 +80,10 @@
         self.pieces.push_back(Piece::Shared(shared, range));
     }
 
-    /// Appends all of another body, of which nothing may have been consumed.
+    /// Appends another body, of which nothing may have been consumed.
     pub fn append(&mut self, mut other: Body) {
         debug_assert_eq!(other.consumed, 0, "only complete bodies are joined");
-        // The first piece is joined to what is here, so that a small response is one write.
+        // The first piece is joined to the last one here, so that a small response is one write.
         if matches!(other.pieces.front(), Some(Piece::Owned(first)) if first.len() <= MAX_JOINED) {
             if let Some(Piece::Owned(first)) = other.pieces.pop_front() {
                 other.length -= first.len();
@@ -91,19 +94,19 @@
         self.pieces.append(&mut other.pieces);
     }
 
-    /// The number of bytes left.
+    /// Returns the number of bytes left.
     #[must_use]
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// True if no bytes are left.
+    /// Returns whether no bytes are left.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The next bytes: some of them, unless none are left.
+    /// Returns the next contiguous bytes; empty only if none are left.
     #[must_use]
     pub fn front(&self) -> &[u8] {
         self.pieces
@@ -127,13 +130,13 @@
         }
     }
 
-    /// The memory that is released with this body, in bytes; shared bytes do not count.
+    /// Returns the memory that is released with this body, in bytes; shared bytes do not count.
     #[must_use]
     pub fn memory(&self) -> usize {
         self.pieces.iter().map(Piece::owned_memory).sum()
     }
 
-    /// A copy of all bytes left.
+    /// Returns a copy of all bytes left.
     #[must_use]
     pub fn to_vec(&self) -> Vec<u8> {
         let mut all = Vec::with_capacity(self.length);
@@ -144,7 +147,7 @@
         all
     }
 
-    /// The bytes left in each piece.
+    /// Returns the bytes left in each piece.
     pub fn chunks(&self) -> impl Iterator<Item = &[u8]> {
         let consumed = self.consumed;
         self.pieces.iter().enumerate().map(move |(index, piece)| {
--- a/src/proto/buffer.rs
+++ b/src/proto/buffer.rs
@@ -1,27 +1,29 @@
-//! The input buffer of a connection: it grows as needed and compacts in place.
+//! The input buffer of a connection, which grows as needed and compacts in place.
 
 /// The minimum free space offered to a read, in bytes.
 const MIN_FREE_SPACE: usize = 2 * 1024;
-/// An empty buffer releases its memory if it holds more than this, in bytes.
+/// The largest capacity that an empty buffer keeps, in bytes.
 const MAX_IDLE_CAPACITY: usize = 16 * 1024;
 
-/// Bytes that were read from a socket and not consumed yet.
+/// Bytes that were read from a socket and have not been consumed yet.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
-    /// The unconsumed bytes are `bytes[start..end]`.
+    /// The index in `bytes` of the first unconsumed byte.
     start: usize,
+    /// The index in `bytes` after the last unconsumed byte.
     end: usize,
 }
 
 impl Buffer {
-    /// The unconsumed bytes.
+    /// Returns the unconsumed bytes.
     #[must_use]
     pub fn data(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Space for a read of at least 2 KiB; report the bytes read by [`Buffer::commit`].
+    /// Returns space for a read of at least 2 KiB. [`Buffer::commit`] takes over the bytes that
+    /// were read into it.
     pub fn free_space(&mut self) -> &mut [u8] {
         if self.bytes.len() - self.end < MIN_FREE_SPACE {
             self.compact();
@@ -33,7 +35,7 @@
         &mut self.bytes[self.end..]
     }
 
-    /// The first `count` bytes of the free space were filled.
+    /// Takes over the first `count` bytes of the free space, which were filled.
     pub fn commit(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Appends bytes that the caller has already.
+    /// Appends a copy of the bytes.
     pub fn extend(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let space = self.free_space();
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The memory held, in bytes.
+    /// Returns the memory held, in bytes.
     #[must_use]
     pub fn capacity(&self) -> usize {
         self.bytes.len()
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's watch: an HTTP response that stays open and carries endpoint lists as JSON objects, one a line.
+//! The protocol of the discovery watch: an HTTP response that stays open and carries endpoint lists
+//! as JSON objects, one a line. `net::watch` owns the connection and opens it again.
 
 use super::http::{HttpError, ResponseReader};
 use crate::coordinator::{EndpointUpdate, NodeEndpoint};
@@ -6,7 +7,7 @@
 use crate::time::{monotonic_start, Micros};
 use serde::Deserialize;
 
-/// The most bytes of one line: a complete list of a fleet far larger than any served.
+/// The maximum length of a line, in bytes; a complete list of a large fleet is far shorter.
 const MAX_LINE: usize = 1024 * 1024;
 /// The status of a watch that was accepted.
 const STATUS_OK: u16 = 200;
@@ -43,52 +44,52 @@
 /// An endpoint list with its revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointListUpdate {
-    /// The revision.
+    /// The revision of the list.
     pub revision: u64,
     /// The endpoints that it names.
     pub update: EndpointUpdate,
 }
 
-/// Why a text is no endpoint list.
+/// The reason why a text is not an endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// Not JSON, or not of the list's form.
+    /// The text is not JSON, or its shape is not that of a list.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// An endpoint is in a state that is not known here.
+    /// An endpoint has an unknown state.
     #[error("unknown state {0:?}")]
     UnknownState(String),
-    /// The next message came before the list was complete.
+    /// The next message began before the list was complete.
     #[error("a list without its end")]
     Truncated,
 }
 
-/// Why a watch cannot be followed.
+/// The reason why a watch cannot be followed.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The response is not HTTP.
     #[error("Http({0:?})")]
     Http(HttpError),
-    /// Discovery answered with another status than 200.
+    /// Discovery responded with a status other than 200.
     #[error("Status({0})")]
     Status(u16),
-    /// A line is no endpoint list.
+    /// A line is not an endpoint list.
     #[error("Line({:?})", .0.to_string())]
     List(#[from] EndpointListError),
 }
 
-/// The moment at which a list is read, on the monotonic and on the wall clock.
+/// The time at which a list is read, on the monotonic and on the wall clock.
 #[derive(Debug, Clone, Copy)]
 struct ReadTime {
     now: Micros,
     unix_now_ms: u64,
 }
 
-/// Reads an endpoint list that was cached by an earlier process. `now` and `unix_now_ms` are the same moment on the
-/// monotonic and on the wall clock.
+/// Parses an endpoint list that was cached by an earlier process. `now` and `unix_now_ms`
+/// (milliseconds) are the same moment on the monotonic and on the wall clock.
 ///
 /// # Errors
-/// If the text is not one complete list, or names an unknown state.
+/// Fails if the text is not one complete list, or contains an unknown state.
 pub fn parse_cached_endpoint_list(
     text: &[u8],
     now: Micros,
@@ -141,7 +142,7 @@
     })
 }
 
-/// Zones are named by letters, from `a` on.
+/// Returns the number of a zone, whose name is a letter: 0 for `a` or an empty name.
 fn zone_number(zone: &str) -> u16 {
     zone.bytes()
         .next()
@@ -152,7 +153,7 @@
 #[derive(Default)]
 struct ParsedLists {
     updates: Vec<EndpointListUpdate>,
-    /// How many bytes of the text they take.
+    /// The length of the lists in the text, in bytes.
     consumed: usize,
 }
 
@@ -168,10 +169,13 @@
     }
 }
 
-/// Reads the complete lists at the front of what was received. A list stands on one line or is indented over several: it is
-/// complete where its object ends, whether or not the line has ended, since a watch may be reset in between. No list
-/// contains an empty line, which is what discovery sends while nothing changes: a list that was cut off would otherwise be
-/// waited for as long as the watch lives.
+/// Parses the complete lists at the front of the received text. A list may stand on one line or be
+/// indented over several. It is complete where its JSON object ends, even if its line has not
+/// ended: a watch may be reset in between.
+///
+/// An empty line is a keep-alive message and never part of a list. An incomplete list followed by
+/// one was cut off and is an error; otherwise its end would be waited for as long as the watch
+/// lives.
 fn parse_lists(text: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let lines_end = text
         .iter()
@@ -187,7 +191,7 @@
     Ok(parsed)
 }
 
-/// Reads lists from lines that have all ended, up to one that is incomplete.
+/// Parses lists from complete lines, up to the first list that is incomplete.
 fn parse_ended_lines(lines: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let mut objects = serde_json::Deserializer::from_slice(lines).into_iter::<ListMessage>();
     let mut parsed = ParsedLists::default();
@@ -205,8 +209,9 @@
     }
 }
 
-/// Reads lists from what follows, up to a line that has not ended. Only complete lists are recognized there: one that is
-/// split within a number looks malformed, so errors are ignored.
+/// Parses lists from the rest of the text, whose last line is incomplete. Errors are ignored: a
+/// list that is split within a number looks malformed. The rest is parsed again once its line is
+/// complete.
 fn parse_open_line(
     text: &[u8],
     parsed: &mut ParsedLists,
@@ -222,7 +227,7 @@
     Ok(())
 }
 
-/// Whether a line that has ended is empty; the first one begins with a list.
+/// Returns whether one of the complete lines is empty.
 fn has_empty_line(lines: &[u8]) -> bool {
     lines
         .split(|b| *b == b'\n')
@@ -231,19 +236,19 @@
         .any(|line| line.trim_ascii().is_empty())
 }
 
-/// What a watch has brought since it was last advanced.
+/// The result of advancing a watch.
 #[derive(Debug)]
 pub struct WatchProgress {
-    /// The lists that are complete, in order.
+    /// The lists that were completed, in order.
     pub updates: Vec<EndpointListUpdate>,
     /// Whether the response has ended.
     pub ended: bool,
 }
 
-/// The response to one watch.
+/// The response that carries one watch.
 #[derive(Debug)]
 pub struct WatchResponse {
-    /// Reads the response as it arrives.
+    /// The reader of the response.
     pub reader: ResponseReader,
 }
 
@@ -256,16 +261,18 @@
 }
 
 impl WatchResponse {
-    /// The request that opens a watch on what came after the revision `since`.
+    /// Returns the HTTP request that opens a watch for the changes after the revision `since`.
     #[must_use]
     pub fn request(host: &str, since: u64) -> String {
         format!("GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\n\r\n")
     }
 
-    /// Processes what was read. `now` and `unix_now_ms` are the same moment on the monotonic and on the wall clock.
+    /// Processes the input in the reader's buffer. `now` and `unix_now_ms` (milliseconds) are the
+    /// same moment on the monotonic and on the wall clock.
     ///
     /// # Errors
-    /// If the response is not HTTP, has another status than 200, or contains something else than endpoint lists.
+    /// Fails if the response is not HTTP, has a status other than 200, or contains anything but
+    /// endpoint lists.
     pub fn advance(&mut self, now: Micros, unix_now_ms: u64) -> Result<WatchProgress, WatchError> {
         let ended = self.reader.advance().map_err(WatchError::Http)?;
         if let Some(head) = self.reader.head().filter(|head| head.status != STATUS_OK) {
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -4,7 +4,7 @@
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The revisions read from a watch's response that arrives in these pieces, in order.
+/// Returns the revisions in a watch's response that arrives in these pieces, in order.
 fn revisions(pieces: &[&str]) -> Result<Vec<u64>, WatchError> {
     let mut response = WatchResponse::default();
     let mut revisions = Vec::new();
@@ -30,15 +30,14 @@
 
 #[test]
 fn lists_on_one_line_or_indented_are_parsed_however_they_are_split() {
-    // Indented lists were once rejected by their first line: the watch was closed and opened for ever, and no draining
-    // endpoint was noticed.
+    // An indented list is complete only at the end of its object, not of its first line.
     let value: serde_json::Value = serde_json::from_str(LIST).expect("a list");
     let indented = serde_json::to_string_pretty(&value).expect("a list");
     for form in [
         format!("{LIST}\n"),
         format!("{indented}\n"),
         format!("\r\n  {}\r\n\n", indented.replace('\n', "\r\n")),
-        // The watch is reset before the line's end: the list was once lost until the next watch.
+        // A watch may be reset before the end of the line.
         LIST.to_owned(),
     ] {
         assert_eq!(read_revisions(&[&form, "\n", &form]), [43, 43], "{form}");
--- a/src/proto/fetch.rs
+++ b/src/proto/fetch.rs
@@ -1,4 +1,5 @@
-//! One request to a feature server and its response, which is one attempt at a part.
+//! One HTTP request to a feature server and its response, which together are one attempt at a part.
+//! The driver in `net::feature_client` owns the connection.
 
 use super::http::{Headers, ResponseReader};
 use crate::interface::Outcome;
@@ -6,7 +7,7 @@
 /// A complete response.
 #[derive(Debug)]
 pub struct FetchedResponse {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The header fields.
     pub headers: Headers,
@@ -14,36 +15,37 @@
     pub body: Vec<u8>,
 }
 
-/// How far a fetch has got.
+/// The progress of a fetch.
 #[derive(Debug)]
 pub enum Progress {
     /// The response is not complete yet.
     Pending,
     /// The response is complete.
     Complete(FetchedResponse),
-    /// The fetch failed.
+    /// The fetch failed with this outcome.
     Failed(Outcome),
 }
 
 impl Progress {
-    /// Whether the response is still to come.
+    /// Returns whether the response is not complete yet.
     #[must_use]
     pub fn is_pending(&self) -> bool {
         matches!(self, Progress::Pending)
     }
 }
 
-/// A request in flight. It is fed what was read and yields what is to be written.
+/// A request in flight, without its connection: received bytes go in, bytes to write come out.
 #[derive(Debug)]
 pub struct Fetch {
-    /// Reads the response as it arrives.
+    /// The reader of the response.
     pub reader: ResponseReader,
     request: Vec<u8>,
+    /// The number of bytes of the request that have been written.
     written: usize,
 }
 
 impl Fetch {
-    /// A fetch with this request, whose response has a body of at most `max_body` bytes.
+    /// Creates a fetch with this request and a response body of at most `max_body` bytes.
     #[must_use]
     pub fn new(request: Vec<u8>, max_body: usize) -> Self {
         Fetch {
@@ -53,32 +55,32 @@
         }
     }
 
-    /// The bytes to write next.
+    /// Returns the bytes to write next.
     #[must_use]
     pub fn output(&self) -> &[u8] {
         &self.request[self.written..]
     }
 
-    /// Notes how many bytes of [`Fetch::output`] were written; true: these include the last one, and the request may run from
-    /// now on.
+    /// Records that `bytes` bytes of [`Fetch::output`] were written. Returns whether the last byte
+    /// was among them; the server may run the request from then on.
     pub fn record_written(&mut self, bytes: usize) -> bool {
         self.written += bytes;
         bytes > 0 && self.output().is_empty()
     }
 
-    /// Whether no byte of the request is written yet.
+    /// Returns whether no byte of the request has been written.
     #[must_use]
     pub fn is_unstarted(&self) -> bool {
         self.written == 0
     }
 
-    /// Whether the server has the complete request, so that it may have run.
+    /// Returns whether the complete request was written, so that the server may have run it.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.output().is_empty()
     }
 
-    /// Processes what was read.
+    /// Processes the input in the reader's buffer.
     pub fn advance(&mut self) -> Progress {
         match self.reader.advance() {
             Err(_) => Progress::Failed(Outcome::Error),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// The server closed the connection in good order: this completes a response without a length.
+    /// Handles an orderly close by the server, which completes a response without a length.
     pub fn on_end_of_stream(&mut self) -> Progress {
         if self.reader.end_of_input() {
             return self.take_response();
@@ -95,7 +97,7 @@
         self.on_broken()
     }
 
-    /// The connection broke, or was never established.
+    /// Handles a connection that failed or was never established.
     pub fn on_broken(&mut self) -> Progress {
         Progress::Failed(if self.may_have_run() {
             Outcome::Reset
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Whether the connection can carry another request after this one.
+    /// Returns whether the connection can carry another request after this one.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         self.output().is_empty()
--- a/src/proto/frames/attempts.rs
+++ b/src/proto/frames/attempts.rs
@@ -1,55 +1,68 @@
-//! The attempts on one connection, by their keys here and by their ids at the node.
+//! The table of the attempts on one connection: maps the coordinator's keys to the ids that the
+//! node knows, and back.
 
 use crate::coordinator::AttemptKey;
 use std::collections::{HashMap, VecDeque};
 
-/// How many ids of ended attempts are remembered: late answers and duplicates refer to them.
+/// The maximum number of ids of ended attempts that are kept to recognise late and duplicate
+/// answers.
 const MAX_RETIRED_IDS: usize = 256;
 
 /// The attempts in flight on a connection, and the ids of those that ended.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
+    /// The attempts in flight by their ids.
     in_flight: HashMap<String, InFlightAttempt>,
+    /// The ids of the attempts in flight by their keys.
     ids: HashMap<AttemptKey, String>,
-    /// The ids of attempts that were sent and have ended, the oldest first.
+    /// The ids of attempts that were sent and have ended, oldest first.
     retired: VecDeque<RetiredId>,
 }
 
 /// An attempt in flight.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct InFlightAttempt {
+    /// The coordinator's key of the attempt.
     pub(super) key: AttemptKey,
+    /// Whether the last byte of the attempt's frame has been written.
     pub(super) fully_written: bool,
 }
 
+/// The id of an attempt that has ended.
 #[derive(Debug)]
 struct RetiredId {
     id: String,
+    /// Whether an answer with this id was received.
     answered: bool,
 }
 
-/// Which attempt an answer belongs to.
+/// The attempt that an answer belongs to.
 pub(super) enum AnsweredAttempt {
+    /// An attempt in flight.
     InFlight(AttemptKey),
-    /// One that has ended: the answer is a duplicate, or to a cancelled attempt.
+    /// An attempt that has ended: the answer is a duplicate, or belongs to a cancelled attempt.
     Retired,
+    /// No attempt that was sent on this connection.
     Unknown,
 }
 
 impl AttemptTable {
+    /// Returns the number of attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.in_flight.len()
     }
 
+    /// Returns whether no attempt is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.in_flight.is_empty()
     }
 
+    /// Returns whether this attempt is in flight.
     pub(super) fn contains(&self, key: AttemptKey) -> bool {
         self.ids.contains_key(&key)
     }
 
-    /// Adds an attempt that is to be written; it replaces one with the same id.
+    /// Adds an attempt that is to be written. Replaces an attempt with the same id.
     pub(super) fn insert(&mut self, key: AttemptKey, id: String) {
         self.ids.insert(key, id.clone());
         let attempt = InFlightAttempt {
@@ -61,14 +74,14 @@
         }
     }
 
-    /// Removes an attempt; its id at the node.
+    /// Removes an attempt and returns its id at the node.
     pub(super) fn remove(&mut self, key: AttemptKey) -> Option<String> {
         let id = self.ids.remove(&key)?;
         self.in_flight.remove(&id);
         Some(id)
     }
 
-    /// Removes all attempts, ordered by key.
+    /// Removes and returns all attempts, ordered by key.
     pub(super) fn drain(&mut self) -> Vec<InFlightAttempt> {
         self.ids.clear();
         let mut attempts: Vec<_> = self.in_flight.drain().map(|(_, attempt)| attempt).collect();
@@ -76,7 +89,8 @@
         attempts
     }
 
-    /// Notes that an attempt's last byte is written; false if it is not in flight any more.
+    /// Records that an attempt's last byte was written. Returns whether the attempt is still in
+    /// flight.
     pub(super) fn mark_fully_written(&mut self, key: AttemptKey) -> bool {
         let attempt = self.ids.get(&key).and_then(|id| self.in_flight.get_mut(id));
         match attempt {
@@ -88,11 +102,12 @@
         }
     }
 
+    /// Returns whether the node may have run one of the attempts in flight.
     pub(super) fn any_fully_written(&self) -> bool {
         self.in_flight.values().any(|attempt| attempt.fully_written)
     }
 
-    /// Notes an answer. An attempt that it belongs to is not in flight any more.
+    /// Records an answer and removes the attempt that it belongs to from those in flight.
     pub(super) fn answer(&mut self, id: &str) -> AnsweredAttempt {
         if let Some(attempt) = self.in_flight.remove(id) {
             self.ids.remove(&attempt.key);
@@ -108,7 +123,8 @@
         }
     }
 
-    /// Remembers the id of an attempt that has ended.
+    /// Keeps the id of an attempt that has ended, with whether it was answered. Drops the oldest id
+    /// where there are too many.
     pub(super) fn retire(&mut self, id: String, answered: bool) {
         self.retired.retain(|retired| retired.id != id);
         self.retired.push_back(RetiredId { id, answered });
@@ -117,11 +133,12 @@
         }
     }
 
+    /// Drops the ids of all attempts that have ended.
     pub(super) fn clear_retired(&mut self) {
         self.retired.clear();
     }
 
-    /// Whether an earlier attempt with this id was cancelled and may still be answered.
+    /// Returns whether an earlier attempt with this id was cancelled and may still be answered.
     pub(super) fn is_unanswered(&self, id: &str) -> bool {
         self.retired
             .iter()
--- a/src/proto/frames/codec.rs
+++ b/src/proto/frames/codec.rs
@@ -1,91 +1,94 @@
-//! Frames as bytes: encoding of requests, decoding and validation of answers.
+//! The encoding of frames: requests are encoded, answers are decoded and validated.
 
 use crate::coordinator::{AttemptEnd, AttemptRequest};
 use crate::interface::Outcome;
 
-/// The most bytes of a frame from a data node: the bound of a value and its line.
+/// The maximum length of a frame from a data node, in bytes: the largest value and its line.
 const MAX_FRAME_LENGTH: usize = 64 * 1024 + 1024;
-/// The bytes of a frame's length.
+/// The size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// The bytes of a frame's length and letter.
+/// The size of a frame's length field and letter, in bytes.
 pub(super) const HEADER_BYTES: usize = LENGTH_BYTES + 1;
-/// Timeouts in frames are in milliseconds.
+/// The number of microseconds in a millisecond, the unit of timeouts in frames.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// The letters for the kinds of frames.
+/// The letters that denote the kinds of frames.
 mod letter {
-    /// Attempts at parts of queries, to the node.
+    /// Attempts at parts of queries, sent to the node.
     pub(super) const QUERY: u8 = b'q';
-    /// The id of a cancelled attempt, to the node.
+    /// The cancellation of an attempt, sent to the node.
     pub(super) const CANCEL: u8 = b'c';
     /// The answer to an attempt.
     pub(super) const ANSWER: u8 = b'a';
-    /// The node could not use a frame and closes the connection.
+    /// An error: the node could not use a frame and closes the connection.
     pub(super) const ERROR: u8 = b'e';
-    /// A health check, or its answer; this program sends none.
+    /// A health check or its answer; the coordinator sends none.
     pub(super) const HEALTH_CHECK: u8 = b'p';
-    /// A request for a load report, or its answer; this program sends none.
+    /// A request for a load report, or its answer; the coordinator sends none.
     pub(super) const LOAD_REPORT: u8 = b'l';
 }
 
-/// Why bytes from a data node cannot be used; the connection ends then.
+/// The reason why bytes from a data node cannot be used. The connection is closed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length of a frame is zero or beyond the bound.
+    /// The length of a frame is zero or exceeds the maximum.
     #[error("a frame of {0} bytes")]
     Length(usize),
-    /// The kind of a frame is not known.
+    /// The letter of a frame denotes no known kind.
     #[error("unknown letter {0:?}")]
     UnknownLetter(char),
     /// The node rejected a frame, for this reason.
     #[error("refused: {0}")]
     Rejected(String),
-    /// The line of an answer has no end.
+    /// The first line of an answer has no end.
     #[error("an answer with no end of its line")]
     UnterminatedLine,
-    /// The line of an answer has too few fields, or is no text.
+    /// The first line of an answer has too few fields, or is not UTF-8.
     #[error("an answer with a line that cannot be read")]
     MalformedLine,
-    /// The score of an answer is no number, or its value is no plain text.
+    /// The score of an answer is not a finite number, or the value is not plain text.
     #[error("an answer with a score or a value that cannot be read")]
     MalformedValue,
-    /// An answer reports an end that is not known.
+    /// The result code of an answer is not known.
     #[error("an answer with the unknown end {0:?}")]
     UnknownEnd(String),
-    /// The answer is to an attempt that was never sent on the connection.
+    /// The answer belongs to no attempt that was sent on the connection.
     #[error("an answer to what never went out")]
     UnknownAttempt,
 }
 
 /// A frame from a data node.
 pub(super) struct IncomingFrame<'a> {
-    /// Its bytes, header included.
+    /// The length of the frame with its header, in bytes.
     pub(super) length: usize,
+    /// The decoded content.
     pub(super) content: FrameContent<'a>,
 }
 
-/// What a frame from a data node carries.
+/// The content of a frame from a data node.
 pub(super) enum FrameContent<'a> {
+    /// The answer to an attempt.
     Answer(AttemptAnswer<'a>),
-    /// Something that this program does not ask for; it does no harm.
+    /// A frame that the coordinator never requests, which is harmless.
     Ignored,
 }
 
 /// The answer to one attempt.
 pub(super) struct AttemptAnswer<'a> {
-    /// The attempt's id at the node.
+    /// The id of the attempt at the node.
     pub(super) id: &'a str,
+    /// The end of the attempt.
     pub(super) end: AttemptEnd,
 }
 
-/// What an attempt is called at its node; all attempts at a part have the same id.
+/// Returns the id of an attempt at its node. All attempts at a part have the same id.
 pub(super) fn attempt_id(request: &AttemptRequest) -> String {
     format!("{}.{}", request.request_id, request.shard.0)
 }
 
 /// Appends one attempt to the payload of a query frame.
 pub(super) fn encode_attempt(id: &str, request: &AttemptRequest, payload: &mut Vec<u8>) {
-    // The node's timeout is this program's, rounded up: it must not give up first.
+    // Rounded up: the node must not time out before the coordinator does.
     let timeout_ms = request.timeout.0.div_ceil(MICROS_PER_MILLI);
     let line = format!(
         "{id} {} d={timeout_ms} {}\n",
@@ -96,12 +99,12 @@
     payload.extend_from_slice(&request.payload);
 }
 
-/// A query frame with this payload.
+/// Encodes a query frame with this payload.
 pub(super) fn query_frame(payload: &[u8]) -> Vec<u8> {
     frame(letter::QUERY, payload)
 }
 
-/// A frame that cancels an attempt.
+/// Encodes a frame that cancels an attempt.
 pub(super) fn cancel_frame(id: &str) -> Vec<u8> {
     frame(letter::CANCEL, id.as_bytes())
 }
@@ -114,13 +117,14 @@
     bytes
 }
 
-/// Writes the length of a frame whose payload has changed.
+/// Updates the length field of a frame whose payload has changed.
 pub(super) fn update_length(frame: &mut [u8]) {
     let length = (frame.len() - LENGTH_BYTES) as u32;
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Decodes the frame at the front of what was received; `None` while it is incomplete.
+/// Decodes the frame at the front of the received bytes. Returns `None` while the frame is
+/// incomplete.
 pub(super) fn decode(data: &[u8]) -> Result<Option<IncomingFrame<'_>>, FrameError> {
     let Some(length) = data.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -149,9 +153,9 @@
     }))
 }
 
-/// Decodes an answer: a line of id, end, score and load report, then the value. Only a value exactly as the node made it may
-/// reach a client, so that anything malformed invalidates the answer; only the load report may be anything, since nothing
-/// depends on it.
+/// Decodes an answer: a line with id, end, score and load report, then the value. Anything
+/// malformed invalidates the answer, since only a value exactly as the node made it may reach a
+/// client. Only the load report is not checked, since nothing depends on it.
 fn decode_answer(payload: &[u8]) -> Result<AttemptAnswer<'_>, FrameError> {
     let line_end = payload
         .iter()
@@ -174,8 +178,8 @@
     Ok(AttemptAnswer { id, end })
 }
 
-/// A value with a valid score and no control characters: two frames run together by a wrong length contain the second one's
-/// header.
+/// Returns the value if the score is valid and the value has no control characters. Where a wrong
+/// length joins two frames, the value contains the header of the second one.
 fn checked_value<'a>(score: &str, value: &'a [u8]) -> Result<&'a [u8], FrameError> {
     let score_valid = score.parse::<f64>().is_ok_and(f64::is_finite);
     let is_plain_text = |text: &str| !text.contains(char::is_control);
--- a/src/proto/frames/connection.rs
+++ b/src/proto/frames/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one connection to a data node.
+//! The protocol state of one connection to a data node: frames to write, attempts in flight, and
+//! events for the coordinator.
 
 use super::attempts::{AnsweredAttempt, AttemptTable};
 use super::codec::{self, AttemptAnswer, FrameContent, FrameError};
@@ -8,18 +9,19 @@
 use crate::proto::buffer::Buffer;
 use std::collections::VecDeque;
 
-/// What happened to an attempt when bytes were written or read.
+/// An event of an attempt, caused by bytes that were written or read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
-    /// The first bytes of the attempt's frame are written: it cannot be reclaimed any more.
+    /// The first bytes of the attempt's frame were written, so that it can no longer be reclaimed.
     WriteStarted(AttemptKey),
-    /// The last byte of the attempt's frame is written.
+    /// The last byte of the attempt's frame was written.
     FullyWritten(AttemptKey),
     /// The attempt has ended.
     Ended(AttemptKey, AttemptEnd),
 }
 
-/// A connection to a data node that carries many attempts at a time. It is fed bytes and yields events and bytes to write.
+/// A connection to a data node that multiplexes attempts, without its socket: received bytes go in,
+/// events and bytes to write come out.
 #[derive(Debug, Default)]
 pub struct MultiplexedConnection {
     input: Buffer,
@@ -28,7 +30,7 @@
 }
 
 impl MultiplexedConnection {
-    /// Queues one frame with these attempts.
+    /// Queues one frame that carries these attempts.
     pub fn enqueue(&mut self, requests: &[AttemptRequest]) {
         let mut payload = Vec::new();
         let mut queued = Vec::new();
@@ -48,8 +50,8 @@
             .push_back(OutgoingFrame::query(&payload, queued));
     }
 
-    /// Cancels an attempt. If no byte of its frame is written it never goes out, whatever else the frame carries; otherwise
-    /// the node is told to cancel it.
+    /// Cancels an attempt. If no byte of its frame has been written, the attempt is removed from
+    /// the frame; otherwise the node is told to cancel it.
     pub fn cancel(&mut self, key: AttemptKey) {
         let Some(id) = self.attempts.remove(key) else {
             return;
@@ -68,15 +70,16 @@
         }
     }
 
-    /// Whether an earlier attempt at this part was cancelled here and may still be answered. The answer would be taken for
-    /// one to the next attempt, which has the same id: were it a rejection or an error, the part would be sent a third time
-    /// while the second attempt is in flight.
+    /// Returns whether an earlier attempt at this part was cancelled here and may still be
+    /// answered. That answer would be taken for one to the new attempt, which has the same id. Were
+    /// it a rejection or an error, the part would be sent a third time while the second attempt is
+    /// in flight.
     #[must_use]
     pub fn awaits_late_answer(&self, request: &AttemptRequest) -> bool {
         request.key.attempt.0 > 0 && self.attempts.is_unanswered(&codec::attempt_id(request))
     }
 
-    /// Takes back every frame of which no byte is written: a draining node gets nothing new.
+    /// Reclaims every frame of which no byte has been written: a draining node gets nothing new.
     pub fn reclaim_unwritten(&mut self, events: &mut Vec<AttemptEvent>) {
         let (reclaimed, kept): (Vec<_>, Vec<_>) = self
             .output
@@ -93,13 +96,13 @@
         }
     }
 
-    /// The bytes to write next.
+    /// Returns the bytes to write next.
     #[must_use]
     pub fn output(&self) -> &[u8] {
         self.output.front().map_or(&[], OutgoingFrame::remaining)
     }
 
-    /// Notes how many bytes of [`MultiplexedConnection::output`] were written.
+    /// Records that `bytes` bytes of [`MultiplexedConnection::output`] were written.
     pub fn record_written(&mut self, bytes: usize, events: &mut Vec<AttemptEvent>) {
         let Some(front) = self.output.front_mut() else {
             return;
@@ -123,15 +126,16 @@
         }
     }
 
-    /// Where reads go; follow with [`MultiplexedConnection::process_input`].
+    /// Returns the buffer for reads, each of which is followed by
+    /// [`MultiplexedConnection::process_input`].
     pub fn input(&mut self) -> &mut Buffer {
         &mut self.input
     }
 
-    /// Processes what was read; the number of complete frames.
+    /// Processes the input buffer and returns the number of complete frames in it.
     ///
     /// # Errors
-    /// If a frame cannot be used. The events of the frames before it are valid.
+    /// Fails if a frame cannot be used. The events of the frames before it are valid.
     pub fn process_input(&mut self, events: &mut Vec<AttemptEvent>) -> Result<usize, FrameError> {
         let mut complete_frames = 0;
         while let Some(frame) = codec::decode(self.input.data())? {
@@ -144,15 +148,16 @@
         Ok(complete_frames)
     }
 
-    /// Whether the beginning of a frame was received and its end was not.
+    /// Returns whether part of a frame has been received.
     #[must_use]
     pub fn has_partial_frame(&self) -> bool {
         !self.input.data().is_empty()
     }
 
-    /// The connection has ended: prepares what is queued for another one, and returns whether it may be sent there. It may
-    /// not if an attempt that may have run is in flight; else every frame starts again. A node closes idle connections, and
-    /// no part must fail for that.
+    /// Prepares the queued frames for another connection after this one has ended, and returns
+    /// whether they may be sent there. They may not if the node may have run an attempt in flight;
+    /// otherwise every frame starts again. No part must fail because a node closed an idle
+    /// connection.
     pub fn restart_unsent(&mut self) -> bool {
         if self.attempts.is_empty() || self.attempts.any_fully_written() {
             return false;
@@ -167,8 +172,8 @@
         true
     }
 
-    /// The connection has ended, or was never established: ends every attempt on it. Only an attempt whose last byte was
-    /// written can have run.
+    /// Ends every attempt after the connection has ended or could not be established. Only an
+    /// attempt whose last byte was written can have run.
     pub fn fail_all(&mut self, events: &mut Vec<AttemptEvent>) {
         self.output.clear();
         for attempt in self.attempts.drain() {
@@ -184,28 +189,28 @@
         }
     }
 
-    /// How many attempts are in flight or queued.
+    /// Returns the number of attempts that are in flight or queued.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether nothing is in flight and nothing is to be written.
+    /// Returns whether nothing is in flight and nothing is to be written.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.attempts.is_empty() && self.output.is_empty()
     }
 
-    /// Whether this attempt is in flight or queued here.
+    /// Returns whether this attempt is in flight or queued here.
     #[must_use]
     pub fn contains(&self, key: AttemptKey) -> bool {
         self.attempts.contains(key)
     }
 }
 
-/// The event that an answer brings, if it belongs to an attempt in flight. A duplicate, or the answer to a cancelled
-/// attempt, is of no use any more. One to an attempt that was never sent here is the corrupt answer to another one, which
-/// would be waited for in vain.
+/// Returns the event of an answer to an attempt in flight. A duplicate, and the answer to a
+/// cancelled attempt, are ignored. An answer to an attempt that was never sent here must be the
+/// corrupted answer to another attempt, whose own answer will not come: that is an error.
 fn accept_answer(
     attempts: &mut AttemptTable,
     answer: AttemptAnswer<'_>,
--- a/src/proto/frames/mod.rs
+++ b/src/proto/frames/mod.rs
@@ -1,7 +1,8 @@
-//! The data nodes' protocol: one connection that carries many attempts at a time.
+//! The protocol of the data nodes: binary frames on a connection that multiplexes many attempts.
+//! The driver in `net::node_client` owns the socket.
 //!
-//! A frame is a length of four bytes, most significant first, a letter for its kind, and its payload; the length counts
-//! both.
+//! A frame is a 32-bit big-endian length, a letter for the frame's kind, and the payload. The
+//! length counts the letter and the payload.
 
 mod attempts;
 mod codec;
--- a/src/proto/frames/outgoing.rs
+++ b/src/proto/frames/outgoing.rs
@@ -1,4 +1,4 @@
-//! Frames that are to be written.
+//! The queue entries of a connection: frames that are to be written, and the attempts in them.
 
 use super::codec::{self, HEADER_BYTES};
 use crate::coordinator::{AttemptKey, ClassMetrics};
@@ -7,10 +7,12 @@
 /// An attempt's share of an outgoing frame.
 #[derive(Debug)]
 pub(super) struct QueuedAttempt {
+    /// The coordinator's key of the attempt.
     pub(super) key: AttemptKey,
-    /// The bytes that it takes in the frame.
+    /// The length of the attempt in the frame, in bytes.
     pub(super) bytes: usize,
-    /// Where it is counted once it is written, also when it was cancelled after its frame's first byte.
+    /// The counters of the attempt's class. The attempt is counted once its frame is written, even
+    /// if it was cancelled after the frame's first byte.
     pub(super) metrics: Arc<ClassMetrics>,
 }
 
@@ -18,13 +20,14 @@
 #[derive(Debug)]
 pub(super) struct OutgoingFrame {
     bytes: Vec<u8>,
+    /// The number of bytes that have been written.
     written: usize,
-    /// The attempts that it carries, in order; none in a frame that cancels one.
+    /// The attempts in the frame, in order; empty in a frame that cancels an attempt.
     attempts: Vec<QueuedAttempt>,
 }
 
 impl OutgoingFrame {
-    /// A frame that carries attempts.
+    /// Creates a frame that carries attempts.
     pub(super) fn query(payload: &[u8], attempts: Vec<QueuedAttempt>) -> Self {
         OutgoingFrame {
             bytes: codec::query_frame(payload),
@@ -33,7 +36,7 @@
         }
     }
 
-    /// A frame that cancels an attempt.
+    /// Creates a frame that cancels an attempt.
     pub(super) fn cancel(id: &str) -> Self {
         OutgoingFrame {
             bytes: codec::cancel_frame(id),
@@ -42,45 +45,49 @@
         }
     }
 
-    /// What is still to be written.
+    /// Returns the bytes that are still to be written.
     pub(super) fn remaining(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// Some bytes were written; true: these include the first one.
+    /// Records that bytes were written. Returns whether the first byte was among them.
     pub(super) fn record_written(&mut self, bytes: usize) -> bool {
         let started = self.written == 0 && bytes > 0;
         self.written += bytes;
         started
     }
 
+    /// Returns whether all bytes have been written.
     pub(super) fn is_fully_written(&self) -> bool {
         self.written >= self.bytes.len()
     }
 
+    /// Returns whether the frame carries attempts.
     pub(super) fn carries_attempts(&self) -> bool {
         !self.attempts.is_empty()
     }
 
-    /// Whether it carries attempts that the node has seen nothing of.
+    /// Returns whether the frame carries attempts and no byte of it has been written.
     pub(super) fn is_reclaimable(&self) -> bool {
         self.written == 0 && self.carries_attempts()
     }
 
-    /// Whether it carries this attempt and no byte of it is written.
+    /// Returns whether the frame carries this attempt and no byte of it has been written.
     pub(super) fn is_unstarted_with(&self, key: AttemptKey) -> bool {
         self.written == 0 && self.attempts.iter().any(|attempt| attempt.key == key)
     }
 
+    /// Returns the keys of the attempts in the frame.
     pub(super) fn keys(&self) -> impl Iterator<Item = AttemptKey> + '_ {
         self.attempts.iter().map(|attempt| attempt.key)
     }
 
+    /// Returns the attempts in the frame.
     pub(super) fn into_attempts(self) -> Vec<QueuedAttempt> {
         self.attempts
     }
 
-    /// Removes all other attempts. No byte of the frame may be written, or else all of it is written again.
+    /// Removes the attempts that `keep` rejects. Restarts the frame: all of it is written again.
     pub(super) fn retain(&mut self, keep: impl Fn(AttemptKey) -> bool) {
         self.written = 0;
         let mut start = HEADER_BYTES;
--- a/src/proto/http/connection.rs
+++ b/src/proto/http/connection.rs
@@ -1,4 +1,4 @@
-//! The server's side of a connection: requests in, responses out, one at a time.
+//! The server side of a connection: requests in, responses out, one at a time.
 
 use super::framing::Framing;
 use super::request::{HttpRequest, RequestHead};
@@ -7,12 +7,12 @@
 use crate::proto::body::Body;
 use crate::proto::buffer::Buffer;
 
-/// While a request is being served, the input behind it may grow to this many bytes.
+/// The maximum length of the input behind a request in progress, in bytes.
 const MAX_UNREAD: usize = MAX_HEAD + MAX_BODY;
-/// Input behind a request that is being served is discarded up to this many bytes; after that reading stops.
+/// The maximum number of bytes that are discarded behind requests in progress; reading stops then.
 const MAX_DISCARDED: usize = 1024 * 1024;
 
-/// What the connection is doing.
+/// The state of the connection.
 #[derive(Debug)]
 enum State {
     /// Receiving the head of a request.
@@ -22,15 +22,15 @@
         request: HttpRequest,
         framing: Framing,
     },
-    /// A request was handed out; the next one waits for the response to it.
+    /// A request was handed out; the next one is not read before the response.
     AwaitingResponse,
     /// No more requests are read.
     Closed,
 }
 
-/// The server's side of one connection, without its socket. The owner fills [`input`](Self::input), takes requests from
-/// [`next_request`](Self::next_request), answers each by [`respond`](Self::respond), and writes
-/// [`output`](Self::output).
+/// The server side of one connection, without its socket. The owner fills [`input`](Self::input),
+/// takes requests from [`next_request`](Self::next_request), answers each by
+/// [`respond`](Self::respond), and writes [`output`](Self::output).
 #[derive(Debug)]
 pub struct ServerConnection {
     input: Buffer,
@@ -38,15 +38,15 @@
     output: Body,
     /// The maximum length of a request's body, in bytes.
     max_body: usize,
-    /// The connection closes after the next response.
+    /// Whether the connection closes after the next response.
     close: bool,
-    /// The connection closes as soon as nothing of a request is here.
+    /// Whether the connection closes as soon as no part of a request is here.
     draining: bool,
-    /// The request under way is a `HEAD` request: its response goes out without the body.
+    /// Whether the request in progress is a `HEAD` request, whose response has no body.
     omit_body: bool,
-    /// The client has closed its side.
+    /// Whether the client has closed its sending side.
     input_ended: bool,
-    /// Bytes that were discarded behind requests under way.
+    /// The number of bytes that were discarded behind requests in progress.
     discarded: usize,
 }
 
@@ -67,17 +67,19 @@
 }
 
 impl ServerConnection {
-    /// Sets the maximum length of a request's body, in bytes; [`MAX_BODY`] otherwise.
+    /// Sets the maximum length of a request's body, in bytes; the default is [`MAX_BODY`].
     pub fn set_max_body(&mut self, bytes: usize) {
         self.max_body = bytes;
     }
 
-    /// The buffer that reads from the socket fill; read only while [`wants_input`](Self::wants_input).
+    /// Returns the buffer for reads from the socket. The caller reads only while
+    /// [`wants_input`](Self::wants_input).
     pub fn input(&mut self) -> &mut Buffer {
         &mut self.input
     }
 
-    /// True while more should be read. A client that pipelines without end, or does not take its responses, must wait.
+    /// Returns whether more should be read. A client that pipelines without end, or does not read
+    /// its responses, must wait.
     #[must_use]
     pub fn wants_input(&self) -> bool {
         self.input.data().len() < MAX_UNREAD
@@ -85,7 +87,7 @@
             && !matches!(self.state, State::Closed)
     }
 
-    /// The memory held for input and output, in bytes.
+    /// Returns the memory held for input and output, in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
         let body = if let State::Body { request, .. } = &self.state {
@@ -96,19 +98,20 @@
         self.input.capacity() + body + self.output.memory()
     }
 
-    /// True if part of a request has been received that is not handed out yet.
+    /// Returns whether part of a request that has not been handed out was received.
     #[must_use]
     pub fn has_partial_request(&self) -> bool {
         matches!(self.state, State::Body { .. }) || !self.input.data().is_empty()
     }
 
-    /// True while a request that was handed out has no response yet.
+    /// Returns whether a request that was handed out has no response yet.
     #[must_use]
     pub fn awaits_response(&self) -> bool {
         matches!(self.state, State::AwaitingResponse)
     }
 
-    /// True between requests: nothing of the next one is here, and nothing is to be written.
+    /// Returns whether the connection is between requests: no part of the next one was received,
+    /// and nothing is to be written.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Head)
@@ -116,42 +119,44 @@
             && self.output().is_empty()
     }
 
-    /// True once the socket can be closed.
+    /// Returns whether the socket can be closed.
     #[must_use]
     pub fn is_finished(&self) -> bool {
         let last_response_written = matches!(self.state, State::Closed) && self.output().is_empty();
         last_response_written || (self.draining && self.is_idle())
     }
 
-    /// True if the socket must be closed in two steps (a lingering close): the client may still be sending what nobody
-    /// reads, and closing on unread bytes is a reset, which can destroy the response on its way. A connection between
-    /// requests needs none: its client has sent nothing since its last response.
+    /// Returns whether the socket needs a lingering close: the client may still be sending, and
+    /// closing a socket with unread input sends a reset, which can destroy the response on its way.
+    /// A connection between requests needs none, since its client has sent nothing after its last
+    /// response.
     #[must_use]
     pub fn must_linger(&self) -> bool {
         !self.input_ended && (matches!(self.state, State::Closed) || !self.input.data().is_empty())
     }
 
-    /// True once [`close_when_idle`](Self::close_when_idle) was called.
+    /// Returns whether [`close_when_idle`](Self::close_when_idle) was called.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Closes the connection as soon as no request is under way. A request of which something is already here is still
-    /// served: the client would count it as lost, or have to retry it.
+    /// Closes the connection as soon as no request is in progress. A request of which part was
+    /// received is still served: otherwise its client would have to retry it, or count it as lost.
     pub fn close_when_idle(&mut self) {
         self.close = true;
         self.draining = true;
     }
 
-    /// The client has closed its side: no more input comes.
+    /// Records that the client has closed its sending side.
     pub fn end_of_input(&mut self) {
         self.input_ended = true;
     }
 
-    /// Discards the input behind a request under way if there is more than may be kept; true if it did. The connection closes
-    /// after the response then. Reading goes on, since only a read shows that the client has disconnected, and the
-    /// request's attempts could be cancelled.
+    /// Discards the input behind a request in progress if it exceeds the maximum, and closes the
+    /// connection after the response. Returns whether input was discarded. Reading goes on, since
+    /// only a read shows that the client has disconnected, after which the request's attempts can
+    /// be cancelled.
     pub fn discard_excess(&mut self) -> bool {
         let unread = self.input.data().len();
         let excess =
@@ -164,8 +169,8 @@
         excess
     }
 
-    /// The next complete request, or the error that ends the connection; `None` if more input is needed, if a request is
-    /// under way, or after an error.
+    /// Returns the next complete request, or the error that ends the connection. Returns `None` if
+    /// more input is needed, while a request is in progress, and after an error.
     pub fn next_request(&mut self) -> Option<Result<HttpRequest, HttpError>> {
         // An error is reported once: a response to each call would fill the memory.
         if matches!(self.state, State::Closed) {
@@ -184,7 +189,8 @@
         }
     }
 
-    /// Responds to the request that was handed out, or to the error; with `close` the connection closes afterwards.
+    /// Responds to the request that was handed out, or to the error. Closes the connection
+    /// afterwards if `close` is set.
     pub fn respond(&mut self, response: Response, close: bool) {
         self.close |= close;
         self.output
@@ -204,18 +210,18 @@
         self.respond(response, true);
     }
 
-    /// The next bytes to write: some of them, unless none are left.
+    /// Returns the next contiguous bytes to write; empty only if none are left.
     #[must_use]
     pub fn output(&self) -> &[u8] {
         self.output.front()
     }
 
-    /// Drops the first `count` bytes of the output, which have been written.
+    /// Drops the first `count` bytes of the output, which were written.
     pub fn advance_output(&mut self, count: usize) {
         self.output.advance(count);
     }
 
-    /// Reads on; the request if it is complete by that.
+    /// Parses the input and returns the request if it is complete.
     fn read_request(&mut self) -> Result<Option<HttpRequest>, HttpError> {
         if matches!(self.state, State::Head) {
             self.read_head()?;
@@ -251,7 +257,8 @@
         Ok(())
     }
 
-    /// Stops reading once the client has closed its side, unless a request is under way; an error if that cut a request off.
+    /// Stops reading once the client has closed its sending side, unless a request is in progress.
+    /// Returns an error if a request was cut off.
     fn check_end_of_input(&mut self) -> Option<HttpError> {
         if !self.input_ended || self.awaits_response() {
             return None;
--- a/src/proto/http/error.rs
+++ b/src/proto/http/error.rs
@@ -1,17 +1,18 @@
-//! What can be wrong with an HTTP message.
+//! Errors of received HTTP messages and the status codes that report them.
 
 use thiserror::Error;
 
-/// What is wrong with a message that was received. The name of the variant is the text that clients and logs show.
+/// The reason why a received message cannot be used. The variant's name is the text in responses
+/// and logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// It is not HTTP, or it contradicts itself.
+    /// The message is not HTTP, or contradicts itself.
     #[error("Malformed")]
     Malformed,
-    /// The head is longer than [`MAX_HEAD`](super::MAX_HEAD), or has too many headers.
+    /// The header section is longer than [`MAX_HEAD`](super::MAX_HEAD), or has too many fields.
     #[error("HeadTooLarge")]
     HeadTooLarge,
-    /// The body is longer than the receiver allows.
+    /// The body is longer than the receiver accepts.
     #[error("BodyTooLarge")]
     BodyTooLarge,
     /// The transfer coding is not `chunked`.
@@ -26,7 +27,7 @@
 }
 
 impl HttpError {
-    /// The status of the response to a request with this error.
+    /// Returns the status code of the response to a request with this error.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
--- a/src/proto/http/framing.rs
+++ b/src/proto/http/framing.rs
@@ -1,55 +1,56 @@
-//! Where a body ends: after a stated length, after its last chunk, or with the connection (RFC 9112, sections 6 and 7).
+//! The framing of bodies, whose end is given by a length, by the last chunk, or by the end of the
+//! connection (RFC 9112, sections 6 and 7).
 
 use super::HttpError;
 use crate::proto::buffer::Buffer;
 
-/// The maximum length of a chunk's size line and of one trailer, in bytes.
+/// The maximum length of a chunk's size line, and of one trailer field, in bytes.
 const MAX_LINE: usize = 1024;
 /// The line end that follows the data of a chunk.
 const CRLF: &[u8] = b"\r\n";
 
-/// How the end of a body is found, and how much of it is still to come.
+/// The framing of a body and the state of reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// After this many more bytes.
+    /// A body with a length, of which this many bytes are still to come.
     Length(u64),
-    /// After the last chunk and its trailers.
+    /// A body in chunks, which ends after the last chunk and the trailer fields.
     Chunked(ChunkState),
-    /// With the connection.
+    /// A body that ends with the connection.
     UntilClose,
 }
 
-/// What comes next in a chunked body.
+/// The next element of a chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChunkState {
     /// The size line of a chunk.
     Size,
-    /// This many more bytes of a chunk.
+    /// The data of a chunk, of which this many bytes are still to come.
     Data(u64),
-    /// The line end after a chunk.
+    /// The line end after the data of a chunk.
     DataEnd,
-    /// The trailers, up to an empty line.
+    /// The trailer section, which ends with an empty line.
     Trailers,
 }
 
-/// How far a step in a chunked body came.
+/// The result of reading one element of a chunked body.
 enum ChunkProgress {
-    /// The next step can be taken.
+    /// The element is complete, and another one follows.
     Advanced,
-    /// The step needs more input.
+    /// The element is incomplete.
     NeedsInput,
     /// The body is complete.
     Complete,
 }
 
 impl Framing {
-    /// A chunked body of which nothing has been read.
+    /// Creates a chunked body of which nothing has been read.
     pub(super) fn chunked() -> Self {
         Framing::Chunked(ChunkState::Size)
     }
 
-    /// Moves the available part of the body from `buffer` to `body`, which may hold `max_body` bytes; true once the body is
-    /// complete.
+    /// Moves the available part of the body from `buffer` to `body`, which may hold `max_body`
+    /// bytes. Returns whether the body is complete.
     pub(super) fn read(
         &mut self,
         buffer: &mut Buffer,
@@ -130,7 +131,7 @@
     }
 }
 
-/// Skips one trailer, or the empty line that ends the body.
+/// Skips one trailer field, or the empty line that ends the body.
 fn read_trailer(buffer: &mut Buffer) -> Result<ChunkProgress, HttpError> {
     let data = buffer.data();
     let Some(length) = data.windows(CRLF.len()).position(|window| window == CRLF) else {
@@ -148,7 +149,8 @@
     })
 }
 
-/// Moves at most `left` bytes and counts them off. What is still to come is checked against the maximum beforehand.
+/// Moves at most `left` bytes and subtracts them from `left`. Fails in advance if the rest of the
+/// body would exceed `max_body`.
 fn move_counted(
     left: &mut u64,
     buffer: &mut Buffer,
@@ -166,7 +168,7 @@
     Ok(())
 }
 
-/// Moves all bytes that are there.
+/// Moves all received bytes.
 fn move_all(buffer: &mut Buffer, body: &mut Vec<u8>, max_body: usize) -> Result<(), HttpError> {
     let data = buffer.data();
     let length = data.len();
--- a/src/proto/http/headers.rs
+++ b/src/proto/http/headers.rs
@@ -1,4 +1,4 @@
-//! The header fields of a message.
+//! The header fields of a message, and the framing that they state.
 
 use super::framing::Framing;
 use super::HttpError;
@@ -7,16 +7,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Header {
     name: String,
-    /// Without white space around it.
+    /// The field value without leading and trailing whitespace.
     value: String,
 }
 
-/// The headers of a message, in the order received.
+/// The header fields of a message, in the order received.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Headers(Vec<Header>);
 
 impl Headers {
-    /// The value of the first header with that name, in any case of letters.
+    /// Returns the value of the first field with that name, compared without case.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
@@ -25,7 +25,7 @@
             .map(|header| header.value.as_str())
     }
 
-    /// Copies the headers out of the parser; a value must be UTF-8.
+    /// Copies the fields out of the parser. Fails if a value is not UTF-8.
     pub(super) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Result<Self, HttpError> {
         let mut headers = Vec::new();
         for header in parsed {
@@ -38,15 +38,15 @@
         Ok(Headers(headers))
     }
 
-    /// True if a header with that name lists the token, among others separated by commas.
+    /// Returns whether a field with that name lists the token, in a list separated by commas.
     pub(super) fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .flat_map(|value| value.split(','))
             .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// How the end of the body is found, if the headers state it. Two contradicting statements are rejected, since they
-    /// are a defect or an attempt at request smuggling (RFC 9112, section 6.3).
+    /// Returns the framing of the body, if the fields state it. Contradicting statements are
+    /// rejected as a defect or an attempt at request smuggling (RFC 9112, section 6.3).
     pub(super) fn framing(&self) -> Result<Option<Framing>, HttpError> {
         let mut codings = self.values("transfer-encoding");
         let mut lengths = self.values("content-length");
@@ -76,7 +76,7 @@
     }
 }
 
-/// Digits only: the standard parser would take a sign too.
+/// Parses a `Content-Length`, which consists of digits: unlike [`str::parse`], a sign is rejected.
 fn parse_length(text: &str) -> Result<u64, HttpError> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::Malformed);
--- a/src/proto/http/mod.rs
+++ b/src/proto/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 (RFC 9112): the server's side of a connection, and a reader of responses for the client's side.
+//! HTTP/1.1 (RFC 9112): the server side of a connection, and a reader of responses for the client
+//! side. Neither owns a socket.
 
 mod connection;
 mod error;
@@ -15,9 +16,9 @@
 pub use response::Response;
 pub use response_reader::{ResponseHead, ResponseReader};
 
-/// The maximum length of a head in bytes; usual ones have a few hundred.
+/// The maximum length of a header section with its start line, in bytes.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// The maximum length of a request's body in bytes, unless set otherwise: the platform's limit.
+/// The default maximum length of a request's body, in bytes, which is the platform's limit.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The maximum number of headers in a head.
+/// The maximum number of header fields in a message.
 const MAX_HEADERS: usize = 64;
--- a/src/proto/http/request.rs
+++ b/src/proto/http/request.rs
@@ -1,38 +1,39 @@
-//! Requests, and the parser of their heads.
+//! Received requests, and the parser of their header sections.
 
 use super::framing::Framing;
 use super::headers::Headers;
 use super::{HttpError, MAX_HEAD, MAX_HEADERS};
 
-/// A request that was received completely.
+/// A request that was completely received.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct HttpRequest {
     /// The method, such as `GET`.
     pub method: String,
-    /// The request target: path and query.
+    /// The request target: the path with the query.
     pub target: String,
-    /// The headers.
+    /// The header fields.
     pub headers: Headers,
-    /// The body, decoded.
+    /// The body without its transfer coding.
     pub body: Vec<u8>,
 }
 
-/// The head of a request, and what follows from it for the connection.
+/// The request line and header section of a request.
 pub(super) struct RequestHead {
-    /// The request, with an empty body.
+    /// The request with an empty body.
     pub(super) request: HttpRequest,
-    /// How the end of the body is found.
+    /// The framing of the body that follows.
     pub(super) framing: Framing,
-    /// The length of the head in bytes.
+    /// The length of the head, in bytes.
     pub(super) length: usize,
-    /// The client wants the connection closed after the response.
+    /// Whether the client asks to close the connection after the response.
     pub(super) closes: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
 
 impl RequestHead {
-    /// Parses a head; `None` if it is not complete. The body that it announces may have `max_body` bytes.
+    /// Parses a head. Returns `None` while it is incomplete. Fails if it announces a body of more
+    /// than `max_body` bytes.
     pub(super) fn parse(data: &[u8], max_body: usize) -> Result<Option<Self>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
--- a/src/proto/http/response.rs
+++ b/src/proto/http/response.rs
@@ -1,17 +1,17 @@
-//! Responses to be written.
+//! Outgoing responses and the encoding of their heads.
 
 use crate::proto::body::Body;
 use std::fmt::Write as _;
 
-/// Room for a usual head, in bytes.
+/// The initial capacity of an encoded head, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
-/// A response to be written.
+/// A response to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The media type of the body; empty for none.
+    /// The media type of the body; empty if there is no `Content-Type`.
     pub content_type: &'static str,
     /// Further headers, as name and value.
     pub headers: Vec<(&'static str, String)>,
@@ -20,7 +20,7 @@
 }
 
 impl Response {
-    /// A response with a body and no further headers.
+    /// Creates a response with a body and no additional header fields.
     #[must_use]
     pub fn new(status: u16, content_type: &'static str, body: impl Into<Body>) -> Self {
         Response {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The head as it is written; `close` announces that the connection closes after the response.
+    /// Encodes the head; `close` announces that the connection closes after the response.
     pub(super) fn encode_head(&self, close: bool) -> String {
         let mut head = String::with_capacity(HEAD_CAPACITY);
         let _ = write!(
@@ -54,7 +54,7 @@
     }
 }
 
-/// The reason phrase of a status (RFC 9110, section 15).
+/// Returns the reason phrase of a status code (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/proto/http/response_reader.rs
+++ b/src/proto/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! The client's side: a reader of one response.
+//! The client side: a reader of one response.
 
 use super::framing::Framing;
 use super::headers::Headers;
@@ -8,37 +8,38 @@
 /// The head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The headers.
+    /// The header fields.
     pub headers: Headers,
-    /// The connection can carry another request after this response.
+    /// Whether the connection can carry another request after this response.
     pub reusable: bool,
 }
 
-/// A response whose head has been received.
+/// A response whose head was received.
 #[derive(Debug)]
 struct PartialResponse {
     head: ResponseHead,
     framing: Framing,
 }
 
-/// Reads one response. The caller may take parts of the body out while the rest is still to come.
+/// A reader of one response. The caller may take parts of the body before the rest is received.
 #[derive(Debug)]
 pub struct ResponseReader {
-    /// The buffer that reads from the socket fill.
+    /// The buffer for reads from the socket.
     pub input: Buffer,
-    /// What has been received of the body and not been taken by the caller.
+    /// The received part of the body that the caller has not taken.
     pub body: Vec<u8>,
-    /// The maximum length of `body`.
+    /// The maximum length of `body`, in bytes.
     max_body: usize,
-    /// `None` until the head has been received.
+    /// The response; `None` until its head has been received.
     response: Option<PartialResponse>,
+    /// Whether the response is complete.
     complete: bool,
 }
 
 impl ResponseReader {
-    /// A reader that holds at most `max_body` bytes of the body at a time.
+    /// Creates a reader that holds at most `max_body` bytes of the body at a time.
     #[must_use]
     pub fn new(max_body: usize) -> Self {
         ResponseReader {
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Processes the input; true once the response is complete.
+    /// Processes the input. Returns whether the response is complete.
     ///
     /// # Errors
     ///
-    /// If the response is not HTTP, or larger than it may be.
+    /// Fails if the response is not HTTP or exceeds a maximum length.
     pub fn advance(&mut self) -> Result<bool, HttpError> {
         if self.response.is_none() {
             self.response = self.read_head()?;
@@ -71,20 +72,21 @@
         Ok(self.complete)
     }
 
-    /// The head, once it has been received.
+    /// Returns the head once it has been received.
     #[must_use]
     pub fn head(&self) -> Option<&ResponseHead> {
         self.response.as_ref().map(|response| &response.head)
     }
 
-    /// The connection has ended; true if the response is complete by that, or was before.
+    /// Records the end of the connection, which completes a body without a length. Returns whether
+    /// the response is complete.
     pub fn end_of_input(&mut self) -> bool {
         let framing = self.response.as_ref().map(|response| response.framing);
         self.complete |= framing == Some(Framing::UntilClose);
         self.complete
     }
 
-    /// Reads the head, after any interim responses (1xx), which are skipped.
+    /// Parses the head. Skips interim responses (1xx).
     fn read_head(&mut self) -> Result<Option<PartialResponse>, HttpError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/src/proto/mod.rs
+++ b/src/proto/mod.rs
@@ -1,4 +1,5 @@
-//! Protocols as state machines without sockets and clocks: received bytes go in, events and bytes to write come out.
+//! Wire protocols as state machines: received bytes go in, events and bytes to write come out.
+//! Sockets and clocks belong to `net`, decisions about queries to `policy`.
 
 pub mod admin;
 pub mod body;
