--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,9 @@
-//! The admin endpoint: health check and metrics. It has a thread of its own and
-//! reads atomics only, so that a saturated worker delays no reply.
+//! The admin endpoint, which serves the health check and the metrics. It runs on a thread of its
+//! own and reads atomics only, so that a saturated worker delays no reply. The protocol is in
+//! `proto::admin`.
+//!
+//! The counter that throttles the log of failed accepts is a static, since there is one endpoint in
+//! a process.
 
 use super::lifecycle::Unhealthy;
 use super::{try_read, IoOutcome};
@@ -12,48 +16,50 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A caller without a complete call is closed after this time; the oldest goes sooner where places are short.
+/// The time after which a caller is closed. The oldest caller is closed sooner if there are too
+/// many.
 const MAX_CALL: Duration = Duration::from_secs(6);
-/// The longest wait for a socket: callers' time limits are checked this often.
+/// The longest wait for a socket, and so the interval at which the callers' time limit is checked.
 const MAX_POLL: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 250_000_000,
 };
 /// The pause while no connection can be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Stack of the thread, in bytes.
+/// The stack of the endpoint's thread, in bytes.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// The descriptors reserved for this endpoint, out of so many of the process: its listening socket and its callers.
+/// Returns the number of a process's descriptors that are reserved for the endpoint: its listening
+/// socket and its callers.
 #[must_use]
 pub fn reserved(descriptors: usize) -> usize {
     (descriptors / 16).clamp(3, 33)
 }
 
-/// Why the endpoint cannot be served.
+/// The reason why the endpoint cannot be served.
 #[derive(Debug, Error)]
 #[error("listen on {address}: {source}")]
 pub struct AdminError {
-    /// Where it was to listen.
+    /// The configured address.
     pub address: SocketAddr,
-    /// What went wrong.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
-/// What the endpoint reports.
+/// The endpoint's sources of data, and its limit.
 pub struct AdminEndpoint {
     /// The metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Whether the process serves requests; if not, why.
+    /// The health check. Fails with the reason if the process does not serve requests.
     pub health: Box<dyn Fn() -> Result<(), Unhealthy> + Send>,
-    /// Most callers at a time.
+    /// The maximum number of simultaneous callers.
     pub max_callers: usize,
 }
 
-/// Answers calls on a thread, for as long as the process lives.
+/// Starts the thread that answers calls for as long as the process lives.
 ///
 /// # Errors
-/// The address cannot be bound, or the thread cannot be started.
+/// Fails if the address cannot be bound or the thread cannot be started.
 pub fn start(address: SocketAddr, endpoint: AdminEndpoint) -> Result<(), AdminError> {
     let bound = try_start(address, endpoint).map_err(|source| AdminError { address, source })?;
     tracing::info!(address = %bound, "admin endpoint listening");
@@ -79,8 +85,10 @@
 /// A connection of an operator.
 struct CallerConnection {
     stream: TcpStream,
+    /// The protocol state.
     caller: AdminConnection,
     accepted_at: Instant,
+    /// Whether the reply was written.
     replied: bool,
 }
 
@@ -95,7 +103,7 @@
     }
 }
 
-/// Waits for input, accepts, and answers the calls that are complete.
+/// Waits for input, accepts callers, and answers the calls that are complete.
 fn serve_once(
     listener: &TcpListener,
     callers: &mut Vec<CallerConnection>,
@@ -106,7 +114,8 @@
     }
     while let Some(stream) = accept(listener) {
         if callers.len() >= endpoint.max_callers {
-            // One that has its reply, or else the oldest: a caller with a call must not wait behind those without.
+            // Callers that have their reply go first, then the oldest: a caller with a call must
+            // not wait behind callers without one.
             callers.remove(callers.iter().position(|c| c.replied).unwrap_or(0));
         }
         callers.push(CallerConnection::new(stream));
@@ -116,7 +125,7 @@
     callers.retain_mut(|c| !is_done(c, endpoint) && c.accepted_at.elapsed() < MAX_CALL);
 }
 
-/// Returns whether the wait went well.
+/// Waits until a socket has input, or for the maximum. Returns whether the wait succeeded.
 fn wait_for_input(listener: &TcpListener, callers: &[CallerConnection]) -> bool {
     let mut sockets: Vec<PollFd<'_>> = vec![PollFd::new(listener, PollFlags::IN)];
     sockets.extend(
@@ -143,18 +152,19 @@
     }
 }
 
-/// Reads on, and replies once the call is complete. Returns whether the connection is to be closed.
+/// Reads once, and replies if the call is complete. Returns whether the connection is to be closed.
 fn is_done(connection: &mut CallerConnection, endpoint: &AdminEndpoint) -> bool {
     let ended = read_once(connection);
     if connection.replied {
-        // Input behind the call is discarded until the caller has closed: closing a socket with unread input sends a reset,
-        // on which the caller may lose the reply.
+        // Input behind the call is discarded until the caller closes: closing a socket with unread
+        // input sends a reset, which can destroy the reply on its way.
         connection.caller = AdminConnection::default();
         return ended;
     }
     if let Some(call) = connection.caller.command(ended) {
         COUNTERS.admin_calls.increment();
-        // A new connection takes a few KiB at once; a caller that does not read is not waited for.
+        // The send buffer of a new connection takes the start of a reply at once; a caller that
+        // does not read is not waited for.
         let _ = connection
             .stream
             .write_all(reply(call, endpoint).as_bytes());
@@ -164,7 +174,7 @@
     ended
 }
 
-/// Returns whether the caller sends nothing more.
+/// Reads once from the caller. Returns whether the caller sends nothing more.
 fn read_once(connection: &mut CallerConnection) -> bool {
     match try_read(&connection.stream, connection.caller.input.free_space()) {
         IoOutcome::Transferred(bytes) => {
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause while no connection can be accepted.
+/// The pause before the next attempt while no connection can be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 impl ClientConnections {
-    /// Accepts connections for as long as the process lives. While `predecessor_lives`, which accepts at the same address,
-    /// this process begins to accept only once it knows the servers.
+    /// Accepts connections for as long as the process lives. While `predecessor_lives`, which
+    /// accepts at the same address, this process does not accept before the endpoint list is known.
     pub fn accept(self: &Arc<Self>, predecessor_lives: impl Fn() -> bool) {
         while predecessor_lives() && !self.lifecycle.endpoints_known() {
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
@@ -33,17 +33,19 @@
         }
     }
 
-    /// Evicts a connection, or waits where none may be evicted.
+    /// Evicts a connection, or pauses if none may be evicted.
     fn evict_or_wait(&self) {
         if self.evict_one() {
             // The evicted connection is closed by its own coroutine.
             coroutine::yield_now();
         } else {
-            // New connections wait in the backlog: the kernel has completed them, so they must not be closed.
+            // New connections wait in the backlog. The kernel has completed them, so they must not
+            // be closed.
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
         }
     }
 
+    /// Accepts a connection, or waits until there is one.
     fn accept_one(self: &Arc<Self>) {
         match self.listener.inner().accept() {
             Ok((stream, _)) => {
@@ -88,6 +90,7 @@
         }
     }
 
+    /// Returns the state of a connection that was just accepted.
     fn accepted_state(&self, stream: &CoIo<TcpStream>) -> ConnectionState {
         let accepted_at = self.clock.now();
         let mut state = ConnectionState {
@@ -100,6 +103,7 @@
         state
     }
 
+    /// Starts the coroutine of a connection, which removes the connection at its end.
     fn spawn_connection(
         self: &Arc<Self>,
         id: u64,
@@ -119,8 +123,8 @@
         .map(drop)
     }
 
-    /// Whether no connection waits in the backlog of the listening socket; one that does is accepted, since the kernel would
-    /// reset it when the process exits.
+    /// Returns whether the backlog of the listening socket is empty. A connection in it is
+    /// accepted, since the kernel would reset it when the process exits.
     pub fn backlog_is_empty(self: &Arc<Self>) -> bool {
         if !self.lifecycle.service_phase().accepts_connections() {
             return true;
--- a/src/net/clients/activity.rs
+++ b/src/net/clients/activity.rs
@@ -1,32 +1,32 @@
-//! What is known of a client connection at one moment, as far as evictions and time-outs depend on it.
+//! A snapshot of a client connection, from which evictions and timeouts are decided.
 
 use crate::time::Micros;
 
-/// The state of one client connection.
+/// The activity of one client connection at one time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectionActivity {
-    /// When it was accepted.
+    /// The time of the accept.
     pub accepted_at: Micros,
-    /// When bytes were last read or written, or a response was last given.
+    /// The time of the last read, write or response.
     pub last_activity_at: Micros,
-    /// When the first byte of the present request came; `None` between requests.
+    /// The time of the current request's first byte; `None` between requests.
     pub request_started_at: Option<Micros>,
-    /// Since when input is read and discarded, as the last response is an error.
+    /// The time since which input is discarded after an error response; `None` otherwise.
     pub lingering_since: Option<Micros>,
-    /// At least one complete request has come.
+    /// Whether at least one complete request was received.
     pub received_request: bool,
-    /// At least one request was a query, and not one that is answered at once.
+    /// Whether at least one request was submitted to the coordinator as a query.
     pub submitted_query: bool,
-    /// A request waits for its response.
+    /// Whether a request waits for its response.
     pub busy: bool,
-    /// No part of a request or response is here.
+    /// Whether no part of a request or response is buffered.
     pub idle: bool,
-    /// Part of a response is not written yet.
+    /// Whether part of a response is not written yet.
     pub output_pending: bool,
-    /// It closes as soon as no request is in progress.
+    /// Whether the connection closes as soon as no request is in progress.
     pub closing: bool,
-    /// It is to close whatever is in progress.
+    /// Whether the connection closes even with a request in progress.
     pub aborted: bool,
-    /// Bytes of memory for requests and responses.
+    /// The memory for requests and responses, in bytes.
     pub buffered_bytes: usize,
 }
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one client connection, and its reads and writes on the socket.
+//! The state of one client connection, and its reads and writes on the socket. Requests are handled
+//! in [`super::requests`].
 
 use super::activity::ConnectionActivity;
 use crate::coordinator::{Token, COUNTERS};
@@ -11,29 +12,29 @@
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Mutex, MutexGuard};
 
-/// Most bytes of input that are read and discarded after an error response.
+/// The maximum length of the input that is discarded after an error response, in bytes.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
 
-/// One client connection, shared by its coroutine and whoever gives it a response or closes it.
+/// A client connection, shared by its coroutine and the callers that answer or close it.
 #[derive(Default)]
 pub(super) struct Connection {
     state: Mutex<ConnectionState>,
 }
 
 impl Connection {
-    /// A connection in this state.
+    /// Creates a connection in this state.
     pub(super) fn new(state: ConnectionState) -> Self {
         Connection {
             state: Mutex::new(state),
         }
     }
 
-    /// Locks its state.
+    /// Locks the state.
     pub(super) fn lock(&self) -> MutexGuard<'_, ConnectionState> {
         sync::lock(&self.state)
     }
 
-    /// What evictions and time-outs depend on.
+    /// Returns the activity on which evictions and timeouts depend.
     pub(super) fn activity(&self) -> ConnectionActivity {
         self.lock().activity()
     }
@@ -41,48 +42,51 @@
 
 /// A request that was submitted to the coordinator and has no response yet.
 pub(super) struct AwaitedResponse {
-    /// The request.
+    /// The token of the request.
     pub(super) token: Token,
-    /// Turns the coordinator's answer into a response.
+    /// The function that renders the coordinator's answer as a response.
     pub(super) render: Render,
 }
 
-/// Input that is read and discarded after the last response, which is an error.
+/// The progress of a lingering close: input is discarded after the last response, which is an
+/// error.
 #[derive(Clone, Copy)]
 pub(super) struct Linger {
+    /// The time of the last response.
     since: Micros,
+    /// The number of bytes discarded so far.
     discarded_bytes: usize,
 }
 
 /// The state of a client connection.
 #[derive(Default)]
 pub(super) struct ConnectionState {
-    /// The HTTP protocol's state, with its input and output.
+    /// The state of the HTTP protocol, with input and output.
     pub(super) http: ServerConnection,
-    /// Wakes the connection's coroutine; `None` once that has ended.
+    /// The waker of the connection's coroutine; `None` once that has ended.
     pub(super) waker: Option<WaitIoWaker>,
-    /// The request that the coordinator is to answer.
+    /// The request that awaits the coordinator's answer.
     pub(super) awaited: Option<AwaitedResponse>,
-    /// When the first byte of the present request came; `None` between requests.
+    /// The time of the current request's first byte; `None` between requests.
     pub(super) request_started_at: Option<Micros>,
-    /// When bytes were last read or written, or a response was last given.
+    /// The time of the last read, write or response.
     pub(super) last_activity_at: Micros,
-    /// When it was accepted.
+    /// The time of the accept.
     pub(super) accepted_at: Micros,
-    /// At least one complete request has come.
+    /// Whether at least one complete request was received.
     pub(super) received_request: bool,
-    /// At least one request was submitted to the coordinator, and not answered at once.
+    /// Whether at least one request was submitted to the coordinator as a query.
     pub(super) submitted_query: bool,
-    /// Set once the last response was an error, and input is discarded.
+    /// The lingering close, once it has begun.
     pub(super) linger: Option<Linger>,
-    /// Memory for input and output, as last counted.
+    /// The memory for input and output when last counted, in bytes.
     pub(super) buffered_bytes: usize,
-    /// It is to close now, whatever is in progress.
+    /// Whether the connection closes now, even with a request in progress.
     pub(super) abort_requested: bool,
 }
 
 impl ConnectionState {
-    /// What evictions and time-outs depend on.
+    /// Returns the activity on which evictions and timeouts depend.
     pub(super) fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
             accepted_at: self.accepted_at,
@@ -100,12 +104,12 @@
         }
     }
 
-    /// Whether input is discarded after an error response.
+    /// Returns whether input is discarded after an error response.
     pub(super) fn is_lingering(&self) -> bool {
         self.linger.is_some()
     }
 
-    /// Whether its client sends a request, awaits the response or has not read it.
+    /// Returns whether the client is sending a request, awaits a response, or has not read it.
     pub(super) fn is_owed_response(&self) -> bool {
         !self.is_lingering()
             && (self.http.awaits_response()
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Closes the connection, whatever is in progress.
+    /// Closes the connection, even with a request in progress.
     pub(super) fn abort(&mut self) {
         self.abort_requested = true;
         self.wake();
@@ -132,7 +136,8 @@
         self.wake();
     }
 
-    /// Closes the connection to make room. A request that is in the socket but not read yet is still taken.
+    /// Closes the connection to make room. A request that is in the socket but not read yet is
+    /// still served.
     pub(super) fn evict(&mut self) {
         COUNTERS.connections_evicted.increment();
         if self.received_request && self.http.is_idle() {
@@ -142,7 +147,8 @@
         }
     }
 
-    /// Counts the time of a request that came, at least in part, behind the one just answered from the last activity on.
+    /// Restarts the time of the current request after a response: a request that was received
+    /// behind the answered one counts from the last activity.
     pub(super) fn restart_request_time(&mut self) {
         self.request_started_at = self
             .http
@@ -150,7 +156,7 @@
             .then_some(self.last_activity_at);
     }
 
-    /// Reads once, and notes the time if bytes came.
+    /// Reads once. Records the time if bytes were received.
     pub(super) fn read_input(&mut self, socket: &TcpStream, clock: &Clock) -> IoOutcome {
         let outcome = try_read(socket, self.http.input().free_space());
         if let IoOutcome::Transferred(bytes) = outcome {
@@ -161,7 +167,8 @@
         outcome
     }
 
-    /// Writes output until there is none or the socket takes no more. Returns whether the connection is sound.
+    /// Writes output until none is left or the socket would block. Returns whether the connection
+    /// is intact.
     pub(super) fn write_output(&mut self, socket: &TcpStream, clock: &Clock) -> bool {
         while !self.http.output().is_empty() {
             match try_write(socket, self.http.output()) {
@@ -176,8 +183,9 @@
         true
     }
 
-    /// Closes the sending side after the last response. Returns whether input has to be discarded: closing a socket with
-    /// unread input sends a reset, on which the client may lose the response.
+    /// Starts a lingering close after the last response, if necessary. Returns whether input has to
+    /// be discarded: closing a socket with unread input sends a reset, which can destroy the
+    /// response on its way.
     pub(super) fn begin_linger(&mut self, socket: &TcpStream, clock: &Clock) -> bool {
         if self.is_lingering() {
             return true;
@@ -192,8 +200,8 @@
         true
     }
 
-    /// Discards what comes after the last response. Returns whether more may come: not once the client has closed, or
-    /// has sent more than the bound.
+    /// Discards input after the last response. Returns whether more may come: not after the client
+    /// has closed, or has sent more than the maximum.
     pub(super) fn discard_input(&mut self, socket: &TcpStream) -> bool {
         let Some(mut linger) = self.linger else {
             return false;
--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -1,4 +1,5 @@
-//! Draining client connections once a shutdown was requested.
+//! Draining of client connections after a shutdown was requested. The schedule is in
+//! `net::server::shutdown`.
 
 use super::ClientConnections;
 use crate::net::lifecycle::ShutdownEvent;
@@ -6,13 +7,15 @@
 use crate::time::Micros;
 use may::io::WaitIo;
 
-/// A connection that was accepted while connections are closed has this time to send its request, which was on its way.
+/// The time that a newly accepted connection has to send its first request while connections are
+/// closed.
 const MIN_FIRST_REQUEST: Micros = Micros::from_millis(300);
 
 impl ClientConnections {
-    /// Drains, as a shutdown was requested. Connections between requests stay open, since their clients may be about to
-    /// send one. Where a successor accepts at the listening socket, nothing is accepted here any more and each response
-    /// closes its connection; if the successor exits first, the backlog is this process's again.
+    /// Starts or updates the draining after a shutdown was requested. Idle connections stay open,
+    /// since their clients may be about to send a request. Where a successor accepts at the
+    /// listening socket, this process accepts nothing, and each response closes its connection. If
+    /// the successor exits first, this process accepts again.
     pub fn drain(&self, successor_accepts: bool) {
         let before = self.lifecycle.service_phase();
         let event = if successor_accepts {
@@ -26,8 +29,9 @@
         }
     }
 
-    /// Closes connections between requests, and from now on each other one with its response. New connections are still
-    /// accepted and answered: the kernel completes them in any case, and would reset them when the process exits.
+    /// Closes idle connections, and each other connection with its next response. New connections
+    /// are still accepted and answered: the kernel completes them in any case, and would reset them
+    /// when the process exits.
     pub fn close_idle(&self, now: Micros) {
         self.lifecycle.shut_down(ShutdownEvent::Close);
         for connection in sync::lock(&self.connections).values() {
@@ -38,12 +42,13 @@
         }
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         sync::lock(&self.connections).len()
     }
 
-    /// The number of open connections whose clients send a request, await its response or have not read it.
+    /// Returns the number of open connections whose clients are sending a request, await its
+    /// response, or have not read it.
     pub fn owed_connections(&self) -> usize {
         sync::lock(&self.connections)
             .values()
--- a/src/net/clients/eviction.rs
+++ b/src/net/clients/eviction.rs
@@ -1,33 +1,35 @@
-//! Which client connections are evicted when places or memory are short. Pure: no I/O, no clock.
+//! The choice of client connections to evict when connections or memory are short. Pure functions,
+//! without sockets and clocks.
 
 use super::activity::ConnectionActivity;
 use crate::time::Micros;
 
-/// A connection without a request that was active so lately may be just about to send one, and is not evicted. No more
-/// than a round trip: in a crowd, clients in the backlog that have sent their request long since wait for this.
+/// The time after its last activity in which a connection without a query is not evicted, since its
+/// client may be about to send one. Short, since clients in the backlog wait for it.
 const MIN_SILENCE: Micros = Micros::from_millis(30);
 
-/// The kinds of connections that may be evicted, those to evict first at the beginning.
+/// The kinds of connections that may be evicted, in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionClass {
-    /// Answered with an error; its client may still be sending.
+    /// A connection whose last response was an error; its client may still be sending.
     Failed,
-    /// No query has come on it.
+    /// A connection that has submitted no query.
     WithoutQuery,
-    /// Between two queries.
+    /// A connection between two queries.
     BetweenQueries,
 }
 
-/// The order of evictions: by kind, then by the time spent in that state. The least is evicted first.
+/// The order of evictions: by kind, then by the time spent in that state. The smallest is evicted
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     /// The kind of connection.
     pub class: EvictionClass,
-    /// When it came into that state.
+    /// The time at which the connection entered that state.
     pub since: Micros,
 }
 
-/// The priority of a connection, or `None` where it must not be evicted.
+/// Returns the priority of a connection. Returns `None` if it must not be evicted.
 #[must_use]
 pub fn eviction_priority(connection: &ConnectionActivity, now: Micros) -> Option<EvictionPriority> {
     if connection.aborted || connection.closing || connection.busy {
@@ -57,7 +59,7 @@
     })
 }
 
-/// The connection to evict so that another one can be accepted.
+/// Returns the connection to evict so that another one can be accepted.
 pub fn first_to_evict<C>(
     connections: impl Iterator<Item = C>,
     now: Micros,
@@ -69,7 +71,7 @@
         .map(|(_, connection)| connection)
 }
 
-/// The connections between queries beyond `max_idle`, the longest idle ones.
+/// Returns the connections between queries beyond `max_idle`: those idle longest.
 pub fn excess_idle<C>(
     connections: impl Iterator<Item = C>,
     now: Micros,
@@ -91,7 +93,7 @@
     idle.into_iter().map(|(_, connection)| connection).collect()
 }
 
-/// The connection that holds the most memory, of those that wait for no response.
+/// Returns the connection that holds the most memory, among those that await no response.
 pub fn largest_without_response<C>(
     connections: impl Iterator<Item = C>,
     activity: impl Fn(&C) -> ConnectionActivity,
--- a/src/net/clients/eviction/tests.rs
+++ b/src/net/clients/eviction/tests.rs
@@ -4,7 +4,7 @@
 
 const NOW: Micros = Micros::from_secs(100);
 
-/// An idle connection that was accepted, and last active, so many seconds ago.
+/// Returns an idle connection that was accepted, and last active, `seconds` seconds ago.
 fn idle_for(seconds: u64) -> ConnectionActivity {
     let accepted_at = NOW - Micros::from_secs(seconds);
     ConnectionActivity {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The indices of the connections in the order of their evictions.
+/// Returns the indices of the connections in the order of their evictions.
 fn eviction_order(connections: &[ConnectionActivity]) -> Vec<usize> {
     let mut left: Vec<usize> = (0..connections.len()).collect();
     let mut order = Vec::new();
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -1,27 +1,27 @@
-//! How much of the process's descriptors and memory client connections may use.
+//! The shares of the process's descriptors and memory that client connections may use.
 
 use crate::limits::BASE_MEMORY;
 use crate::net::admin;
 
-/// Least memory for requests in progress, in bytes, however little the process has.
+/// The minimum memory for requests in progress, in bytes.
 const MIN_BYTES: usize = 1024 * 1024;
 
 /// The limits of one front's client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Open connections.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// Those of them that are between two queries. Clients that sent one query may never send another, yet hold places
-    /// that the platform grants to its clients as a whole.
+    /// The maximum number of connections between two queries. Clients that sent one query may never
+    /// send another, yet count against the connections that the platform grants to all its clients.
     pub idle: usize,
-    /// Bytes buffered for requests that are not answered yet.
+    /// The maximum memory for requests that are not answered yet, in bytes.
     pub bytes: usize,
 }
 
 impl ClientLimits {
-    /// The limits of a process with so many descriptors and so many bytes of memory. Regular clients need a third of the
-    /// descriptors; another third is for connections that send nothing until they are evicted, and the last one for
-    /// servers, the watch on discovery and the runtime.
+    /// Creates the limits of a process with `descriptors` descriptors and `memory` bytes. Regular
+    /// clients need a third of the descriptors. Another third is for connections that send nothing
+    /// until they are evicted, and the last third for servers, the discovery watch and the runtime.
     #[must_use]
     pub fn new(descriptors: usize, memory: usize) -> Self {
         let available = descriptors.saturating_sub(admin::reserved(descriptors));
@@ -32,7 +32,8 @@
         }
     }
 
-    /// The limits while two processes share them. Idle connections keep theirs, as far as half of the connections allow.
+    /// Returns the limits of each of two processes that share them. The limit on idle connections
+    /// stays, unless it exceeds half of the connections.
     #[must_use]
     pub fn halved(self) -> Self {
         let connections = (self.connections / 2).max(1);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The limits of each of so many fronts in one process.
+    /// Returns the limits of each of `fronts` fronts in one process.
     #[must_use]
     pub fn shared(self, fronts: usize) -> Self {
         let fronts = fronts.max(1);
--- a/src/net/clients/limits/tests.rs
+++ b/src/net/clients/limits/tests.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn client_limits_follow_the_limits_of_the_process_however_small() {
-    // Half of the descriptors or more went to clients, but with 256 none was left for a crowd beside regular clients.
+    // Clients may use half of the descriptors or more, but a quarter must be left for a burst of
+    // new clients.
     let limits =
         |descriptors, megabytes: usize| ClientLimits::new(descriptors, megabytes * 1024 * 1024);
     for (descriptors, megabytes) in [(256, 32), (384, 48), (1024, 192)] {
@@ -13,7 +14,8 @@
             of_process.connections > descriptors / 2
                 && of_process.connections + descriptors / 4 < descriptors
         );
-        // Regular clients may hold a third of the descriptors: there is always room for new ones among them.
+        // Regular clients may hold a third of the descriptors: there is always room for new ones
+        // among them.
         assert!(of_process.idle > 0 && of_process.idle < descriptors / 3 - descriptors / 8);
         assert!(
             of_process.bytes >= 5 * 1024 * 1024 && of_process.bytes < megabytes * 1024 * 1024 / 2,
@@ -29,7 +31,8 @@
         }
     );
     assert_eq!(limits(1, 32).shared(2).connections, 1);
-    // Two processes of an upgrade stay within the limits of one, and idle clients of the predecessor are not evicted.
+    // Two processes of an upgrade stay within the limits of one, and idle clients of the
+    // predecessor are not evicted.
     let (whole, half) = (limits(384, 48), limits(384, 48).halved());
     assert!(half.connections * 2 <= whole.connections && half.bytes * 2 <= whole.bytes);
     assert_eq!(half.idle, whole.idle);
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -1,4 +1,9 @@
-//! The connections of one front's clients: accepting, serving, evicting and draining them.
+//! The connections of one front's clients: accepts, serves, evicts and drains them. HTTP is in
+//! `proto::http`, the meaning of requests in `front`, the decisions about queries in the
+//! coordinator.
+//!
+//! The counters of connections, and the throttled log lines that they drive, are global, as `net`
+//! states.
 
 mod accept;
 mod activity;
@@ -28,16 +33,17 @@
 
 /// The client connections of one front.
 pub struct ClientConnections {
-    /// The open connections by the number given to each.
+    /// The open connections by their ids.
     connections: Mutex<HashMap<u64, Arc<Connection>>>,
-    /// Those of them that await the coordinator's answer to a request.
+    /// The connections that await the coordinator's answer, by the tokens of their requests.
     awaiting: Mutex<HashMap<Token, Arc<Connection>>>,
-    /// The next number of a connection or request.
+    /// The next id of a connection or token of a request.
     next_id: AtomicU64,
     limits: ClientLimits,
-    /// Kept until the process exits: the runtime's record of a socket that another process shares must outlive its use.
+    /// The listening socket. Kept until the process exits, since the runtime's record of a socket
+    /// that another process shares must outlive its use.
     listener: Arc<CoIo<TcpListener>>,
-    /// Memory that all connections hold for input and output.
+    /// The memory that all connections hold for input and output, in bytes.
     buffered_bytes: AtomicUsize,
     front: Box<dyn Front>,
     inbox: Sender<Input>,
@@ -46,7 +52,7 @@
 }
 
 impl ClientConnections {
-    /// No connections yet, and never more than the limits allow.
+    /// Creates the connections of a front: none at first, and never more than `limits` allows.
     pub fn new(
         front: Box<dyn Front>,
         listener: Arc<CoIo<TcpListener>>,
@@ -69,12 +75,12 @@
         })
     }
 
-    /// The phases of this front, which other threads may read.
+    /// Returns the life cycle of this front, which other threads may read.
     pub fn lifecycle(&self) -> &Arc<Lifecycle> {
         &self.lifecycle
     }
 
-    /// The limits that hold at present.
+    /// Returns the current limits.
     fn limits(&self) -> ClientLimits {
         if self.lifecycle.limits_shared() {
             self.limits.halved()
@@ -87,7 +93,7 @@
         self.next_id.fetch_add(1, Relaxed)
     }
 
-    /// Evicts a connection to make room for another one. Returns whether one may be evicted.
+    /// Evicts a connection to make room for another one. Returns whether there was one to evict.
     fn evict_one(&self) -> bool {
         let now = self.clock.now();
         let connections = sync::lock(&self.connections);
@@ -99,7 +105,7 @@
         true
     }
 
-    /// Evicts the longest idle connections beyond their limit.
+    /// Evicts the connections that were idle longest, down to the limit on idle connections.
     fn evict_excess_idle(&self) {
         let now = self.clock.now();
         let connections = sync::lock(&self.connections);
@@ -111,7 +117,7 @@
             .for_each(|connection| connection.lock().evict());
     }
 
-    /// Evicts the connection with the largest buffers while all of them exceed their limit.
+    /// Evicts the connection with the largest buffers if all of them together exceed their limit.
     fn evict_for_memory(&self) {
         if self.buffered_bytes.load(Relaxed) <= self.limits().bytes {
             return;
@@ -124,7 +130,7 @@
         }
     }
 
-    /// Closes connections that have exceeded a time limit.
+    /// Closes connections that have exceeded a time limit or the limit on idle connections.
     pub fn reap(&self, now: Micros) {
         self.evict_excess_idle();
         let connections = sync::lock(&self.connections);
@@ -137,6 +143,7 @@
         }
     }
 
+    /// Ends a connection that has exceeded a time limit.
     fn time_out(&self, state: &mut ConnectionState, timeout: Timeout) {
         match timeout {
             Timeout::Linger => state.abort(),
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -1,4 +1,5 @@
-//! Serving one client connection: its requests are read, handed to the front, and answered.
+//! The service of one client connection: requests are read, handed to the front, submitted to the
+//! coordinator, and answered.
 
 use super::connection::{AwaitedResponse, Connection, ConnectionState};
 use super::ClientConnections;
@@ -13,11 +14,12 @@
 use std::sync::Arc;
 
 impl ClientConnections {
-    /// Reads, handles and answers what is possible without waiting. Returns whether the connection stays open.
+    /// Reads, handles and answers until the socket would block. Returns whether the connection
+    /// stays open.
     pub(super) fn drive(&self, connection: &Arc<Connection>, stream: &CoIo<TcpStream>) -> bool {
         let mut state = connection.lock();
-        // A first request that is in the socket when its connection is evicted is still taken: its client would get a
-        // reset in place of a response.
+        // A first request that is in the socket when its connection is evicted is still served: its
+        // client would receive a reset in place of a response.
         let may_exchange = !state.abort_requested || !state.received_request;
         let mut open = may_exchange && self.exchange(connection, &mut state, stream.inner());
         if open && state.abort_requested {
@@ -29,7 +31,7 @@
         open
     }
 
-    /// Counts the memory that a connection holds in place of what it held before.
+    /// Updates the total memory with the current memory of a connection.
     fn count_memory(&self, state: &mut ConnectionState, open: bool) {
         let bytes = if open { state.http.memory() } else { 0 };
         self.buffered_bytes.fetch_add(bytes, Relaxed);
@@ -37,13 +39,15 @@
             .fetch_sub(std::mem::replace(&mut state.buffered_bytes, bytes), Relaxed);
     }
 
+    /// Handles requests and writes responses until the socket would block. Returns whether the
+    /// connection stays open.
     fn exchange(
         &self,
         connection: &Arc<Connection>,
         state: &mut ConnectionState,
         socket: &TcpStream,
     ) -> bool {
-        // Input that came behind a request while that was in progress.
+        // Input that was received behind a request in progress.
         self.handle_requests(connection, state);
         if !self.read_requests(connection, state, socket)
             || !state.write_output(socket, &self.clock)
@@ -59,8 +63,8 @@
         state.begin_linger(socket, &self.clock) && state.discard_input(socket)
     }
 
-    /// Reads and handles requests for as long as there is input. False: the client closed the connection while a request
-    /// is in progress, which it no longer waits for.
+    /// Reads and handles requests for as long as there is input. Returns false if the client closed
+    /// the connection while a request is in progress, whose response it no longer awaits.
     fn read_requests(
         &self,
         connection: &Arc<Connection>,
@@ -84,7 +88,7 @@
         true
     }
 
-    /// Handles the requests that are complete.
+    /// Handles all complete requests in the input.
     fn handle_requests(&self, connection: &Arc<Connection>, state: &mut ConnectionState) {
         while let Some(polled) = state.http.next_request() {
             match polled {
@@ -110,7 +114,7 @@
         let close = self.lifecycle.service_phase().closes_after_response();
         state.received_request = true;
         let token = Token(self.next_id());
-        // A request's time counts from its last byte, which came with the last read.
+        // The deadline counts from the request's last byte, which came with the last read.
         let sent_at = state.last_activity_at;
         match self
             .front
@@ -140,8 +144,8 @@
         let _ = self.inbox.send(Input::Submit(request));
     }
 
-    /// Gives a request its answer, whose response is written by the connection's coroutine. Does nothing if its client has
-    /// left.
+    /// Delivers the answer to a request. The connection's coroutine writes the response. Does
+    /// nothing if the client has disconnected.
     pub fn deliver(&self, token: Token, answer: Answer) {
         let Some(connection) = sync::lock(&self.awaiting).remove(&token) else {
             return;
@@ -163,7 +167,7 @@
         state.wake();
     }
 
-    /// Reports to the coordinator that the client of a connection has left, if it still awaits a response.
+    /// Reports to the coordinator that the client has disconnected, if a response is still awaited.
     pub(super) fn release(&self, connection: &Connection) {
         let mut state = connection.lock();
         state.waker = None;
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Client connections in these states, without sockets.
+/// Creates client connections in these states, without sockets.
 fn clients(
     limits: ClientLimits,
     states: Vec<ConnectionState>,
@@ -42,7 +42,7 @@
     (clients, connections)
 }
 
-/// An idle connection that was accepted, and last active, so many seconds ago.
+/// Creates an idle connection that was accepted, and last active, `age_s` seconds ago.
 fn connection(age_s: u64, received_request: bool, submitted_query: bool) -> ConnectionState {
     let accepted_at = Clock::start().now() - Micros::from_secs(age_s);
     ConnectionState {
@@ -63,7 +63,7 @@
 
 #[test]
 fn the_longest_idle_connections_are_evicted_beyond_the_idle_limit() {
-    // Clients that sent one query kept all the places that the platform grants to clients, for two minutes.
+    // Idle clients that sent one query must not use up the connections of all clients.
     let limits = ClientLimits {
         connections: 100,
         idle: 2,
@@ -89,7 +89,7 @@
 
 #[test]
 fn connections_without_a_query_are_evicted_before_those_with_one() {
-    // A crowd that requested /up and stayed had the connections of regular clients closed, which were idle for longer.
+    // Clients that only request /up must not displace regular clients, which are idle for longer.
     let limits = ClientLimits {
         connections: 3,
         idle: 3,
@@ -115,7 +115,7 @@
 
 #[test]
 fn an_evicted_new_connection_is_answered_if_its_request_is_in_the_socket() {
-    // It was closed unread, so the client had a reset for a response.
+    // A connection that is closed with unread input sends a reset in place of the response.
     let limits = ClientLimits {
         connections: 1,
         idle: 1,
--- a/src/net/clients/timeouts.rs
+++ b/src/net/clients/timeouts.rs
@@ -1,22 +1,24 @@
-//! When client connections are closed for being slow, silent or idle. Pure: no I/O, no clock.
+//! The timeouts of slow, silent and idle client connections. Pure functions, without sockets and
+//! clocks.
 
 use super::activity::ConnectionActivity;
 use crate::time::Micros;
 
-/// A request must be complete within this time of its first byte, and the first one of a connection within this time of
-/// the accept: clients are owed an error or a close within 3 s.
+/// The time in which a request must be complete, from its first byte; for the first request of a
+/// connection, from the accept. Clients are owed an error or a close within 3 s.
 const MAX_REQUEST: Micros = Micros::from_millis(2_200);
-/// An idle connection is kept for this time,
+/// The time after which an idle connection is closed.
 const MAX_IDLE: Micros = Micros::from_secs(30);
-/// or for this one while more than half of the places are taken.
+/// The same while more than half of the connections are in use.
 const MAX_IDLE_CROWDED: Micros = Micros::from_millis(2_500);
-/// A response must be read by the client within this time.
+/// The time in which a client must read part of a response.
 const MAX_WRITE_STALL: Micros = Micros::from_secs(15);
-/// Input after an error response is read and discarded for this time: closing a socket with unread input sends a reset,
-/// on which the client may lose the response.
+/// The time in which input after an error response is discarded: closing a socket with unread input
+/// sends a reset, which can destroy the response on its way.
 const MAX_LINGER: Micros = Micros::from_secs(1);
 
-/// How long an idle connection is kept while so many of so many places are taken.
+/// Returns the time after which an idle connection is closed, if `connections` of `max_connections`
+/// are in use.
 #[must_use]
 pub fn max_idle(connections: usize, max_connections: usize) -> Micros {
     if connections * 2 > max_connections {
@@ -29,19 +31,19 @@
 /// A time limit that a connection has exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timeout {
-    /// Its client goes on sending after an error response.
+    /// The client goes on sending after an error response.
     Linger,
-    /// Its client does not read the response.
+    /// The client does not read the response.
     Response,
-    /// Its client has sent nothing since it connected.
+    /// The client has sent nothing since it connected.
     FirstByte,
-    /// It has been idle between two requests.
+    /// The connection has been idle between two requests.
     Idle,
-    /// Its client has sent only part of a request.
+    /// The client has sent only part of a request.
     Request,
 }
 
-/// The time limit that a connection has exceeded, if any.
+/// Returns the time limit that a connection has exceeded, if any.
 #[must_use]
 pub fn exceeded(connection: &ConnectionActivity, now: Micros, max_idle: Micros) -> Option<Timeout> {
     let quiet = now.since(connection.last_activity_at);
@@ -63,7 +65,8 @@
     if connection.busy || connection.lingering_since.is_some() {
         return None;
     }
-    // The first request counts from the accept, so that a client that sends a byte now and then gains no time.
+    // The first request counts from the accept, so that a client that sends a byte now and then
+    // gains no time.
     let since = if connection.received_request {
         connection
             .request_started_at
--- a/src/net/clients/timeouts/tests.rs
+++ b/src/net/clients/timeouts/tests.rs
@@ -8,7 +8,7 @@
     NOW - Micros::from_millis(ms)
 }
 
-/// An idle connection that was accepted, and last active, so many milliseconds ago.
+/// Returns an idle connection that was accepted, and last active, `ms` milliseconds ago.
 fn idle_for(ms: u64) -> ConnectionActivity {
     ConnectionActivity {
         accepted_at: ms_ago(ms),
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why there is no usable configuration.
+/// The reason why there is no usable configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The environment names no file.
@@ -25,18 +25,18 @@
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in its content.
         source: Box<ConfigFileError>,
     },
 }
 
-/// What is wrong with the content of a configuration file.
+/// An error in the content of a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
-    /// It is no JSON, or a value is absent or has the wrong type.
+    /// The content is not JSON, or a value is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Neither the environment nor the file gives an address that must be there.
+    /// A required address is in neither the environment nor the file.
     #[error("{key}: no address")]
     NoAddress {
         /// The key in the file.
@@ -55,7 +55,7 @@
     /// The settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The last known endpoint list cannot be encoded again.
+    /// The cached endpoint list cannot be encoded again.
     #[error("known: {0}")]
     KnownEndpoints(#[source] serde_json::Error),
     /// A replaced file lacks a key that the file in force has.
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration: the file that `NODE_CONFIG` names, and the environment variables that override it.
+//! The platform's configuration: the file named by `NODE_CONFIG`, and the environment variables
+//! that override it. The settings in the file are parsed by `settings`.
 
 mod error;
 mod reload;
@@ -14,7 +15,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The file's content. `expecting` keeps the type names that messages of the JSON reader have always shown.
+/// The content of the file. `expecting` keeps the type names in the texts of JSON errors.
 #[derive(Deserialize)]
 #[serde(expecting = "struct File")]
 struct ConfigFile {
@@ -33,13 +34,13 @@
     settings: Value,
 }
 
-/// What the process may use.
+/// The resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default, expecting = "struct Limits")]
 struct ProcessLimits {
     #[serde(rename = "sockets")]
     max_descriptors: usize,
-    /// In mebibytes.
+    /// The maximum memory, in mebibytes.
     #[serde(rename = "memory_mb")]
     max_memory_mib: usize,
 }
@@ -53,7 +54,7 @@
     }
 }
 
-/// What the environment states; it takes precedence over the file.
+/// The values from the environment, which take precedence over the file.
 #[derive(Debug, Default)]
 pub struct EnvironmentOverrides {
     /// `NODE_LISTEN`; see [`Config::listen`].
@@ -92,29 +93,29 @@
     pub admin: Option<SocketAddr>,
     /// The path of the file, for reloads.
     pub path: PathBuf,
-    /// The file as JSON, with which a replaced one is compared: no key may be lost. The endpoint list is left out,
-    /// since it may have any length and any shape.
+    /// The file as JSON, against which a replaced file is checked for missing keys. The endpoint
+    /// list is left out, since its length and shape may change.
     file_shape: Value,
     /// The address of discovery as the file states it, whatever the environment states.
     pub file_discovery: Option<SocketAddr>,
     /// The seed of random generators.
     pub seed: u64,
-    /// The number of file descriptors that the process may hold.
+    /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The memory that the process may use, in bytes.
+    /// The maximum memory of the process, in bytes.
     pub max_memory: usize,
-    /// The endpoint list as last known, in discovery's format.
+    /// The cached endpoint list, in discovery's format.
     pub known_endpoints: Vec<u8>,
     /// The settings.
     pub settings: CoordinatorSettings,
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names, and the overrides of the environment.
+    /// Reads the file named by `NODE_CONFIG`, and the overrides from the environment.
     ///
     /// # Errors
     ///
-    /// If no file is named, or if it cannot be read or used.
+    /// Fails if no file is named, or if it cannot be read or used.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let path = PathBuf::from(path);
@@ -135,7 +136,8 @@
     ///
     /// # Errors
     ///
-    /// If the content is no JSON of the right form, an address is absent or malformed, or the settings are invalid.
+    /// Fails if the content is not JSON of the right shape, an address is missing or malformed, or
+    /// the settings are invalid.
     pub fn parse(text: &[u8], environment: EnvironmentOverrides) -> Result<Self, ConfigFileError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let settings = parse_coordinator_settings(file.settings)?;
@@ -181,7 +183,7 @@
         .map_err(|source| ConfigFileError::InvalidAddress { key, text, source })
 }
 
-/// The file as JSON without its endpoint list; see [`Config`].
+/// Parses the file as JSON without its endpoint list; see [`Config`].
 fn file_shape(text: &[u8]) -> Result<Value, ConfigFileError> {
     let mut file: Value = serde_json::from_slice(text)?;
     if let Some(known_endpoints) = file.get_mut("known") {
@@ -190,7 +192,7 @@
     Ok(file)
 }
 
-/// Reads a seed in hexadecimal. Any other text gives a seed too: its FNV-1a hash.
+/// Parses a hexadecimal seed. The seed of any other text is its FNV-1a hash.
 fn parse_seed(text: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration file while the program runs.
+//! Reloads of the configuration file while the program runs.
 
 use super::{file_shape, Config, ConfigError, ConfigFileError, EnvironmentOverrides};
 use crate::settings::{find_missing_key, CoordinatorSettings};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The configuration file in force, against which a replaced one is checked.
+/// The configuration file in force, against which a replaced file is checked.
 #[derive(Debug)]
 pub struct ActiveConfig {
     path: PathBuf,
@@ -14,7 +14,7 @@
     file_shape: Value,
 }
 
-/// What a running program adopts from a replaced file.
+/// The values that a running program takes over from a replaced file.
 #[derive(Debug)]
 pub struct ReloadedConfig {
     /// The address of discovery.
@@ -24,7 +24,7 @@
 }
 
 impl ActiveConfig {
-    /// The file that the program was started with.
+    /// Returns the file that the program was started with.
     #[must_use]
     pub fn from_startup(config: &Config) -> Self {
         ActiveConfig {
@@ -33,11 +33,13 @@
         }
     }
 
-    /// Reads the file again and makes it the one in force. The environment has no say: it cannot have changed.
+    /// Reads the file again and makes it the one in force. Ignores the environment, which cannot
+    /// have changed.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or used, or lacks a key of the file in force. That one stays in force then.
+    /// Fails if the file cannot be read or used, or lacks a key of the file in force, which then
+    /// stays in force.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
             path: self.path.clone(),
@@ -49,7 +51,7 @@
         })
     }
 
-    /// Makes the file with this text the one in force.
+    /// Makes the file with this content the one in force.
     fn replace(&mut self, text: &[u8]) -> Result<ReloadedConfig, ConfigFileError> {
         let file_shape = file_shape(text)?;
         if let Some(key) = find_missing_key(&self.file_shape, &file_shape) {
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-/// A file that can be used.
+/// Returns a valid file.
 fn file() -> Value {
     json!({
         "name": "node-1",
@@ -25,7 +25,7 @@
     Config::parse(file.to_string().as_bytes(), EnvironmentOverrides::default())
 }
 
-/// The text of the error that the file gives with one change.
+/// Returns the text of the error of a file with one change.
 fn error_text(change: impl FnOnce(&mut Value)) -> String {
     let mut file = file();
     change(&mut file);
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -1,4 +1,5 @@
-//! The driver of one attempt at a feature server: a coroutine that fetches one page over one connection.
+//! The driver of one attempt at a feature server: a coroutine that fetches one page over one
+//! connection and reports the end to the coordinator and to the server's limit.
 
 use super::request::FetchRequest;
 use super::server::{FeatureServer, IdleConnection};
@@ -14,27 +15,33 @@
 use may::sync::mpsc::Sender;
 use std::sync::{Arc, Mutex};
 
+/// The status of a server that limits the rate of requests (RFC 6585, section 4).
 const STATUS_TOO_MANY_REQUESTS: u16 = 429;
+/// The status of a server that is overloaded (RFC 9110, section 15.6.4).
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What the drivers of all attempts share.
+/// The context that the drivers of all attempts share.
 #[derive(Clone)]
 pub(super) struct DriverContext {
+    /// The coordinator's inbox.
     pub(super) inbox: Sender<Input>,
+    /// The clock of timestamps.
     pub(super) clock: Clock,
+    /// The timeout of a connect to a server.
     pub(super) connect_timeout: Micros,
-    /// How long a connection may be idle before it is closed.
+    /// The time after which an idle connection is closed.
     pub(super) idle_limit: Micros,
+    /// The throughput of all servers, for admission.
     pub(super) capacity: Arc<ServerCapacity>,
 }
 
-/// How a fetch ended.
+/// The result of a fetch.
 struct FetchResult {
     /// The end of the attempt.
     end: AttemptEnd,
-    /// What the server's concurrency limit learns from it.
+    /// The outcome that is reported to the server's concurrency limit.
     limit_outcome: RequestOutcome,
-    /// How long the server has asked to be left alone.
+    /// The pause that the server requested.
     retry_after: Option<Micros>,
 }
 
@@ -48,15 +55,18 @@
     }
 }
 
-/// Drives one attempt whose slot at the server is taken already.
+/// The driver of one attempt, for which a slot at the server is taken.
 pub(super) struct FetchDriver {
+    /// The request and the attempt that it belongs to.
     pub(super) request: FetchRequest,
+    /// The server, which all its drivers and the client share.
     pub(super) server: Arc<Mutex<FeatureServer>>,
+    /// The context of all drivers.
     pub(super) context: DriverContext,
 }
 
 impl FetchDriver {
-    /// Starts the driver on a coroutine of its own.
+    /// Starts the driver on a coroutine of its own. Reports the attempt as not sent if that fails.
     pub(super) fn start(self) {
         let (server, inbox, key) = (
             self.server.clone(),
@@ -111,7 +121,7 @@
         }
     }
 
-    /// Releases the attempt's slot and lets the server's limit learn from the result.
+    /// Releases the attempt's slot and reports the result to the server's limit.
     fn record_result(
         &self,
         server: &mut FeatureServer,
@@ -132,7 +142,7 @@
             .report(self.request.replica, server.throughput());
     }
 
-    /// What a fetch that has ended means for its attempt and for the server's limit.
+    /// Returns the result of a fetch for its attempt and for the server's limit.
     fn interpret(&self, progress: Progress) -> FetchResult {
         match progress {
             Progress::Complete(response) => self.interpret_response(response),
@@ -160,7 +170,7 @@
         } else {
             None
         };
-        // The server is named by its address: further pages are requested there by that name.
+        // The server is named by its address, by which further pages are requested.
         let host = self.request.address.to_string();
         let end = self.request.page_request.interpret(&host, &host, response);
         let limit_outcome = match &end {
@@ -180,7 +190,8 @@
         }
     }
 
-    /// An idle connection that is still open: a request on one that the server has closed would be lost.
+    /// Returns an idle connection that is still open: a request on a connection that the server has
+    /// closed would be lost.
     fn idle_connection(&self) -> Option<TcpStream> {
         let mut server = lock(&self.server);
         while let Some(connection) = server.idle.pop() {
@@ -202,9 +213,9 @@
         stream.ok()
     }
 
-    /// Fetches over this connection until the response is complete or never will be.
+    /// Exchanges request and response over this connection until the fetch has ended.
     fn drive(&mut self, stream: &TcpStream) -> Progress {
-        // Only latency is lost without it.
+        // A failure costs latency only.
         let _ = stream.set_nodelay(true);
         self.request.cancellation.set_waker(Some(stream.waker()));
         loop {
@@ -243,7 +254,7 @@
 
     fn write_pending(&mut self, stream: &std::net::TcpStream) -> Progress {
         while !self.request.fetch.output().is_empty() {
-            // The last check before it is sent: a draining server gets nothing new.
+            // The last check before the request is sent: a draining server gets nothing new.
             if self.request.fetch.is_unstarted() && !lock(&self.server).ready {
                 return Progress::Failed(self.cancelled_outcome());
             }
@@ -277,13 +288,13 @@
     }
 }
 
-/// How long an overloaded server has asked to be left alone, where it said so in seconds.
+/// Returns the pause that an overloaded server requested, if it is given in seconds.
 fn retry_after(response: &FetchedResponse) -> Option<Micros> {
     let seconds = response.headers.get("Retry-After")?.trim().parse().ok()?;
     Some(Micros::from_secs(seconds))
 }
 
-/// Whether an idle connection is open: nothing is received on it, not even its end.
+/// Returns whether an idle connection is open: nothing has been received on it, not even its end.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(try_read(stream.inner(), &mut [0]), IoOutcome::WouldBlock)
 }
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -1,4 +1,6 @@
-//! Attempts at feature servers: each is one request over one connection, which is taken from the idle ones if possible.
+//! The upstream client of the feature servers. Each attempt is one HTTP request on a connection of
+//! its own, taken from the idle connections if possible. The choice of the server belongs to the
+//! policy, the concurrency limits to `limits`.
 
 mod driver;
 mod request;
@@ -20,20 +22,24 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
 
-/// The most connections to all servers at a time: what the bound on clients leaves, with some to spare.
+/// The maximum number of connections to all servers.
 const MAX_CONNECTIONS: usize = 200;
 
-/// All feature servers with their connections, and the attempts at them.
+/// The feature servers with their connections, and the attempts at them.
 pub struct FeatureClient {
     servers: HashMap<ReplicaId, Arc<Mutex<FeatureServer>>>,
+    /// The cancellations of the attempts that the coordinator may still cancel.
     in_flight: HashMap<AttemptKey, Arc<Cancellation>>,
+    /// The maximum length of a response's body, in bytes.
     max_body: usize,
+    /// The rule by which each server's concurrency limit is set.
     limit_rule: LimitRule,
     context: DriverContext,
 }
 
 impl FeatureClient {
-    /// A client without servers. Ends of attempts go to `inbox`, what servers can serve to `capacity`.
+    /// Creates a client without servers. The ends of attempts are sent to `inbox`, the throughput
+    /// of servers is reported to `capacity`.
     #[must_use]
     pub fn new(
         edge: &EdgeConfig,
@@ -56,7 +62,7 @@
         }
     }
 
-    /// Whether one more connection may be opened; idle ones are closed for it.
+    /// Returns whether one more connection may be opened. Closes idle connections if necessary.
     fn ensure_connection_capacity(&self) -> bool {
         let total = |count: fn(&FeatureServer) -> usize| -> usize {
             self.servers
@@ -72,10 +78,10 @@
         total(|server| server.in_flight) < MAX_CONNECTIONS
     }
 
-    /// Starts an attempt, or has it wait for its server.
+    /// Starts an attempt, or queues it at its server.
     fn start(&mut self, replica: ReplicaId, request: &AttemptRequest) -> Result<(), Outcome> {
         if !self.ensure_connection_capacity() {
-            // As with a server that takes no more connections: nothing was sent.
+            // The outcome of a server that accepts no connection: nothing was sent.
             return Err(Outcome::ConnectFailed);
         }
         let now = self.context.clock.now();
@@ -125,7 +131,7 @@
     }
 }
 
-/// The page that the front asks for with this attempt.
+/// Returns the page request that the front attached to an attempt.
 fn page_request(request: &AttemptRequest) -> Option<Arc<PageRequest>> {
     request.context.as_ref()?.get::<PageRequest>()
 }
@@ -142,7 +148,7 @@
         state.address = address;
         state.ready = ready;
         self.context.capacity.report(replica, state.throughput());
-        // A draining server gets nothing that has not started.
+        // Attempts that have not started are not sent to a draining server.
         let unsent = if ready {
             VecDeque::new()
         } else {
@@ -186,7 +192,7 @@
                 .server_connections_idle_closed
                 .add(state.close_expired(now, self.context.idle_limit));
             state.remove_cancelled();
-            // A pause that the server asked for may be over.
+            // A pause that the server requested may be over.
             let startable = state.take_startable(now);
             drop(state);
             for request in startable {
--- a/src/net/feature_client/request.rs
+++ b/src/net/feature_client/request.rs
@@ -1,4 +1,4 @@
-//! One attempt at a feature server before and while it runs.
+//! One attempt at a feature server, queued or running, and its cancellation.
 
 use crate::coordinator::{AttemptKey, ClassMetrics};
 use crate::front::ogc::page_request::PageRequest;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-/// Whether an attempt is cancelled; the pool and the attempt's driver share it.
+/// The cancellation of an attempt, which the client and the attempt's driver share.
 #[derive(Default)]
 pub(super) struct Cancellation {
     state: Mutex<CancellationState>,
@@ -17,8 +17,9 @@
 
 #[derive(Default)]
 struct CancellationState {
+    /// Whether the attempt was cancelled.
     cancelled: bool,
-    /// Wakes the driver; set while it has a connection.
+    /// The waker of the driver; set while the driver has a connection.
     waker: Option<WaitIoWaker>,
 }
 
@@ -32,10 +33,12 @@
         }
     }
 
+    /// Returns whether the attempt was cancelled.
     pub(super) fn is_cancelled(&self) -> bool {
         lock(&self.state).cancelled
     }
 
+    /// Sets or removes the waker of the driver.
     pub(super) fn set_waker(&self, waker: Option<WaitIoWaker>) {
         lock(&self.state).waker = waker;
     }
@@ -43,12 +46,18 @@
 
 /// The request for one page, and the attempt that it belongs to.
 pub(super) struct FetchRequest {
+    /// The coordinator's key of the attempt.
     pub(super) key: AttemptKey,
+    /// The server that the policy chose.
     pub(super) replica: ReplicaId,
+    /// The address of the server.
     pub(super) address: SocketAddr,
+    /// The state of the request and its response.
     pub(super) fetch: Fetch,
+    /// The page that is requested.
     pub(super) page_request: Arc<PageRequest>,
+    /// The cancellation, shared with the client.
     pub(super) cancellation: Arc<Cancellation>,
-    /// Where the attempt is counted once it is written.
+    /// The counters of the attempt's class. The attempt is counted once its request is written.
     pub(super) metrics: Arc<ClassMetrics>,
 }
--- a/src/net/feature_client/server.rs
+++ b/src/net/feature_client/server.rs
@@ -1,4 +1,5 @@
-//! The state of one feature server: its idle connections, its concurrency limit and the attempts that wait for it.
+//! The state of one feature server: its idle connections, its concurrency limit and the attempts
+//! that wait for it.
 
 use super::request::FetchRequest;
 use crate::limits::{ConcurrencyLimiter, LimitRule};
@@ -7,30 +8,36 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The most attempts that wait at a server, as a multiple of its limit: more would only find out late that they cannot be
-/// served in time.
+/// The maximum number of queued attempts at a server, as a multiple of its concurrency limit.
+/// Further ones are rejected at once, since they could not be served in time.
 const MAX_QUEUED_RATIO: usize = 4;
 
 /// A connection that may carry another request.
 pub(super) struct IdleConnection {
+    /// The connection.
     pub(super) stream: TcpStream,
+    /// The time of the last response on the connection.
     pub(super) idle_since: Micros,
 }
 
-/// A feature server.
+/// A feature server: its address and connections, its concurrency limit and its queue.
 pub(super) struct FeatureServer {
+    /// The address; `None` if the endpoint list has no valid one.
     pub(super) address: Option<SocketAddr>,
+    /// Whether the server accepts new attempts.
     pub(super) ready: bool,
+    /// The idle connections, the one used last at the end.
     pub(super) idle: Vec<IdleConnection>,
-    /// The attempts that have a slot of the limit.
+    /// The number of attempts that have a slot of the limit.
     pub(super) in_flight: usize,
+    /// The concurrency limit.
     pub(super) limiter: ConcurrencyLimiter,
-    /// The attempts that wait for a slot, the oldest first.
+    /// The attempts that wait for a slot, oldest first.
     queue: VecDeque<FetchRequest>,
 }
 
 impl FeatureServer {
-    /// A server whose address is not known yet.
+    /// Creates a server whose address is not known yet.
     pub(super) fn new(rule: LimitRule) -> Self {
         FeatureServer {
             address: None,
@@ -42,23 +49,24 @@
         }
     }
 
-    /// Where attempts are sent, if the server takes new ones.
+    /// Returns the address, if the server accepts new attempts.
     pub(super) fn ready_address(&self) -> Option<SocketAddr> {
         self.address.filter(|_| self.ready)
     }
 
-    /// How many requests a second it can serve, if that is measured and the server takes new ones.
+    /// Returns the measured throughput in requests per second, if there is one and the server
+    /// accepts new attempts.
     pub(super) fn throughput(&self) -> Option<f64> {
         self.limiter.throughput().filter(|_| self.ready)
     }
 
-    /// Whether it has asked for a pause, or more attempts wait than it can serve in time.
+    /// Returns whether the server requested a pause, or its queue is full.
     pub(super) fn is_overloaded(&self, now: Micros) -> bool {
         self.limiter.is_backing_off(now)
             || self.queue.len() >= MAX_QUEUED_RATIO * self.limiter.limit()
     }
 
-    /// Returns the attempt if it may start now, with its slot taken; it waits in the queue otherwise.
+    /// Takes a slot and returns the attempt if it may start now. Queues it otherwise.
     pub(super) fn admit(&mut self, request: FetchRequest, now: Micros) -> Option<FetchRequest> {
         if self.limiter.has_capacity(self.in_flight, now) && self.queue.is_empty() {
             self.in_flight += 1;
@@ -68,7 +76,7 @@
         None
     }
 
-    /// Takes the attempts from the queue that may start now; their slots are taken.
+    /// Removes the attempts that may start now from the queue, takes their slots and returns them.
     pub(super) fn take_startable(&mut self, now: Micros) -> Vec<FetchRequest> {
         let mut startable = Vec::new();
         while self.ready && self.limiter.has_capacity(self.in_flight, now) {
@@ -83,7 +91,7 @@
         startable
     }
 
-    /// Takes all attempts from the queue.
+    /// Removes all attempts from the queue and returns them.
     pub(super) fn take_queue(&mut self) -> VecDeque<FetchRequest> {
         std::mem::take(&mut self.queue)
     }
@@ -94,7 +102,7 @@
             .retain(|request| !request.cancellation.is_cancelled());
     }
 
-    /// Closes connections that were idle for `idle_limit`; how many.
+    /// Closes connections that were idle for `idle_limit`. Returns their number.
     pub(super) fn close_expired(&mut self, now: Micros, idle_limit: Micros) -> usize {
         let before = self.idle.len();
         self.idle
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,8 +1,10 @@
-//! Hand-over of the listening sockets to a new version of the program that is started beside the old one.
+//! Hand-over of the listening sockets to a new version of the program that is started beside the
+//! old one. `net::server` decides when sockets are requested and offered.
 //!
-//! The old process, the predecessor, waits on a Unix socket in `$TMPDIR` and passes its listening sockets to the new one,
-//! the successor, as ancillary data (`SCM_RIGHTS`). The connection stays open for as long as both live, so that each
-//! learns when the other has exited, however that came about.
+//! The old process (the predecessor) waits on a Unix socket in `$TMPDIR` and passes its listening
+//! sockets to the new process (the successor) as ancillary data (`SCM_RIGHTS`). The connection
+//! stays open for as long as both live, so that each detects the exit of the other, whatever its
+//! cause.
 
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -19,22 +21,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The first line of both sides: a peer with another one is of an incompatible version.
+/// The first line that each side sends, which names the protocol version.
 const HELLO: &str = "quinceflow hand-over 1";
 /// The successor's acknowledgement that it has the sockets.
 const ACKNOWLEDGEMENT: &[u8] = b"taken\n";
-/// Time-out of each read and write: a start must not depend on a peer that hangs.
+/// The timeout of each read and write, so that the start does not depend on a peer that hangs.
 const IO_TIMEOUT: Duration = Duration::from_millis(400);
-/// Most sockets of a message: a process has one or two fronts.
+/// The maximum number of sockets in a message; a process has one or two fronts.
 const MAX_SOCKETS: usize = 4;
-/// Most bytes of a message.
+/// The maximum length of a message, in bytes.
 const MAX_MESSAGE: usize = 1024;
-/// Stack of a thread that waits for the other process, in bytes.
+/// The stack of a thread that waits for the other process, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
-/// Length of the backlog of a listening socket.
+/// The backlog of a listening socket, in connections.
 const BACKLOG: i32 = 1024;
 
-/// Why the sockets were not handed over.
+/// The reason why the sockets were not handed over.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The peer's first line is not `HELLO`.
@@ -51,7 +53,7 @@
     Io(#[from] io::Error),
 }
 
-/// A listening socket, by the address that was configured for it.
+/// A listening socket with its configured address.
 #[derive(Debug)]
 pub struct ListeningSocket<S> {
     /// The configured address; its port may be 0.
@@ -65,12 +67,12 @@
 pub struct Handover {
     /// The sockets.
     pub sockets: Vec<ListeningSocket<TcpListener>>,
-    /// The process that they come from.
+    /// The process that the sockets come from.
     pub predecessor: PeerProcess,
 }
 
-/// The path of the Unix socket where the process that listens at this address waits for its successor. `None` without
-/// `$TMPDIR`: a folder that all users share is not safe.
+/// Returns the path of the Unix socket at which the process that listens at `address` waits for its
+/// successor. Returns `None` without `$TMPDIR`: a folder that all users share is not safe.
 #[must_use]
 pub fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
@@ -84,17 +86,18 @@
 /// The other process of a hand-over.
 #[derive(Debug, Clone)]
 pub struct PeerProcess {
+    /// Whether the connection to the process is open.
     alive: Arc<AtomicBool>,
 }
 
 impl PeerProcess {
-    /// Whether it has not exited yet.
+    /// Returns whether the process has not exited yet.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         self.alive.load(Relaxed)
     }
 
-    /// Follows a peer on a thread until its end of the connection closes.
+    /// Starts a thread that waits until the peer's end of the connection closes.
     fn watch(mut connection: UnixStream) -> io::Result<Self> {
         connection.set_read_timeout(None)?;
         let peer = PeerProcess {
@@ -123,8 +126,8 @@
     }
 }
 
-/// Requests the listening sockets of the process that waits at this path. `None`: there is no such process, or none
-/// that can hand them over, which is logged.
+/// Requests the listening sockets of the process that waits at this path. Returns `None` if there
+/// is no such process, or if the hand-over fails, which is logged.
 #[must_use]
 pub fn request_handover(path: &Path) -> Option<Handover> {
     match try_request_handover(path) {
@@ -161,7 +164,7 @@
     connection.set_write_timeout(Some(IO_TIMEOUT))
 }
 
-/// Receives the message that [`send_sockets`] sends.
+/// Receives the message sent by [`send_sockets`].
 fn receive_sockets(
     connection: &UnixStream,
 ) -> Result<Vec<ListeningSocket<TcpListener>>, HandoverError> {
@@ -192,7 +195,7 @@
         .collect())
 }
 
-/// The addresses that follow [`HELLO`], in the order of the sockets.
+/// Parses the addresses after [`HELLO`], which are in the order of the sockets.
 fn parse_addresses(message: &[u8]) -> Result<Vec<SocketAddr>, HandoverError> {
     let text = std::str::from_utf8(message)
         .ok()
@@ -204,17 +207,18 @@
         .collect())
 }
 
-/// Waits on a thread for successors, for as long as this process lives. `on_handed_over` is called for each that has
-/// acknowledged the sockets.
+/// Starts a thread that waits for successors for as long as this process lives. Calls
+/// `on_handed_over` for each successor that acknowledged the sockets.
 ///
 /// # Errors
-/// The Unix socket cannot be created at this path, or the thread cannot be started.
+/// Fails if the Unix socket cannot be created at this path, or the thread cannot be started.
 pub fn offer<S: AsFd + Send + 'static>(
     path: &Path,
     sockets: Vec<ListeningSocket<S>>,
     on_handed_over: impl Fn(PeerProcess) + Send + 'static,
 ) -> io::Result<()> {
-    // Created under a name of its own and then moved: a stale socket, or a predecessor's, may stand at the path.
+    // The socket is created under a unique name and then renamed, since a stale socket or the
+    // predecessor's may exist at the path.
     let own_path = path.with_extension(std::process::id().to_string());
     let _ = std::fs::remove_file(&own_path);
     let listener = UnixListener::bind(&own_path)?;
@@ -232,7 +236,7 @@
 ) {
     let mut successor: Option<PeerProcess> = None;
     for connection in listener.incoming().flatten() {
-        // One at a time: limits are shared by two processes.
+        // One successor at a time, since two processes share the limits.
         if successor.as_ref().is_some_and(PeerProcess::is_alive) {
             continue;
         }
@@ -246,7 +250,8 @@
     }
 }
 
-/// Hands the sockets over to a process that speaks this protocol, and waits for its acknowledgement.
+/// Hands the sockets over to a peer and waits for its acknowledgement. Fails if the peer does not
+/// speak this protocol.
 fn hand_over<S: AsFd>(
     mut connection: UnixStream,
     sockets: &[ListeningSocket<S>],
@@ -263,7 +268,7 @@
     Ok(PeerProcess::watch(connection)?)
 }
 
-/// Sends [`HELLO`] and the addresses of the sockets as text, and the sockets as ancillary data.
+/// Sends [`HELLO`] with the addresses of the sockets as text, and the sockets as ancillary data.
 fn send_sockets<S: AsFd>(
     connection: &UnixStream,
     sockets: &[ListeningSocket<S>],
@@ -281,10 +286,11 @@
     Ok(())
 }
 
-/// Opens a listening socket. `SO_REUSEPORT` lets a process that received no sockets start beside this one.
+/// Opens a listening socket. With `SO_REUSEPORT` a process that received no sockets can start
+/// beside this one.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// Fails if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     use rustix::net::{bind, listen, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
     let family = if address.is_ipv4() {
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::sync::mpsc::channel;
 
-/// A path of its own for a test.
+/// Returns a path that no other test uses.
 fn unused_path(test: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("quinceflow-{test}-{}.sock", std::process::id()));
     let _ = std::fs::remove_file(&path);
@@ -23,7 +23,7 @@
 #[test]
 fn a_successor_takes_the_sockets_over_and_each_process_sees_the_other_alive() {
     let path = unused_path("over");
-    // A stale socket, which a killed process leaves, is no obstacle.
+    // A stale socket of a killed process does not prevent the offer.
     drop(UnixListener::bind(&path));
     assert!(request_handover(&path).is_none(), "stale");
     let socket = listening_socket();
@@ -38,7 +38,8 @@
         (ANY_PORT, bound)
     );
     assert!(handover.predecessor.is_alive() && successor.is_alive());
-    // A second successor gets no sockets while the first lives: limits are shared by two processes.
+    // A second successor gets no sockets while the first one lives, since two processes share the
+    // limits.
     assert!(request_handover(&path).is_none());
     let _ = std::fs::remove_file(&path);
 }
@@ -47,13 +48,13 @@
 fn a_peer_that_hangs_or_is_of_another_version_does_not_stop_a_start() {
     let path = unused_path("hung");
     let listener = UnixListener::bind(&path).expect("a socket");
-    // The kernel accepts, and nothing answers.
+    // The kernel accepts the connection, and nobody answers.
     assert!(request_handover(&path).is_none());
     let other_version = std::thread::spawn(move || {
         for _ in 0..2 {
             let (mut connection, _) = listener.accept().expect("a successor");
             let _ = connection.write_all(b"quinceflow hand-over 2 127.0.0.1:80");
-            // Open until the successor has closed.
+            // Kept open until the successor has closed its end.
             let _ = connection.read_to_end(&mut Vec::new());
         }
     });
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,56 +1,58 @@
-//! The life cycle of the process as its clients and operators see it.
+//! The life cycle of the process as seen by its clients and operators.
 //!
-//! Startup and shutdown are two independent state machines: a shutdown may be requested before the servers
-//! are known, and a process that waits for its predecessor to exit still has to learn them. The coordinator's
-//! coroutine makes the transitions, except that the watch on discovery advances the startup to
-//! [`StartupPhase::EndpointsReceived`]; connections and the admin thread only read.
+//! Startup and shutdown are two independent state machines: a shutdown may be requested before the
+//! endpoint list is known, and a process that waits for its predecessor to exit still has to
+//! receive the list. The coordinator's coroutine makes the transitions, except that the discovery
+//! watch advances the startup to [`StartupPhase::EndpointsReceived`]. Client connections and the
+//! admin thread only read the phases.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::Relaxed};
 use thiserror::Error;
 
-/// How far the startup has come. A phase is never left for an earlier one.
+/// A phase of the startup. Phases only advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StartupPhase {
-    /// The endpoint list is still waited for.
+    /// The endpoint list has not been received.
     Starting,
-    /// Requests are served, perhaps from the endpoint list that was cached at the start.
+    /// Requests are served, possibly with the endpoint list that was cached at the start.
     Ready,
-    /// Discovery's list is in the coordinator's inbox, ahead of all requests from now on.
+    /// Discovery's endpoint list is in the coordinator's inbox, ahead of all requests from now on.
     EndpointsReceived,
-    /// The coordinator has the endpoint list, or has waited for it as long as it may take.
+    /// The coordinator has the endpoint list, or the time to wait for it is over.
     EndpointsKnown,
 }
 
-/// How far the shutdown has come.
+/// A phase of the service with respect to its shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServicePhase {
     /// No shutdown was requested.
     Serving,
-    /// A shutdown was requested: the health check fails, all else goes on as before.
+    /// A shutdown was requested: the health check fails, and requests are served as before.
     Draining,
-    /// A shutdown was requested, and a successor accepts at the same listening socket: nothing is accepted
-    /// here, and each response closes its connection. Returns to [`ServicePhase::Draining`] if the successor
-    /// exits first.
+    /// A shutdown was requested, and a successor accepts at the same listening socket. This process
+    /// accepts nothing, and each response closes its connection. Returns to
+    /// [`ServicePhase::Draining`] if the successor exits first.
     HandedOver,
-    /// About to exit: connections are still accepted, since the kernel would reset those in the backlog, and each response
-    /// closes its connection.
+    /// The process is about to exit. Connections are still accepted, since the kernel would reset
+    /// those in the backlog, and each response closes its connection.
     Closing,
-    /// About to exit, while a successor accepts.
+    /// The process is about to exit while a successor accepts.
     ClosingHandedOver,
 }
 
-/// What moves a process from one [`ServicePhase`] to the next.
+/// An event that moves a process from one [`ServicePhase`] to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownEvent {
-    /// A shutdown was requested, and no successor has the listening socket (any more).
+    /// A shutdown was requested, and no successor (or none any more) has the listening socket.
     DrainAlone,
     /// A shutdown was requested, and a successor accepts at the same listening socket.
     DrainWithSuccessor,
-    /// The time for new requests on connections that are open is over.
+    /// The time for new requests on open connections is over.
     Close,
 }
 
 impl ServicePhase {
+    /// All phases, in the order of their discriminants.
     const ALL: [ServicePhase; 5] = [
         ServicePhase::Serving,
         ServicePhase::Draining,
@@ -59,7 +61,7 @@
         ServicePhase::ClosingHandedOver,
     ];
 
-    /// The phase that follows on an event. Every event is legal in every phase; none leads back to
+    /// Returns the phase after an event. Every event is valid in every phase; none leads back to
     /// [`ServicePhase::Serving`] or out of the closing phases.
     #[must_use]
     pub fn next(self, event: ShutdownEvent) -> ServicePhase {
@@ -75,13 +77,13 @@
         }
     }
 
-    /// Whether a shutdown was requested.
+    /// Returns whether a shutdown was requested.
     #[must_use]
     pub fn is_draining(self) -> bool {
         self != ServicePhase::Serving
     }
 
-    /// Whether new connections are accepted.
+    /// Returns whether new connections are accepted.
     #[must_use]
     pub fn accepts_connections(self) -> bool {
         !matches!(
@@ -90,83 +92,84 @@
         )
     }
 
-    /// Whether each response closes its connection.
+    /// Returns whether each response closes its connection.
     #[must_use]
     pub fn closes_after_response(self) -> bool {
         !matches!(self, ServicePhase::Serving | ServicePhase::Draining)
     }
 }
 
-/// Why the health check fails; the texts are the reply to operators.
+/// The reason why the health check fails. Its text is the reply to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unhealthy {
     /// A shutdown was requested.
     #[error("it is told to end")]
     Draining,
-    /// No endpoint list has come from discovery.
+    /// No endpoint list was received from discovery.
     #[error("the servers are not known yet")]
     EndpointsUnknown,
 }
 
-/// The present phases of one front, readable from any thread.
+/// The current phases of one front, which any thread may read.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
-    /// A [`StartupPhase`] as its discriminant.
+    /// The [`StartupPhase`], as its discriminant.
     startup: AtomicU8,
-    /// A [`ServicePhase`] as its discriminant.
+    /// The [`ServicePhase`], as its discriminant.
     service: AtomicU8,
-    /// Another process serves beside this one, so each has half of the limits.
+    /// Whether another process serves beside this one, so that each has half of the limits.
     limits_shared: AtomicBool,
 }
 
 impl Lifecycle {
-    /// Moves the startup on to a phase; an earlier one changes nothing.
+    /// Advances the startup to a phase. Ignores an earlier phase.
     pub fn advance_startup(&self, phase: StartupPhase) {
         self.startup.fetch_max(phase as u8, Relaxed);
     }
 
-    /// Makes the transition of an event and returns the phase that it leads to.
+    /// Makes the transition for an event and returns the new phase.
     pub fn shut_down(&self, event: ShutdownEvent) -> ServicePhase {
         let next = self.service_phase().next(event);
         self.service.store(next as u8, Relaxed);
         next
     }
 
-    /// Notes whether another process serves beside this one.
+    /// Records whether another process serves beside this one.
     pub fn set_limits_shared(&self, shared: bool) {
         self.limits_shared.store(shared, Relaxed);
     }
 
-    /// Whether each of two processes has half of the limits.
+    /// Returns whether each of two processes has half of the limits.
     pub fn limits_shared(&self) -> bool {
         self.limits_shared.load(Relaxed)
     }
 
-    /// The present phase of the shutdown.
+    /// Returns the current phase of the service.
     pub fn service_phase(&self) -> ServicePhase {
         ServicePhase::ALL[usize::from(self.service.load(Relaxed))]
     }
 
-    /// Whether requests are served as those of a ready process.
+    /// Returns whether the startup is complete enough to serve requests and no shutdown was
+    /// requested.
     pub fn is_ready(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::Ready as u8
             && !self.service_phase().is_draining()
     }
 
-    /// Whether discovery's list has been received.
+    /// Returns whether discovery's endpoint list was received.
     pub fn endpoints_received(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::EndpointsReceived as u8
     }
 
-    /// Whether discovery's endpoint list is known, or not waited for any more.
+    /// Returns whether discovery's endpoint list is known, or the time to wait for it is over.
     pub fn endpoints_known(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::EndpointsKnown as u8
     }
 
-    /// Whether a client's request would be served.
+    /// Checks whether client requests are served.
     ///
     /// # Errors
-    /// Why it would not.
+    /// Fails with the reason if they are not.
     pub fn health(&self) -> Result<(), Unhealthy> {
         if self.service_phase().is_draining() {
             return Err(Unhealthy::Draining);
--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a data node as the pool and the connection's driver share it.
+//! The state of one connection to a data node, which the pool and the connection's driver share.
 
 use super::silence::SilenceDetector;
 use crate::coordinator::{AttemptKey, AttemptRequest};
@@ -8,17 +8,18 @@
 use may::io::WaitIoWaker;
 use std::sync::{Mutex, MutexGuard};
 
-/// A frame that began to arrive is complete after this time, or its length is wrong and it never will be: what is received
-/// after it would be taken for its end.
+/// The time from the first bytes of a frame to its end. A frame that takes longer has a wrong
+/// length and never ends: the following frames would be taken for its content.
 const PARTIAL_FRAME_TIMEOUT: Micros = Micros::from_millis(50);
 
-/// A connection to a data node, or one that is being established.
+/// A connection to a data node, established or not yet.
 #[derive(Default)]
 pub(super) struct NodeConnection {
     state: Mutex<ConnectionState>,
 }
 
 impl NodeConnection {
+    /// Creates a connection that is dialled at the time `now`.
     pub(super) fn opened_at(now: Micros) -> Self {
         let silence = SilenceDetector::opened_at(now);
         NodeConnection {
@@ -30,6 +31,7 @@
         }
     }
 
+    /// Locks the state.
     pub(super) fn lock(&self) -> MutexGuard<'_, ConnectionState> {
         lock(&self.state)
     }
@@ -38,45 +40,48 @@
 /// The state of a [`NodeConnection`].
 #[derive(Default)]
 pub(super) struct ConnectionState {
+    /// The protocol state.
     pub(super) protocol: MultiplexedConnection,
+    /// The silence detection.
     pub(super) silence: SilenceDetector,
-    /// Wakes the driver; set while a connection is established.
+    /// The waker of the driver; set while the connection is established.
     pub(super) waker: Option<WaitIoWaker>,
-    /// It has ended, or was never established.
+    /// Whether the connection has ended or could not be established.
     pub(super) closed: bool,
-    /// It is to be closed once nothing is in flight.
+    /// Whether the connection is closed once nothing is in flight.
     pub(super) closing: bool,
-    /// Nothing was received for too long while attempts waited.
+    /// Whether nothing was received for too long while attempts waited.
     unresponsive: bool,
-    /// What was received cannot be used: it is to be closed at once.
+    /// Whether received bytes cannot be used, so that the connection is closed at once.
     pub(super) corrupt: bool,
-    /// Since when the beginning of a frame has been here without its end.
+    /// The time since which part of a frame has been received; `None` between frames.
     partial_frame_since: Option<Micros>,
-    /// Whether a complete frame was received since it was established.
+    /// Whether a complete frame was received since the connection was established.
     pub(super) frame_received: bool,
-    /// When an attempt on it was last dispatched or cancelled.
+    /// The time at which an attempt was last dispatched or cancelled.
     last_used: Micros,
 }
 
 impl ConnectionState {
+    /// Wakes the driver, if the connection is established.
     pub(super) fn wake_driver(&self) {
         if let Some(waker) = &self.waker {
             waker.wakeup();
         }
     }
 
-    /// Closes the connection once nothing is in flight; nothing new is sent on it.
+    /// Closes the connection once nothing is in flight. Nothing new is sent on it.
     pub(super) fn close_when_idle(&mut self) {
         self.closing = true;
         self.wake_driver();
     }
 
-    /// Whether nothing is in flight on it and it was not used for `idle_limit`.
+    /// Returns whether nothing is in flight and the connection was not used for `idle_limit`.
     pub(super) fn is_idle_for(&self, idle_limit: Micros, now: Micros) -> bool {
         self.protocol.is_idle() && now.since(self.last_used) >= idle_limit
     }
 
-    /// Whether these attempts may be sent on it, with at most `max_attempts` in flight.
+    /// Returns whether these attempts may be sent here, with at most `max_attempts` in flight.
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
             && self.protocol.in_flight() + requests.len() <= max_attempts
@@ -85,12 +90,12 @@
                 .any(|request| self.protocol.awaits_late_answer(request))
     }
 
-    /// Whether it is neither silent nor in the middle of a frame.
+    /// Returns whether the connection is neither silent nor in the middle of a frame.
     pub(super) fn is_responsive(&self, now: Micros, silence_timeout: Micros) -> bool {
         self.partial_frame_since.is_none() && self.silence.silent_for(now) <= silence_timeout
     }
 
-    /// Sends these attempts.
+    /// Queues these attempts for sending.
     pub(super) fn dispatch(&mut self, requests: &[AttemptRequest], now: Micros) {
         self.protocol.enqueue(requests);
         for request in requests {
@@ -100,7 +105,7 @@
         self.wake_driver();
     }
 
-    /// Cancels an attempt; true if this makes the connection unresponsive.
+    /// Cancels an attempt. Returns whether this makes the connection unresponsive.
     pub(super) fn cancel(&mut self, key: AttemptKey, now: Micros, silence_timeout: Micros) -> bool {
         self.protocol.cancel(key);
         self.last_used = now;
@@ -114,8 +119,8 @@
         became_unresponsive
     }
 
-    /// Takes back what is not written yet and closes the connection once the rest has ended; the ends of what was taken
-    /// back.
+    /// Reclaims attempts that are not written, and closes the connection once the others have
+    /// ended. Returns the ends of the reclaimed attempts.
     pub(super) fn drain(&mut self) -> Vec<AttemptEvent> {
         let mut events = Vec::new();
         self.protocol.reclaim_unwritten(&mut events);
@@ -128,7 +133,8 @@
         events
     }
 
-    /// Notes the frames that what was just received has completed, and whether the beginning of another one is left.
+    /// Records the number of frames that the last read completed, and whether part of another frame
+    /// is left.
     pub(super) fn record_frames(&mut self, complete_frames: usize, now: Micros) {
         self.frame_received |= complete_frames > 0;
         let since = self
@@ -138,19 +144,20 @@
         self.partial_frame_since = self.protocol.has_partial_frame().then_some(since);
     }
 
-    /// Whether the end of a frame is overdue.
+    /// Returns whether a frame has been incomplete for too long.
     pub(super) fn is_frame_overdue(&self, now: Micros) -> bool {
         self.partial_frame_since
             .is_some_and(|since| now.since(since) > PARTIAL_FRAME_TIMEOUT)
     }
 
-    /// Closes the connection at once, since what was received cannot be used.
+    /// Closes the connection at once, since received bytes cannot be used.
     pub(super) fn close_corrupt(&mut self) {
         self.corrupt = true;
         self.close_when_idle();
     }
 
-    /// The connection has ended: prepares what is unsent for another one; false if there is to be none.
+    /// Prepares the unsent attempts for another connection after this one has ended. Returns
+    /// whether to dial again.
     pub(super) fn prepare_redial(&mut self) -> bool {
         self.waker = None;
         self.partial_frame_since = None;
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -1,4 +1,5 @@
-//! The driver of one connection to a data node: a coroutine that dials, reads and writes.
+//! The driver of one connection to a data node: a coroutine that dials, reads, writes, and reports
+//! events to the coordinator.
 
 use super::connection::{ConnectionState, NodeConnection};
 use super::silence::ResponseTimeBaseline;
@@ -13,11 +14,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the drivers of all connections share.
+/// The context that the drivers of all connections share.
 #[derive(Clone)]
 pub(super) struct DriverContext {
+    /// The coordinator's inbox.
     pub(super) inbox: Sender<Input>,
+    /// The clock of timestamps.
     pub(super) clock: Clock,
+    /// The baseline response time of all nodes.
     pub(super) baseline: Arc<ResponseTimeBaseline>,
 }
 
@@ -36,20 +40,23 @@
     }
 }
 
-/// Where and how a connection is established.
+/// The target of a dial.
 #[derive(Clone, Copy)]
 pub(super) struct DialTarget {
+    /// The address of the node.
     pub(super) address: SocketAddr,
+    /// The timeout of the connect.
     pub(super) timeout: Micros,
 }
 
-/// Drives one connection until it ends.
+/// The driver of one connection, which runs until the connection ends.
 pub(super) struct ConnectionDriver {
     connection: Arc<NodeConnection>,
     context: DriverContext,
 }
 
 impl ConnectionDriver {
+    /// Creates the driver of a connection.
     pub(super) fn new(connection: Arc<NodeConnection>, context: DriverContext) -> Self {
         ConnectionDriver {
             connection,
@@ -64,7 +71,8 @@
 
     fn run(self, target: DialTarget) {
         while self.connect_and_drive(target) {
-            // The node closed the connection before anything that waits was written: that is sent on another one.
+            // The node closed the connection before any waiting attempt was written: the attempts
+            // are sent on another connection.
             if !self.connection.lock().prepare_redial() {
                 break;
             }
@@ -74,7 +82,7 @@
         self.finish();
     }
 
-    /// Ends every attempt that is left.
+    /// Marks the connection as closed and ends every attempt that is left.
     fn finish(&self) {
         let mut events = Vec::new();
         {
@@ -89,16 +97,17 @@
         self.context.forward(events);
     }
 
-    /// Establishes a connection and drives it to its end; true if another one may follow. None may after one that could not
-    /// be established, or that ended before a complete frame was received: another one would end in the same way, and one
-    /// that brings only invalid bytes would be dialled again without a pause.
+    /// Establishes a connection and drives it to its end. Returns whether another one may follow.
+    /// None may after a connection that could not be established, or that ended before a complete
+    /// frame was received: another one would end in the same way, and a node that sends only
+    /// invalid bytes would be dialled without a pause.
     fn connect_and_drive(&self, target: DialTarget) -> bool {
         let Ok(stream) = TcpStream::connect_timeout(&target.address, target.timeout.to_duration())
         else {
             COUNTERS.dials_failed.increment();
             return false;
         };
-        // Only latency is lost without it.
+        // A failure costs latency only.
         let _ = stream.set_nodelay(true);
         self.on_connected(stream.waker());
         while self.step(stream.inner()) {
@@ -113,7 +122,7 @@
         state.frame_received = false;
     }
 
-    /// Reads and writes until the socket would block; false: the connection has ended.
+    /// Reads and writes until the socket would block. Returns whether the connection stays open.
     fn step(&self, stream: &std::net::TcpStream) -> bool {
         let mut events = Vec::new();
         let mut state = self.connection.lock();
@@ -124,8 +133,8 @@
         open && !finished
     }
 
-    /// Reads, then writes; false: the connection has ended. Reading comes first: no frame may be sent on a connection that the
-    /// node has closed already.
+    /// Reads, then writes. Returns whether the connection stays open. Reading comes first, since no
+    /// frame may be sent on a connection that the node has closed.
     fn exchange(
         &self,
         state: &mut ConnectionState,
@@ -135,7 +144,7 @@
         self.read_available(state, stream, events) && write_pending(state, stream, events)
     }
 
-    /// Reads until the socket would block; false: the connection has ended.
+    /// Reads until the socket would block. Returns whether the connection stays open.
     fn read_available(
         &self,
         state: &mut ConnectionState,
@@ -156,7 +165,7 @@
         }
     }
 
-    /// Processes what was just read; false if it cannot be used.
+    /// Processes the bytes of the last read. Returns whether they can be used.
     fn process_received(
         &self,
         state: &mut ConnectionState,
@@ -184,7 +193,7 @@
         }
     }
 
-    /// Takes the response time of a served attempt into the baseline.
+    /// Records the end of an attempt. Updates the baseline if the attempt was served.
     fn record_ended(&self, state: &mut ConnectionState, event: &AttemptEvent, now: Micros) {
         let AttemptEvent::Ended(key, end) = event else {
             return;
@@ -196,7 +205,8 @@
     }
 }
 
-/// Writes until the socket would block or nothing is left; false: the connection has ended.
+/// Writes until the socket would block or nothing is left. Returns whether the connection stays
+/// open.
 fn write_pending(
     state: &mut ConnectionState,
     stream: &std::net::TcpStream,
--- a/src/net/node_client/driver/tests.rs
+++ b/src/net/node_client/driver/tests.rs
@@ -14,7 +14,7 @@
     ConnectionDriver::new(Arc::default(), context)
 }
 
-/// A connection on which the node has sent these bytes and closed its side.
+/// Creates a connection on which the node has sent these bytes and closed its side.
 fn closed_by_node_after(bytes: &[u8]) -> std::net::TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -30,7 +30,8 @@
 
 #[test]
 fn nothing_is_written_to_a_connection_that_the_node_has_closed() {
-    // A part written to a connection that its node had closed counts as one that may have run.
+    // A part that is written to a connection that its node has closed counts as one that may have
+    // run.
     let stream = closed_by_node_after(b"");
     let driver = driver();
     let mut state = driver.connection.lock();
@@ -60,7 +61,7 @@
 
 #[test]
 fn connection_with_only_invalid_bytes_does_not_count_as_one_that_served() {
-    // It counted as one that had served, so another one was dialled for its waiting parts, for as long as they waited.
+    // A connection that brings only invalid bytes must not be dialled again for its waiting parts.
     for (bytes, served) in [(&b"\0\0\0\x06zwhat"[..], false), (b"\0\0\0\x02l-", true)] {
         let stream = closed_by_node_after(bytes);
         let driver = driver();
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -1,4 +1,8 @@
-//! Connections to data nodes: one carries many attempts, so that a node has a single one as long as it is responsive.
+//! The upstream client of the data nodes. A connection multiplexes attempts, so that a responsive
+//! node has a single one. The choice of the node belongs to the policy, the protocol is in
+//! `proto::frames`.
+//!
+//! The counters of connections and bad frames are global, as `net` states.
 
 mod connection;
 mod driver;
@@ -17,24 +21,30 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A connection is closed this long before the node may close it as idle: a write after that is reset, and an attempt that
-/// was reset may have run.
+/// The time before the node's idle timeout at which a connection is closed. A write after that
+/// timeout is reset, and an attempt that was reset may have run.
 const IDLE_MARGIN: Micros = Micros::from_secs(3);
-/// The most connections to one node.
+/// The maximum number of connections to one node.
 const MAX_CONNECTIONS: usize = 4;
 
 /// A data node and the connections to it.
 struct Node {
+    /// The address; `None` if the endpoint list has no valid one.
     address: Option<SocketAddr>,
+    /// Whether the node accepts new attempts.
     ready: bool,
+    /// The connections that have not ended, oldest first.
     connections: Vec<Arc<NodeConnection>>,
 }
 
-/// When a connection may be used, and by how many attempts.
+/// The limits on the use of a connection.
 #[derive(Clone, Copy)]
 struct ConnectionLimits {
+    /// The timeout of a connect to a node.
     connect_timeout: Micros,
+    /// The time after which an idle connection is closed.
     idle_limit: Micros,
+    /// The maximum number of attempts in flight on a connection.
     max_attempts: usize,
 }
 
@@ -49,15 +59,18 @@
     }
 }
 
-/// The existing connections that could carry new attempts.
+/// The existing connections that may carry new attempts.
 #[derive(Default)]
 struct Candidates {
+    /// A connection that is neither silent nor in the middle of a frame.
     responsive: Option<Arc<NodeConnection>>,
+    /// A connection that is not responsive.
     silent: Option<Arc<NodeConnection>>,
 }
 
 impl Node {
-    /// Finds the first responsive connection for these attempts, and otherwise the last silent one.
+    /// Returns the first responsive connection for these attempts, or else the last unresponsive
+    /// one.
     fn find_connection(
         &self,
         requests: &[AttemptRequest],
@@ -98,7 +111,7 @@
 }
 
 impl NodeClient {
-    /// A pool without connections; ends of attempts go to `inbox`.
+    /// Creates a pool without connections. The ends of attempts are sent to `inbox`.
     #[must_use]
     pub fn new(settings: &CoordinatorSettings, inbox: Sender<Input>, clock: Clock) -> Self {
         NodeClient {
@@ -112,7 +125,8 @@
         }
     }
 
-    /// A connection for these attempts: a responsive one, else a new one, else a silent one. None if the node is not ready.
+    /// Returns a connection for these attempts: a responsive one, or else a new one, or else a
+    /// silent one. Returns `None` if the node is not ready.
     fn connection_for(
         &mut self,
         replica: ReplicaId,
@@ -136,6 +150,7 @@
         self.dial(connection, address)
     }
 
+    /// Starts the driver of a new connection. Returns `None` if that fails.
     fn dial(
         &self,
         connection: Arc<NodeConnection>,
@@ -171,8 +186,8 @@
         if !moved && ready {
             return;
         }
-        // The node drains or is at another address: nothing that waits for its connection may still be sent, nor go out
-        // anew on another one.
+        // The node drains or has another address: attempts that are queued for its connections must
+        // not be sent, neither there nor on another connection.
         for connection in &node.connections {
             let reclaimed = connection.lock().drain();
             self.context.forward(reclaimed);
@@ -205,7 +220,7 @@
         let Some(node) = self.nodes.remove(&replica) else {
             return;
         };
-        // No attempt is in flight on any of them: what is still open ends here.
+        // No attempt is in flight on any of them: the connections that are still open end here.
         for connection in &node.connections {
             connection.lock().close_when_idle();
         }
@@ -237,7 +252,8 @@
     }
 }
 
-/// Closes a connection that is corrupt or has been idle for too long; true if it has ended.
+/// Closes a connection that is corrupt or has been idle for too long. Returns whether the
+/// connection has ended.
 fn reap_connection(
     connection: &NodeConnection,
     address: Option<SocketAddr>,
--- a/src/net/node_client/silence.rs
+++ b/src/net/node_client/silence.rs
@@ -1,27 +1,30 @@
-//! When a connection counts as silent: attempts on it wait for much longer than attempts usually take, and nothing is
-//! received. The attempts may just be slow, but nothing new must wait behind them.
+//! Silence detection: a connection counts as silent if attempts on it have waited for much longer
+//! than attempts usually take and nothing was received. Its attempts may only be slow, but no new
+//! attempt may wait behind them.
 
 use crate::coordinator::AttemptKey;
 use crate::time::Micros;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A connection counts as silent after this multiple of the baseline response time and [`SILENCE_MARGIN`].
+/// The ratio of the silence timeout to the baseline response time.
 const SILENCE_RATIO: u64 = 4;
-/// Added for attempts that are still in flight.
+/// The margin added to the silence timeout of attempts in flight.
 const SILENCE_MARGIN: Micros = Micros::from_millis(5);
-/// A response time counts in the baseline as at most this multiple of it, as in the policy: were it more here, a few
-/// outliers would have the policy cancel attempts before their connection counts as silent, again and again.
+/// The upper bound of a response time that updates the baseline, as a multiple of the baseline.
+/// Equal to the bound of the policy: were it larger here, the policy would cancel attempts before
+/// their connection counts as silent.
 const MAX_OUTLIER_RATIO: u64 = 2;
-/// The baseline before any response.
+/// The baseline before the first response.
 const INITIAL_BASELINE: Micros = Micros::from_millis(60);
-/// The weight of a response time in the baseline is one in this many.
+/// The inverse weight of one response time in the baseline.
 const BASELINE_SMOOTHING: u64 = 32;
 
-/// The baseline response time of all nodes: an exponentially weighted moving average that the drivers of all connections
-/// share.
+/// The baseline response time of all nodes: an exponentially weighted moving average, updated by
+/// the drivers of all connections.
 #[derive(Debug)]
 pub(super) struct ResponseTimeBaseline {
+    /// The baseline, in microseconds.
     micros: AtomicU64,
 }
 
@@ -34,6 +37,7 @@
 }
 
 impl ResponseTimeBaseline {
+    /// Updates the baseline with a response time.
     pub(super) fn record(&self, response_time: Micros) {
         let baseline = self.micros.load(Relaxed);
         let limited = response_time
@@ -43,33 +47,35 @@
         self.micros.store(updated, Relaxed);
     }
 
-    /// How long a connection may be silent with attempts in flight.
+    /// Returns the time that a connection may be silent with attempts in flight.
     pub(super) fn silence_timeout(&self) -> Micros {
         self.cancelled_silence_timeout() + SILENCE_MARGIN
     }
 
-    /// The same where the attempts were cancelled. The policy cancels what is overdue by its own estimate, so that no margin
-    /// is needed: with it, an attempt cancelled after 6 ms where 1 ms is the baseline left its connection in use, and the
-    /// next attempt, on just such a connection of the other replica, had nowhere to go for the rest of the client's time.
+    /// Returns the time that a connection may have been silent when its attempts are cancelled. No
+    /// margin is added: the policy cancels attempts that are overdue by its own estimate, and with
+    /// a margin a connection with a short baseline would stay in use after such a cancellation.
     pub(super) fn cancelled_silence_timeout(&self) -> Micros {
         Micros(self.micros.load(Relaxed) * SILENCE_RATIO)
     }
 }
 
-/// How long a connection has been silent while attempts waited.
+/// The silence of one connection.
 #[derive(Debug, Default)]
 pub(super) struct SilenceDetector {
-    /// When bytes were last received, or when the connection was opened.
+    /// The time at which bytes were last received, or the connection was opened.
     last_received: Micros,
-    /// When each attempt in flight was dispatched.
+    /// The dispatch time of each attempt in flight.
     dispatched_at: HashMap<AttemptKey, Micros>,
-    /// How long attempts that were cancelled since the last bytes had waited; attempts that waited together count once.
+    /// The time that attempts cancelled since the last bytes had waited; overlapping waits count
+    /// once.
     cancelled_silence: Micros,
-    /// Up to when `cancelled_silence` is counted.
+    /// The time up to which `cancelled_silence` is counted.
     counted_through: Micros,
 }
 
 impl SilenceDetector {
+    /// Creates the detector of a connection that is opened at the time `now`.
     pub(super) fn opened_at(now: Micros) -> Self {
         SilenceDetector {
             last_received: now,
@@ -77,21 +83,24 @@
         }
     }
 
+    /// Records the dispatch of an attempt.
     pub(super) fn record_dispatched(&mut self, key: AttemptKey, now: Micros) {
         self.dispatched_at.insert(key, now);
     }
 
+    /// Records that bytes were received, which ends the silence.
     pub(super) fn record_received(&mut self, now: Micros) {
         self.last_received = now;
         self.cancelled_silence = Micros::ZERO;
     }
 
-    /// An attempt has ended; when it was dispatched.
+    /// Records the end of an attempt and returns its dispatch time.
     pub(super) fn record_ended(&mut self, key: AttemptKey) -> Option<Micros> {
         self.dispatched_at.remove(&key)
     }
 
-    /// How long attempts have waited with nothing received, cancelled ones included.
+    /// Returns the time that attempts have waited without received bytes, including cancelled
+    /// attempts.
     pub(super) fn silent_for(&self, now: Micros) -> Micros {
         let Some(oldest) = self.dispatched_at.values().min() else {
             return self.cancelled_silence;
@@ -100,9 +109,11 @@
         self.cancelled_silence + now.since(silent_since)
     }
 
-    /// An attempt is cancelled; true: by now the connection counts as silent. A machine that vanished leaves its connections
-    /// open and silent, and resets them when it is back, so that whatever is sent on them is lost. A new connection fails in
-    /// time and proves that the attempt never ran.
+    /// Records the cancellation of an attempt. Returns whether the connection counts as silent now.
+    ///
+    /// A machine that fails leaves its connections open and silent, and resets them when it is
+    /// back: everything sent on them is lost. The dial of a new connection fails in time, which
+    /// proves that the attempt never ran.
     pub(super) fn record_cancelled(
         &mut self,
         key: AttemptKey,
@@ -110,7 +121,8 @@
         timeout: Micros,
     ) -> bool {
         let dispatched_at = self.dispatched_at.remove(&key).unwrap_or(now);
-        // A new connection counts as heard from when its first attempt is dispatched: that proves nothing yet.
+        // Bytes received before the dispatch prove nothing about this attempt; neither does the
+        // opening of a new connection.
         if self.last_received > dispatched_at {
             return false;
         }
--- a/src/net/node_client/silence/tests.rs
+++ b/src/net/node_client/silence/tests.rs
@@ -10,8 +10,7 @@
 
 #[test]
 fn silence_adds_up_over_cancelled_attempts() {
-    // Each attempt was cancelled before it alone was overdue here, and the next one was sent on the same connection, until a
-    // part had no attempt left.
+    // No attempt alone waits for long enough, but all of them together do.
     let ms = Micros::from_millis;
     let timeout = ms(25);
     let mut detector = SilenceDetector::default();
--- a/src/net/nonblocking.rs
+++ b/src/net/nonblocking.rs
@@ -1,4 +1,4 @@
-//! Single reads and writes on non-blocking TCP sockets.
+//! Single reads and writes on non-blocking TCP sockets. Loops and waits belong to the drivers.
 
 use std::io;
 use std::net::TcpStream;
@@ -9,9 +9,9 @@
     Transferred(usize),
     /// The socket has no data, or no space, at present.
     WouldBlock,
-    /// The peer closed its sending side in good order.
+    /// The peer closed its sending side in an orderly way.
     EndOfStream,
-    /// The connection failed, so what was received may be truncated.
+    /// The connection failed, so received data may be truncated.
     Broken,
 }
 
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -1,4 +1,5 @@
-//! The coroutine of one coordinator: it collects inputs, runs turns and carries out their commands.
+//! The coroutine of one coordinator: collects inputs, runs turns and executes their commands. Owns
+//! the coordinator and its upstream connections; decisions belong to the coordinator.
 
 use super::process::ProcessContext;
 use super::reload::{Reload, Reloaded, RequestedReloads};
@@ -12,51 +13,52 @@
 use may::sync::mpsc::Receiver;
 use std::sync::Arc;
 
-/// The longest sleep of the coordinator: signals are checked this often.
+/// The longest sleep of the loop, and so the interval at which signals are checked.
 const MAX_SLEEP: Micros = Micros::from_millis(50);
-/// Client connections are checked against their time limits this often.
+/// The interval at which client connections are checked against their time limits.
 const REAP_CLIENTS_INTERVAL: Micros = Micros::from_millis(250);
-/// Connections to servers are checked this often: a part may be waiting for an answer that will never come.
+/// The interval at which connections to servers are checked. Short, since a part may be waiting for
+/// an answer that will never come.
 const REAP_SERVERS_INTERVAL: Micros = MAX_SLEEP;
-/// A coordinator and the parts of its loop, as they are built before the start.
+/// A coordinator and the parts of its loop before the start.
 pub(super) struct CoordinatorParts {
-    /// Takes the inputs of each turn and gives the commands.
+    /// The coordinator, which takes the inputs of each turn and returns commands.
     pub(super) coordinator: Coordinator,
-    /// Carries attempts to servers.
+    /// The connections to servers.
     pub(super) upstream: Box<dyn Upstream>,
-    /// The inputs that have arrived.
+    /// The receiving end of the coordinator's inbox.
     pub(super) arrivals: Receiver<Input>,
-    /// The configuration, as far as it can be reloaded.
+    /// The source of reloads.
     pub(super) reload: Box<dyn Reload>,
     /// The longest deadline of a query.
     pub(super) longest_deadline: Micros,
 }
 
-/// A coordinator with everything that its turns act on.
+/// The loop of a coordinator, with everything that its turns act on.
 pub(super) struct CoordinatorLoop {
     coordinator: Coordinator,
     upstream: Box<dyn Upstream>,
-    /// Receive the answers.
+    /// The client connections, which receive the answers.
     clients: Arc<ClientConnections>,
     arrivals: Receiver<Input>,
-    /// Sends an input when a turn is due although none has arrived.
+    /// The timer that sends an input when a turn is due and no input has arrived.
     timer: Timer,
     startup: Startup,
     reloads: RequestedReloads,
     shutdown: GracefulShutdown,
-    /// Which of two processes this one is, as last seen.
+    /// The generation of this process when last checked; `None` while no other process serves.
     generation: Option<ProcessGeneration>,
     process: ProcessContext,
 }
 
-/// When connections were last checked.
+/// The times at which connections were last checked.
 struct ReapTimes {
     servers: Micros,
     clients: Micros,
 }
 
 impl CoordinatorLoop {
-    /// The loop of a service that starts now.
+    /// Creates the loop of a service that starts now.
     pub(super) fn new(
         parts: CoordinatorParts,
         clients: Arc<ClientConnections>,
@@ -107,7 +109,7 @@
         self.process.clock.now()
     }
 
-    /// Receives all inputs that have arrived, after a wait if there are none.
+    /// Receives all inputs that have arrived. Waits if there are none.
     fn receive(&self, inputs: &mut Vec<Input>) {
         if inputs.is_empty() {
             inputs.extend(self.wait());
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Waits for an input until the coordinator's next due time, and no longer than the longest sleep.
+    /// Waits for an input until the coordinator's next turn is due, and at most for the longest
+    /// sleep.
     fn wait(&self) -> Option<Input> {
         let now = self.now();
         let latest = now + MAX_SLEEP;
@@ -155,7 +158,8 @@
         }
     }
 
-    /// Closes connections that have exceeded their time limits.
+    /// Closes connections that have exceeded their time limits, at the intervals set for clients
+    /// and servers.
     fn reap(&mut self, now: Micros, reaped_at: &mut ReapTimes) {
         if now.since(reaped_at.servers) >= REAP_SERVERS_INTERVAL {
             reaped_at.servers = now;
@@ -168,7 +172,7 @@
         }
     }
 
-    /// Shares the limits with another process that was started beside this one, or has them alone again.
+    /// Halves the limits while another process runs beside this one, and restores them afterwards.
     fn update_generation(&mut self) {
         let generation = self.process.generations.current();
         if generation != self.generation {
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Reloads the configuration if a signal asked for it.
+    /// Reloads the configuration if a signal requested it.
     fn reload_if_requested(&mut self, now: Micros, inputs: &mut Vec<Input>) {
         let requested = self.process.signals.reloads_requested();
         if let Some(reloaded) = self.reloads.reload_if_requested(requested, now) {
@@ -199,7 +203,7 @@
         inputs.push(reloaded.input);
     }
 
-    /// Shuts down as the timetable demands, once a signal has asked for it. Returns whether the process exits now.
+    /// Advances a requested shutdown by its schedule. Returns whether the process exits now.
     fn shut_down_if_requested(&mut self, now: Micros) -> bool {
         let just_started = self.process.signals.shutdown_requested() && self.shutdown.start(now);
         let Some(schedule) = self.shutdown.schedule() else {
@@ -209,11 +213,12 @@
             self.coordinator
                 .set_final_deadline(schedule.final_deadline());
         }
-        // In each turn: the signal may come before the report that a successor has received the sockets.
+        // Repeated in each turn: the signal may come before the report that a successor received
+        // the sockets.
         let successor_accepts = self.generation == Some(ProcessGeneration::Predecessor);
         self.clients.drain(successor_accepts);
         if just_started {
-            // Logged only once the health check fails: whoever waits for this line may ask at once.
+            // Logged after the health check fails, since a reader of this line may check at once.
             let pending_queries = self.coordinator.pending_queries();
             tracing::info!(pending_queries, "graceful shutdown started");
         }
@@ -229,6 +234,7 @@
         exits
     }
 
+    /// Returns whether the process exits in this phase, given its pending work.
     fn exits(&self, phase: ShutdownPhase, successor_accepts: bool) -> bool {
         let connections = if phase.waits_for_idle_connections() {
             self.clients.open_connections()
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the server's startup and of a reload.
+//! Errors of the server's startup, and of a reload.
 
 use crate::front::ogc::config::{CursorKeyError, EdgeConfigError};
 use crate::net::config::ConfigError;
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why the server could not start, or ended other than by a shutdown.
+/// The reason why the server could not start, or ended other than by a shutdown.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// A front's address cannot be listened on.
+    /// The server cannot listen on a front's address.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The address of a listening socket cannot be read.
@@ -40,7 +40,7 @@
     CoordinatorPanicked,
 }
 
-/// Why a reload changed nothing.
+/// The reason why a reload was rejected. A rejected reload changes nothing.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The platform's configuration file cannot be used.
--- a/src/net/server/generations.rs
+++ b/src/net/server/generations.rs
@@ -1,4 +1,4 @@
-//! The other process while a new version is started beside the old one.
+//! The other process of an upgrade, in which a new version is started beside the old one.
 
 use crate::coordinator::ProcessGeneration;
 use crate::net::handover::PeerProcess;
@@ -15,7 +15,8 @@
 }
 
 impl ProcessGenerations {
-    /// This process after its start, with the predecessor that handed sockets over to it.
+    /// Creates the record of a process that has just started, with the predecessor whose sockets it
+    /// received.
     pub(super) fn new(predecessor: Option<PeerProcess>) -> Self {
         ProcessGenerations {
             predecessor,
@@ -23,12 +24,12 @@
         }
     }
 
-    /// Whether this process received its listening sockets from another one.
+    /// Returns whether this process received its listening sockets from another one.
     pub(super) fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Whether that process has not exited yet.
+    /// Returns whether the predecessor has not exited yet.
     pub(super) fn predecessor_lives(&self) -> bool {
         self.predecessor.as_ref().is_some_and(PeerProcess::is_alive)
     }
@@ -38,7 +39,7 @@
         *sync::lock(&self.successor) = Some(successor);
     }
 
-    /// Which of two processes this one is, as long as both live.
+    /// Returns whether this process is the predecessor or the successor while both live.
     pub(super) fn current(&self) -> Option<ProcessGeneration> {
         if sync::lock(&self.successor)
             .as_ref()
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -1,4 +1,5 @@
-//! The listening sockets of the fronts: received from a predecessor, opened, and offered to a successor.
+//! The listening sockets of the fronts: received from a predecessor or opened, and offered to a
+//! successor. The hand-over protocol is in `net::handover`.
 
 use super::generations::ProcessGenerations;
 use super::ServerError;
@@ -12,13 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a process checks whether its predecessor has exited.
+/// The interval at which a process checks whether its predecessor has exited.
 const PREDECESSOR_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A listening socket that coroutines can wait on.
 pub(super) type Listener = Arc<CoIo<TcpListener>>;
 
-/// The listening socket for this address: the one received from a predecessor, or a new one.
+/// Returns the listening socket for an address: the one received from the predecessor, or a new
+/// one.
 pub(super) fn listener_for(
     address: SocketAddr,
     inherited: &mut Vec<ListeningSocket<TcpListener>>,
@@ -40,8 +42,8 @@
     }
 }
 
-/// Offers the listening sockets to a successor. A process with a predecessor does so only once that has exited: until then
-/// the predecessor waits at the path.
+/// Offers the listening sockets to a successor. A process with a predecessor does so after the
+/// predecessor has exited, which waits at the same path until then.
 pub(super) fn offer_to_successor(
     path: PathBuf,
     sockets: Vec<ListeningSocket<SharedListener>>,
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,4 +1,9 @@
-//! The server process: it starts a service for each front that is configured and runs them until the shutdown.
+//! The server process: starts a service for each configured front and runs the services until the
+//! shutdown. Connections belong to `net::clients` and to the upstream clients, decisions to the
+//! coordinator.
+//!
+//! `COUNTERS` stays global, as `net` states; all other state is handed to the services in a
+//! `ProcessContext`.
 
 mod coordinator_loop;
 mod error;
@@ -29,19 +34,19 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Runs the fronts that are configured, the platform's, the one for feature queries, or both, until a signal has asked for a
-/// shutdown and that is complete.
+/// Runs the configured fronts (the platform's, the one for feature queries, or both) until a
+/// requested shutdown is complete.
 ///
 /// # Errors
-/// A service cannot be started, or its coordinator panicked.
+/// Fails if a service cannot be started, or if its coordinator panicked.
 pub fn run(platform: Option<Config>, edge: Option<EdgeConfig>) -> Result<(), ServerError> {
-    // A coordinator has one core; and the worker is not pinned to one, since other processes may share it.
+    // A coordinator has one core, but is not pinned to it: other processes may share it.
     may::config().set_workers(1).set_worker_pin(false);
     let clock = Clock::start();
     let signals = Signals::listen()?;
     let metrics = Arc::new(Metrics::default());
     let admin = admin_config(platform.as_ref(), edge.as_ref());
-    // Before all else: a process with a predecessor is set up differently.
+    // First, since a process with a predecessor is set up differently.
     let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
     let process = ProcessContext {
         clock,
@@ -74,12 +79,15 @@
 
 /// The configuration of the admin endpoint.
 struct AdminConfig {
+    /// The address to listen on.
     address: SocketAddr,
-    /// The descriptors of the process, a share of which is reserved for the endpoint.
+    /// The maximum number of descriptors of the process, a share of which is reserved for the
+    /// endpoint.
     max_descriptors: usize,
 }
 
-/// One endpoint serves the whole process; the platform's address takes precedence.
+/// Returns the configuration of the one endpoint of the process. The platform's address takes
+/// precedence.
 fn admin_config(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Option<AdminConfig> {
     let of_platform = platform.and_then(|config| {
         Some(AdminConfig {
@@ -97,16 +105,17 @@
     })
 }
 
-/// The listening sockets and the peer process that a hand-over brought.
+/// The result of asking a predecessor for its listening sockets.
 struct Inheritance {
-    /// Where it waits for its own successor.
+    /// The path at which this process waits for its own successor; `None` if it cannot.
     path: Option<PathBuf>,
     /// The listening sockets received from the predecessor.
     sockets: Vec<ListeningSocket<TcpListener>>,
+    /// The processes before and after this one.
     generations: Arc<ProcessGenerations>,
 }
 
-/// Requests the listening sockets of a predecessor, if there is one.
+/// Requests the listening sockets of the predecessor, if there is one.
 fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
     let address = platform
         .map(|config| config.listen)
@@ -123,7 +132,7 @@
     }
 }
 
-/// Builds the services that are configured. They share the descriptors and the memory of the process.
+/// Builds the configured services, which share the descriptors and the memory of the process.
 fn build_services(
     platform: Option<Config>,
     edge: Option<EdgeConfig>,
@@ -171,7 +180,8 @@
     services.iter().zip(listeners).map(share).collect()
 }
 
-/// Starts the admin endpoint. Clients are served without it, too.
+/// Starts the admin endpoint. A failure is logged only, since clients are served without the
+/// endpoint, too.
 fn start_admin(config: AdminConfig, services: &[RunningService], metrics: &Arc<Metrics>) {
     let fronts: Vec<_> = services
         .iter()
--- a/src/net/server/process.rs
+++ b/src/net/server/process.rs
@@ -5,13 +5,13 @@
 use crate::time::Clock;
 use std::sync::Arc;
 
-/// What all services of a process share.
+/// The state that all services of a process share.
 #[derive(Clone)]
 pub(super) struct ProcessContext {
-    /// The clock of all times.
+    /// The clock of all timestamps.
     pub(super) clock: Clock,
-    /// Requests for a reload or a shutdown.
+    /// The signals, which request reloads and the shutdown.
     pub(super) signals: Arc<Signals>,
-    /// The other process during an upgrade.
+    /// The other process of an upgrade.
     pub(super) generations: Arc<ProcessGenerations>,
 }
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -1,4 +1,5 @@
-//! Reloading what may change while the process runs, on SIGHUP.
+//! Reloads on SIGHUP of the configuration that may change while the process runs. Each source of
+//! configuration implements [`Reload`]; the coordinator's loop applies the result.
 
 use super::ReloadError;
 use crate::coordinator::{Input, Metrics, COUNTERS};
@@ -13,21 +14,21 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The configuration of a service that can be reloaded.
+/// A source of configuration that can be reloaded.
 pub(super) trait Reload: Send {
-    /// Loads it again. An error changes nothing.
+    /// Loads the configuration again. An error changes nothing.
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError>;
 }
 
-/// The reloads that signals request.
+/// The reloads requested by signals, and how many of them are done.
 pub(super) struct RequestedReloads {
     reload: Box<dyn Reload>,
-    /// How many of the requested reloads are done.
+    /// The number of requested reloads that are done.
     done: u64,
 }
 
 impl RequestedReloads {
-    /// Reloads by `reload`, after so many requests that were made before.
+    /// Creates a record in which the requests made before the start count as done.
     pub(super) fn new(reload: Box<dyn Reload>, requested_before: u64) -> Self {
         RequestedReloads {
             reload,
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Reloads if more reloads were requested than are done. A rejected reload changes nothing and is logged.
+    /// Reloads if a reload was requested since the last call. A rejected reload changes nothing and
+    /// is logged.
     pub(super) fn reload_if_requested(&mut self, requested: u64, now: Micros) -> Option<Reloaded> {
         if requested == self.done {
             return None;
@@ -60,7 +62,7 @@
 pub(super) struct Reloaded {
     /// The change that was loaded, for the log.
     change: ReloadedChange,
-    /// The change for the coordinator: endpoints or settings.
+    /// The input for the coordinator: endpoints or settings.
     pub(super) input: Input,
     /// The new settings, unless only endpoints changed.
     pub(super) settings: Option<CoordinatorSettings>,
@@ -77,7 +79,7 @@
     },
     /// The inventory of feature servers.
     Inventory {
-        /// How many servers it lists.
+        /// The number of servers that it lists.
         servers: usize,
     },
 }
@@ -96,9 +98,11 @@
 
 /// Reloads the platform's configuration file: the address of discovery and the settings.
 pub(super) struct PlatformReload {
+    /// The configuration file in force.
     file: ActiveConfig,
-    /// The address of discovery in the file. At the start the environment takes precedence over it; a new address in a
-    /// reloaded file takes precedence over the environment, which cannot change.
+    /// The address of discovery in the file. At the start the environment takes precedence over the
+    /// file. A new address in a reloaded file takes precedence over the environment, which cannot
+    /// change.
     discovery_in_file: Option<SocketAddr>,
     source: DiscoverySource,
     catalog: SharedPlatformCatalog,
@@ -106,6 +110,8 @@
 }
 
 impl PlatformReload {
+    /// Creates the source for the configuration that the process started with. Reloads update the
+    /// discovery source and the catalog.
     pub(super) fn new(
         config: &Config,
         source: DiscoverySource,
@@ -165,6 +171,7 @@
 }
 
 impl InventoryReload {
+    /// Creates the source for this edge; reloads update the catalog.
     pub(super) fn new(edge: EdgeConfig, catalog: SharedCatalog) -> Self {
         InventoryReload { edge, catalog }
     }
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -1,4 +1,5 @@
-//! A service: a front with its coordinator, client connections and connections to servers.
+//! A service: a front with its coordinator, client connections and connections to servers. Built by
+//! [`super::wiring`], started here.
 
 use super::coordinator_loop::{CoordinatorLoop, CoordinatorParts};
 use super::generations::ProcessGenerations;
@@ -19,32 +20,32 @@
 
 /// A service before its start.
 pub(super) struct Service {
-    /// Its name in the log.
+    /// The name of the service in the log.
     pub(super) name: String,
-    /// Where clients connect.
+    /// The configured address for clients.
     pub(super) listen: SocketAddr,
     /// The limits of its client connections.
     pub(super) limits: ClientLimits,
-    /// Its protocol towards clients.
+    /// The protocol towards clients.
     pub(super) front: Box<dyn Front>,
     /// The phases of its startup and shutdown.
     pub(super) lifecycle: Arc<Lifecycle>,
-    /// Where inputs of the coordinator are sent.
+    /// The coordinator's inbox.
     pub(super) inbox: Sender<Input>,
-    /// Its coordinator.
+    /// The coordinator and the parts of its loop.
     pub(super) coordinator: CoordinatorParts,
 }
 
-/// A service that was started.
+/// A service after its start.
 pub(super) struct RunningService {
-    /// Its client connections.
+    /// The client connections.
     pub(super) clients: Arc<ClientConnections>,
-    /// Its coordinator's coroutine, which returns after a shutdown.
+    /// The coordinator's coroutine, which returns after a shutdown.
     pub(super) coordinator: JoinHandle<()>,
 }
 
 impl Service {
-    /// Starts to accept connections and to run the coordinator.
+    /// Starts to accept connections, and starts the coordinator.
     pub(super) fn start(
         self,
         listener: Listener,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Starts the timer, which wakes the coordinator by an input.
+    /// Starts the timer that wakes the coordinator by an input.
     fn start_timer(&self, clock: Clock) -> Result<Timer, ServerError> {
         let inbox = self.inbox.clone();
         // The receiver outlives the timer.
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -1,29 +1,32 @@
-//! The timetable of a graceful shutdown. Pure: it is fed the time and what is pending, and tells the phase.
+//! The schedule of a graceful shutdown. A pure state machine: it is given the time and the pending
+//! work, and returns the phase. The coordinator's loop acts on the phases.
 //!
-//! The platform kills a process no sooner than its longest deadline, or 3 s if that is shorter, and 0.7 s after the signal.
-//! Everything that is accepted is answered 0.2 s before that. Until 0.3 s before the last answers the process serves on as
-//! before, since its clients use their connections for as long as these are open.
+//! After the signal the platform waits for the longest deadline (at most [`MAX_DEADLINE`]) and
+//! [`KILL_GRACE`] before it kills a process. All accepted queries are answered [`KILL_MARGIN`]
+//! before the kill. The process serves as before until [`CLOSING_TIME`] before the last answers,
+//! since clients use their connections for as long as these are open.
 
 use crate::interface::Settings;
 use crate::time::Micros;
 
 /// The longest deadline that the platform waits for before it kills a process.
 const MAX_DEADLINE: Micros = Micros::from_secs(3);
-/// The platform kills a process no sooner than this after the longest deadline.
+/// The time from the longest deadline to the earliest kill.
 const KILL_GRACE: Micros = Micros::from_millis(700);
-/// The last answers are given this long before the kill,
+/// The time from the last answers to the earliest kill.
 const KILL_MARGIN: Micros = Micros::from_millis(200);
-/// and connections are closed from this long before the last answers on.
+/// The time before the last answers in which idle connections are closed.
 const CLOSING_TIME: Micros = Micros::from_millis(300);
-/// Connections are closed no sooner than this after the signal, however short all deadlines are: new connections go on
-/// coming for 0.2 to 0.4 s after SIGTERM.
+/// The shortest time from the signal until connections are closed, however short the deadlines are:
+/// clients go on connecting for a while after the signal.
 const MIN_DRAINING: Micros = Micros::from_millis(450);
-/// Connections whose clients are owed nothing do not keep the process from exiting this long before the kill.
+/// The time before the earliest kill from which connections without a pending response no longer
+/// delay the exit.
 const EXIT_MARGIN: Micros = Micros::from_millis(50);
-/// The process exits this long after the signal, whatever is pending.
+/// The time from the signal to the exit, whatever is pending.
 const MAX_SHUTDOWN: Micros = Micros::from_secs(8);
 
-/// The longest deadline of a class: no query is pending for longer.
+/// Returns the longest deadline of a class, after which no query is pending.
 pub(super) fn longest_deadline(settings: &Settings) -> Micros {
     Micros::from_nanos(
         settings
@@ -35,42 +38,45 @@
     )
 }
 
-/// A phase of a graceful shutdown, in the order of time.
+/// A phase of a graceful shutdown, in chronological order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Requests are served as before. Only a process with a successor may exit, as it accepts nothing.
+    /// Requests are served as before. The process may exit only if a successor accepts in its
+    /// place.
     Draining,
-    /// Connections are closed as soon as they are idle; the process may exit once none is open.
+    /// Connections are closed as soon as they are idle. The process may exit once none is open.
     Closing,
-    /// As before, but the process may exit although connections are open whose clients are owed nothing.
+    /// As in [`ShutdownPhase::Closing`], but connections without a pending response do not delay
+    /// the exit.
     LastResponses,
     /// The process exits, whatever is pending.
     Expired,
 }
 
-/// What a process that shuts down still has to do.
+/// The pending work of a process that shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Queries that are not answered.
+    /// The number of queries that are not answered.
     pub queries: usize,
-    /// Open connections, or from [`ShutdownPhase::LastResponses`] on those whose clients are owed a response.
+    /// The number of open connections; from [`ShutdownPhase::LastResponses`] on, of those with a
+    /// pending response.
     pub connections: usize,
 }
 
 impl ShutdownPhase {
-    /// Whether idle connections are to be closed.
+    /// Returns whether idle connections have to be closed.
     #[must_use]
     pub fn closes_connections(self) -> bool {
         self >= ShutdownPhase::Closing
     }
 
-    /// Whether connections whose clients are owed nothing count as pending.
+    /// Returns whether connections without a pending response count as pending work.
     #[must_use]
     pub fn waits_for_idle_connections(self) -> bool {
         self < ShutdownPhase::LastResponses
     }
 
-    /// Whether the process may exit once no connection is left in the backlog of its listening socket.
+    /// Returns whether the process may exit if the backlog of its listening socket is empty.
     #[must_use]
     pub fn may_exit(self, successor_accepts: bool, pending: PendingWork) -> bool {
         let drained = pending.queries == 0 && pending.connections == 0;
@@ -78,8 +84,8 @@
     }
 }
 
-/// When the phases of one shutdown begin. Settings that are reloaded after the signal do not change it, since they do not
-/// change when the platform kills the process.
+/// The times at which the phases of one shutdown begin. Settings that are reloaded after the signal
+/// do not change them, since they do not change when the platform kills the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
     signalled_at: Micros,
@@ -88,7 +94,8 @@
 }
 
 impl ShutdownSchedule {
-    /// The schedule of a shutdown that was requested at this time, by its longest deadline then.
+    /// Creates the schedule of a shutdown that was requested at `signalled_at`, by the longest
+    /// deadline of a query at that time.
     #[must_use]
     pub fn new(signalled_at: Micros, longest_deadline: Micros) -> Self {
         let kill_time = longest_deadline.min(MAX_DEADLINE) + KILL_GRACE;
@@ -98,13 +105,13 @@
         }
     }
 
-    /// When every query that is accepted must have its answer.
+    /// Returns the time by which every accepted query must be answered.
     #[must_use]
     pub fn final_deadline(&self) -> Micros {
         self.signalled_at + self.answer_time
     }
 
-    /// The phase at this time.
+    /// Returns the phase at the time `now`.
     #[must_use]
     pub fn phase(&self, now: Micros) -> ShutdownPhase {
         let elapsed = now.since(self.signalled_at);
@@ -121,16 +128,17 @@
     }
 }
 
-/// The shutdown of a process, which may not have been requested yet.
+/// The shutdown of a process, requested or not.
 #[derive(Debug)]
 pub struct GracefulShutdown {
-    /// The longest deadline of a query under the present settings.
+    /// The longest deadline of a query under the current settings.
     longest_deadline: Micros,
+    /// The schedule; `None` until the shutdown starts.
     schedule: Option<ShutdownSchedule>,
 }
 
 impl GracefulShutdown {
-    /// A shutdown that has not been requested.
+    /// Creates a shutdown that was not requested.
     #[must_use]
     pub fn new(longest_deadline: Micros) -> Self {
         GracefulShutdown {
@@ -139,12 +147,12 @@
         }
     }
 
-    /// Notes the longest deadline under new settings.
+    /// Records the longest deadline of a query under new settings.
     pub fn set_longest_deadline(&mut self, longest_deadline: Micros) {
         self.longest_deadline = longest_deadline;
     }
 
-    /// Starts the shutdown, as it was requested. Returns whether it had not started before.
+    /// Starts the shutdown. Returns whether it had not started before.
     pub fn start(&mut self, now: Micros) -> bool {
         let starts = self.schedule.is_none();
         self.schedule
@@ -152,7 +160,7 @@
         starts
     }
 
-    /// The schedule, once the shutdown has started.
+    /// Returns the schedule once the shutdown has started.
     #[must_use]
     pub fn schedule(&self) -> Option<ShutdownSchedule> {
         self.schedule
--- a/src/net/server/shutdown/tests.rs
+++ b/src/net/server/shutdown/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the timetable of a graceful shutdown.
+//! Tests of the schedule of a graceful shutdown.
 
 use super::*;
 use ShutdownPhase::{Closing, Draining, Expired, LastResponses};
--- a/src/net/server/signals.rs
+++ b/src/net/server/signals.rs
@@ -1,4 +1,4 @@
-//! Signals sent to the process.
+//! Signals sent to the process, recorded for the coordinators to poll.
 
 use super::ServerError;
 use crate::coordinator::COUNTERS;
@@ -7,25 +7,27 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// Stack of the thread that waits for signals, in bytes.
+/// The stack of the thread that waits for signals, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 
-/// What signals have asked for so far.
+/// The requests made by signals so far.
 #[derive(Debug, Default)]
 pub(super) struct Signals {
+    /// Whether a shutdown was requested.
     shutdown_requested: AtomicBool,
+    /// The number of reloads that were requested.
     reloads_requested: AtomicU64,
 }
 
 impl Signals {
-    /// Waits for signals on a thread: SIGTERM and SIGINT ask for a shutdown, SIGHUP for a reload, and SIGUSR1 logs the
-    /// counters.
+    /// Starts a thread that waits for signals. SIGTERM and SIGINT request a shutdown, SIGHUP a
+    /// reload, and SIGUSR1 logs the counters.
     pub(super) fn listen() -> Result<Arc<Self>, ServerError> {
         let signals = Arc::new(Signals::default());
         let received = signals.clone();
         let mut incoming = iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP])
             .map_err(ServerError::Signals)?;
-        // A thread of its own: waiting for a signal would block the worker.
+        // A separate thread, since waiting for a signal would block the worker.
         std::thread::Builder::new()
             .stack_size(STACK_BYTES)
             .spawn(move || {
@@ -47,12 +49,12 @@
         }
     }
 
-    /// Whether a shutdown was asked for.
+    /// Returns whether a shutdown was requested.
     pub(super) fn shutdown_requested(&self) -> bool {
         self.shutdown_requested.load(Relaxed)
     }
 
-    /// How often a reload was asked for.
+    /// Returns the number of reloads that were requested.
     pub(super) fn reloads_requested(&self) -> u64 {
         self.reloads_requested.load(Relaxed)
     }
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -1,12 +1,15 @@
-//! The startup of a service: it ends once the endpoint list is known, or was waited for long enough.
+//! The startup of a service, which ends once the endpoint list is known or the time to wait for it
+//! is over.
 
 use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// Without a message from discovery, the process counts as ready with the cached endpoint list after this time.
+/// The time after which a process without a message from discovery serves requests with the cached
+/// endpoint list.
 const MAX_WAIT_FOR_ENDPOINTS: Micros = Micros::from_millis(400);
-/// The health check waits this long for discovery: the platform starts coordinators while discovery is down, too.
+/// The time after which the health check succeeds without discovery: the platform may start
+/// coordinators while discovery is down.
 const MAX_WAIT_FOR_DISCOVERY: Micros = Micros::from_millis(3_000);
 
 /// The startup of one service.
@@ -16,7 +19,7 @@
 }
 
 impl Startup {
-    /// A startup that begins at this time.
+    /// Creates a startup that begins at this time.
     pub(super) fn new(lifecycle: Arc<Lifecycle>, started_at: Micros) -> Self {
         Startup {
             lifecycle,
@@ -24,7 +27,8 @@
         }
     }
 
-    /// Moves on to the phase of this time, after a turn of the coordinator.
+    /// Advances the startup to the phase at the time `now`. Called after each turn of the
+    /// coordinator.
     pub(super) fn advance(&self, now: Micros) {
         self.lifecycle.advance_startup(self.phase(now));
     }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -1,4 +1,4 @@
-//! Building the services that are configured.
+//! Construction of the configured services from their configuration.
 
 use super::coordinator_loop::CoordinatorParts;
 use super::reload::{InventoryReload, PlatformReload, Reload};
@@ -22,7 +22,7 @@
 use may::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
 
-/// Builds the service that speaks the platform's protocol, and starts to watch discovery.
+/// Builds the service for the platform's protocol, and starts the discovery watch.
 pub(super) fn platform_service(
     config: &Config,
     clock: Clock,
@@ -36,7 +36,8 @@
     let lifecycle = Arc::new(Lifecycle::default());
     watch_discovery(config, clock, revision, &source, &inbox, &lifecycle)?;
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
-    // In an upgrade both processes have one seed; with the same one they would choose the same servers in step.
+    // Both processes of an upgrade have the same configured seed, with which they would choose the
+    // same servers at the same time.
     let seed = if has_predecessor {
         config.seed ^ (u64::from(std::process::id()) << 32)
     } else {
@@ -70,7 +71,7 @@
     })
 }
 
-/// Sends the endpoint list of the configuration to the coordinator and returns its revision, 0 if there is none.
+/// Sends the cached endpoint list to the coordinator and returns its revision; 0 if there is none.
 fn load_known_endpoints(config: &Config, clock: Clock, inbox: &Sender<Input>) -> u64 {
     match parse_cached_endpoint_list(&config.known_endpoints, clock.now(), unix_ms()) {
         Ok(known) => {
@@ -119,7 +120,7 @@
     lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     let capacity = Arc::new(ServerCapacity::default());
     let key = CursorKey::new(&edge.cursor_key()?);
-    // Two edges that start at the same time must not choose the same servers in step.
+    // Two edges that start at the same time must not choose the same servers at the same time.
     let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
     Ok(Service {
         name: "feature queries".to_owned(),
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -1,29 +1,31 @@
-//! A timer thread that wakes a coroutine at a set time.
+//! A timer thread that wakes a coroutine at a set time. The caller decides what the wake-up does.
 //!
-//! The runtime's own timed wait can lose its wake-up: it starts its timer before the coroutine is registered where the
-//! timer looks for it, and if the operating system suspends the thread in between for longer than the wait, the coroutine
-//! waits for ever. So coroutines wait without a limit, and this thread sends them a message when their time has come.
+//! The runtime's own timed wait can lose its wake-up: it starts its timer before the coroutine is
+//! registered where the timer looks for it. If the operating system suspends the thread in between
+//! for longer than the wait, the coroutine waits for ever. Coroutines therefore wait without a
+//! limit, and this thread sends them a message at the set time.
 
 use crate::sync;
 use crate::time::{Clock, Micros};
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
-/// Stack of the thread, in bytes.
+/// The stack of the timer thread, in bytes.
 const STACK_BYTES: usize = 128 * 1024;
 
+/// The timer's setting and the state of its thread.
 #[derive(Default)]
 struct State {
-    /// When to fire next; `None`: not until it is set again.
+    /// The time to fire; `None` until a time is set.
     due: Option<Micros>,
-    /// Until when the thread sleeps; `None`: until it is notified.
+    /// The time until which the thread sleeps; `None` while it sleeps until notified.
     wakes_at: Option<Micros>,
+    /// Whether the thread has to end.
     stopped: bool,
 }
 
 impl State {
-    /// Called when the thread is awake. Returns whether the timer fires now; if not, the thread is to sleep until
-    /// `wakes_at`.
+    /// Returns whether the timer fires now. If not, the thread has to sleep until `wakes_at`.
     fn poll(&mut self, now: Micros) -> bool {
         let fires = self.due.is_some_and(|due| due <= now);
         if fires {
@@ -33,30 +35,32 @@
         fires
     }
 
-    /// Sets the time to fire. Returns whether the thread must be woken for it: one that wakes earlier finds the new time by
-    /// itself.
+    /// Sets the time to fire. Returns whether the thread must be woken: a thread that wakes earlier
+    /// anyway reads the new time then.
     fn set(&mut self, due: Micros) -> bool {
         self.due = Some(due);
         self.wakes_at.is_none_or(|wakes_at| due < wakes_at)
     }
 }
 
+/// The state that the timer and its thread share.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
     changed: Condvar,
 }
 
-/// A timer for one time at a time. Its thread ends when it is dropped.
+/// A timer with one setting at a time. Dropping it ends its thread.
 pub struct Timer {
     shared: Arc<Shared>,
 }
 
 impl Timer {
-    /// Starts the thread; no time is set yet. `fire` is called on it each time the timer fires.
+    /// Starts the thread with no time set. `fire` is called on the thread each time the timer
+    /// fires.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// Fails if the thread cannot be started.
     pub fn start(clock: Clock, fire: impl Fn() + Send + 'static) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
         let seen = shared.clone();
@@ -67,7 +71,8 @@
         Ok(Timer { shared })
     }
 
-    /// Fires once at that time, or as soon after it as the machine allows. Replaces an earlier setting.
+    /// Sets the timer to fire once at `due`, or as soon as possible after it. Replaces an earlier
+    /// setting.
     pub fn set(&self, due: Micros) {
         if sync::lock(&self.shared.state).set(due) {
             self.shared.changed.notify_one();
--- a/src/net/timer/tests.rs
+++ b/src/net/timer/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_coroutine_that_waits_for_a_microsecond_is_always_woken() {
-    // With the runtime's timed wait this hung within some thousand rounds.
+    // The runtime's own timed wait hangs here within some thousand rounds.
     let (clock, (inbox, arrivals)) = (Clock::start(), may::sync::mpsc::channel());
     let timer = Timer::start(clock, move || inbox.send(()).expect("it waits")).expect("a thread");
     let rounds = move || {
--- a/src/net/watch/backoff.rs
+++ b/src/net/watch/backoff.rs
@@ -1,51 +1,58 @@
-//! How long to wait before the discovery watch is opened again, and how long for its first message.
+//! The backoff between discovery watches, and the timeout for the first message of each.
 
 use super::SILENCE_TIMEOUT;
 use crate::interface::Nanos;
 use crate::time::Micros;
 use std::time::Duration;
 
-/// The first and the longest value of something that doubles from attempt to attempt, in milliseconds.
+/// The first and the longest value of a delay or timeout that doubles with each attempt, in
+/// milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct DelayRange {
     min_ms: u64,
     max_ms: u64,
 }
 
-/// Delays between attempts where an agent beside the coordinator serves the endpoint lists: it answers at no cost, and
-/// the coordinator counts as notified of all that the agent has, also right after the agent was silent.
+/// The delays where an agent beside the coordinator serves the endpoint lists. Polling it costs
+/// nothing, and the coordinator counts as notified of all that the agent knows, even right after
+/// the agent was silent.
 const AGENT_DELAY: DelayRange = DelayRange {
     min_ms: 25,
     max_ms: 250,
 };
-/// Timeouts for the first message of such an agent: it answers at once, and a watch that was opened while the agent was
-/// silent may never be answered. They grow, since no short timeout would be met while the machine is slow.
+/// The timeouts for the first message of such an agent, which answers at once. A watch that was
+/// opened while the agent was silent may never be answered. The timeouts grow, since no short one
+/// would be met while the machine is slow.
 const AGENT_FIRST_MESSAGE_TIMEOUT: DelayRange = DelayRange {
     min_ms: 500,
     max_ms: SILENCE_TIMEOUT.0 / MICROS_PER_MILLI,
 };
-/// Where one discovery service serves all coordinators, the delays go from this fraction of the poll interval that the
-/// settings allow up to the whole of it. Discovery serves few calls at once and lets the others time out, so the total rate
-/// of calls has to fall until some of them are served.
+/// The ratio of the longest delay to the first one where one discovery service serves all
+/// coordinators. The longest delay is the poll interval that the settings allow. Such a service
+/// rejects calls beyond a few at a time, so the total rate of calls has to fall until some of them
+/// are served.
 const SHARED_MIN_DELAY_DIVISOR: u64 = 10;
-/// The shortest poll interval that is respected, in milliseconds.
+/// The lower bound on the poll interval of the settings, in milliseconds.
 const MIN_SHARED_POLL_INTERVAL_MS: u64 = 1_000;
 /// The timeout for the first message of a shared discovery service, which answers late.
 pub(super) const SHARED_FIRST_MESSAGE_TIMEOUT: Micros = Micros::from_millis(4_500);
 
+/// The number of microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// An exponential backoff with jitter: coordinators that lost their watches at the same moment do not return at the same
-/// moment.
+/// An exponential backoff with jitter: coordinators that lost their watches at the same time do not
+/// return at the same time.
 #[derive(Debug)]
 pub struct Backoff {
+    /// The last delay before its jitter, in milliseconds; 0 after a reset.
     delay_ms: u64,
+    /// The timeout for the first message of the next watch to an agent, in milliseconds.
     first_message_timeout_ms: u64,
     rng: fastrand::Rng,
 }
 
 impl Backoff {
-    /// A backoff that starts with the shortest delay; `seed` sets its jitter.
+    /// Creates a backoff that starts with the shortest delay; `seed` sets its jitter.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Backoff {
@@ -55,10 +62,11 @@
         }
     }
 
-    /// The delay after a watch has ended. It starts anew if that watch brought an endpoint list, and doubles otherwise.
+    /// Returns the delay after a watch has ended. Restarts with the first delay if that watch
+    /// brought an endpoint list, and doubles the delay otherwise.
     ///
-    /// `max_poll_interval` is set where lists are polled from a shared discovery service: a coordinator that does not poll
-    /// within it counts as notified.
+    /// `max_poll_interval` (nanoseconds) is set where lists are polled from a shared discovery
+    /// service: a coordinator that does not poll within it counts as notified.
     pub(super) fn next_delay(
         &mut self,
         list_received: bool,
@@ -77,12 +85,12 @@
         Duration::from_millis(self.rng.u64(self.delay_ms / 2..=self.delay_ms))
     }
 
-    /// Starts the delays anew; the timeout for the first message stays.
+    /// Restarts with the first delay. Keeps the timeout for the first message.
     pub(super) fn reset_delay(&mut self) {
         self.delay_ms = 0;
     }
 
-    /// How long the first message of the next watch is waited for.
+    /// Returns the timeout for the first message of the next watch.
     pub(super) fn first_message_timeout(&self, max_poll_interval: Option<Nanos>) -> Micros {
         match max_poll_interval {
             Some(_) => SHARED_FIRST_MESSAGE_TIMEOUT,
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -3,8 +3,9 @@
 
 const POLL_INTERVAL: Nanos = 10_000_000_000;
 
-/// How many coordinators get an endpoint list within 30 s from one discovery service that serves 12 calls a second in turn,
-/// also those whose caller has timed out after 2 s, and rejects calls beyond its queue.
+/// Returns how many coordinators get an endpoint list within 30 s from one discovery service. The
+/// service handles 12 calls a second in turn, including those whose caller has timed out after 2 s,
+/// and rejects calls beyond its queue.
 fn coordinators_served(max_poll_interval: Option<Nanos>) -> usize {
     const COORDINATORS: usize = 100;
     const CALLER_TIMEOUT_MS: u64 = 2_000;
@@ -34,7 +35,7 @@
 
 #[test]
 fn load_on_a_shared_discovery_falls_until_all_coordinators_are_served() {
-    // Coordinators that returned after 25 ms to 1 s kept discovery busy with calls that nobody waited for.
+    // Short delays keep discovery busy with calls whose callers have timed out.
     let without_limit = coordinators_served(None);
     assert!(
         without_limit < 60,
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -1,5 +1,8 @@
-//! The watch on the discovery service: it continues from the revision already known and is opened again whenever it ends
-//! or falls silent.
+//! The watch on the discovery service, which continues from the last known revision and is opened
+//! again whenever it ends or falls silent. Passes endpoint lists to the coordinator; the protocol
+//! is in `proto::discovery`.
+//!
+//! The counters of ended watches and rejected lists are global, as `net` states.
 
 mod backoff;
 mod source;
@@ -18,22 +21,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Discovery sends something every 2 s: a watch that is silent for longer than this is dead. What it misses counts as
-/// notified 6 s after its last message, so the other half of that is left for opening it again.
+/// The time without a message after which a watch counts as dead; discovery sends something every 2
+/// s. A coordinator counts as notified of a change 6 s after its last message, so half of that time
+/// is left to open the watch again.
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(3);
-/// How often a silent watch, and a coordinator that waits to open one, checks whether discovery has moved.
+/// The interval at which a silent watch, and a coordinator that waits to open one, checks whether
+/// discovery has moved.
 const MOVE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The timeout of a connect to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How a watch ended without an error.
+/// The end of a watch without an error.
 enum WatchEnd {
-    /// Discovery closed it in good order.
+    /// Discovery closed the connection in an orderly way.
     Closed,
-    /// Discovery is at another address now.
+    /// A reload has changed the address of discovery.
     SourceMoved,
 }
 
-/// How a watch failed.
+/// The end of a watch by an error.
 #[derive(Debug, thiserror::Error)]
 enum WatchFailure {
     #[error(transparent)]
@@ -42,24 +48,24 @@
     Protocol(#[from] WatchError),
 }
 
-/// Follows discovery and passes its endpoint lists on to the coordinator.
+/// The coroutine that follows discovery and passes its endpoint lists to the coordinator.
 pub struct Watcher {
     /// The discovery service to follow.
     pub source: DiscoverySource,
-    /// The last revision that is known; 0 requests the complete list.
+    /// The last known revision; 0 requests the complete list.
     pub revision: u64,
-    /// Where endpoint lists go.
+    /// The coordinator's inbox, which receives the endpoint lists.
     pub inbox: Sender<Input>,
-    /// The time base of the lists.
+    /// The clock of the lists' timestamps.
     pub clock: Clock,
-    /// Moves on once discovery has sent a list.
+    /// The life cycle of the service, advanced when discovery has sent a list.
     pub lifecycle: Arc<Lifecycle>,
-    /// The delays between two watches.
+    /// The delays between watches.
     pub backoff: Backoff,
 }
 
 impl Watcher {
-    /// Follows discovery for as long as the program runs.
+    /// Follows discovery for as long as the process runs.
     pub fn run(mut self) {
         loop {
             let revision_before = self.revision;
@@ -86,7 +92,8 @@
         });
     }
 
-    /// Waits for `delay`, but not on after discovery has moved: a reload that moves it takes effect within seconds.
+    /// Sleeps for `delay`, but stops when discovery has moved: a reload that moves it must take
+    /// effect within seconds.
     fn sleep_unless_moved(&self, delay: Duration, address: SocketAddr) {
         let mut remaining = delay;
         while !remaining.is_zero() && self.source.address() == address {
@@ -105,7 +112,7 @@
         let mut response = WatchResponse::default();
         let mut last_received = self.clock.now();
         loop {
-            // The old address may go on sending for a while; that is not waited for.
+            // The old address may go on sending for a while, which is ignored.
             if self.source.address() != address {
                 return Ok(WatchEnd::SourceMoved);
             }
@@ -134,11 +141,12 @@
         Ok(stream)
     }
 
-    /// Passes on the lists that are complete; true: the response has ended.
+    /// Passes on the lists that are complete. Returns whether the response has ended.
     fn process(&mut self, response: &mut WatchResponse, now: Micros) -> Result<bool, WatchError> {
         let progress = response.advance(now, unix_ms()).inspect_err(|_| {
             COUNTERS.bad_endpoint_updates.increment();
-            // What the message contained is unknown, so later deltas would not apply: the complete list is requested.
+            // The content of the message is unknown, so later deltas would not apply: the complete
+            // list is requested.
             self.revision = 0;
         })?;
         for update in progress.updates {
@@ -148,7 +156,7 @@
     }
 
     fn publish(&mut self, list: EndpointListUpdate) {
-        // Discovery may go back to an older revision; changes since the newest one are requested.
+        // Discovery may go back to an older revision; the next watch continues from the newest one.
         self.revision = list.revision.max(self.revision);
         let _ = self.inbox.send(Input::EndpointUpdate(list.update));
         self.lifecycle
--- a/src/net/watch/source.rs
+++ b/src/net/watch/source.rs
@@ -1,12 +1,12 @@
-//! Where discovery is and how often it has to be polled.
+//! The address and the poll interval of discovery, which a reload may change.
 
 use crate::interface::Nanos;
 use crate::sync::lock;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The discovery service that a watch follows. A reload of the configuration may change it while it is followed, so that
-/// clones share one state.
+/// The discovery service that a watch follows. Clones share one state, since a reload of the
+/// configuration may change it while it is followed.
 #[derive(Debug, Clone)]
 pub struct DiscoverySource(Arc<Mutex<SourceSettings>>);
 
@@ -17,8 +17,8 @@
 }
 
 impl DiscoverySource {
-    /// Discovery at this address. `max_poll_interval` is set where lists are polled: a coordinator that does not poll within
-    /// it counts as notified.
+    /// Creates the source at this address. `max_poll_interval` (nanoseconds) is set where lists are
+    /// polled: a coordinator that does not poll within it counts as notified.
     #[must_use]
     pub fn new(address: SocketAddr, max_poll_interval: Option<Nanos>) -> Self {
         DiscoverySource(Arc::new(Mutex::new(SourceSettings {
@@ -31,23 +31,25 @@
         lock(&self.0)
     }
 
-    /// The current address.
+    /// Returns the current address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.lock().address
     }
 
-    /// The current longest interval between two polls, where lists are polled.
+    /// Returns the current longest interval between two polls, in nanoseconds, where lists are
+    /// polled.
     pub(super) fn max_poll_interval(&self) -> Option<Nanos> {
         self.lock().max_poll_interval
     }
 
-    /// Moves discovery to another address. The endpoint list in use stays; the watch goes on from its last revision.
+    /// Changes the address of discovery. The endpoint list in use stays, and the watch continues
+    /// from its last revision.
     pub fn set_address(&self, address: SocketAddr) {
         self.lock().address = address;
     }
 
-    /// Changes the longest interval between two polls.
+    /// Changes the longest interval between two polls, in nanoseconds.
     pub fn set_max_poll_interval(&self, max_poll_interval: Option<Nanos>) {
         self.lock().max_poll_interval = max_poll_interval;
     }
