--- a/src/net/clients/limits/tests.rs
+++ b/src/net/clients/limits/tests.rs
@@ -33,7 +33,8 @@
     assert_eq!(limits(1, 32).shared(2).connections, 1);
     // Two processes of an upgrade stay within the limits of one, and idle clients of the
     // predecessor are not evicted.
-    let (whole, half) = (limits(384, 48), limits(384, 48).halved());
+    let whole = limits(384, 48);
+    let half = whole.halved();
     assert!(half.connections * 2 <= whole.connections && half.bytes * 2 <= whole.bytes);
     assert_eq!(half.idle, whole.idle);
 }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -109,8 +109,11 @@
     assert_eq!(reload(&replaced).expect("a reload").discovery.port(), 7001);
     replaced["settings"]["limits"] = json!({});
     let error = reload(&replaced).expect_err("a lost key");
+    let ConfigError::Invalid { source, .. } = &error else {
+        panic!("{error:?}");
+    };
     assert!(
-        matches!(&error, ConfigError::Invalid { source, .. } if matches!(**source, ConfigFileError::MissingKey { .. })),
+        matches!(**source, ConfigFileError::MissingKey { .. }),
         "{error:?}"
     );
     assert_eq!(
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -68,11 +68,9 @@
 impl FetchDriver {
     /// Starts the driver on a coroutine of its own. Reports the attempt as not sent if that fails.
     pub(super) fn start(self) {
-        let (server, inbox, key) = (
-            self.server.clone(),
-            self.context.inbox.clone(),
-            self.request.key,
-        );
+        let server = self.server.clone();
+        let inbox = self.context.inbox.clone();
+        let key = self.request.key;
         if spawn(LARGE_STACK_WORDS, move || self.run()).is_err() {
             lock(&server).in_flight -= 1;
             let _ = inbox.send(Input::AttemptEnded {
@@ -111,11 +109,10 @@
             end: result.end,
         });
         for request in startable {
-            let (server, context) = (self.server.clone(), self.context.clone());
             FetchDriver {
                 request,
-                server,
-                context,
+                server: self.server.clone(),
+                context: self.context.clone(),
             }
             .start();
         }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -141,7 +141,11 @@
             None
         }
         Err(e) => {
-            tracing::warn!(path = %path.display(), error = %e, "socket hand-over from predecessor failed");
+            tracing::warn!(
+                path = %path.display(),
+                error = %e,
+                "socket hand-over from predecessor failed"
+            );
             None
         }
     }
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -186,7 +186,11 @@
             Err(error) => {
                 log_throttled(&COUNTERS.bad_frames, || {
                     let address = peer_name(stream);
-                    tracing::warn!(address, %error, "data node connection closed after a protocol error");
+                    tracing::warn!(
+                        address,
+                        %error,
+                        "data node connection closed after a protocol error"
+                    );
                 });
                 false
             }
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -75,6 +75,10 @@
         generations.set_successor(successor);
     });
     if let Err(e) = offered {
-        tracing::warn!(path = %path.display(), error = %e, "listening sockets cannot be offered to a successor");
+        tracing::warn!(
+            path = %path.display(),
+            error = %e,
+            "listening sockets cannot be offered to a successor"
+        );
     }
 }
--- a/src/proto/buffer.rs
+++ b/src/proto/buffer.rs
@@ -46,7 +46,8 @@
         if self.start < self.end {
             return;
         }
-        (self.start, self.end) = (0, 0);
+        self.start = 0;
+        self.end = 0;
         if self.bytes.len() > MAX_IDLE_CAPACITY {
             self.bytes = Vec::new();
         }
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
 
-const LIST: &str = r#"{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","state":"terminating","capacity_hint":1.25e-1}]}"#;
+const LIST: &str = concat!(
+    r#"{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","#,
+    r#""state":"terminating","capacity_hint":1.25e-1}]}"#
+);
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
