--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -22,6 +22,9 @@
 use may::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
 
+/// The number of bytes in a mebibyte, the unit of the memory in settings.
+const BYTES_PER_MIB: usize = 1024 * 1024;
+
 /// Builds the service for the platform's protocol, and starts the discovery watch.
 pub(super) fn platform_service(
     config: &Config,
@@ -36,18 +39,14 @@
     let lifecycle = Arc::new(Lifecycle::default());
     watch_discovery(config, clock, revision, &source, &inbox, &lifecycle)?;
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
-    // Both processes of an upgrade have the same configured seed, with which they would choose the
-    // same servers at the same time.
-    let seed = if has_predecessor {
-        config.seed ^ (u64::from(std::process::id()) << 32)
-    } else {
-        config.seed
-    };
+    let upstream = NodeClient::new(settings, inbox.clone(), clock);
+    let reload = PlatformReload::new(config, source, catalog.clone(), metrics.clone());
+    let seed = platform_seed(config, has_predecessor);
     Ok(Service {
         name: config.name.clone(),
         listen: config.listen,
         limits: ClientLimits::new(config.max_descriptors, config.max_memory),
-        front: Box::new(Platform::new(catalog.clone())),
+        front: Box::new(Platform::new(catalog)),
         coordinator: CoordinatorParts {
             coordinator: Coordinator::new(
                 settings.policy.clone(),
@@ -56,14 +55,9 @@
                 clock.now(),
                 metrics.clone(),
             ),
-            upstream: Box::new(NodeClient::new(settings, inbox.clone(), clock)),
+            upstream: Box::new(upstream),
             arrivals,
-            reload: Box::new(PlatformReload::new(
-                config,
-                source,
-                catalog,
-                metrics.clone(),
-            )),
+            reload: Box::new(reload),
             longest_deadline: longest_deadline(&settings.policy),
         },
         lifecycle,
@@ -71,6 +65,16 @@
     })
 }
 
+/// Returns the seed of the policy. Both processes of an upgrade have the same configured seed, with
+/// which they would choose the same servers at the same time.
+fn platform_seed(config: &Config, has_predecessor: bool) -> u64 {
+    if has_predecessor {
+        config.seed ^ (u64::from(std::process::id()) << 32)
+    } else {
+        config.seed
+    }
+}
+
 /// Sends the cached endpoint list to the coordinator and returns its revision; 0 if there is none.
 fn load_known_endpoints(config: &Config, clock: Clock, inbox: &Sender<Input>) -> u64 {
     match parse_cached_endpoint_list(&config.known_endpoints, clock.now(), unix_ms()) {
@@ -122,28 +126,25 @@
     let key = CursorKey::new(&edge.cursor_key()?);
     // Two edges that start at the same time must not choose the same servers at the same time.
     let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
+    let upstream = FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone());
+    let coordinator = CoordinatorParts {
+        coordinator: Coordinator::new(
+            edge.settings(),
+            edge.max_in_flight,
+            seed,
+            clock.now(),
+            metrics.clone(),
+        ),
+        upstream: Box::new(upstream),
+        arrivals,
+        reload: Box::new(reload),
+        longest_deadline: longest_deadline(&edge.settings()),
+    };
     Ok(Service {
         name: "feature queries".to_owned(),
         listen: edge.listen,
-        limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * 1024 * 1024),
-        coordinator: CoordinatorParts {
-            coordinator: Coordinator::new(
-                edge.settings(),
-                edge.max_in_flight,
-                seed,
-                clock.now(),
-                metrics.clone(),
-            ),
-            upstream: Box::new(FeatureClient::new(
-                &edge,
-                inbox.clone(),
-                clock,
-                capacity.clone(),
-            )),
-            arrivals,
-            reload: Box::new(reload),
-            longest_deadline: longest_deadline(&edge.settings()),
-        },
+        limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * BYTES_PER_MIB),
+        coordinator,
         front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
         lifecycle,
         inbox,
