--- a/src/proto/frames/codec/tests.rs
+++ b/src/proto/frames/codec/tests.rs
@@ -7,44 +7,66 @@
     }
 }
 
-#[test]
-fn invalid_frames_are_rejected_with_the_texts_of_the_log() {
-    let error = |text: &str| decode_error(letter::ANSWER, text.as_bytes());
-    let cases = [
-        (
-            decode_error(b'z', b""),
-            FrameError::UnknownLetter('z'),
-            "unknown letter 'z'",
-        ),
-        (
-            decode_error(letter::ERROR, b"old"),
-            FrameError::Rejected("old".to_owned()),
-            "refused: old",
-        ),
-        (
-            error("1.0 served 1 -"),
+/// A frame that is rejected, with its error and the text in the log.
+struct RejectedFrame {
+    letter: u8,
+    payload: &'static str,
+    error: FrameError,
+    text: &'static str,
+}
+
+fn rejected_answer(payload: &'static str, error: FrameError, text: &'static str) -> RejectedFrame {
+    RejectedFrame {
+        letter: letter::ANSWER,
+        payload,
+        error,
+        text,
+    }
+}
+
+fn rejected_frames() -> [RejectedFrame; 6] {
+    [
+        RejectedFrame {
+            letter: b'z',
+            payload: "",
+            error: FrameError::UnknownLetter('z'),
+            text: "unknown letter 'z'",
+        },
+        RejectedFrame {
+            letter: letter::ERROR,
+            payload: "old",
+            error: FrameError::Rejected("old".to_owned()),
+            text: "refused: old",
+        },
+        rejected_answer(
+            "1.0 served 1 -",
             FrameError::UnterminatedLine,
             "an answer with no end of its line",
         ),
-        (
-            error("1.0 served\n"),
+        rejected_answer(
+            "1.0 served\n",
             FrameError::MalformedLine,
             "an answer with a line that cannot be read",
         ),
-        (
-            error("1.0 served x -\nv"),
+        rejected_answer(
+            "1.0 served x -\nv",
             FrameError::MalformedValue,
             "an answer with a score or a value that cannot be read",
         ),
-        (
-            error("1.0 lost 1 -\n"),
+        rejected_answer(
+            "1.0 lost 1 -\n",
             FrameError::UnknownEnd("lost".to_owned()),
             "an answer with the unknown end \"lost\"",
         ),
-    ];
-    for (error, expected, text) in cases {
-        assert_eq!(error, expected);
-        assert_eq!(error.to_string(), text);
+    ]
+}
+
+#[test]
+fn invalid_frames_are_rejected_with_the_texts_of_the_log() {
+    for frame in rejected_frames() {
+        let error = decode_error(frame.letter, frame.payload.as_bytes());
+        assert_eq!(error, frame.error);
+        assert_eq!(error.to_string(), frame.text);
     }
     assert_eq!(
         FrameError::UnknownAttempt.to_string(),
