--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-/// A file that can be used.
+/// Returns a valid file.
 fn file() -> Value {
     json!({
         "name": "node-1",
@@ -25,7 +25,7 @@
     Config::parse(file.to_string().as_bytes(), EnvironmentOverrides::default())
 }
 
-/// The text of the error that the file gives with one change.
+/// Returns the text of the error of a file with one change.
 fn error_text(change: impl FnOnce(&mut Value)) -> String {
     let mut file = file();
     change(&mut file);
@@ -109,8 +109,11 @@
     assert_eq!(reload(&replaced).expect("a reload").discovery.port(), 7001);
     replaced["settings"]["limits"] = json!({});
     let error = reload(&replaced).expect_err("a lost key");
+    let ConfigError::Invalid { source, .. } = &error else {
+        panic!("{error:?}");
+    };
     assert!(
-        matches!(&error, ConfigError::Invalid { source, .. } if matches!(**source, ConfigFileError::MissingKey { .. })),
+        matches!(**source, ConfigFileError::MissingKey { .. }),
         "{error:?}"
     );
     assert_eq!(
