--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -1,6 +1,5 @@
 //! The merge of a query's pages, with or without a sort order.
 
-use super::resume::ResumePoint;
 use crate::front::ogc::config::{ClassConfig, EdgeConfig};
 use crate::front::ogc::paging::{
     ConcatMerge, ConcatProgress, FetchedPage, PageFetch, PageSlice, PagingLimits, ResumePosition,
@@ -40,20 +39,40 @@
     pub number_matched: Option<u64>,
 }
 
-/// Where the next response starts.
-pub(super) enum NextStart<'a> {
-    Position(&'a ResumePosition),
+/// The start of a response within the features of its query.
+pub(super) enum ResponseStart {
+    /// A position in a shard, in a response without a sort order.
+    Position(ResumePosition),
+    /// The values of the last feature of the response before, in a sorted response.
     AfterValues(Vec<Json>),
 }
 
+impl ResponseStart {
+    /// Returns the position in a shard; the first one if the response is sorted.
+    pub fn position(&self) -> ResumePosition {
+        match self {
+            ResponseStart::Position(position) => position.clone(),
+            ResponseStart::AfterValues(_) => ResumePosition::START,
+        }
+    }
+
+    /// Returns the values of the last feature of the response before, if the response is sorted.
+    pub fn after_values(&self) -> Option<&[Json]> {
+        match self {
+            ResponseStart::Position(_) => None,
+            ResponseStart::AfterValues(values) => Some(values),
+        }
+    }
+}
+
 impl Merge {
-    /// A merge for a query, at the point where it resumes.
+    /// Creates the merge for a response to a query.
     pub fn new(
         edge: &EdgeConfig,
         class: &ClassConfig,
         params: &Params,
         plans: &[ShardPlan],
-        resume_point: &ResumePoint,
+        start: &ResponseStart,
     ) -> Self {
         if params.sortby.is_empty() {
             let limits = PagingLimits {
@@ -66,7 +85,7 @@
                 min_shard_share: class.min_share,
                 idempotent: class.effect != UNSAFE_EFFECT,
             };
-            let start = resume_point.position.clone();
+            let start = start.position();
             return Merge::Concat(Box::new(ConcatMerge::new(limits, start, plans.len())));
         }
         let query = SortedQuery {
@@ -75,7 +94,7 @@
             page_size: edge.page_size,
             max_pages: edge.max_pages,
             min_shard_share: class.min_share,
-            after_values: resume_point.after_values().map(<[Json]>::to_vec),
+            after_values: start.after_values().map(<[Json]>::to_vec),
         };
         let sorted: Vec<bool> = plans.iter().map(|plan| plan.sorted).collect();
         Merge::Sorted(SortedMerge::new(query, &sorted))
@@ -135,10 +154,13 @@
     }
 
     /// Where the next response starts; `None` after the last.
-    pub fn next_start(&self) -> Option<NextStart<'_>> {
+    pub fn next_start(&self) -> Option<ResponseStart> {
         match self {
-            Merge::Concat(merge) => merge.resume_position().map(NextStart::Position),
-            Merge::Sorted(merge) => merge.resume_after().map(NextStart::AfterValues),
+            Merge::Concat(merge) => merge
+                .resume_position()
+                .cloned()
+                .map(ResponseStart::Position),
+            Merge::Sorted(merge) => merge.resume_after().map(ResponseStart::AfterValues),
         }
     }
 }
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -65,7 +65,8 @@
         };
         let plans = plans(&state, &request, &shards, &resume_point);
         let class = &state.edge.classes[client.class];
-        let merge = Merge::new(&state.edge, class, &request.params, &plans, &resume_point);
+        let start = &resume_point.start;
+        let merge = Merge::new(&state.edge, class, &request.params, &plans, start);
         let in_flight = Vec::new();
         let query = ItemsQuery {
             state,
@@ -243,7 +244,7 @@
         state,
         params,
         shards,
-        resume_point.after_values(),
+        resume_point.start.after_values(),
         resume_point.resumed_shard(),
     )
 }
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -1,6 +1,6 @@
 //! Where a query resumes by its cursor, and the cursor of its next response.
 
-use super::merge::NextStart;
+use super::merge::ResponseStart;
 use super::ItemsQuery;
 use crate::front::ogc::client_request::ItemsRequest;
 use crate::front::ogc::cursor::{Cursor, CursorError, CursorLink};
@@ -12,14 +12,13 @@
 use crate::front::ogc::state::FrontState;
 use crate::sync::lock;
 use crate::time::unix_ms;
-use serde_json::Value as Json;
 
 /// Where a query resumes.
 pub(super) struct ResumePoint {
     /// The cursor of the request, if it has one.
     cursor: Option<Cursor>,
-    /// Where a response without a sort order starts.
-    pub position: ResumePosition,
+    /// The start of the response.
+    pub start: ResponseStart,
 }
 
 impl ResumePoint {
@@ -32,7 +31,7 @@
         let Some(token) = &request.params.cursor else {
             return Ok(ResumePoint {
                 cursor: None,
-                position: ResumePosition::START,
+                start: ResponseStart::Position(ResumePosition::START),
             });
         };
         let cursor = state.cursor_key.open(
@@ -41,21 +40,19 @@
             unix_seconds(),
             state.edge.cursor_max_age_s,
         )?;
-        let position = match cursor.after_values {
-            None => position(state, &request.collection, &cursor, shards)?,
-            Some(_) => ResumePosition::START,
+        let start = match &cursor.after_values {
+            None => {
+                let position = position(state, &request.collection, &cursor, shards)?;
+                ResponseStart::Position(position)
+            }
+            Some(values) => ResponseStart::AfterValues(values.clone()),
         };
         Ok(ResumePoint {
             cursor: Some(cursor),
-            position,
+            start,
         })
     }
 
-    /// The values of the last feature of the response before, in a sorted response.
-    pub fn after_values(&self) -> Option<&[Json]> {
-        self.cursor.as_ref()?.after_values.as_deref()
-    }
-
     /// The shard that continues in pages started before.
     pub fn resumed_shard(&self) -> Option<ResumedShard> {
         let cursor = self
@@ -63,7 +60,7 @@
             .as_ref()
             .filter(|cursor| cursor.link.is_some())?;
         Some(ResumedShard {
-            index: self.position.shard,
+            index: self.start.position().shard,
             filtered_locally: cursor.filtered_locally,
         })
     }
@@ -75,8 +72,8 @@
         let mut cursor = Cursor::new(query_hash(&self.request), unix_seconds());
         match self.merge.next_start() {
             None => return Ok(None),
-            Some(NextStart::Position(position)) => self.set_position(&mut cursor, position),
-            Some(NextStart::AfterValues(values)) => cursor.after_values = Some(values),
+            Some(ResponseStart::Position(position)) => self.set_position(&mut cursor, &position),
+            Some(ResponseStart::AfterValues(values)) => cursor.after_values = Some(values),
         }
         let cursor = cursor.advanced_from(self.resume_point.cursor.as_ref())?;
         Ok(Some(self.state.cursor_key.seal(&cursor)))
