--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -31,15 +31,12 @@
 mod state;
 
 pub use catalog::Catalog;
-pub use state::SharedCatalog;
+pub use state::{FrontDependencies, SharedCatalog};
 
 use super::{Front, Reaction};
-use crate::coordinator::{Metrics, Token, COUNTERS};
-use crate::limits::ServerCapacity;
+use crate::coordinator::{Token, COUNTERS};
 use crate::proto::http::{HttpError, HttpRequest, Response};
 use crate::time::Micros;
-use config::EdgeConfig;
-use cursor::CursorKey;
 use delivery::DeliveryOptions;
 use error::ApiError;
 use handlers::IncomingRequest;
@@ -56,18 +53,11 @@
 }
 
 impl OgcFront {
-    /// A front with these settings, over a catalog that it shares with the driver.
+    /// Creates a front.
     #[must_use]
-    pub fn new(
-        edge: EdgeConfig,
-        catalog: SharedCatalog,
-        cursor_key: CursorKey,
-        metrics: Arc<Metrics>,
-        server_capacity: Arc<ServerCapacity>,
-    ) -> Self {
-        let state = FrontState::new(edge, catalog, cursor_key, metrics, server_capacity);
+    pub fn new(dependencies: FrontDependencies) -> Self {
         OgcFront {
-            state: Arc::new(state),
+            state: Arc::new(FrontState::new(dependencies)),
         }
     }
 }
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -17,6 +17,20 @@
 /// The catalog, shared by the front, the driver and reloads of the inventory.
 pub type SharedCatalog = Arc<Mutex<Catalog>>;
 
+/// The settings of a front and the objects that it shares with the rest of the program.
+pub struct FrontDependencies {
+    /// The settings of the edge file.
+    pub edge: EdgeConfig,
+    /// The catalog, shared with the driver.
+    pub catalog: SharedCatalog,
+    /// The key that authenticates cursors.
+    pub cursor_key: CursorKey,
+    /// The metrics of the classes.
+    pub metrics: Arc<Metrics>,
+    /// The pages per second that the servers together can return.
+    pub server_capacity: Arc<ServerCapacity>,
+}
+
 /// The state that all queries of the front share.
 pub(super) struct FrontState {
     pub edge: EdgeConfig,
@@ -30,14 +44,15 @@
 }
 
 impl FrontState {
-    /// The state of a front with these settings.
-    pub fn new(
-        edge: EdgeConfig,
-        catalog: SharedCatalog,
-        cursor_key: CursorKey,
-        metrics: Arc<Metrics>,
-        server_capacity: Arc<ServerCapacity>,
-    ) -> Self {
+    /// Creates the state of a front.
+    pub fn new(dependencies: FrontDependencies) -> Self {
+        let FrontDependencies {
+            edge,
+            catalog,
+            cursor_key,
+            metrics,
+            server_capacity,
+        } = dependencies;
         let capabilities = CapabilityCache::new(Micros::from_secs(edge.capability_max_age_s));
         let memory = (edge.memory_mb * 1024 * 1024).saturating_sub(BASE_MEMORY);
         let response_memory = (memory as f64 * RESPONSE_MEMORY_SHARE) as usize;
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -1,6 +1,7 @@
 //! The front without sockets: arbitrary requests get a problem document or start a query, and cursors of earlier releases
 //! are accepted.
 
+use super::config::EdgeConfig;
 use super::cql2;
 use super::cursor::CursorKey;
 use super::page_request::PageRequest;
@@ -16,13 +17,13 @@
     let catalog = SharedCatalog::default();
     let servers = edge.load_inventory().expect("sound");
     lock(&catalog).load(&servers, Micros::ZERO);
-    OgcFront::new(
+    OgcFront::new(FrontDependencies {
         edge,
         catalog,
-        CursorKey::new(b"a key"),
-        Arc::default(),
-        Arc::default(),
-    )
+        cursor_key: CursorKey::new(b"a key"),
+        metrics: Arc::default(),
+        server_capacity: Arc::default(),
+    })
 }
 
 /// The response to a connection's bytes; `None` if they start a query whose round fails, after capability discovery failed
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -8,7 +8,7 @@
 use crate::coordinator::{Coordinator, Input, Metrics};
 use crate::front::ogc::config::EdgeConfig;
 use crate::front::ogc::cursor::CursorKey;
-use crate::front::ogc::{OgcFront, SharedCatalog};
+use crate::front::ogc::{FrontDependencies, OgcFront, SharedCatalog};
 use crate::front::platform::{Platform, PlatformCatalog};
 use crate::limits::ServerCapacity;
 use crate::net::clients::ClientLimits;
@@ -143,7 +143,13 @@
             reload: Box::new(reload),
             longest_deadline: longest_deadline(&edge.settings()),
         },
-        front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
+        front: Box::new(OgcFront::new(FrontDependencies {
+            edge,
+            catalog,
+            cursor_key: key,
+            metrics: metrics.clone(),
+            server_capacity: capacity,
+        })),
         lifecycle,
         inbox,
     })
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -12,7 +12,7 @@
 use quinceflow::front::ogc::paging::{
     PageFetch, PageLocation, SortKey, SortedMerge, SortedProgress, SortedQuery,
 };
-use quinceflow::front::ogc::{OgcFront, SharedCatalog};
+use quinceflow::front::ogc::{FrontDependencies, OgcFront, SharedCatalog};
 use quinceflow::front::{Front, Reaction};
 use quinceflow::proto::fetch::FetchedResponse;
 use quinceflow::proto::http::{HttpRequest, ServerConnection};
@@ -154,13 +154,13 @@
     let edge = EdgeConfig::load(file).expect("sound");
     let catalog = SharedCatalog::default();
     lock(&catalog).load(&edge.load_inventory().expect("sound"), Micros::ZERO);
-    OgcFront::new(
+    OgcFront::new(FrontDependencies {
         edge,
         catalog,
-        CursorKey::new(b"k"),
-        Arc::default(),
-        Arc::default(),
-    )
+        cursor_key: CursorKey::new(b"k"),
+        metrics: Arc::default(),
+        server_capacity: Arc::default(),
+    })
 }
 
 /// Parses a request for the items of a collection from its bytes.
