--- /dev/null
+++ b/src/front/ogc/paging/concat_merge/current_shard.rs
@@ -0,0 +1,58 @@
+//! The progress of a response within its current shard.
+
+use super::super::page::FeaturePage;
+use super::features::FeaturesCheckpoint;
+use std::collections::HashSet;
+use std::hash::{BuildHasher, RandomState};
+
+/// The features and links of the current shard that were seen so far.
+#[derive(Debug)]
+pub(super) struct CurrentShard {
+    /// The hashes of the identifiers of the shard's features.
+    pub seen_ids: HashSet<u64>,
+    /// The hashes of the links followed, in this shard and in those before.
+    followed_links: HashSet<u64>,
+    hasher: RandomState,
+    /// The length of the response at the start of the shard; `None` if an earlier response
+    /// started the shard.
+    checkpoint: Option<FeaturesCheckpoint>,
+}
+
+impl CurrentShard {
+    /// Creates the progress in the first shard of a response. `checkpoint` is `None` if an earlier
+    /// response started the shard.
+    pub fn new(checkpoint: Option<FeaturesCheckpoint>) -> Self {
+        CurrentShard {
+            seen_ids: HashSet::new(),
+            followed_links: HashSet::new(),
+            hasher: RandomState::new(),
+            checkpoint,
+        }
+    }
+
+    /// Moves to the next shard.
+    pub fn advance(&mut self, checkpoint: FeaturesCheckpoint) {
+        self.checkpoint = Some(checkpoint);
+        self.seen_ids.clear();
+    }
+
+    /// Moves back to the start of the shard.
+    pub fn restart(&mut self) {
+        self.seen_ids.clear();
+        self.followed_links.clear();
+    }
+
+    /// Returns the length of the response at the start of the shard; `None` if an earlier response
+    /// started the shard.
+    pub fn checkpoint(&self) -> Option<FeaturesCheckpoint> {
+        self.checkpoint
+    }
+
+    /// Records that the `next` link of a page is followed. Returns whether that is the first time.
+    pub fn follow_link(&mut self, shard: usize, page: &FeaturePage) -> bool {
+        let link = self
+            .hasher
+            .hash_one((shard, &page.server, &page.next_target));
+        self.followed_links.insert(link)
+    }
+}
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -12,7 +12,7 @@
             return fetches;
         }
         fetches.extend(self.current_fetch());
-        let first_round = self.start == ResumePosition::START && self.fetched_pages == 0;
+        let first_round = self.start == ResumePosition::START && self.usage.is_empty();
         if first_round && self.shards.len() <= self.limits.max_initial_shards {
             self.add_initial_fetches(&mut fetches);
         } else if self.position.location == PageLocation::ShardStart {
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -4,6 +4,7 @@
 use crate::front::ogc::paging::PageFetch;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use std::collections::HashSet;
 
 /// Servers of shards with these numbers of features each. The text of a feature is its number in eight digits.
 struct Model {
@@ -69,7 +70,7 @@
                 .iter()
                 .map(|fetch| fetch.fetched(Some(self.page(fetch))))
                 .collect();
-            if merge.accept(pages, id) == ConcatProgress::Complete {
+            if merge.accept(pages, id) == MergeProgress::Complete {
                 return merge;
             }
         }
@@ -202,7 +203,7 @@
             .iter()
             .map(|fetch| fetch.fetched(Some(servers.page(fetch))))
             .collect();
-        if merge.accept(pages, id) == ConcatProgress::Complete {
+        if merge.accept(pages, id) == MergeProgress::Complete {
             break;
         }
     }
@@ -228,7 +229,7 @@
                 .map(|a| a.fetched((a.shard != missing).then(|| servers.page(a))))
                 .collect();
             match merge.accept(pages, id) {
-                ConcatProgress::NeedsPages => {}
+                MergeProgress::NeedsPages => {}
                 progress => return (progress, merge),
             }
         }
@@ -241,19 +242,19 @@
             merge.missing_shards(),
             merge.is_complete()
         ),
-        (ConcatProgress::Complete, 20, vec![1], false)
+        (MergeProgress::Complete, 20, vec![1], false)
     );
     assert!(
         merge.has_enough_shards()
             && merge.number_matched().is_none()
             && merge.resume_position().is_none()
     );
-    assert_eq!(run(1.0, 0).0, ConcatProgress::Failed);
+    assert_eq!(run(1.0, 0).0, MergeProgress::Failed);
     // The features before the missing shard are a complete response, which continues at that shard.
     let (progress, merge) = run(1.0, 1);
     assert_eq!(
         (progress, merge.count(), merge.is_complete()),
-        (ConcatProgress::Complete, 10, true)
+        (MergeProgress::Complete, 10, true)
     );
     assert_eq!(merge.resume_position().map(|p| p.shard), Some(1));
 }
@@ -286,14 +287,14 @@
             vec![fetched(0, 2, page("0000000100000001", Some("x"), Some(9)))],
             id
         ),
-        ConcatProgress::NeedsPages
+        MergeProgress::NeedsPages
     );
     assert_eq!(
         merge.accept(
             vec![fetched(0, 2, page("00000002", Some("x"), Some(8)))],
             id
         ),
-        ConcatProgress::Complete
+        MergeProgress::Complete
     );
     // The response continues where the cycle was found: its features are in order.
     assert_eq!(
@@ -316,7 +317,7 @@
             )],
             id
         ),
-        ConcatProgress::Complete
+        MergeProgress::Complete
     );
     assert_eq!(
         (merge.count(), merge.resume_position().map(|p| p.skip)),
@@ -337,11 +338,11 @@
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page("00000001", Some("x"), None))], id),
-        ConcatProgress::NeedsPages
+        MergeProgress::NeedsPages
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page("00000001", Some("y"), None))], id),
-        ConcatProgress::Complete
+        MergeProgress::Complete
     );
     assert_eq!(
         (merge.count(), merge.is_complete(), merge.missing_shards()),
@@ -352,8 +353,8 @@
 #[test]
 fn an_interrupted_shard_is_restarted_once_and_only_if_idempotent() {
     for (idempotent, expected) in [
-        (true, [ConcatProgress::NeedsPages, ConcatProgress::Complete]),
-        (false, [ConcatProgress::Complete, ConcatProgress::Complete]),
+        (true, [MergeProgress::NeedsPages, MergeProgress::Complete]),
+        (false, [MergeProgress::Complete, MergeProgress::Complete]),
     ] {
         let mut servers = model(&[700]);
         let mut merge = ConcatMerge::new(
@@ -372,7 +373,7 @@
                 .collect();
             merge.accept(pages, id)
         };
-        assert_eq!(round(&mut merge, true), ConcatProgress::NeedsPages);
+        assert_eq!(round(&mut merge, true), MergeProgress::NeedsPages);
         assert_eq!(
             round(&mut merge, false),
             expected[0],
@@ -381,7 +382,7 @@
         assert_eq!(merge.count(), if idempotent { 0 } else { 500 });
         if idempotent {
             assert_eq!(merge.next_fetches()[0].location, PageLocation::ShardStart);
-            assert_eq!(round(&mut merge, true), ConcatProgress::NeedsPages);
+            assert_eq!(round(&mut merge, true), MergeProgress::NeedsPages);
             assert_eq!(round(&mut merge, false), expected[1], "only once");
             assert_eq!(merge.count(), 500);
         }
--- a/src/front/ogc/paging/mod.rs
+++ b/src/front/ogc/paging/mod.rs
@@ -6,11 +6,13 @@
 
 mod concat_merge;
 mod page;
+mod progress;
 mod sort_key;
 mod sorted_merge;
 
-pub use concat_merge::{ConcatMerge, ConcatProgress, InterruptedShard, PagingLimits};
+pub use concat_merge::{ConcatMerge, InterruptedShard, PagingLimits};
 pub use page::{FeaturePage, FetchedPage, PageFetch, PageLocation, PageSlice, ResumePosition};
+pub use progress::MergeProgress;
 pub(super) use sort_key::BoundSortKeys;
 pub use sort_key::SortKey;
-pub use sorted_merge::{SortedMerge, SortedProgress, SortedQuery};
+pub use sorted_merge::{SortedMerge, SortedQuery};
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -6,6 +6,7 @@
 //! not among the first is dropped at once.
 
 use super::page::{FeaturePage, FetchedPage, PageFetch, PageLocation};
+use super::progress::{has_min_share, MergeProgress};
 use super::sort_key::{SortKey, SortValues};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -13,21 +14,6 @@
 
 /// Shards fetched at a time.
 const MAX_CONCURRENT_SHARDS: usize = 8;
-/// Tolerance in the comparison of the share of shards with its minimum.
-const SHARE_TOLERANCE: f64 = 1e-6;
-
-/// How far a [`SortedMerge`] is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SortedProgress {
-    /// Another round is needed.
-    NeedsPages,
-    /// The response is complete.
-    Complete,
-    /// Too many shards are missing.
-    TooFewShards,
-    /// More pages would have to be fetched than the bounds allow.
-    TooManyPages,
-}
 
 /// The order and the bounds of a response.
 #[derive(Debug, Clone)]
@@ -176,7 +162,7 @@
     }
 
     /// Takes in the pages of a round.
-    pub fn accept(&mut self, fetched_pages: Vec<FetchedPage>) -> SortedProgress {
+    pub fn accept(&mut self, fetched_pages: Vec<FetchedPage>) -> MergeProgress {
         self.pages_left = self.pages_left.saturating_sub(fetched_pages.len());
         for fetched in fetched_pages {
             match fetched.page {
@@ -185,12 +171,12 @@
             }
         }
         if self.has_too_few_shards() {
-            return SortedProgress::TooFewShards;
+            return MergeProgress::Failed;
         }
         match self.shards.iter().any(|state| self.can_contribute(state)) {
-            false => SortedProgress::Complete,
-            true if self.pages_left == 0 => SortedProgress::TooManyPages,
-            true => SortedProgress::NeedsPages,
+            false => MergeProgress::Complete,
+            true if self.pages_left == 0 => MergeProgress::TooManyPages,
+            true => MergeProgress::NeedsPages,
         }
     }
 
@@ -202,9 +188,9 @@
     }
 
     fn has_too_few_shards(&self) -> bool {
-        let missing = self.shards.iter().filter(|state| state.missing).count() as f64;
-        let all = self.shards.len().max(1) as f64;
-        (all - missing) / all + SHARE_TOLERANCE < self.min_shard_share
+        let missing = self.shards.iter().filter(|state| state.missing).count();
+        let total = self.shards.len().max(1);
+        !has_min_share(total - missing, total, self.min_shard_share)
     }
 
     /// Selects a feature if it is among the first. One that is no JSON is left out.
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -122,9 +122,9 @@
                 .sum::<usize>();
             assert!(merge.selected_count() <= query.limit);
             match merge.accept(pages) {
-                SortedProgress::NeedsPages => {}
+                MergeProgress::NeedsPages => {}
                 progress => {
-                    assert_eq!(progress, SortedProgress::Complete);
+                    assert_eq!(progress, MergeProgress::Complete);
                     break;
                 }
             }
@@ -215,9 +215,9 @@
 fn missing_shards_endless_pages_and_unsorted_pages_are_handled() {
     let one_missing = || vec![fetched(0, 5, page(None, &[1])), fetched(1, 5, None)];
     let mut merge = SortedMerge::new(query(5, 10, 10, 1.0), &[true, true]);
-    assert_eq!(merge.accept(one_missing()), SortedProgress::TooFewShards);
+    assert_eq!(merge.accept(one_missing()), MergeProgress::Failed);
     let mut merge = SortedMerge::new(query(5, 10, 10, 0.5), &[true, true]);
-    assert_eq!(merge.accept(one_missing()), SortedProgress::Complete);
+    assert_eq!(merge.accept(one_missing()), MergeProgress::Complete);
     assert_eq!(
         (merge.missing_shards(), merge.resume_after()),
         (vec![1], None)
@@ -225,25 +225,25 @@
     let mut merge = SortedMerge::new(query(1, 10, 3, 1.0), &[false]);
     assert_eq!(
         merge.accept(vec![fetched(0, 5, page(Some("a"), &[3]))]),
-        SortedProgress::NeedsPages
+        MergeProgress::NeedsPages
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 5, page(Some("b"), &[2]))]),
-        SortedProgress::NeedsPages
+        MergeProgress::NeedsPages
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]),
-        SortedProgress::TooManyPages
+        MergeProgress::TooManyPages
     );
     // The server is said to return features in order and does not: its shard is read on.
     let mut merge = SortedMerge::new(query(2, 10, 9, 1.0), &[true]);
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]),
-        SortedProgress::NeedsPages
+        MergeProgress::NeedsPages
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(None, &[1, 2]))]),
-        SortedProgress::Complete
+        MergeProgress::Complete
     );
     assert_eq!(
         merge.resume_after().map(|values| values[0].clone()),
--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -2,8 +2,8 @@
 
 use crate::front::ogc::config::{ClassConfig, EdgeConfig};
 use crate::front::ogc::paging::{
-    ConcatMerge, ConcatProgress, FetchedPage, PageFetch, PageSlice, PagingLimits, ResumePosition,
-    SortedMerge, SortedProgress, SortedQuery,
+    ConcatMerge, FetchedPage, MergeProgress, PageFetch, PageSlice, PagingLimits, ResumePosition,
+    SortedMerge, SortedQuery,
 };
 use crate::front::ogc::params::Params;
 use crate::front::ogc::shard_plan::ShardPlan;
@@ -20,15 +20,6 @@
     Sorted(SortedMerge),
 }
 
-/// How far a merge is.
-pub(super) enum MergeProgress {
-    NeedsPages,
-    Complete,
-    /// Too many shards are missing, or there is nothing to respond with.
-    Failed,
-    TooManyPages,
-}
-
 /// What a merge holds.
 pub(super) struct MergedItems {
     pub slices: Vec<PageSlice>,
@@ -112,16 +103,10 @@
     pub fn accept(&mut self, fetched: Vec<FetchedPage>) -> MergeProgress {
         match self {
             Merge::Concat(merge) => match merge.accept(fetched, feature_id_hash) {
-                ConcatProgress::NeedsPages => MergeProgress::NeedsPages,
-                ConcatProgress::Complete if merge.has_enough_shards() => MergeProgress::Complete,
-                ConcatProgress::Complete | ConcatProgress::Failed => MergeProgress::Failed,
-            },
-            Merge::Sorted(merge) => match merge.accept(fetched) {
-                SortedProgress::NeedsPages => MergeProgress::NeedsPages,
-                SortedProgress::Complete => MergeProgress::Complete,
-                SortedProgress::TooFewShards => MergeProgress::Failed,
-                SortedProgress::TooManyPages => MergeProgress::TooManyPages,
+                MergeProgress::Complete if !merge.has_enough_shards() => MergeProgress::Failed,
+                progress => progress,
             },
+            Merge::Sorted(merge) => merge.accept(fetched),
         }
     }
 
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -7,7 +7,7 @@
 use super::client_request::{ClientContext, ItemsRequest};
 use super::error::ApiError;
 use super::page_request::{PageRequest, RequestKind};
-use super::paging::{FetchedPage, PageFetch, PageLocation};
+use super::paging::{FetchedPage, MergeProgress, PageFetch, PageLocation};
 use super::response::feature_collection::feature_collection;
 use super::response::items_result::ItemsResult;
 use super::response::problem::error_response;
@@ -20,7 +20,7 @@
 use crate::interface::ShardId;
 use crate::proto::http::Response;
 use crate::sync::lock;
-use merge::{Merge, MergeProgress};
+use merge::Merge;
 use resume::ResumePoint;
 use std::sync::Arc;
 
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -10,7 +10,7 @@
 use quinceflow::front::ogc::cursor::CursorKey;
 use quinceflow::front::ogc::page_request::{parse_page, PageRequest};
 use quinceflow::front::ogc::paging::{
-    PageFetch, PageLocation, SortKey, SortedMerge, SortedProgress, SortedQuery,
+    MergeProgress, PageFetch, PageLocation, SortKey, SortedMerge, SortedQuery,
 };
 use quinceflow::front::ogc::{FrontDependencies, OgcFront, SharedCatalog};
 use quinceflow::front::{Front, Reaction};
@@ -123,7 +123,7 @@
                 .iter()
                 .all(|fetch| fetch.location == PageLocation::ShardStart));
             let fetched = |fetch: &PageFetch| fetch.fetched(Some(pages[fetch.shard].clone()));
-            if merge.accept(fetches.iter().map(fetched).collect()) == SortedProgress::Complete {
+            if merge.accept(fetches.iter().map(fetched).collect()) == MergeProgress::Complete {
                 return merge.to_page().returned_count;
             }
         }
