--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -9,11 +9,12 @@
 mod features;
 mod fetch_planning;
 mod limits;
+mod result;
 mod shard_state;
 mod usage;
 
-use super::page::{FeaturePage, FetchedPage, PageLocation, PageSlice, ResumePosition};
-use super::progress::{has_min_share, MergeProgress};
+use super::page::{FeaturePage, FetchedPage, PageLocation, ResumePosition};
+use super::progress::MergeProgress;
 use crate::coordinator::check_invariant;
 use current_shard::CurrentShard;
 use features::{FeaturesCheckpoint, ResponseFeatures};
@@ -28,10 +29,6 @@
 /// A first page under this share of the suitable size only tells the shard's size: the shard is started again with larger
 /// pages.
 const MIN_USEFUL_PAGE_SHARE: f64 = 0.25;
-/// Shards fetched ahead of the current one when nothing is known of their size; doubled each round.
-const INITIAL_LOOKAHEAD: usize = 1;
-/// Most shards fetched ahead of the current one in a round.
-const MAX_LOOKAHEAD: usize = 32;
 
 /// A shard whose server did not return the next page.
 #[derive(Debug, Clone)]
@@ -69,7 +66,7 @@
             features: ResponseFeatures::default(),
             current_shard: CurrentShard::new(at_shard_start.then(FeaturesCheckpoint::default)),
             usage: FetchUsage::default(),
-            lookahead: INITIAL_LOOKAHEAD,
+            lookahead: fetch_planning::INITIAL_LOOKAHEAD,
             interrupted: None,
             start,
         }
@@ -83,7 +80,7 @@
         feature_id: impl Fn(&[u8]) -> u64,
     ) -> MergeProgress {
         self.usage.record(&fetched_pages);
-        self.lookahead = (self.lookahead * 2).min(MAX_LOOKAHEAD);
+        self.widen_lookahead();
         for fetched in fetched_pages {
             self.shards[fetched.shard].receive(fetched);
         }
@@ -265,76 +262,6 @@
     fn remaining(&self) -> usize {
         self.limits.limit - self.features.count()
     }
-
-    /// The features of the response, in order.
-    #[must_use]
-    pub fn slices(&self) -> &[PageSlice] {
-        self.features.slices()
-    }
-
-    /// The number of features in the response.
-    #[must_use]
-    pub fn count(&self) -> usize {
-        self.features.count()
-    }
-
-    /// The number of features that servers returned more than once.
-    #[must_use]
-    pub fn duplicates(&self) -> usize {
-        self.features.duplicates()
-    }
-
-    /// The shard that was started again last, and the server that failed: another one is to be asked.
-    #[must_use]
-    pub fn interrupted(&self) -> Option<&InterruptedShard> {
-        self.interrupted.as_ref()
-    }
-
-    /// The indexes of the shards that could not be fetched, of those that the response passed or needed.
-    #[must_use]
-    pub fn missing_shards(&self) -> Vec<usize> {
-        (0..self.shards.len())
-            .filter(|shard| self.shards[*shard].missing)
-            .collect()
-    }
-
-    /// Whether enough of the shards are there. Missing shards count that the response passed, not the one that it ends at.
-    #[must_use]
-    pub fn has_enough_shards(&self) -> bool {
-        let missing = self.missing_shards();
-        let passed = missing.iter().filter(|shard| **shard < self.position.shard);
-        let total = self.shards.len();
-        has_min_share(total - passed.count(), total, self.limits.min_shard_share)
-    }
-
-    /// Whether the response has the features of all shards that it passed.
-    #[must_use]
-    pub fn is_complete(&self) -> bool {
-        self.missing_shards()
-            .iter()
-            .all(|shard| *shard >= self.position.shard)
-    }
-
-    /// Where the next response starts; `None` after the last feature.
-    #[must_use]
-    pub fn resume_position(&self) -> Option<&ResumePosition> {
-        (!self.is_exhausted()).then_some(&self.position)
-    }
-
-    /// The number of features that match in all shards; `None` unless every server reported it or returned all it has.
-    #[must_use]
-    pub fn number_matched(&self) -> Option<u64> {
-        if self.start != ResumePosition::START
-            || self.limits.filtered_locally
-            || self.features.duplicates() > 0
-        {
-            return None;
-        }
-        let states = self.shards.iter().enumerate();
-        states
-            .map(|(shard, state)| state.total(shard < self.position.shard))
-            .sum()
-    }
 }
 
 #[cfg(test)]
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -1,7 +1,12 @@
 //! Which pages a [`ConcatMerge`] fetches in its next round, and how large they are.
 
 use super::super::page::{PageFetch, PageLocation, ResumePosition};
-use super::{ConcatMerge, MAX_LOOKAHEAD};
+use super::ConcatMerge;
+
+/// Shards fetched ahead of the current one when nothing is known of their size; doubled each round.
+pub(super) const INITIAL_LOOKAHEAD: usize = 1;
+/// Most shards fetched ahead of the current one in a round.
+const MAX_LOOKAHEAD: usize = 32;
 
 impl ConcatMerge {
     /// The pages to fetch next; none if a page that has arrived must be used first.
@@ -21,6 +26,11 @@
         fetches
     }
 
+    /// Doubles the number of shards fetched ahead in the next round.
+    pub(super) fn widen_lookahead(&mut self) {
+        self.lookahead = (self.lookahead * 2).min(MAX_LOOKAHEAD);
+    }
+
     /// The page at the current position, unless it has arrived.
     fn current_fetch(&self) -> Option<PageFetch> {
         let shard = self.position.shard;
