--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -7,7 +7,7 @@
 use super::client_request::{ClientContext, ItemsRequest};
 use super::error::ApiError;
 use super::page_request::{PageRequest, RequestKind};
-use super::paging::{FetchedPage, PageFetch, PageLocation};
+use super::paging::{FetchedPage, MergeProgress, PageFetch, PageLocation};
 use super::response::feature_collection::feature_collection;
 use super::response::items_result::ItemsResult;
 use super::response::problem::error_response;
@@ -20,7 +20,7 @@
 use crate::interface::ShardId;
 use crate::proto::http::Response;
 use crate::sync::lock;
-use merge::{Merge, MergeProgress};
+use merge::Merge;
 use resume::ResumePoint;
 use std::sync::Arc;
 
@@ -65,7 +65,8 @@
         };
         let plans = plans(&state, &request, &shards, &resume_point);
         let class = &state.edge.classes[client.class];
-        let merge = Merge::new(&state.edge, class, &request.params, &plans, &resume_point);
+        let start = &resume_point.start;
+        let merge = Merge::new(&state.edge, class, &request.params, &plans, start);
         let in_flight = Vec::new();
         let query = ItemsQuery {
             state,
@@ -243,7 +244,7 @@
         state,
         params,
         shards,
-        resume_point.after_values(),
+        resume_point.start.after_values(),
         resume_point.resumed_shard(),
     )
 }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -8,7 +8,7 @@
 use crate::coordinator::{Coordinator, Input, Metrics};
 use crate::front::ogc::config::EdgeConfig;
 use crate::front::ogc::cursor::CursorKey;
-use crate::front::ogc::{OgcFront, SharedCatalog};
+use crate::front::ogc::{FrontDependencies, OgcFront, SharedCatalog};
 use crate::front::platform::{Platform, PlatformCatalog};
 use crate::limits::ServerCapacity;
 use crate::net::clients::ClientLimits;
@@ -145,7 +145,13 @@
         listen: edge.listen,
         limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * BYTES_PER_MIB),
         coordinator,
-        front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
+        front: Box::new(OgcFront::new(FrontDependencies {
+            edge,
+            catalog,
+            cursor_key: key,
+            metrics: metrics.clone(),
+            server_capacity: capacity,
+        })),
         lifecycle,
         inbox,
     })
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -10,9 +10,9 @@
 use quinceflow::front::ogc::cursor::CursorKey;
 use quinceflow::front::ogc::page_request::{parse_page, PageRequest};
 use quinceflow::front::ogc::paging::{
-    PageFetch, PageLocation, SortKey, SortedMerge, SortedProgress, SortedQuery,
+    MergeProgress, PageFetch, PageLocation, SortKey, SortedMerge, SortedQuery,
 };
-use quinceflow::front::ogc::{OgcFront, SharedCatalog};
+use quinceflow::front::ogc::{FrontDependencies, OgcFront, SharedCatalog};
 use quinceflow::front::{Front, Reaction};
 use quinceflow::proto::fetch::FetchedResponse;
 use quinceflow::proto::http::{HttpRequest, ServerConnection};
@@ -123,7 +123,7 @@
                 .iter()
                 .all(|fetch| fetch.location == PageLocation::ShardStart));
             let fetched = |fetch: &PageFetch| fetch.fetched(Some(pages[fetch.shard].clone()));
-            if merge.accept(fetches.iter().map(fetched).collect()) == SortedProgress::Complete {
+            if merge.accept(fetches.iter().map(fetched).collect()) == MergeProgress::Complete {
                 return merge.to_page().returned_count;
             }
         }
@@ -154,13 +154,13 @@
     let edge = EdgeConfig::load(file).expect("sound");
     let catalog = SharedCatalog::default();
     lock(&catalog).load(&edge.load_inventory().expect("sound"), Micros::ZERO);
-    OgcFront::new(
+    OgcFront::new(FrontDependencies {
         edge,
         catalog,
-        CursorKey::new(b"k"),
-        Arc::default(),
-        Arc::default(),
-    )
+        cursor_key: CursorKey::new(b"k"),
+        metrics: Arc::default(),
+        server_capacity: Arc::default(),
+    })
 }
 
 /// Parses a request for the items of a collection from its bytes.
