--- a/fuzz/fuzz_targets/cursor.rs
+++ b/fuzz/fuzz_targets/cursor.rs
@@ -1,4 +1,5 @@
-//! Arbitrary text is never accepted as a cursor: a cursor is authenticated by a key that the fuzzer does not have.
+//! Checks that arbitrary text is never accepted as a cursor, whose authentication needs a key that
+//! the fuzzer does not have.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::cursor::{CursorError, CursorKey};
--- a/fuzz/fuzz_targets/query.rs
+++ b/fuzz/fuzz_targets/query.rs
@@ -1,4 +1,5 @@
-//! An arbitrary query string and an arbitrary search body are parameters or an error, and parameters are within their bounds.
+//! Checks that arbitrary query strings and search bodies are parameters or errors, and that
+//! parameters are within their limits.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::cql2::Queryables;
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,8 @@
-//! The fronts: each parses the requests of its protocol, maps them to requests to the core, and renders the core's
-//! answers as responses.
+//! Client protocols: parsing of requests, their mapping to requests to the core, and rendering of
+//! the core's answers as responses.
+//!
+//! Sockets and connections belong to [`crate::net`], the execution of requests to
+//! [`crate::coordinator`].
 
 pub mod ogc;
 pub mod platform;
@@ -8,10 +11,11 @@
 use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY};
 use crate::time::Micros;
 
-/// Turns the core's answer into a response, or into another request to the core where one round is not enough.
+/// Turns the core's answer into a response, or into another request to the core where one round is
+/// not enough.
 pub type Render = Box<dyn FnOnce(Answer) -> Reaction + Send>;
 
-/// What a front makes of a client's request.
+/// Outcome of a client's request.
 pub enum Reaction {
     /// The client gets this response at once.
     Respond(Response),
@@ -21,20 +25,24 @@
 
 /// A protocol that clients speak.
 pub trait Front: Send + Sync {
-    /// Handles a request that was received completely. `sent`: when its client sent it, as near as can be known;
-    /// `ready`: the program is ready to serve.
+    /// Handles a request that was received completely.
+    ///
+    /// `sent` is the time at which its client sent it, as near as can be known; `ready` tells
+    /// whether the program is ready to serve.
     fn handle(&self, request: HttpRequest, token: Token, sent: Micros, ready: bool) -> Reaction;
 
-    /// The response to a request that could not be parsed.
+    /// Returns the response to a request that could not be parsed.
     fn malformed_response(&self, error: HttpError) -> Response;
 
-    /// Most bytes of a request's body.
+    /// Returns the largest accepted body of a request, in bytes.
     fn max_body(&self) -> usize {
         MAX_BODY
     }
 
-    /// Stack size of the coroutine that serves a connection, in words of eight bytes. Only touched pages count as memory.
-    /// The tests of the platform's front use at most 722 words in a release build; debug builds need several times that.
+    /// Returns the stack size of the coroutine that serves a connection, in words of eight bytes.
+    ///
+    /// Only touched pages count as memory. A debug build needs several times the stack of a release
+    /// build.
     fn stack_words(&self) -> usize {
         0x4000
     }
--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -1,9 +1,10 @@
-//! Capability discovery: what servers can filter and sort, from their conformance pages and queryables, cached with an
-//! age.
+//! Capability discovery: which filters and sort orders servers can evaluate, read from their
+//! conformance pages and queryables and cached until a maximum age.
 //!
-//! A decision table without clock or socket. Callers look capabilities up by [`CapabilityCache::lookup`]; the one that is
-//! asked to discover them does so for all, so that neither a restart nor an age that ends sends more than one discovery to a
-//! server at a time.
+//! The cache owns no clock and no socket: callers pass the time and make the requests.
+//! [`CapabilityCache::lookup`] asks one caller to discover the capabilities on behalf of all, so
+//! that neither a restart nor an expired entry causes more than one discovery at a server at a
+//! time.
 
 use super::cql2::{Capabilities, Queryables};
 use super::stable_hash::stable_hash;
@@ -12,18 +13,18 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Backoff after the first discovery that failed; doubled after each further one.
+/// Backoff after the first discovery that failed; it doubles with each further failure.
 const INITIAL_BACKOFF: Micros = Micros::from_secs(2);
 /// Longest backoff.
 const MAX_BACKOFF: Micros = Micros::from_secs(120);
-/// Most doublings of the backoff, so that it can't overflow.
+/// Largest exponent of the backoff, which prevents an overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// Time that a discovery may take; then another caller may discover.
+/// Time limit of a discovery; after it another caller may discover.
 const DISCOVERY_TIMEOUT: Micros = Micros::from_secs(5);
 /// Most entries of the cache; beyond that the least recently used one is evicted.
 const MAX_ENTRIES: usize = 4_096;
 
-/// A shard at a server, which is what capabilities are kept for.
+/// Key of a cache entry: a shard at a server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ReplicaKey {
     /// The server's address.
@@ -32,18 +33,18 @@
     pub source: Arc<str>,
 }
 
-/// Capabilities and when they were discovered.
+/// Capabilities and the time of their discovery.
 #[derive(Debug, Clone)]
 struct Discovered {
     capabilities: Arc<Capabilities>,
     at: Micros,
 }
 
-/// What is cached for a shard at a server.
+/// Cache entry of a shard at a server.
 #[derive(Debug, Default)]
 struct Entry {
     discovered: Option<Discovered>,
-    /// Since when a discovery is in flight.
+    /// Start of the discovery in flight, if there is one.
     in_flight_since: Option<Micros>,
     consecutive_failures: u32,
     /// End of the backoff.
@@ -63,8 +64,9 @@
             .is_some_and(|since| now.since(since) < DISCOVERY_TIMEOUT)
     }
 
-    /// Counts a failure and begins its backoff. What was discovered before stays: a server that is down can do nothing
-    /// else.
+    /// Records a failed discovery and begins its backoff.
+    ///
+    /// Capabilities that were discovered before are kept: while the server is down they do no harm.
     fn fail(&mut self, now: Micros) {
         let backoff = INITIAL_BACKOFF.0 << self.consecutive_failures.min(MAX_DOUBLINGS);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -72,18 +74,20 @@
     }
 }
 
-/// What a caller that needs a server's capabilities is to do.
+/// Result of a lookup: the step that the caller takes next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CapabilityLookup {
-    /// Use these.
+    /// The capabilities are known and fresh.
     Known(Arc<Capabilities>),
-    /// Discover them and [`record`](CapabilityCache::record) the result; until then use these, if any.
+    /// The caller discovers them and [`record`](CapabilityCache::record)s the result. The stale
+    /// capabilities, if any, serve until then.
     Discover(Option<Arc<Capabilities>>),
-    /// Go on without: another caller discovers them, or a discovery failed a short time ago.
+    /// None are known, and the caller does not discover them: another caller does, or a discovery
+    /// failed a short time ago.
     Unavailable,
 }
 
-/// The capabilities of all servers.
+/// Cache of the capabilities of all servers.
 #[derive(Debug, Default)]
 pub struct CapabilityCache {
     entries: HashMap<ReplicaKey, Entry>,
@@ -91,7 +95,7 @@
 }
 
 impl CapabilityCache {
-    /// An empty cache whose entries are stale after `max_age` at the latest.
+    /// Creates an empty cache whose entries are stale after `max_age` at the latest.
     #[must_use]
     pub fn new(max_age: Micros) -> Self {
         CapabilityCache {
@@ -100,7 +104,7 @@
         }
     }
 
-    /// What a caller is to do that needs the capabilities of a server for a shard.
+    /// Returns the capabilities of a server for a shard, or whether the caller discovers them.
     pub fn lookup(&mut self, key: &ReplicaKey, now: Micros) -> CapabilityLookup {
         self.evict_for(key);
         let max_age = self.max_age - self.spread(key);
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Makes room for a new entry by evicting the least recently used one.
+    /// Evicts the least recently used entry if the cache is full and `key` is new.
     fn evict_for(&mut self, key: &ReplicaKey) {
         if self.entries.contains_key(key) || self.entries.len() < MAX_ENTRIES {
             return;
@@ -134,14 +138,15 @@
         }
     }
 
-    /// How much sooner than others an entry is stale, up to a quarter of the age: servers that were discovered together
-    /// are not discovered again together.
+    /// Returns by how much earlier than `max_age` an entry is stale, at most a quarter of the age.
+    ///
+    /// Servers that were discovered together are thereby not all rediscovered together.
     fn spread(&self, key: &ReplicaKey) -> Micros {
         let hash = stable_hash(&[key.address.as_bytes(), key.source.as_bytes()]);
         Micros(self.max_age.0 / 4 * (hash % 256) / 256)
     }
 
-    /// Records the result of a discovery; `None`: it failed.
+    /// Records the result of a discovery; `None` is a failure.
     pub fn record(&mut self, key: &ReplicaKey, capabilities: Option<Capabilities>, now: Micros) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
@@ -157,7 +162,7 @@
         entry.consecutive_failures = 0;
     }
 
-    /// The queryables that any of these servers declares; `None` if none declares any.
+    /// Returns the queryables that any of these servers declares, or `None` if none declares any.
     pub fn any_queryables<'a>(
         &self,
         keys: impl Iterator<Item = &'a ReplicaKey>,
@@ -171,7 +176,8 @@
         declared.reduce(|all, more| all.union(&more))
     }
 
-    /// The capabilities that all of these servers have; `None` if those of one are unknown.
+    /// Returns the capabilities that all of these servers have, or `None` if those of one are
+    /// unknown.
     pub fn common<'a>(&self, keys: impl Iterator<Item = &'a ReplicaKey>) -> Option<Capabilities> {
         let mut common: Option<Capabilities> = None;
         for key in keys {
@@ -189,9 +195,11 @@
     }
 }
 
-/// The capabilities that a server's two documents declare. `None`: the first is no conformance page.
+/// Returns the capabilities that a server's two documents declare, or `None` if the first is no
+/// conformance page.
 ///
-/// Conformance classes are known by the last segment of their URIs; `max_filter_text` is this edge's own bound.
+/// Conformance classes are identified by the last segment of their URIs. `max_filter_text` is this
+/// edge's own limit, in characters.
 #[must_use]
 pub fn parse_capabilities(
     conformance: &[u8],
--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Most faults that are reported: a file of another kind has one in each line.
+/// Most faults that are reported: a file of another format has one in each line.
 const MAX_FAULTS: usize = 100;
 
 /// A fault of a file, and where it is.
@@ -19,7 +19,7 @@
     pub file: String,
     /// The line, from 1; 0 where it has none.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
@@ -45,11 +45,11 @@
 pub struct Report {
     /// Every fault, in the order of files and lines.
     pub faults: Vec<Fault>,
-    /// What the files set up; of use if there is no fault.
+    /// Summary of the configuration; meaningful only without a fault.
     pub summary: String,
 }
 
-/// Checks an edge file and the inventory that it names. No connection is opened and no address is listened at.
+/// Checks an edge file and the inventory that it names, without opening a connection or listening.
 #[must_use]
 pub fn check_edge_file(path: &Path) -> Report {
     let file = path
@@ -81,7 +81,7 @@
         faults: faults.into_iter().map(in_file).collect(),
         summary: String::new(),
     };
-    // The inventory's name may be readable in a file that is otherwise faulty.
+    // The inventory's name may be readable even if other lines are faulty.
     let inventory = edge
         .as_ref()
         .map(|edge| edge.inventory.clone())
@@ -98,7 +98,7 @@
 }
 
 impl Report {
-    /// Checks the collections of an edge file against its servers and sums both up.
+    /// Checks the collections of an edge file against its servers and summarizes both.
     fn add_servers(
         &mut self,
         file: &str,
@@ -131,7 +131,7 @@
     shards.iter().any(|shard| shard.collection == collection.id)
 }
 
-/// The inventory that a file names, if it is TOML at least.
+/// Returns the path of the inventory that an edge file names, if the file is well-formed TOML.
 fn inventory_name(text: &str) -> Option<PathBuf> {
     let table: toml::Table = text.parse().ok()?;
     table.get("inventory")?.as_str().map(Into::into)
--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -1,11 +1,13 @@
-//! Parsing of an edge file past its faults. The TOML reader stops at the first fault: its line is mended and all is read
-//! again, so that one run finds every fault.
+//! Error recovery for edge files, so that one run reports every fault.
+//!
+//! The TOML reader stops at the first fault. The faulty line is given a valid value or blanked, and
+//! the file is parsed again.
 
 use super::super::config::EdgeConfig;
 use super::MAX_FAULTS;
 use std::ops::Range;
 
-/// Values that are tried in place of a faulty one: one of each type that a key may need.
+/// Replacements that are tried for a faulty value, one for each type that a key may have.
 const SUBSTITUTES: [&str; 6] = ["1", "1.0", "\"x\"", "\"127.0.0.1:0\"", "true", "[]"];
 
 /// A fault and its line, from 1.
@@ -15,7 +17,7 @@
     pub(super) message: String,
 }
 
-/// The configuration in `text` if it has no fault, and its faults by line.
+/// Returns the configuration in `text` if it has no fault, and its faults by line.
 pub(super) fn parse_with_recovery(text: &str) -> (Option<EdgeConfig>, Vec<LineFault>) {
     let mut repaired = text.to_owned();
     let mut faults: Vec<LineFault> = Vec::new();
@@ -31,7 +33,7 @@
         let message = error.message().to_owned();
         let span = error.span().unwrap_or(0..0);
         let line = line_at(&repaired, &span);
-        // What is missing can't be blanked; an unfinished table hides the rest.
+        // A missing field has no line to blank, and an unfinished table hides the lines after it.
         let is_final = span.is_empty() || message.starts_with("missing field");
         faults.push(LineFault { line, message });
         if is_final || !repair(&mut repaired, line) {
@@ -42,7 +44,8 @@
     (None, faults)
 }
 
-/// Adds the values of `edge` that are out of range, but for lines with a fault: their values were substituted.
+/// Adds the values of `edge` that are out of range, except in lines with a fault, whose values are
+/// replacements.
 fn add_value_faults(text: &str, edge: &EdgeConfig, faults: &mut Vec<LineFault>) {
     let substituted: Vec<usize> = faults.iter().map(|fault| fault.line).collect();
     let issues = edge.validate().into_iter();
@@ -53,8 +56,8 @@
     faults.extend(values.filter(|fault| !substituted.contains(&fault.line)));
 }
 
-/// Gives a faulty line a value that can be read, or blanks it, so that the lines after it are read too. False: the line
-/// was blank already.
+/// Replaces the value of a faulty line by a valid one, or blanks the line, so that the lines after
+/// it are parsed too. Returns `false` if the line was blank already.
 fn repair(text: &mut String, line: usize) -> bool {
     let start: usize = text
         .split_inclusive('\n')
@@ -74,7 +77,7 @@
     !faulty.trim().is_empty()
 }
 
-/// Whether the reader's next fault is at this line.
+/// Returns whether the reader's next fault is at this line.
 fn fails_at(text: &str, line: usize) -> bool {
     match toml::from_str::<EdgeConfig>(text) {
         Ok(_) => false,
@@ -82,7 +85,7 @@
     }
 }
 
-/// The line that begins at `start`, without its end.
+/// Returns the range of the line that begins at `start`, without its line end.
 fn line_range(text: &str, start: usize) -> Range<usize> {
     let end = text[start..]
         .find('\n')
@@ -90,12 +93,12 @@
     start..end
 }
 
-/// The line in which a range of a text begins, from 1.
+/// Returns the number of the line in which a range of a text begins, from 1.
 fn line_at(text: &str, range: &Range<usize>) -> usize {
     text[..range.start.min(text.len())].matches('\n').count() + 1
 }
 
-/// The first line that has `part` outside of a comment; 1 if none has.
+/// Returns the number of the first line that has `part` outside of a comment, or 1 if none has.
 pub(super) fn line_with(text: &str, part: &str) -> usize {
     let has_part = |line: &str| line.split('#').next().unwrap_or_default().contains(part);
     text.lines()
--- a/src/front/ogc/config/defaults.rs
+++ b/src/front/ogc/config/defaults.rs
@@ -1,4 +1,5 @@
-//! The values of keys that an edge file leaves out. See the fields of [`EdgeConfig`](super::EdgeConfig) for their meaning.
+//! Defaults of the keys that an edge file may omit. The fields of [`EdgeConfig`](super::EdgeConfig)
+//! define their meaning.
 
 use super::LimitsConfig;
 
@@ -86,7 +87,7 @@
     2_000
 }
 
-/// All of something, as a share.
+/// Returns the share of the whole, 1.
 pub(super) fn full() -> f64 {
     1.0
 }
--- a/src/front/ogc/config/error.rs
+++ b/src/front/ogc/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an edge file. The texts are what operators read in the log and from `quinceflow check`.
+//! Errors of an edge file. Operators read the messages in the log and from `quinceflow check`.
 
 use super::super::inventory::InventoryError;
 use std::path::PathBuf;
@@ -15,7 +15,8 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file is no TOML, or its keys or types are not those of an edge file. The source names line and key.
+    /// The file is not TOML, or its keys or types are not those of an edge file. The source names
+    /// line and key.
     #[error("{}: {source}", file.display())]
     Syntax {
         /// The edge file.
@@ -47,7 +48,7 @@
     Class {
         /// The class' name.
         name: String,
-        /// Its fault.
+        /// The class' fault.
         source: ClassError,
     },
     /// The type of a queryable is unknown.
@@ -104,7 +105,7 @@
     /// The system gives no random bytes for a new key.
     #[error("cursor_key: no random bytes: {0}")]
     Random(getrandom::Error),
-    /// The file's key is too short or no hexadecimal number.
+    /// The file's key is too short or not hexadecimal.
     #[error("cursor_key must be 32 hexadecimal digits or more, an even number")]
     Malformed,
 }
--- a/src/front/ogc/config/mod.rs
+++ b/src/front/ogc/config/mod.rs
@@ -1,4 +1,7 @@
 //! The edge file: the operator's configuration of the front for feature queries.
+//!
+//! This module owns the file's format, defaults and ranges. The servers are in a file of their own,
+//! which [`inventory`](super::inventory) reads.
 
 mod defaults;
 mod error;
@@ -15,26 +18,28 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Fewest bytes of a cursor key.
+/// Smallest accepted length of a cursor key, in bytes.
 const MIN_CURSOR_KEY: usize = 16;
-/// Bytes of a cursor key that is drawn at the start.
+/// Length of a cursor key that is generated at the start, in bytes.
 const DRAWN_CURSOR_KEY: usize = 32;
 
-/// The edge file. Its keys keep the names that operators know (`rename`); errors of the TOML reader name the types as they
-/// always did (`expecting`).
+/// Contents of an edge file.
+///
+/// Keys whose name differs from their field's are set by `rename`. Messages of the TOML reader name
+/// the types by `expecting`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Edge")]
 pub struct EdgeConfig {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Address of the operators' port (health and counters); absent: none.
+    /// Address of the management port (health and counters); disabled if absent.
     pub mgmt: Option<SocketAddr>,
     /// Path of the inventory, relative to the folder of the edge file.
     pub inventory: PathBuf,
     /// Number of coordinators that share the servers, this one included.
     #[serde(default = "defaults::coordinators")]
     pub coordinators: u32,
-    /// Most attempts at a part of a query, the first included.
+    /// Most attempts at a part of a query, including the first.
     #[serde(rename = "attempts", default = "defaults::max_attempts")]
     pub max_attempts: u32,
     /// Most queries and parts in flight at a time.
@@ -49,7 +54,7 @@
     /// Number of features in an answer when its query names no limit.
     #[serde(default = "defaults::default_limit")]
     pub default_limit: usize,
-    /// Most features in an answer, whatever limit its query names.
+    /// Most features in an answer, regardless of the limit that its query names.
     #[serde(rename = "most_limit", default = "defaults::max_limit")]
     pub max_limit: usize,
     /// Number of features that a server is asked for at a time.
@@ -58,8 +63,9 @@
     /// Most shards that the first page of an answer asks concurrently.
     #[serde(rename = "at_once", default = "defaults::max_initial_shards")]
     pub max_initial_shards: usize,
-    /// Key that authenticates cursors, 32 hexadecimal digits or more; absent: a new key at each start, so that cursors
-    /// end with the process. Coordinators that share clients need the same key.
+    /// Key that authenticates cursors, 32 hexadecimal digits or more. If it is absent, each start
+    /// generates a new key, so that cursors end with the process. Coordinators that share clients
+    /// need the same key.
     pub cursor_key: Option<String>,
     /// Lifetime of a cursor in seconds, counted from its query's first answer.
     #[serde(rename = "cursor_age_s", default = "defaults::cursor_max_age_s")]
@@ -91,7 +97,7 @@
     /// Limits on the work that servers and this edge accept.
     #[serde(default)]
     pub limits: LimitsConfig,
-    /// Slow start of servers that just started; absent: none.
+    /// Slow start of servers that just started; disabled if absent.
     #[serde(rename = "warm_up")]
     pub slow_start: Option<SlowStartConfig>,
     /// Classes of query; the first one is for queries that name none.
@@ -106,19 +112,21 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Limits")]
 pub struct LimitsConfig {
-    /// `adaptive`: the number of requests in flight at a server follows its response times; `fixed`: it is always
+    /// Mode of the limit: `adaptive` follows a server's response times, `fixed` is always
     /// `most_connections`.
     pub mode: String,
-    /// Most requests in flight at a server at first.
+    /// Initial limit on the requests in flight at a server.
     #[serde(rename = "start")]
     pub initial: usize,
-    /// Least value that the limit on requests in flight at a server can fall to.
+    /// Lowest limit on the requests in flight at a server.
     #[serde(rename = "least")]
     pub min: usize,
-    /// Retry budget, as a share of the parts of the last ten seconds; ten retries more are always allowed.
+    /// Retry budget as a ratio of retries to parts over the last ten seconds; ten further retries
+    /// are always allowed.
     #[serde(rename = "repeats")]
     pub retry_ratio: f64,
-    /// Whether queries are admitted by their cost against the capacity of servers; `false`: all that `most_held` allows.
+    /// Whether queries are admitted by their cost against the capacity of servers, instead of only
+    /// by `most_held`.
     pub admission: bool,
 }
 
@@ -131,18 +139,19 @@
     /// Latency objective in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// Deadline in milliseconds; a query that has no answer by then has failed.
+    /// Deadline in milliseconds; a query without an answer by then fails.
     pub deadline_ms: u64,
-    /// Least share of the parts that an answer may be given from, above 0 and at most 1.
+    /// Smallest share of the parts that an answer may be given from, above 0 and at most 1.
     #[serde(rename = "floor", default = "defaults::full")]
     pub min_share: f64,
-    /// `safe`: parts are idempotent and may be retried; `unsafe`: a part that may have run is never retried.
+    /// Effect of a retry: parts that are `safe` are idempotent and may be retried; a part that is
+    /// `unsafe` and may have run is never retried.
     #[serde(default = "defaults::effect")]
     pub effect: String,
     /// Priority weight of a complete answer relative to other classes.
     #[serde(rename = "worth", default = "defaults::full")]
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer after the latency objective still has.
+    /// Share of the priority weight that an answer after the latency objective keeps.
     #[serde(rename = "late_worth", default)]
     pub late_weight: f64,
 }
@@ -157,15 +166,16 @@
     /// Time after which a server is warm, in milliseconds.
     #[serde(rename = "ms")]
     pub warm_up_ms: u64,
-    /// A warming server is never sent more than this multiple of its present capacity ...
+    /// Largest load of a warming server, as a multiple of its present capacity, within
+    /// `overload_window_ms`.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
-    /// ... within this window, in milliseconds.
+    /// Window over which the load of a warming server is limited, in milliseconds.
     #[serde(rename = "span_ms")]
     pub overload_window_ms: u64,
 }
 
-/// What the operator says of a collection.
+/// The operator's description of a collection.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Collection")]
 pub struct CollectionConfig {
@@ -175,14 +185,14 @@
     pub title: Option<String>,
     /// Description for clients.
     pub description: Option<String>,
-    /// Whether all servers of a shard return its features in the same order, with equivalent links, so that another server
-    /// can continue what one of them began.
+    /// Whether all servers of a shard return its features in the same order and with equivalent
+    /// links, so that another server can continue a page sequence.
     #[serde(default)]
     pub same_order: bool,
     /// Bounding box of its features in CRS84.
     pub bbox: Option<[f64; 4]>,
-    /// Types of its queryables by name: `text`, `number`, `bool`, `time`, `geometry`, `array` or `any`. Absent: as its
-    /// servers declare them.
+    /// Types of its queryables by name: `text`, `number`, `bool`, `time`, `geometry`, `array` or
+    /// `any`. If absent, the declarations of its servers apply.
     #[serde(default)]
     pub queryables: BTreeMap<String, String>,
 }
@@ -191,7 +201,9 @@
     /// Reads an edge file. The path of the inventory becomes relative to the working directory.
     ///
     /// # Errors
-    /// The file can't be read, is no edge file, or has a value out of range: the first such value is reported.
+    ///
+    /// Fails if the file can't be read, is not an edge file, or has a value out of range, the first
+    /// of which is reported.
     pub fn load(path: &Path) -> Result<Self, EdgeConfigError> {
         let file = path.to_owned();
         let text = match std::fs::read_to_string(path) {
@@ -215,15 +227,18 @@
     /// Reads the inventory.
     ///
     /// # Errors
-    /// The first fault of the inventory.
+    ///
+    /// Fails with the first fault of the inventory.
     pub fn load_inventory(&self) -> Result<Vec<Server>, EdgeConfigError> {
         read_file(&self.inventory).map_err(EdgeConfigError::Inventory)
     }
 
-    /// The key of cursors: the file's, or a new random one.
+    /// Returns the key of cursors: the file's, or a new random one.
     ///
     /// # Errors
-    /// The file's key is too short or not hexadecimal, or the system gives no random bytes.
+    ///
+    /// Fails if the file's key is too short or not hexadecimal, or if the system gives no random
+    /// bytes.
     pub fn cursor_key(&self) -> Result<Vec<u8>, CursorKeyError> {
         let Some(text) = &self.cursor_key else {
             let mut key = vec![0; DRAWN_CURSOR_KEY];
@@ -238,7 +253,7 @@
 }
 
 impl CollectionConfig {
-    /// The queryables that the file declares, if any.
+    /// Returns the queryables that the file declares, if any.
     #[must_use]
     pub fn queryables(&self) -> Option<Queryables> {
         if self.queryables.is_empty() {
@@ -255,7 +270,7 @@
     }
 }
 
-/// The type of a queryable by its name in the file.
+/// Returns the type of a queryable by its name in the file.
 fn queryable_type(name: &str) -> Option<QueryableType> {
     Some(match name {
         "text" => QueryableType::Text,
--- a/src/front/ogc/config/settings.rs
+++ b/src/front/ogc/config/settings.rs
@@ -1,4 +1,4 @@
-//! The mapping of an edge file to the settings of the policy module and of the limits.
+//! Mapping of an edge file to the settings of the policy module and of the limits.
 
 use super::super::params::LimitRules;
 use super::{ClassConfig, EdgeConfig, SlowStartConfig};
@@ -6,20 +6,20 @@
 use crate::limits::LimitRule;
 use crate::time::Micros;
 
-/// Time between two ticks of the module, in milliseconds.
+/// Interval between two ticks of the module, in milliseconds.
 const TICK_MS: u64 = 5;
-/// The window over which the retry budget counts.
+/// Window over which the retry budget counts.
 const RETRY_WINDOW: Micros = Micros::from_secs(10);
 /// Retries that are always allowed within the window.
 const FREE_RETRIES: f64 = 10.0;
 
-/// Milliseconds of the file as nanoseconds of the module.
+/// Converts milliseconds of the file to nanoseconds of the module.
 fn nanos(milliseconds: u64) -> u64 {
     Micros::from_millis(milliseconds).to_nanos()
 }
 
 impl EdgeConfig {
-    /// The bounds of a query's `limit`.
+    /// Returns the limits on a query's `limit`.
     #[must_use]
     pub fn limit_rules(&self) -> LimitRules {
         LimitRules {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// How the requests in flight at a server are limited.
+    /// Returns the rule that limits the requests in flight at a server.
     #[must_use]
     pub fn concurrency_rule(&self) -> LimitRule {
         match self.limits.mode.as_str() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The policy module's settings.
+    /// Returns the policy module's settings.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let retry_budget = RetryBudget {
@@ -59,7 +59,7 @@
                 .collect(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
-            // Shards and their holders come with the inventory.
+            // The inventory adds the shards and their replicas.
             shards: 0,
             cells: 1,
             cells_per_shard: 1,
--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of the edge file: today's keys, defaults, mapping and errors.
+//! Tests of the edge file: keys, defaults, mapping and errors.
 
 use super::{EdgeConfig, EdgeConfigError, ValueError};
 use crate::interface::Effect;
 use crate::limits::LimitRule;
 use std::path::Path;
 
-/// An edge file with every key of version 0.1.0, written by hand. Files like it are in use: it must always be read.
+/// An edge file with every key of version 0.1.0. Operators use files like it, so it must stay
+/// readable.
 const EVERY_KEY: &str = r#"
 listen = "127.0.0.1:8080"
 mgmt = "127.0.0.1:8081"
@@ -61,7 +62,7 @@
 queryables = { name = "text", volts = "number", live = "bool", installed = "time", geometry = "geometry", tags = "array", rest = "any" }
 "#;
 
-/// The least that an edge file has.
+/// The keys that every edge file needs.
 const REQUIRED_KEYS: &str = r#"
 listen = "127.0.0.1:0"
 inventory = "servers.csv"
--- a/src/front/ogc/config/validation.rs
+++ b/src/front/ogc/config/validation.rs
@@ -1,4 +1,4 @@
-//! The check of an edge file's values against their ranges.
+//! Validation of an edge file's values against their ranges.
 
 use super::{
     queryable_type, ClassConfig, ClassError, CollectionConfig, EdgeConfig, LimitsConfig, ValueError,
@@ -10,9 +10,9 @@
 /// A value that is out of range.
 #[derive(Debug)]
 pub struct ValueIssue {
-    /// Text that stands in the faulty line.
+    /// Text that identifies the faulty line.
     pub anchor: String,
-    /// What is wrong with the value.
+    /// The value's fault.
     pub error: ValueError,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl EdgeConfig {
-    /// All values that are out of range.
+    /// Returns all values that are out of range.
     #[must_use]
     pub fn validate(&self) -> Vec<ValueIssue> {
         let mut issues = Vec::new();
@@ -52,7 +52,7 @@
         issues
     }
 
-    /// Values that must not be 0 and are.
+    /// Returns the values that are 0 and must not be.
     fn zero_values(&self) -> impl Iterator<Item = ValueIssue> {
         let positive = [
             ("default_limit", self.default_limit),
@@ -70,7 +70,7 @@
 }
 
 impl ClassConfig {
-    /// The class' faults; `earlier`: the classes before it in the file.
+    /// Returns the class' faults; `earlier` are the classes before it in the file.
     fn validate(&self, earlier: &[ClassConfig]) -> Vec<ClassError> {
         let mut errors = Vec::new();
         if self.name.is_empty() {
--- a/src/front/ogc/cql2/conformance.rs
+++ b/src/front/ogc/cql2/conformance.rs
@@ -1,4 +1,4 @@
-//! The conformance classes that a filter needs of a server (OGC 21-065r2, clause 7).
+//! Conformance classes that a server needs to evaluate a filter (OGC 21-065r2, clause 7).
 
 use super::{Filter, SpatialRelation, Value};
 use geo::Geometry;
@@ -7,10 +7,10 @@
 /// Conformance classes by the last segments of their URIs.
 type Classes = BTreeSet<&'static str>;
 
-/// Operands other than a property and a constant, in this order.
+/// Class of comparisons whose operands are not a property and a constant, in this order.
 const PROPERTY_PROPERTY: &str = "property-property";
 
-/// The conformance classes that a filter needs, by the last segments of their URIs.
+/// Returns the conformance classes that a filter needs, by the last segments of their URIs.
 pub(super) fn required_classes(filter: &Filter) -> Classes {
     let mut classes = Classes::new();
     add_classes(filter, &mut classes);
@@ -73,7 +73,7 @@
     }
 }
 
-/// The class that a value needs by itself.
+/// Returns the class that a value needs by itself.
 fn value_class(value: &Value) -> Option<&'static str> {
     match value {
         Value::Arithmetic(..) => Some("arithmetic"),
@@ -87,7 +87,7 @@
     matches!(value, Value::Property(_))
 }
 
-/// Whether a value is neither a property nor calculated.
+/// Returns whether a value is neither a property nor computed.
 fn is_constant(value: &Value) -> bool {
     !matches!(
         value,
@@ -95,7 +95,7 @@
     )
 }
 
-/// Whether an end of an interval is a property.
+/// Returns whether an end of an interval is a property.
 fn has_property_end(value: &Value) -> bool {
     match value {
         Value::Interval(from, to) => from.iter().chain(to).any(|end| is_property(end)),
--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -20,8 +20,8 @@
 pub struct Feature<'a>(pub &'a Json);
 
 impl<'a> Feature<'a> {
-    /// The value of a name: a property, else `id`, else the geometry under its usual names. `None`: there is none, or it is
-    /// null.
+    /// Returns the value of a name: a property, else `id`, else the geometry under its usual names.
+    /// A null is `None`.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<&'a Json> {
         let found = self.0["properties"].get(name).or_else(|| match name {
@@ -33,26 +33,28 @@
     }
 }
 
-/// Matches features against a filter.
+/// Filter that is applied to features.
 #[derive(Debug, Clone)]
 pub struct Matcher {
     filter: Filter,
 }
 
 impl Matcher {
-    /// A matcher for a filter.
+    /// Creates a matcher for a filter.
     #[must_use]
     pub fn new(filter: Filter) -> Self {
         Matcher { filter }
     }
 
-    /// Whether the filter is true of a feature. If it is unknown, the feature doesn't match.
+    /// Returns whether the filter is true of a feature. A feature of which it is unknown doesn't
+    /// match.
     #[must_use]
     pub fn matches(&self, feature: &Json) -> bool {
         evaluate(&self.filter, &Feature(feature)) == Some(true)
     }
 
-    /// Whether the filter is true of a feature as text. What is no JSON doesn't match.
+    /// Returns whether the filter is true of a feature as text. Text that is not JSON doesn't
+    /// match.
     #[must_use]
     pub fn matches_text(&self, feature: &[u8]) -> bool {
         serde_json::from_slice(feature).is_ok_and(|json: Json| self.matches(&json))
@@ -114,8 +116,8 @@
     }
 }
 
-/// The truth of several conditions of which a `decisive` one decides: `false` for AND, `true` for OR. Unknown if none
-/// decides and one is unknown.
+/// Combines conditions of which one with the truth `decisive` decides: `false` for AND, `true` for
+/// OR. Returns `None` if none decides and one is unknown.
 fn decide(conditions: impl Iterator<Item = Option<bool>>, decisive: bool) -> Option<bool> {
     let mut unknown = false;
     for condition in conditions {
@@ -128,7 +130,7 @@
     (!unknown).then_some(!decisive)
 }
 
-/// Whether the order of two values satisfies a comparison.
+/// Returns whether the order of two values satisfies a comparison.
 fn satisfies(operator: ComparisonOperator, order: Ordering) -> bool {
     match operator {
         ComparisonOperator::Equal => order == Ordering::Equal,
@@ -140,7 +142,7 @@
     }
 }
 
-/// The geometry of an operand; `None`: it is unknown.
+/// Returns the geometry of an operand, or `None` if it is unknown.
 fn geometry<'a>(value: &'a Value, feature: &Feature<'_>) -> Option<Cow<'a, Geometry<f64>>> {
     match value {
         Value::Geometry(geometry) => Some(Cow::Borrowed(geometry)),
@@ -150,7 +152,7 @@
     }
 }
 
-/// The span of an operand; `None`: it is unknown, or ends before it begins.
+/// Returns the time span of an operand, or `None` if it is unknown or ends before it begins.
 fn time_span(value: &Value, feature: &Feature<'_>) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
--- a/src/front/ogc/cql2/eval/operand.rs
+++ b/src/front/ogc/cql2/eval/operand.rs
@@ -1,4 +1,4 @@
-//! The values of a filter's operands for a feature, and their comparison.
+//! Values of a filter's operands for a feature, and their comparison.
 
 use super::time_span::{parse_instant, TimeSpan};
 use super::Feature;
@@ -16,12 +16,12 @@
     Bool(bool),
     Time(TimeSpan),
     Array(Vec<Operand<'a>>),
-    /// Nothing that can be compared.
+    /// A value that can't be compared.
     Other,
 }
 
 impl<'a> Operand<'a> {
-    /// The value of an operand; `None`: it is unknown.
+    /// Evaluates an operand; `None` is unknown.
     pub(super) fn evaluate(value: &'a Value, feature: &Feature<'a>) -> Option<Self> {
         match value {
             Value::Property(name) => feature.value(name).map(Operand::from_json),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The order of two values; `None`: they can't be compared. Times of features are texts.
+    /// Compares two values; `None` if they can't be compared. Times of features are texts.
     pub(super) fn compare(&self, other: &Operand<'_>) -> Option<Ordering> {
         match (self, other) {
             (Operand::Number(a), Operand::Number(b)) => a.partial_cmp(b),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether two values are equal; arrays are equal as sets.
+    /// Returns whether two values are equal; arrays are equal as sets.
     fn equals(&self, other: &Operand<'_>) -> bool {
         match (self, other) {
             (Operand::Array(a), Operand::Array(b)) => relates(ArrayRelation::Equals, a, b),
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether a relation holds between two arrays as sets: order and repeated items are of no consequence.
+/// Returns whether a relation holds between two arrays as sets, regardless of order and duplicates.
 pub(super) fn relates(relation: ArrayRelation, a: &[Operand<'_>], b: &[Operand<'_>]) -> bool {
     match relation {
         ArrayRelation::Equals => is_subset(a, b) && is_subset(b, a),
@@ -100,7 +100,8 @@
     items.iter().any(|other| item.equals(other))
 }
 
-/// The result of an operator on two numbers; `None`: they are no numbers, or the result is no finite one.
+/// Applies an operator to two numbers. Returns `None` if an operand is not a number, or the result
+/// is not finite.
 fn calculate(operator: ArithmeticOperator, left: &Operand<'_>, right: &Operand<'_>) -> Option<f64> {
     let (Operand::Number(left), Operand::Number(right)) = (left, right) else {
         return None;
@@ -117,7 +118,7 @@
     result.is_finite().then_some(result)
 }
 
-/// A text without the accents of its letters (Unicode combining marks).
+/// Returns a text without the accents of its letters (Unicode combining marks).
 fn without_accents(text: &str) -> String {
     text.nfd()
         .filter(|character| !is_combining_mark(*character))
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -1,27 +1,30 @@
-//! Patterns of `LIKE`.
+//! Pattern matching of `LIKE`.
 
-/// A piece of a pattern.
+/// Element of a pattern.
 #[derive(PartialEq)]
 enum Piece {
-    /// `%`: any text, also none.
+    /// `%`: any text, including the empty one.
     AnyText,
-    /// `_`: one character.
+    /// `_`: exactly one character.
     AnyCharacter,
-    /// A character of the text.
+    /// A literal character.
     Character(char),
 }
 
-/// Where to continue when a character doesn't match: the last `%` then takes one more.
+/// Position at which matching resumes after a mismatch: the last `%` then takes one character more.
 #[derive(Clone, Copy)]
 struct Backtrack {
-    /// Index of the `%` among the pieces.
+    /// Index of the `%` among the elements.
     piece: usize,
-    /// Index of the first character after what the `%` takes.
+    /// Index of the first character after those that the `%` takes.
     character: usize,
 }
 
-/// Whether a text matches a pattern, in which `%` is any text, `_` is one character, and a backslash escapes the next
-/// character. Greedy with one point to backtrack to: at most the text's length times the pattern's steps.
+/// Returns whether a text matches a pattern, in which `%` is any text, `_` is one character, and a
+/// backslash escapes the next character.
+///
+/// The match is greedy and backtracks to the last `%` only, so the number of steps is at most the
+/// product of the two lengths.
 pub(super) fn matches(text: &str, pattern: &str) -> bool {
     let pieces = parse(pattern);
     let text: Vec<char> = text.chars().collect();
--- a/src/front/ogc/cql2/eval/spatial.rs
+++ b/src/front/ogc/cql2/eval/spatial.rs
@@ -4,7 +4,7 @@
 use crate::front::ogc::cql2::SpatialRelation;
 use geo::{Geometry, Intersects, MultiPolygon, Polygon, Rect, Relate};
 
-/// Whether a spatial relation holds. The envelopes are compared first, which is cheap.
+/// Returns whether a spatial relation holds. The envelopes are compared first, which is cheap.
 pub(super) fn relates(relation: SpatialRelation, a: &Geometry<f64>, b: &Geometry<f64>) -> bool {
     let (Some(envelope_a), Some(envelope_b)) = (envelope(a), envelope(b)) else {
         return relation == SpatialRelation::Disjoint;
@@ -24,7 +24,8 @@
     }
 }
 
-/// The area of a box of four numbers, or six with heights: two polygons if it spans the antimeridian.
+/// Returns the area of a box of four numbers, or six with heights: two polygons if it spans the
+/// antimeridian.
 pub(super) fn bbox_geometry(bbox: &[f64]) -> Geometry<f64> {
     let (west, south, east, north) = match *bbox {
         [west, south, _, east, north, _] => (west, south, east, north),
--- a/src/front/ogc/cql2/eval/time_span.rs
+++ b/src/front/ogc/cql2/eval/time_span.rs
@@ -1,15 +1,15 @@
-//! Times as spans, and the temporal relations between them.
+//! Time spans and the temporal relations between them.
 
 use crate::front::ogc::cql2::TemporalRelation;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// Nanoseconds of a day.
+/// Length of a day in nanoseconds.
 const DAY: i128 = 86_400_000_000_000;
-/// Characters of a date, such as `2026-12-01`.
+/// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
-/// A span of time in Unix nanoseconds, both ends included; an instant has the same ends.
+/// Time span in Unix nanoseconds, both ends included; the two ends of an instant are equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeSpan {
     /// The first nanosecond.
@@ -19,13 +19,13 @@
 }
 
 impl TimeSpan {
-    /// Whether both ends are the same.
+    /// Returns whether both ends are the same.
     pub fn is_instant(self) -> bool {
         self.from == self.to
     }
 }
 
-/// A date as the span of its day, or an instant (RFC 3339). `None`: the text is neither.
+/// Parses a date, which is the span of its day, or an instant (RFC 3339).
 pub fn parse_instant(text: &str) -> Option<TimeSpan> {
     if text.len() == DATE_LENGTH {
         let midnight = OffsetDateTime::parse(&format!("{text}T00:00:00Z"), &Rfc3339).ok()?;
@@ -44,7 +44,8 @@
     })
 }
 
-/// Whether a temporal relation holds between two spans (OGC 21-065r2, clause 7.8; relations after Allen).
+/// Returns whether a temporal relation holds between two spans (OGC 21-065r2, clause 7.8; Allen's
+/// interval relations).
 pub(super) fn relates(relation: TemporalRelation, a: TimeSpan, b: TimeSpan) -> bool {
     match relation {
         TemporalRelation::After => a.from > b.to,
--- a/src/front/ogc/cql2/geometry.rs
+++ b/src/front/ogc/cql2/geometry.rs
@@ -1,4 +1,4 @@
-//! Geometries: from GeoJSON, to GeoJSON and well-known text, and their measures.
+//! Geometries: their construction, GeoJSON and well-known text, and their measures.
 
 use super::{fault, FilterError};
 use geo::{
@@ -11,18 +11,22 @@
 /// Deepest nesting of collections.
 const MAX_COLLECTION_DEPTH: usize = 4;
 
-/// The number of points of a geometry.
+/// Returns the number of points of a geometry.
 pub fn points(geometry: &Geometry<f64>) -> usize {
     geometry.coords_count()
 }
 
-/// The bounding box of a geometry; `None`: it has no point.
+/// Returns the bounding box of a geometry, or `None` if it has no point.
 #[must_use]
 pub fn envelope(geometry: &Geometry<f64>) -> Option<Rect<f64>> {
     geometry.bounding_rect()
 }
 
-/// A ring of a polygon: four points or more that end where they began.
+/// Creates a ring of a polygon.
+///
+/// # Errors
+///
+/// Fails if there are fewer than four points or the last one is not the first.
 pub fn ring(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
     if points.len() < 4 || points.first() != points.last() {
         return fault("a ring needs four points or more and must end where it began");
@@ -30,7 +34,11 @@
     Ok(LineString(points))
 }
 
-/// A polygon of its outer ring and its holes.
+/// Creates a polygon of its outer ring and its holes.
+///
+/// # Errors
+///
+/// Fails without a ring.
 pub fn polygon(rings: Vec<LineString<f64>>) -> Result<Polygon<f64>, FilterError> {
     let mut rings = rings.into_iter();
     let Some(outer) = rings.next() else {
@@ -39,7 +47,11 @@
     Ok(Polygon::new(outer, rings.collect()))
 }
 
-/// A line of two points or more.
+/// Creates a line.
+///
+/// # Errors
+///
+/// Fails if there are fewer than two points.
 pub fn line(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
     if points.len() < 2 {
         return fault("a line needs two points or more");
@@ -52,7 +64,7 @@
         .as_array()
         .and_then(|a| a.iter().map(Json::as_f64).collect());
     match numbers.as_deref() {
-        // Heights are of no consequence to any relation here.
+        // No relation here considers heights.
         Some([x, y] | [x, y, _]) => Ok(Coord { x: *x, y: *y }),
         _ => fault("a position needs two or three numbers"),
     }
@@ -72,10 +84,11 @@
     polygon(list(json, |r| ring(list(r, position)?))?)
 }
 
-/// Reads a GeoJSON geometry (RFC 7946).
+/// Parses a GeoJSON geometry (RFC 7946).
 ///
 /// # Errors
-/// The JSON is no geometry, or collections are nested too deep.
+///
+/// Fails if the JSON is not a geometry, or collections are nested too deep.
 pub fn parse_geojson(json: &Json) -> Result<Geometry<f64>, FilterError> {
     nested(json, 0)
 }
@@ -125,7 +138,7 @@
         Geometry::GeometryCollection(c) => {
             json!({"type": "GeometryCollection", "geometries": c.0.iter().map(to_geojson).collect::<Vec<_>>()})
         }
-        // Never made here.
+        // The parsers make none of these.
         Geometry::Line(l) => of("LineString", json!([at(&l.start), at(&l.end)])),
         Geometry::Rect(r) => of("Polygon", rings(&r.to_polygon())),
         Geometry::Triangle(t) => of("Polygon", rings(&t.to_polygon())),
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -1,4 +1,4 @@
-//! CQL2 JSON: read and written after the standard's schema (OGC 21-065r2, clause 7 and annex B).
+//! CQL2 JSON: parsing and writing by the standard's schema (OGC 21-065r2, clause 7 and annex B).
 
 use super::geometry::{parse_geojson, to_geojson};
 use super::text::{flatten, Junction};
@@ -8,7 +8,7 @@
 };
 use serde_json::{json, Map, Value as Json};
 
-/// Characters of a date, such as `2026-12-01`.
+/// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
 type Read<T> = Result<T, FilterError>;
@@ -16,21 +16,23 @@
 /// Parses a filter.
 ///
 /// # Errors
-/// The text is no JSON, no filter, or one beyond the bounds.
+///
+/// Fails if the text is not JSON, not a filter, or a filter beyond the limits.
 pub fn parse_json(text: &str) -> Read<Filter> {
     let json: Json = serde_json::from_str(text).map_err(|e| FilterError(e.to_string()))?;
     from_json(&json)
 }
 
-/// Reads a filter from parsed JSON.
+/// Parses a filter from JSON that was parsed already.
 ///
 /// # Errors
-/// The JSON is no filter, or one beyond the bounds.
+///
+/// Fails if the JSON is not a filter, or a filter beyond the limits.
 pub fn from_json(json: &Json) -> Read<Filter> {
     condition(json, 1)?.bounded()
 }
 
-/// Checks a depth of nesting against the bound.
+/// Checks a depth of nesting against the limit.
 fn check_depth(depth: usize) -> Read<()> {
     if depth > MAX_DEPTH {
         return fault(format!("it is nested more than {MAX_DEPTH} deep"));
@@ -38,7 +40,7 @@
     Ok(())
 }
 
-/// A condition at a depth of nesting, counted from 1.
+/// Parses a condition at a depth of nesting, counted from 1.
 fn condition(json: &Json, depth: usize) -> Read<Filter> {
     check_depth(depth)?;
     if let Some(constant) = json.as_bool() {
@@ -85,14 +87,14 @@
 }
 
 impl<'a> Call<'a> {
-    /// The arguments, if there are `N`.
+    /// Returns the arguments if there are exactly `N`.
     fn exactly<const N: usize>(&self) -> Read<&'a [Json; N]> {
         self.args
             .try_into()
             .or_else(|_| fault(format!("{} needs {N} args", self.op)))
     }
 
-    /// The arguments as `N` values.
+    /// Parses the arguments as exactly `N` values.
     fn values<const N: usize>(&self) -> Read<[Value; N]> {
         let values = self
             .exactly::<N>()?
@@ -109,7 +111,7 @@
         Ok((left, right))
     }
 
-    /// The arguments as two conditions or more.
+    /// Parses the arguments as two conditions or more.
     fn conditions(&self) -> Read<Vec<Filter>> {
         if self.args.len() < 2 {
             return fault(format!("{} needs two args or more", self.op));
@@ -132,7 +134,7 @@
         Ok(Filter::In(value(operand, self.depth + 1)?, list))
     }
 
-    /// A comparison, or a spatial, temporal or array relation.
+    /// Parses a comparison, or a spatial, temporal or array relation.
     fn relation(&self) -> Read<Filter> {
         if let Some(operator) = ComparisonOperator::ALL
             .iter()
@@ -170,7 +172,7 @@
     }
 }
 
-/// A value at a depth of nesting.
+/// Parses a value at a depth of nesting.
 fn value(json: &Json, depth: usize) -> Read<Value> {
     check_depth(depth)?;
     match json {
@@ -189,7 +191,7 @@
     }
 }
 
-/// A value that is an object, distinguished by its members.
+/// Parses a value that is an object, distinguished by its members.
 fn object_value(json: &Json, object: &Map<String, Json>, depth: usize) -> Read<Value> {
     let text = |key: &str| object.get(key).and_then(Json::as_str).map(str::to_owned);
     if let Some(name) = text("property") {
@@ -240,7 +242,7 @@
     }
 }
 
-/// A value that an operator or a function gives.
+/// Parses an operator or a function that results in a value.
 fn operation(json: &Json, depth: usize) -> Read<Value> {
     let (Some(op), Some(args)) = (json["op"].as_str(), json["args"].as_array()) else {
         return fault("a value is none that is known");
@@ -266,7 +268,7 @@
     }
 }
 
-/// An end of an interval; `None`: it is open.
+/// Parses an end of an interval; `None` is open.
 fn interval_end(json: &Json, depth: usize) -> Read<Option<Box<Value>>> {
     let end = match json.as_str() {
         Some(".." | "") => return Ok(None),
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -1,7 +1,8 @@
-//! CQL2 (OGC 21-065r2): a filter as a typed tree, parsed from text and from JSON, and printed as either.
+//! CQL2 (OGC 21-065r2): filters as a typed tree, parsed from text and from JSON, and printed as
+//! either.
 //!
-//! It owns the tree, its bounds, its check against queryables, its evaluation on a feature, and its pushdown to servers.
-//! Nothing here does input or output.
+//! This module owns the tree, its limits, its validation against queryables, its evaluation on a
+//! feature, and its pushdown to servers. Requests to servers are left to the rest of the front.
 
 mod conformance;
 mod eval;
@@ -27,10 +28,10 @@
 pub const MAX_DEPTH: usize = 24;
 /// Most nodes of a filter's tree, not counting points of geometries.
 pub const MAX_NODES: usize = 2_000;
-/// Most points of all its geometries.
+/// Most points of all geometries of a filter.
 pub const MAX_POINTS: usize = 20_000;
 
-/// What is wrong with a filter, in words for the client that wrote it.
+/// Message to the client that wrote a malformed filter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FilterError(pub String);
 
@@ -49,38 +50,38 @@
 /// A condition that is true, false or unknown of a feature.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Filter {
-    /// All of these; two or more.
+    /// Conjunction of two conditions or more.
     And(Vec<Filter>),
-    /// Any of these; two or more.
+    /// Disjunction of two conditions or more.
     Or(Vec<Filter>),
-    /// Not this.
+    /// Negation.
     Not(Box<Filter>),
     /// A constant.
     Constant(bool),
-    /// One value against another.
+    /// Comparison of two values.
     Compare(ComparisonOperator, Value, Value),
-    /// Text against a pattern with `%`, `_` and `\`.
+    /// Match of a text against a pattern with `%`, `_` and `\`.
     Like(Value, Value),
-    /// A number between two others, both included.
+    /// Test that a number lies between two others, both included.
     Between(Value, Value, Value),
-    /// A value among others.
+    /// Test that a value is equal to one of a list.
     In(Value, Vec<Value>),
-    /// The value is missing.
+    /// Test that a value is missing.
     IsNull(Value),
-    /// One geometry against another.
+    /// Spatial relation between two geometries.
     Spatial(SpatialRelation, Value, Value),
-    /// One time against another.
+    /// Temporal relation between two times.
     Temporal(TemporalRelation, Value, Value),
-    /// One array against another.
+    /// Relation between two arrays.
     Array(ArrayRelation, Value, Value),
-    /// A boolean property.
+    /// Boolean property as a condition.
     Test(Value),
 }
 
 /// An operand of a filter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// A feature's property, `id` or its geometry.
+    /// Property of a feature, its `id` or its geometry.
     Property(String),
     /// Text.
     Text(String),
@@ -92,15 +93,15 @@
     Date(String),
     /// An instant, `2026-12-01T00:00:00Z`.
     Timestamp(String),
-    /// A span; an end is a date, a timestamp, a property, or `None` where it is open.
+    /// Time span whose ends are dates, timestamps or properties, or `None` if open.
     Interval(Option<Box<Value>>, Option<Box<Value>>),
     /// A geometry.
     Geometry(Geometry<f64>),
-    /// A box: west, south, east, north, or with lows and highs.
+    /// Box: west, south, east, north, or six numbers with the lowest and highest heights.
     Bbox(Vec<f64>),
     /// An array.
     Array(Vec<Value>),
-    /// The result of an operator on two numbers.
+    /// Result of an operator on two numbers.
     Arithmetic(ArithmeticOperator, Box<Value>, Box<Value>),
     /// Text without its case.
     Casei(Box<Value>),
@@ -115,14 +116,14 @@
         #[expect(missing_docs, reason = "the variants have the names of the standard's operators")]
         pub enum $name { $($(#[$about])* $variant),* }
         impl $name {
-            /// All of them.
+            /// All values of the type.
             pub const ALL: &'static [$name] = &[$($name::$variant),*];
-            /// The name in CQL2 text.
+            /// Returns the name in CQL2 text.
             #[must_use]
             pub fn text(self) -> &'static str {
                 match self { $($name::$variant => $text),* }
             }
-            /// The name in CQL2 JSON.
+            /// Returns the name in CQL2 JSON.
             #[must_use]
             pub fn json(self) -> &'static str {
                 match self { $($name::$variant => $json),* }
@@ -132,15 +133,15 @@
 }
 
 operators! {
-    /// Comparisons.
+    /// Comparison operator.
     ComparisonOperator { Equal "=" "=", NotEqual "<>" "<>", LessEqual "<=" "<=", GreaterEqual ">=" ">=", Less "<" "<", Greater ">" ">" }
 }
 operators! {
-    /// Arithmetic on two numbers.
+    /// Arithmetic operator on two numbers.
     ArithmeticOperator { Add "+" "+", Subtract "-" "-", Multiply "*" "*", Divide "/" "/", Modulo "%" "%", Div "div" "div", Power "^" "^" }
 }
 operators! {
-    /// Spatial relations, by the dimensionally extended nine-intersection model.
+    /// Spatial relation of the dimensionally extended nine-intersection model.
     SpatialRelation {
         Intersects "S_INTERSECTS" "s_intersects", Equals "S_EQUALS" "s_equals", Disjoint "S_DISJOINT" "s_disjoint",
         Touches "S_TOUCHES" "s_touches", Within "S_WITHIN" "s_within", Overlaps "S_OVERLAPS" "s_overlaps",
@@ -148,7 +149,7 @@
     }
 }
 operators! {
-    /// Temporal relations, after Allen.
+    /// Temporal relation of Allen's interval algebra.
     TemporalRelation {
         After "T_AFTER" "t_after", Before "T_BEFORE" "t_before", Contains "T_CONTAINS" "t_contains",
         Disjoint "T_DISJOINT" "t_disjoint", During "T_DURING" "t_during", Equals "T_EQUALS" "t_equals",
@@ -159,7 +160,7 @@
     }
 }
 operators! {
-    /// Array relations.
+    /// Relation between arrays.
     ArrayRelation {
         Equals "A_EQUALS" "a_equals", Contains "A_CONTAINS" "a_contains", ContainedBy "A_CONTAINEDBY" "a_containedBy",
         Overlaps "A_OVERLAPS" "a_overlaps",
@@ -167,7 +168,7 @@
 }
 
 impl TemporalRelation {
-    /// Whether the relation may hold between instants too; the others need two intervals.
+    /// Returns whether the relation may hold between instants too; the others need two intervals.
     #[must_use]
     pub fn takes_instants(self) -> bool {
         matches!(
@@ -182,7 +183,7 @@
 }
 
 impl Filter {
-    /// The operands, in order.
+    /// Returns the operands, in order.
     #[must_use]
     pub fn values(&self) -> Vec<&Value> {
         match self {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// The conditions that it joins or negates.
+    /// Returns the conditions that the filter joins or negates.
     #[must_use]
     pub fn parts(&self) -> &[Filter] {
         match self {
@@ -214,7 +215,7 @@
         self.parts().iter().for_each(|p| p.each_value(visit));
     }
 
-    /// The names of the properties that it refers to.
+    /// Returns the names of the properties that the filter refers to.
     #[must_use]
     pub fn properties(&self) -> std::collections::BTreeSet<&str> {
         let mut names = std::collections::BTreeSet::new();
@@ -226,7 +227,7 @@
         names
     }
 
-    /// The conjunction of several conditions; `None` of none.
+    /// Returns the conjunction of several conditions, or `None` if there are none.
     #[must_use]
     pub fn all(mut parts: Vec<Filter>) -> Option<Filter> {
         match parts.len() {
@@ -236,7 +237,8 @@
         }
     }
 
-    /// The relative cost of evaluating it on a feature: its nodes, and the points of its geometries by the hundred.
+    /// Returns the relative cost of evaluating the filter on a feature: one for each node and for
+    /// each hundred points of its geometries.
     #[must_use]
     pub fn weight(&self) -> usize {
         let mut weight = 1 + self.parts().iter().map(Filter::weight).sum::<usize>();
@@ -251,12 +253,12 @@
         weight
     }
 
-    /// The number of conditions in it, itself included.
+    /// Returns the number of conditions in the filter, including itself.
     fn conditions(&self) -> usize {
         1 + self.parts().iter().map(Filter::conditions).sum::<usize>()
     }
 
-    /// The filter, if it is within the bounds on nodes and points.
+    /// Returns the filter if it is within the limits on nodes and points.
     fn bounded(self) -> Result<Self, FilterError> {
         let mut nodes = self.conditions();
         let mut points = 0;
--- a/src/front/ogc/cql2/print.rs
+++ b/src/front/ogc/cql2/print.rs
@@ -1,4 +1,4 @@
-//! Printing as CQL2 text, which parses to the same tree again.
+//! Printing of filters as CQL2 text, which parses to the same tree again.
 
 use super::geometry::to_wkt;
 use super::{Filter, Value};
@@ -39,8 +39,8 @@
     }
 }
 
-/// A text literal. A quotation mark is doubled; after a backslash it is written as it is, since the two are read as an
-/// escaped mark.
+/// Returns a text literal. A quotation mark is doubled, except after a backslash: the parser reads
+/// the two as an escaped mark.
 fn quoted(text: &str) -> String {
     let mut out = String::from("'");
     let mut before = ' ';
@@ -64,7 +64,7 @@
             Some(other) => other.to_string(),
         };
         match self {
-            // Always in quotation marks: any name may be a key word of some dialect.
+            // Always quoted, since any name may be a keyword of some dialect.
             Value::Property(name) => write!(f, "\"{name}\""),
             Value::Text(text) => f.write_str(&quoted(text)),
             Value::Number(n) => write!(f, "{n}"),
@@ -78,7 +78,8 @@
                 write!(f, "BBOX({})", numbers.join(","))
             }
             Value::Array(list) => {
-                // Brackets round all of an element would make it an array.
+                // An array element whose outermost brackets enclose all of it would parse as an
+                // array.
                 let element = |v: &Value| match v {
                     Value::Arithmetic(op, a, b) => format!("{a} {} {b}", op.text()),
                     v => v.to_string(),
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -1,20 +1,22 @@
-//! Filter pushdown: which part of a filter a server is asked, and which part is applied here to what it returns.
+//! Filter pushdown: the division of a filter into a part that a server evaluates and a residual
+//! that is evaluated here on the returned features.
 
 use super::conformance::required_classes;
 use super::geometry::envelope;
 use super::{Filter, Queryables, SpatialRelation, Value};
 use std::collections::BTreeSet;
 
-/// Characters that a condition takes beside its own text, such as those of ` AND `.
+/// Characters that a condition takes besides its own text, such as those of ` AND `.
 const JOINT_LENGTH: usize = 7;
 
 /// A box: west, south, east, north.
 type Envelope = [f64; 4];
 
-/// What a server can filter, by the conformance classes and the queryables that it declares.
+/// Filter support of a server: the conformance classes and the queryables that it declares.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Capabilities {
-    /// The last segments of the conformance classes' URIs: `basic-cql2`, `spatial-functions`, ...
+    /// Conformance classes by the last segments of their URIs: `basic-cql2`, `spatial-functions`,
+    /// ...
     pub classes: BTreeSet<String>,
     /// The queryables of the shard.
     pub queryables: Queryables,
@@ -23,7 +25,7 @@
 }
 
 impl Capabilities {
-    /// What both of two servers can do.
+    /// Returns the capabilities that two servers have in common.
     #[must_use]
     pub fn intersection(&self, other: &Capabilities) -> Self {
         Capabilities {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Whether a server of these capabilities can apply a filter.
+    /// Returns whether a server with these capabilities can apply a filter.
     fn can_filter(&self, filter: &Filter) -> bool {
         let declares = |class: &str| self.classes.contains(class);
         let has_name =
@@ -47,19 +49,22 @@
     }
 }
 
-/// A filter in two parts: a feature passes the filter if it passes both.
+/// Division of a filter in two parts: a feature passes the filter if it passes both.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FilterSplit {
-    /// The part that the server is asked.
+    /// Part that the server evaluates.
     pub pushed_down: Option<Filter>,
-    /// The part that is applied here.
+    /// Part that is evaluated here.
     pub residual: Option<Filter>,
-    /// A box that contains everything that can pass the residual part, so that the server can at least be asked for that.
+    /// Box around all features that can pass the residual part, which reduces the features that the
+    /// server returns.
     pub envelope: Option<[f64; 4]>,
 }
 
-/// Splits a filter between a server and here. Conditions joined by AND are split one by one, since a feature has to meet
-/// each; anything else is pushed down completely or not at all.
+/// Divides a filter between a server and this program.
+///
+/// The conditions of a conjunction are assigned one by one, since a feature has to meet each; any
+/// other filter is pushed down completely or not at all.
 #[must_use]
 pub fn split(filter: &Filter, capabilities: &Capabilities) -> FilterSplit {
     let conditions = match filter {
@@ -73,7 +78,7 @@
         .iter()
         .map(|condition| condition.to_string().len() + JOINT_LENGTH)
         .collect();
-    // The longest conditions stay here if the request's head would grow too long.
+    // The longest conditions become residual if the head of the request would grow too long.
     while lengths.iter().sum::<usize>() > capabilities.max_filter_text {
         let Some(longest) = (0..lengths.len()).max_by_key(|index| lengths[*index]) else {
             break;
@@ -93,7 +98,8 @@
     }
 }
 
-/// The box of what can pass a filter that relates the feature's geometry to a constant one.
+/// Returns the box around all features that can pass a filter that relates their geometry to a
+/// constant one.
 fn bounds(filter: &Filter) -> Option<Envelope> {
     match filter {
         Filter::And(parts) => parts.iter().filter_map(bounds).reduce(intersection),
@@ -122,7 +128,8 @@
     }
 }
 
-/// The box that two boxes share. If they are apart nothing can pass, and either box will do.
+/// Returns the intersection of two boxes. If they are disjoint, no feature passes and either box is
+/// correct.
 fn intersection(a: Envelope, b: Envelope) -> Envelope {
     let [west, south, east, north] = [
         a[0].max(b[0]),
@@ -147,8 +154,10 @@
     printable
 }
 
-/// Whether CQL2 text can express a text: it has no way to write a backslash before a quotation mark, the closing one
-/// included, since the two are read as an escaped mark.
+/// Returns whether CQL2 text can express a text.
+///
+/// A backslash before a quotation mark, including the closing one, can't be written: the two are
+/// parsed as an escaped mark.
 pub(super) fn is_printable(text: &str) -> bool {
     !text.ends_with('\\') && !text.contains("\\'")
 }
--- a/src/front/ogc/cql2/queryables.rs
+++ b/src/front/ogc/cql2/queryables.rs
@@ -1,4 +1,5 @@
-//! The queryables of a collection: the names that a filter may use, and their types (OGC API - Features, Part 3).
+//! The queryables of a collection: the names that a filter may use, and their types (OGC API -
+//! Features, Part 3).
 
 use super::{fault, FilterError};
 use serde_json::{json, Map, Value as Json};
@@ -19,12 +20,12 @@
     Geometry,
     /// An array.
     Array,
-    /// Not declared: anything.
+    /// Not declared; values of any type.
     Any,
 }
 
 impl QueryableType {
-    /// The type that a property's JSON schema declares.
+    /// Returns the type that a property's JSON schema declares.
     fn from_schema(schema: &Json) -> Self {
         let format = schema["format"].as_str().unwrap_or_default();
         let refers_to_geojson = schema
@@ -56,7 +57,7 @@
     }
 }
 
-/// The names that filters on a collection may use.
+/// Names that filters on a collection may use.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Queryables {
     /// The declared queryables by name.
@@ -66,7 +67,7 @@
 }
 
 impl Queryables {
-    /// The queryables of a collection that declares none: any name may be used.
+    /// Returns the queryables of a collection that declares none: any name may be used.
     #[must_use]
     pub fn unknown() -> Self {
         Queryables {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Reads the queryables of a JSON schema, as servers declare them. `None`: it has no properties.
+    /// Parses the queryables of a JSON schema, as servers declare them. Returns `None` if it has no
+    /// properties.
     #[must_use]
     pub fn from_schema(schema: &Json) -> Option<Self> {
         let properties = schema["properties"].as_object()?;
@@ -99,7 +101,7 @@
         json!({"type": "object", "properties": properties, "additionalProperties": self.open})
     }
 
-    /// The names that both have, with their type if both agree on it.
+    /// Returns the names that both have, with their type if both agree on it.
     #[must_use]
     pub fn intersection(&self, other: &Queryables) -> Self {
         let common_type = |name: &String, kind: QueryableType| match other.named.get(name) {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// The names that either has, with their type if both agree on it.
+    /// Returns the names that either has, with their type if both agree on it.
     #[must_use]
     pub fn union(mut self, other: &Queryables) -> Self {
         for (name, theirs) in &other.named {
@@ -137,7 +139,7 @@
         self
     }
 
-    /// The type of a name.
+    /// Returns the type of a name.
     pub(super) fn type_of(&self, name: &str) -> Result<QueryableType, FilterError> {
         match self.named.get(name) {
             Some(kind) => Ok(*kind),
--- a/src/front/ogc/cql2/tests.rs
+++ b/src/front/ogc/cql2/tests.rs
@@ -1,4 +1,4 @@
-//! Filters that are read, printed, checked, evaluated and split.
+//! Tests of parsing, printing, validation, evaluation and pushdown of filters.
 
 use super::*;
 use proptest::prelude::*;
@@ -80,7 +80,7 @@
         "\"name\" = 'Élan 7'",
         "id = 'd7'",
         "missing = 1 OR live",
-        // Found by the fuzz target: a backslash before an escaped mark.
+        // A backslash before an escaped mark.
         "name <> 'a\\\\'b' AND name <> '\\''",
     ];
     for text in yes {
@@ -271,7 +271,7 @@
         ..capabilities(&["basic-spatial-functions-plus"])
     };
     assert_eq!(of(&short).0, "\"volts\" > 1");
-    // What is joined by OR goes whole or not at all.
+    // A disjunction is pushed down completely or not at all.
     let either = parse_text("volts > 1 OR other = 1").expect("a filter");
     assert_eq!(split(&either, &capabilities(&[])).pushed_down, None);
 }
@@ -397,7 +397,7 @@
         }
     }
 
-    /// Whatever a server can do: both parts of a split together are the whole.
+    /// Whatever a server's capabilities, the two parts of a split are together the filter.
     #[test]
     fn both_parts_of_a_split_filter_together_match_the_same_features(filter in filters(), picked in proptest::collection::vec(any::<bool>(), 8), most in 0_usize..400) {
         let names = ["advanced-comparison-operators", "basic-spatial-functions", "basic-spatial-functions-plus",
@@ -413,7 +413,7 @@
 
 #[test]
 fn a_filter_that_was_once_misprinted_parses_back_in_both_forms() {
-    // Left by the fuzz target: what of it is text. Marks, control characters, and backslashes before an escaped mark.
+    // Marks, control characters, and backslashes before an escaped mark.
     let text = "a = '= ''''''=2\0\0\0z\0/\\\\'/t\0'";
     let filter = parse_text(text).expect("it is a filter");
     assert_eq!(
--- a/src/front/ogc/cql2/text/condition.rs
+++ b/src/front/ogc/cql2/text/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions: junctions, relations and predicates.
+//! Parsers of conditions: junctions, relations and predicates.
 
 use super::super::{
     ArrayRelation, ComparisonOperator, Filter, SpatialRelation, TemporalRelation, Value,
@@ -15,7 +15,7 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// A condition: conjunctions joined by OR.
+/// Parses a condition: conjunctions joined by OR.
 pub(super) fn condition(input: &mut Input<'_>) -> Parsed<Filter> {
     nested(|input| {
         let mut parts: Vec<Filter> =
@@ -37,7 +37,7 @@
     })
 }
 
-/// A primary condition, negated or not.
+/// Parses a primary condition, negated or not.
 fn factor(input: &mut Input<'_>) -> Parsed<Filter> {
     if opt(keyword("NOT")).parse_next(input)?.is_some() {
         let inner = nested(|input| cut_err(factor).parse_next(input))(input)?;
@@ -46,7 +46,7 @@
     primary(input)
 }
 
-/// A relation, a predicate, a condition in brackets, a constant, or a property that is true or false.
+/// Parses a relation, a predicate, a condition in brackets, a constant, or a boolean property.
 fn primary(input: &mut Input<'_>) -> Parsed<Filter> {
     if let Some(found) = opt(alt((relation, predicate))).parse_next(input)? {
         return Ok(found);
@@ -61,7 +61,7 @@
     .parse_next(input)
 }
 
-/// `S_...`, `T_...` and `A_...` with two operands.
+/// Parses `S_...`, `T_...` and `A_...` with two operands.
 fn relation(input: &mut Input<'_>) -> Parsed<Filter> {
     let name = preceded(multispace0, take_while(3.., is_name_character))
         .verify(|n: &str| n.get(1..2) == Some("_"));
@@ -92,7 +92,7 @@
     Err(ErrMode::Backtrack(ContextError::new()))
 }
 
-/// Two operands with a comma between them, and the closing bracket.
+/// Parses two operands with a comma between them, and the closing bracket.
 fn operands(
     input: &mut Input<'_>,
     operand: fn(&mut Input<'_>) -> Parsed<Value>,
@@ -104,7 +104,7 @@
     Ok((left, right))
 }
 
-/// A comparison, `IS NULL`, `LIKE`, `BETWEEN` or `IN`.
+/// Parses a comparison, `IS NULL`, `LIKE`, `BETWEEN` or `IN`.
 fn predicate(input: &mut Input<'_>) -> Parsed<Filter> {
     let left = scalar(input)?;
     if let Some(operator) = opt(comparison_operator).parse_next(input)? {
@@ -146,7 +146,7 @@
     Err(ErrMode::Backtrack(ContextError::new()))
 }
 
-/// What follows `BETWEEN`.
+/// Parses the limits after `BETWEEN`.
 fn between(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
     let low = cut_err(scalar)
         .context(StrContext::Label("a number"))
@@ -160,7 +160,7 @@
     Ok(Filter::Between(value, low, high))
 }
 
-/// What follows `IN`.
+/// Parses the list after `IN`.
 fn in_list(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
     required_sign("(")(input)?;
     let list: Vec<Value> = cut_err(separated(1.., scalar, sign(",")))
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -1,4 +1,4 @@
-//! Geometries as well-known text, and bounding boxes.
+//! Parsers of geometries as well-known text, and of bounding boxes.
 
 use super::super::geometry::{line, polygon, ring};
 use super::super::{FilterError, Value};
@@ -11,14 +11,14 @@
 use winnow::error::{ContextError, ErrMode, StrContext};
 use winnow::prelude::*;
 
-/// A box, a geometry or a property.
+/// Parses a box, a geometry or a property.
 pub(super) fn spatial_operand(input: &mut Input<'_>) -> Parsed<Value> {
     alt((bbox, geometry.map(Value::Geometry), property))
         .context(StrContext::Label("a geometry"))
         .parse_next(input)
 }
 
-/// `BBOX(...)` with four numbers, or six with heights.
+/// Parses `BBOX(...)` with four numbers, or six with heights.
 fn bbox(input: &mut Input<'_>) -> Parsed<Value> {
     (keyword("BBOX"), sign("(")).parse_next(input)?;
     let numbers: Vec<f64> = separated(4..=6, number, sign(",")).parse_next(input)?;
@@ -44,7 +44,7 @@
     .parse_next(input)
 }
 
-/// The keyword of a geometry, perhaps `Z` for heights, and its coordinates.
+/// Parses the keyword of a geometry, an optional `Z` for heights, and its coordinates.
 fn tagged<'a, T>(
     name: &'static str,
     mut coordinates: impl FnMut(&mut Input<'a>) -> Parsed<T>,
@@ -59,13 +59,13 @@
     }
 }
 
-/// A position; its height, if any, is of no consequence to any relation.
+/// Parses a position. Its height, if any, is discarded, since no relation considers it.
 fn position(input: &mut Input<'_>) -> Parsed<Coord<f64>> {
     let (x, y, _) = (number, number, opt(number)).parse_next(input)?;
     Ok(Coord { x, y })
 }
 
-/// Items in brackets, with commas between them.
+/// Parses items in brackets, with commas between them.
 fn list<'a, T>(
     item: fn(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Vec<T>> {
@@ -79,7 +79,7 @@
     }
 }
 
-/// The result of a check of what was parsed.
+/// Turns a failed check of a parsed geometry into an error without alternatives.
 fn checked<T>(result: Result<T, FilterError>) -> Parsed<T> {
     result.map_err(|_| fatal("a sound line or ring (closed, four points or more)"))
 }
@@ -99,7 +99,7 @@
     checked(polygon(rings))
 }
 
-/// A position of a multipoint. Both forms are in use: with brackets round each position and without.
+/// Parses a position of a multipoint, with or without brackets: both forms are in use.
 fn multipoint_position(input: &mut Input<'_>) -> Parsed<Point<f64>> {
     alt((delimited(sign("("), position, sign(")")), position))
         .map(Point)
--- a/src/front/ogc/cql2/text/lexer.rs
+++ b/src/front/ogc/cql2/text/lexer.rs
@@ -1,4 +1,5 @@
-//! The tokens of CQL2 text: signs, keywords, literals and names. White space is skipped before each token.
+//! Tokens of CQL2 text: signs, keywords, literals and names. White space is skipped before each
+//! token.
 
 use super::super::{Value, MAX_DEPTH};
 use winnow::ascii::{multispace0, Caseless};
@@ -11,26 +12,26 @@
 /// Label of the error that a filter is nested too deep.
 pub(super) const DEPTH_CONTEXT: &str = "depth";
 
-/// Words that are no names.
+/// Keywords, which are not names of properties.
 const RESERVED: [&str; 11] = [
     "AND", "OR", "NOT", "IN", "IS", "LIKE", "BETWEEN", "NULL", "TRUE", "FALSE", "DIV",
 ];
 
-/// How deep the parser is nested at present.
+/// Current depth of nesting.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Depth(pub(super) usize);
 
 pub(super) type Input<'a> = Stateful<LocatingSlice<&'a str>, Depth>;
 pub(super) type Parsed<T> = ModalResult<T>;
 
-/// An error that no alternative can mend; `label` tells what is needed.
+/// Creates an error that ends parsing without trying alternatives; `label` names what is expected.
 pub(super) fn fatal(label: &'static str) -> ErrMode<ContextError> {
     let mut error = ContextError::new();
     error.push(StrContext::Label(label));
     ErrMode::Cut(error)
 }
 
-/// A parser that is nested a level deeper than its caller.
+/// Returns a parser that is nested a level deeper than its caller.
 pub(super) fn nested<'a, T>(
     mut parser: impl FnMut(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<T> {
@@ -45,12 +46,12 @@
     }
 }
 
-/// A sign such as a bracket or a comma.
+/// Returns a parser of a sign such as a bracket or a comma.
 pub(super) fn sign<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| preceded(multispace0, text).void().parse_next(input)
 }
 
-/// A sign that has to come next.
+/// Returns a parser of a sign whose absence is an error without alternatives.
 pub(super) fn required_sign<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| {
         cut_err(sign(text))
@@ -59,7 +60,7 @@
     }
 }
 
-/// A keyword in any case, which is not merely the beginning of a name.
+/// Returns a parser of a keyword in any case that is not merely the beginning of a name.
 pub(super) fn keyword<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| {
         (
@@ -72,17 +73,17 @@
     }
 }
 
-/// Whether a character can stand within a name or a keyword.
+/// Returns whether a character can stand within a name or a keyword.
 pub(super) fn is_name_character(character: char) -> bool {
     character.is_alphanumeric() || character == '_'
 }
 
-/// `TRUE` or `FALSE`.
+/// Parses `TRUE` or `FALSE`.
 pub(super) fn boolean(input: &mut Input<'_>) -> Parsed<bool> {
     alt((keyword("TRUE").value(true), keyword("FALSE").value(false))).parse_next(input)
 }
 
-/// A text in quotation marks; a mark within it is doubled or escaped by a backslash.
+/// Parses a text in quotation marks; a mark within it is doubled or escaped by a backslash.
 pub(super) fn text_literal(input: &mut Input<'_>) -> Parsed<String> {
     (multispace0, '\'').parse_next(input)?;
     let character = alt((
@@ -97,7 +98,7 @@
     terminated(characters, cut_err('\'').context(StrContext::Label("'"))).parse_next(input)
 }
 
-/// A finite number.
+/// Parses a finite number.
 pub(super) fn number(input: &mut Input<'_>) -> Parsed<f64> {
     let is_digit = |character: char| character.is_ascii_digit();
     let literal = (
@@ -127,7 +128,7 @@
         .parse_next(input)
 }
 
-/// The name of a property, plain or in double quotation marks.
+/// Parses the name of a property, plain or in double quotation marks.
 pub(super) fn property(input: &mut Input<'_>) -> Parsed<Value> {
     let is_first = |c: char| c.is_alphabetic() || c == '_' || c == ':';
     let is_further = |c: char| is_name_character(c) || c == '.' || c == ':';
@@ -143,7 +144,7 @@
         cut_err('"').context(StrContext::Label("\"")),
     );
     let name = preceded(multispace0, alt((quoted, plain))).parse_next(input)?;
-    // A name before a bracket is a function, and only those of the standard are known.
+    // A name before a bracket is a function, and only the standard's functions are known.
     if opt(peek(sign("("))).parse_next(input)?.is_some() {
         return Err(ErrMode::Backtrack(ContextError::new()));
     }
--- a/src/front/ogc/cql2/text/mod.rs
+++ b/src/front/ogc/cql2/text/mod.rs
@@ -1,4 +1,4 @@
-//! CQL2 text, by parser combinators after the standard's grammar (OGC 21-065r2, annex B).
+//! Parser of CQL2 text, by combinators after the standard's grammar (OGC 21-065r2, annex B).
 
 mod condition;
 mod geometry;
@@ -18,7 +18,8 @@
 /// Parses a filter.
 ///
 /// # Errors
-/// The text is no filter, or one beyond the bounds.
+///
+/// Fails if the text is not a filter, or a filter beyond the limits.
 pub fn parse_text(text: &str) -> Result<Filter, FilterError> {
     let mut input = Stateful {
         input: LocatingSlice::new(text),
@@ -34,7 +35,7 @@
     }
 }
 
-/// The beginning of what was not parsed.
+/// Returns the beginning of the text that was not parsed.
 fn rest(input: &Input<'_>, text: &str) -> String {
     let start = input.input.current_token_start().min(text.len());
     text[start..]
@@ -44,7 +45,7 @@
         .collect()
 }
 
-/// What is wrong, by the first label of an error and the text that it occurred at.
+/// Returns the message for an error, from its first label and the text at its position.
 fn describe(error: &ContextError, rest: &str) -> String {
     let label = error.context().find_map(|context| match context {
         StrContext::Label(label) => Some(*label),
@@ -58,16 +59,16 @@
     }
 }
 
-/// How conditions are joined.
+/// Operator that joins conditions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Junction {
-    /// Each has to be true.
+    /// Conjunction.
     And,
-    /// One has to be true.
+    /// Disjunction.
     Or,
 }
 
-/// Flattens nested conditions that are joined alike into one list, however they were put in brackets.
+/// Flattens nested conditions of the same junction into one list, regardless of their brackets.
 #[must_use]
 pub fn flatten(parts: Vec<Filter>, junction: Junction) -> Vec<Filter> {
     let inner = |part| match part {
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -1,4 +1,4 @@
-//! Operands: scalars with arithmetic, times and arrays.
+//! Parsers of operands: scalars with arithmetic, times and arrays.
 
 use super::super::{ArithmeticOperator, Value, MAX_DEPTH};
 use super::lexer::{
@@ -9,10 +9,10 @@
 use winnow::error::{ContextError, ErrMode, StrContext};
 use winnow::prelude::*;
 
-/// Characters of a date, such as `2026-12-01`.
+/// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
-/// A value that can be compared: sums of products of powers of atoms.
+/// Parses a value that can be compared: sums of products of powers of atoms.
 pub(super) fn scalar(input: &mut Input<'_>) -> Parsed<Value> {
     const SUM: [ArithmeticOperator; 2] = [ArithmeticOperator::Add, ArithmeticOperator::Subtract];
     nested(|input| {
@@ -60,7 +60,8 @@
     arithmetic(input, ArithmeticOperator::Power, left, right)
 }
 
-/// An operator with its two operands. Chains of operators nest on the left, so that their depth is the tree's.
+/// Returns an operator with its two operands. A chain of operators nests on the left, so its length
+/// counts as the tree's depth.
 fn arithmetic(
     input: &Input<'_>,
     operator: ArithmeticOperator,
@@ -99,7 +100,7 @@
     }
 }
 
-/// An instant, a function of a text, a literal, a property, or a scalar in brackets.
+/// Parses an instant, a function of a text, a literal, a property, or a scalar in brackets.
 fn atom(input: &mut Input<'_>) -> Parsed<Value> {
     alt((
         instant,
@@ -128,7 +129,7 @@
     }
 }
 
-/// `DATE(...)` or `TIMESTAMP(...)`.
+/// Parses `DATE(...)` or `TIMESTAMP(...)`.
 fn instant(input: &mut Input<'_>) -> Parsed<Value> {
     let date = delimited(
         (keyword("DATE"), sign("(")),
@@ -145,14 +146,14 @@
     alt((date, timestamp)).parse_next(input)
 }
 
-/// An interval, an instant or a property.
+/// Parses an interval, an instant or a property.
 pub(super) fn temporal_operand(input: &mut Input<'_>) -> Parsed<Value> {
     alt((interval, instant, property))
         .context(StrContext::Label("a time"))
         .parse_next(input)
 }
 
-/// `INTERVAL(...)`.
+/// Parses `INTERVAL(...)`.
 fn interval(input: &mut Input<'_>) -> Parsed<Value> {
     (keyword("INTERVAL"), sign("(")).parse_next(input)?;
     let from = interval_end(input)?;
@@ -162,7 +163,7 @@
     Ok(Value::Interval(from, to))
 }
 
-/// An end of an interval; `None`: it is open.
+/// Parses an end of an interval; `None` is open.
 fn interval_end(input: &mut Input<'_>) -> Parsed<Option<Box<Value>>> {
     let from_text = |text: String| match text.as_str() {
         ".." | "" => None,
@@ -175,14 +176,15 @@
         .parse_next(input)
 }
 
-/// An array or a property.
+/// Parses an array or a property.
 pub(super) fn array_operand(input: &mut Input<'_>) -> Parsed<Value> {
     element
         .context(StrContext::Label("an array"))
         .parse_next(input)
 }
 
-/// An element of an array. Brackets round all of an element are those of an array, others belong to arithmetic.
+/// Parses an element of an array. Brackets around the whole element are those of an array; all
+/// others belong to arithmetic.
 fn element(input: &mut Input<'_>) -> Parsed<Value> {
     let complete = terminated(array, peek(alt((sign(","), sign(")")))));
     alt((complete, scalar)).parse_next(input)
--- a/src/front/ogc/cql2/validation.rs
+++ b/src/front/ogc/cql2/validation.rs
@@ -1,18 +1,21 @@
-//! The check of a filter against the queryables of a collection: its names must be known and its operands must fit.
+//! Validation of a filter against the queryables of a collection: its names must be known and its
+//! operands must fit.
 
 use super::eval::{parse_instant, TimeSpan};
 use super::{fault, Filter, FilterError, QueryableType, Queryables, TemporalRelation, Value};
 
-/// Checks that a filter can be asked of features with these queryables.
+/// Checks that a filter can be evaluated on features with these queryables.
 ///
 /// # Errors
-/// A name is unknown, or an operand is malformed or has a type that its operator doesn't take.
+///
+/// Fails if a name is unknown, or an operand is malformed or has a type that its operator doesn't
+/// take.
 pub fn check(filter: &Filter, queryables: &Queryables) -> Result<(), FilterError> {
     let checker = Checker { queryables };
     checker.check(filter)
 }
 
-/// Checks filters against queryables.
+/// Validator of filters against queryables.
 #[derive(Clone, Copy)]
 struct Checker<'a> {
     queryables: &'a Queryables,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Checks that two values can be compared, the left one of a type that is known already.
+    /// Checks that two values can be compared; the type of the left one is already known.
     fn check_comparable(
         self,
         left: &Value,
@@ -142,7 +145,7 @@
         }
     }
 
-    /// The type of a value, whose own operands are checked too.
+    /// Checks a value's own operands and returns its type.
     fn type_of(self, value: &Value) -> Result<QueryableType, FilterError> {
         match value {
             Value::Property(name) => self.queryables.type_of(name),
@@ -189,7 +192,7 @@
     }
 }
 
-/// Whether values of a type can be compared by order or equality.
+/// Returns whether values of a type can be compared by order or equality.
 fn is_scalar(queryable_type: QueryableType) -> bool {
     !matches!(
         queryable_type,
@@ -197,7 +200,7 @@
     )
 }
 
-/// The time of a date or a timestamp; `None`: it is known with a feature only.
+/// Returns the time of a date or a timestamp, or `None` if it depends on the feature.
 fn constant_time(value: &Value) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -1,7 +1,8 @@
 //! Coordinate reference systems by reference (OGC API - Features, Part 2).
 //!
-//! Servers are asked, and answer, in CRS84: longitude, latitude. Coordinates of a client in another system are transformed
-//! to that, and those of answers from it. The order of axes is the system's own: EPSG:4326 has latitude first.
+//! Servers are queried and answer in CRS84: longitude, latitude. Coordinates that a client sends in
+//! another system are transformed to CRS84, and those of its answers from it. The order of axes is
+//! the system's own: EPSG:4326 has latitude first.
 
 use super::cql2::{Filter, Value};
 use geo::{Coord, Geometry, MapCoords};
@@ -9,18 +10,19 @@
 use serde_json::{json, Value as Json};
 use std::fmt;
 
-/// Identifier of the default system.
+/// URI of the default system.
 pub const CRS84: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
-/// Identifier of the default system with heights.
+/// URI of the default system with heights.
 const CRS84H: &str = "http://www.opengis.net/def/crs/OGC/0/CRS84h";
-/// Prefix of the identifiers of EPSG's systems; a version lies between it and the code.
+/// Prefix of the URIs of EPSG's systems; a version stands between it and the code.
 const EPSG: &str = "http://www.opengis.net/def/crs/EPSG/";
-/// The geographic system that projections refer to.
+/// Definition of the geographic system that projections refer to.
 const GEOGRAPHIC: &str = "+proj=longlat +datum=WGS84 +no_defs";
-/// Web Mercator as a projection.
+/// Definition of Web Mercator.
 const MERCATOR: &str =
     "+proj=merc +a=6378137 +b=6378137 +lat_ts=0 +lon_0=0 +x_0=0 +y_0=0 +k=1 +units=m +no_defs";
-/// Steps along each edge of a box: an edge may be curved in another system, so its corners alone don't bound it.
+/// Number of steps along each edge of a box. An edge may be curved in another system, so its
+/// corners alone don't bound it.
 const EDGE_STEPS: usize = 16;
 
 /// A coordinate reference system that is served.
@@ -36,13 +38,14 @@
     Utm {
         /// The zone, 1 to 60.
         zone: u8,
-        /// The northern hemisphere.
+        /// Whether the zone is on the northern hemisphere.
         north: bool,
     },
 }
 
 impl Crs {
-    /// The system of an identifier in the form of a URI, a CURIE (plain or safe) or a URN. `None`: it is not served.
+    /// Parses an identifier in the form of a URI, a CURIE (plain or safe) or a URN. Returns `None`
+    /// if the system is not served.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.trim_start_matches('[').trim_end_matches(']');
@@ -73,7 +76,7 @@
         }
     }
 
-    /// The URI that identifies the system.
+    /// Returns the URI that identifies the system.
     #[must_use]
     pub fn uri(self) -> String {
         match self {
@@ -89,7 +92,8 @@
         }
     }
 
-    /// The name of the system in the text that cursors are bound to; see `Params::cursor_binding`.
+    /// Returns the name of the system in the text that cursors are bound to; see
+    /// `Params::cursor_binding`.
     pub(super) fn binding_name(self) -> String {
         match self {
             Crs::Crs84 => "Crs84".to_owned(),
@@ -99,7 +103,7 @@
         }
     }
 
-    /// All systems that are served, CRS84 first.
+    /// Returns all systems that are served, CRS84 first.
     pub fn all() -> impl Iterator<Item = Crs> {
         let zones = |north| (1..=60).map(move |zone| Crs::Utm { zone, north });
         [Crs::Crs84, Crs::Wgs84, Crs::Mercator]
@@ -108,7 +112,7 @@
             .chain(zones(false))
     }
 
-    /// The projection; `None`: the system is geographic.
+    /// Returns the projection, or `None` if the system is geographic.
     fn projection(self) -> Option<Proj> {
         let text = match self {
             Crs::Crs84 | Crs::Wgs84 => return None,
@@ -128,21 +132,21 @@
     }
 }
 
-/// The two systems of a projection.
+/// Projected system and the geographic system that it refers to.
 struct Projection {
     geographic: Proj,
     projected: Proj,
 }
 
-/// The transformation between CRS84 and another system.
+/// Transformation between CRS84 and another system.
 pub struct Transform {
     crs: Crs,
-    /// `None`: the system is geographic; at most the axes are swapped.
+    /// Projection; `None` if the system is geographic, so that at most the axes are swapped.
     projection: Option<Projection>,
 }
 
 impl Transform {
-    /// The transformation between CRS84 and a system. `None`: it can't be set up.
+    /// Creates the transformation between CRS84 and a system. Returns `None` if it can't be set up.
     #[must_use]
     pub fn of(crs: Crs) -> Option<Self> {
         let projection = match crs {
@@ -155,8 +159,8 @@
         Some(Transform { crs, projection })
     }
 
-    /// Transforms a longitude and latitude to coordinates of the system, its first axis first. `None`: the point lies
-    /// outside of where the system is defined.
+    /// Transforms a longitude and latitude in degrees to coordinates of the system, its first axis
+    /// first. Returns `None` if the point lies outside the area for which the system is defined.
     #[must_use]
     pub fn from_crs84(&self, longitude: f64, latitude: f64) -> Option<(f64, f64)> {
         match (&self.projection, self.crs) {
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Transforms coordinates of the system to a longitude and latitude.
+    /// Transforms coordinates of the system to a longitude and latitude in degrees.
     #[must_use]
     pub fn to_crs84(&self, first: f64, second: f64) -> Option<(f64, f64)> {
         match (&self.projection, self.crs) {
@@ -195,7 +199,7 @@
         }
     }
 
-    /// A box in CRS84 (west, south, east, north) that contains a box of the system.
+    /// Returns a box in CRS84 (west, south, east, north) that contains a box of the system.
     #[must_use]
     pub fn box_to_crs84(&self, numbers: [f64; 4]) -> Option<[f64; 4]> {
         let [min_x, min_y, max_x, max_y] = numbers;
@@ -229,8 +233,8 @@
         Some(bounds)
     }
 
-    /// A box of four numbers, or six with heights, in CRS84. `None`: it has another count of numbers, or lies outside of
-    /// where the system is defined.
+    /// Transforms a box of four numbers, or six with heights, to CRS84. Returns `None` for another
+    /// count of numbers, or if the box lies outside the area for which the system is defined.
     #[must_use]
     pub fn bbox_to_crs84(&self, numbers: &[f64]) -> Option<Vec<f64>> {
         match *numbers {
@@ -245,7 +249,8 @@
         }
     }
 
-    /// A geometry of the system in CRS84. `None`: a point lies outside of where the system is defined.
+    /// Transforms a geometry to CRS84. Returns `None` if a point lies outside the area for which
+    /// the system is defined.
     #[must_use]
     pub fn geometry_to_crs84(&self, geometry: &Geometry<f64>) -> Option<Geometry<f64>> {
         let transformed = |at: Coord<f64>| {
@@ -256,7 +261,8 @@
         geometry.try_map_coords(transformed).ok()
     }
 
-    /// Transforms a GeoJSON geometry from CRS84 in place. False: a point lies outside of where the system is defined.
+    /// Transforms a GeoJSON geometry from CRS84 in place. Returns `false` if a point lies outside
+    /// the area for which the system is defined.
     pub fn geojson_from_crs84(&self, geometry: &mut Json) -> bool {
         match geometry {
             Json::Object(members) => {
@@ -291,7 +297,8 @@
     }
 }
 
-/// Transforms the geometries and boxes of a filter to CRS84. `None`: a point lies outside of where the system is defined.
+/// Transforms the geometries and boxes of a filter to CRS84. Returns `None` if a point lies outside
+/// the area for which the system is defined.
 pub fn filter_to_crs84(filter: &mut Filter, transform: &Transform) -> Option<()> {
     match filter {
         Filter::And(parts) | Filter::Or(parts) => parts
--- a/src/front/ogc/crs/tests.rs
+++ b/src/front/ogc/crs/tests.rs
@@ -47,7 +47,7 @@
             "{a:?}"
         )
     };
-    // The figures are the projections' own: a degree of longitude on the equator, a zone's central meridian.
+    // Expected by definition: a degree of longitude on the equator, a zone's central meridian.
     near(at(Crs::Mercator, 180.0, 0.0), (20_037_508.342_789, 0.0));
     near(
         at(
--- a/src/front/ogc/error.rs
+++ b/src/front/ogc/error.rs
@@ -1,11 +1,11 @@
-//! Why a request gets an error response. The messages are the `detail` of the problem documents that clients read.
+//! Errors of requests. Their messages are the `detail` of the problem documents that clients read.
 
 use super::cursor::CursorError;
 use super::params::RequestError;
 use crate::coordinator::Answer;
 use crate::time::Micros;
 
-/// Why a request gets an error response.
+/// Reason of an error response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
     #[error("the path is no UTF-8")]
@@ -58,7 +58,7 @@
 }
 
 impl ApiError {
-    /// Why the core's answer is no result; `None` if it is one.
+    /// Returns the error that an answer of the core stands for, or `None` if it is a result.
     pub fn from_answer(answer: &Answer) -> Option<Self> {
         match answer {
             Answer::Served { .. } => None,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The HTTP status (RFC 9110).
+    /// Returns the HTTP status (RFC 9110).
     pub fn status(&self) -> u16 {
         match self {
             ApiError::Parameters(error) => error.status(),
--- a/src/front/ogc/error/tests.rs
+++ b/src/front/ogc/error/tests.rs
@@ -1,4 +1,4 @@
-//! The statuses and messages that clients see.
+//! Tests of the statuses and messages that clients see.
 
 use super::*;
 
--- a/src/front/ogc/inventory/csv_reader.rs
+++ b/src/front/ogc/inventory/csv_reader.rs
@@ -1,17 +1,18 @@
-//! An inventory as CSV with a header.
+//! Reader of inventories as CSV with a header.
 
 use super::entry::{Entry, Field, Locator};
 use super::error::{InventoryError, InventoryErrorKind};
 use super::{first, Server};
 use csv::StringRecord;
 
-/// The columns that a header must have.
+/// Columns that a header must have.
 const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "collections"];
 
-/// Reads CSV with a header. `file` is the name that errors tell.
+/// Reads CSV with a header; `file` is the file's name in errors.
 ///
 /// # Errors
-/// The first fault.
+///
+/// Fails with the first fault.
 pub fn read_csv(file: &str, text: &str) -> Result<Vec<Server>, InventoryError> {
     read_with_all_errors(file, text).map_err(first)
 }
@@ -49,7 +50,7 @@
     locator.servers(&entries, errors)
 }
 
-/// The entry of a row. An empty field counts as left out.
+/// Returns the entry of a row. An empty field counts as absent.
 fn entry(header: &StringRecord, row: &StringRecord) -> Entry {
     let line = row
         .position()
@@ -74,7 +75,7 @@
     entry
 }
 
-/// The line that an error is in, from 1.
+/// Returns the number of the line with an error, from 1.
 fn line_of(error: &csv::Error) -> usize {
     error
         .position()
--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -1,4 +1,4 @@
-//! The servers of an inventory as either format writes them, and their check.
+//! Servers of an inventory as either format writes them, and their validation.
 
 use super::error::{InventoryError, InventoryErrorKind};
 use super::{CollectionShard, Server};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, ToSocketAddrs};
 
-/// The text of a field and the line that it stands in.
+/// Text of a field and the number of its line.
 #[derive(Debug, Clone)]
 pub(super) struct Field {
     pub(super) text: String,
@@ -16,7 +16,7 @@
 /// Fields by their names.
 pub(super) type Fields = BTreeMap<String, Field>;
 
-/// A server as written.
+/// Unchecked entry of a server.
 #[derive(Debug, Default)]
 pub(super) struct Entry {
     pub(super) name: String,
@@ -34,14 +34,14 @@
     }
 }
 
-/// Locates errors in a file.
+/// Creator of errors for a file.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Locator<'a> {
     pub(super) file: &'a str,
 }
 
 impl Locator<'_> {
-    /// An error at a line, in a field or, if `field` is empty, of the whole line.
+    /// Creates an error at a line, in a field or, if `field` is empty, of the whole line.
     pub(super) fn error(
         &self,
         line: usize,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The servers that entries stand for, or every error: `errors` of the reader and those of the entries, by line.
+    /// Returns the servers of the entries, or every error by line: `errors` of the reader and those
+    /// of the entries.
     pub(super) fn servers(
         &self,
         entries: &[Entry],
@@ -73,7 +74,8 @@
             }
         }
         if servers.is_empty() && errors.is_empty() {
-            // Most likely cut off or the wrong file; taken as it stands it would drain everything.
+            // An empty inventory would drain every server; most likely the file is cut off or the
+            // wrong one.
             errors.push(self.error(1, "", InventoryErrorKind::NoServer));
         }
         errors.sort_by_key(|error| error.line);
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The server, if none of the earlier ones has its name or its address.
+    /// Returns the server if none of the earlier ones has its name or its address.
     fn unique(
         &self,
         server: Server,
@@ -122,7 +124,8 @@
     }
 }
 
-/// The address of a server: `address` as `host:port`, or the host and the port apart, as Ansible has them.
+/// Returns the address of a server: `address` as `host:port`, or host and port in two fields, as
+/// Ansible has them.
 fn address(entry: &Entry) -> Result<SocketAddr, InventoryErrorKind> {
     let port = entry.text("ansible_port").or(entry.text("port"));
     let address = match (entry.text("address"), entry.text("ansible_host"), port) {
@@ -138,7 +141,7 @@
     resolved.ok_or(InventoryErrorKind::Address(address))
 }
 
-/// The shards of a server, each once, in the order of the file.
+/// Returns the shards of a server, each once, in the order of the file.
 fn shards(entry: &Entry) -> Result<Vec<CollectionShard>, InventoryErrorKind> {
     let text = entry
         .text("collections")
@@ -163,7 +166,7 @@
     Ok(shards)
 }
 
-/// Whether a text can be the name of a collection or a shard.
+/// Returns whether a text can be the name of a collection or a shard.
 fn is_name(text: &str) -> bool {
     !text.is_empty()
         && text
@@ -171,7 +174,7 @@
             .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// The state of a server by any of the words that configuration tools use.
+/// Returns the state of a server, named by any of the words that configuration tools use.
 fn state(entry: &Entry) -> Result<EndpointState, InventoryErrorKind> {
     match entry.text("state").unwrap_or("in_service") {
         "in_service" | "ready" | "present" => Ok(EndpointState::Ready),
--- a/src/front/ogc/inventory/error.rs
+++ b/src/front/ogc/inventory/error.rs
@@ -1,24 +1,24 @@
-//! What can be wrong with an inventory, and where. The texts are what operators read.
+//! Errors of an inventory, with their location. Operators read the messages.
 
 use std::fmt;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A fault of an inventory, and where it is.
+/// Fault of an inventory, with its location.
 #[derive(Debug)]
 pub struct InventoryError {
     /// Name of the file.
     pub file: String,
-    /// The line, from 1; 0 where it has none.
+    /// Line number, from 1; 0 if the fault has no line.
     pub line: usize,
-    /// The field; empty where the fault is of the whole line.
+    /// Field; empty if the fault is of the whole line.
     pub field: String,
-    /// What is wrong.
+    /// Kind of the fault.
     pub kind: InventoryErrorKind,
 }
 
 impl InventoryError {
-    /// A fault of the file as a whole.
+    /// Creates an error of the file as a whole.
     pub(super) fn of_file(file: &str, kind: InventoryErrorKind) -> Self {
         InventoryError {
             file: file.to_owned(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What is wrong, after the field that it is wrong with; without file and line.
+    /// Returns the message with the field, without file and line.
     #[must_use]
     pub fn message(&self) -> String {
         if self.field.is_empty() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What is wrong with an inventory.
+/// Kind of a fault of an inventory.
 #[derive(Debug, Error)]
 pub enum InventoryErrorKind {
     /// The file can't be read.
@@ -68,10 +68,10 @@
     /// A column of the CSV is missing.
     #[error("the header lacks this column")]
     MissingColumn,
-    /// A node of the YAML is no mapping.
+    /// A node of the YAML is not a mapping.
     #[error("a mapping is needed")]
     NoMapping,
-    /// An item of a list in the YAML is no scalar.
+    /// An item of a list in the YAML is not a scalar.
     #[error("a list of plain words is needed")]
     NoWordList,
     /// A key of a group in the YAML is unknown.
@@ -83,7 +83,7 @@
     /// Two servers have the same address.
     #[error("{0} is there twice")]
     DuplicateAddress(SocketAddr),
-    /// There is no server.
+    /// The inventory has no server.
     #[error("no server is named")]
     NoServer,
     /// A field is missing.
--- a/src/front/ogc/inventory/mod.rs
+++ b/src/front/ogc/inventory/mod.rs
@@ -1,8 +1,9 @@
-//! The inventory of feature servers, as configuration tools keep it: CSV with a header, or YAML with groups, hosts and
-//! vars.
+//! Inventory of feature servers, in the formats of configuration tools: CSV with a header, or YAML
+//! with groups, hosts and vars.
 //!
-//! A server has a name, an address, a state, and the shards that it holds: `collection`, or `collection/shard`, where the
-//! shard is the name that the server itself gives that part of the collection.
+//! A server has a name, an address, a state, and the shards that it holds. A shard is written as
+//! `collection` or `collection/shard`; the second part is the server's own name for that part of
+//! the collection.
 
 mod csv_reader;
 mod entry;
@@ -17,40 +18,42 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// A shard of a collection: the collection's name, and the server's own name for the shard.
+/// Shard of a collection, by the collection's name and the server's own name for the shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CollectionShard {
-    /// The collection as clients know it.
+    /// Name of the collection for clients.
     pub collection: String,
-    /// The collection at the server.
+    /// Name of the collection at the server.
     pub source: String,
 }
 
 /// A feature server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Its name, which stays over restarts and moves.
+    /// Name of the server, which stays the same over restarts and changes of address.
     pub name: String,
-    /// Where it listens.
+    /// Address at which the server listens.
     pub address: SocketAddr,
-    /// The shards that it holds.
+    /// Shards that the server holds.
     pub shards: Vec<CollectionShard>,
-    /// Its state.
+    /// Operational state of the server.
     pub state: EndpointState,
 }
 
-/// Reads an inventory; the extension of the file's name tells the format.
+/// Reads an inventory, whose format is chosen by the extension of the file's name.
 ///
 /// # Errors
-/// The first fault of the inventory; [`read_file_with_all_errors`] returns every one.
+///
+/// Fails with the first fault of the inventory; [`read_file_with_all_errors`] returns every one.
 pub fn read_file(path: &Path) -> Result<Vec<Server>, InventoryError> {
     read_file_with_all_errors(path).map_err(first)
 }
 
-/// Reads an inventory; the extension of the file's name tells the format.
+/// Reads an inventory, whose format is chosen by the extension of the file's name.
 ///
 /// # Errors
-/// Every fault of the inventory, at least one.
+///
+/// Fails with every fault of the inventory, at least one.
 pub fn read_file_with_all_errors(path: &Path) -> Result<Vec<Server>, Vec<InventoryError>> {
     let file = path
         .file_name()
@@ -76,7 +79,7 @@
     }
 }
 
-/// The first of several errors; there is at least one.
+/// Returns the first of several errors, of which there is at least one.
 fn first(mut errors: Vec<InventoryError>) -> InventoryError {
     errors.swap_remove(0)
 }
--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -1,4 +1,5 @@
-//! An inventory as YAML in the shape of configuration tools such as Ansible: groups with `hosts`, `vars` and `children`.
+//! Reader of inventories as YAML in the form of configuration tools such as Ansible: groups with
+//! `hosts`, `vars` and `children`.
 
 use super::entry::{Entry, Field, Fields, Locator};
 use super::error::{InventoryError, InventoryErrorKind};
@@ -6,11 +7,14 @@
 use marked_yaml::types::{MarkedMappingNode, MarkedScalarNode};
 use marked_yaml::{LoadError, LoaderOptions, Marker, Node};
 
-/// Reads YAML with groups. A host's own vars take precedence over its groups', an inner group's over an outer's; the
-/// collections of a host add up over its groups. `file` is the name that errors tell.
+/// Reads YAML with groups; `file` is the file's name in errors.
+///
+/// A host's own vars take precedence over its groups', and an inner group's over an outer group's.
+/// The collections of a host are the union over its groups.
 ///
 /// # Errors
-/// The first fault.
+///
+/// Fails with the first fault.
 pub fn read_yaml(file: &str, text: &str) -> Result<Vec<Server>, InventoryError> {
     read_with_all_errors(file, text).map_err(first)
 }
@@ -39,7 +43,7 @@
     locator.servers(&reader.entries, errors)
 }
 
-/// The error of YAML that can't be parsed.
+/// Returns the error for YAML that can't be parsed.
 fn malformed(locator: Locator<'_>, error: LoadError) -> InventoryError {
     let (line, field) = match &error {
         LoadError::TopLevelMustBeMapping(marker)
@@ -56,19 +60,19 @@
     locator.error(line, &field, InventoryErrorKind::Yaml(Box::new(error)))
 }
 
-/// The line of a node; 0 if it has none.
+/// Returns the number of a node's line, or 0 if it has none.
 fn line_of(node: &Node) -> usize {
     node.span().start().map_or(0, Marker::line)
 }
 
-/// Collects the hosts of groups.
+/// Collector of the hosts of groups.
 struct GroupReader<'a> {
     locator: Locator<'a>,
     entries: Vec<Entry>,
 }
 
 impl GroupReader<'_> {
-    /// A node's mapping; `None`: the key has no value.
+    /// Returns a node's mapping, or `None` if the key has no value.
     fn mapping<'n>(
         &self,
         node: &'n Node,
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Adds the vars of a node to `fields`, in place of those of the same names.
+    /// Adds the vars of a node to `fields`, replacing those of the same names.
     fn vars(&self, node: &Node, field: &str, fields: &mut Fields) -> Result<(), InventoryError> {
         let Some(vars) = self.mapping(node, field)? else {
             return Ok(());
@@ -104,7 +108,7 @@
                     })?;
                     words.join(";")
                 }
-                // A tool's own structured vars don't concern this program.
+                // Structured vars belong to other tools and are ignored.
                 Node::Mapping(_) => continue,
             };
             fields.insert(
@@ -118,7 +122,7 @@
         Ok(())
     }
 
-    /// Reads a group; `outer`: the vars of the groups around it.
+    /// Reads a group; `outer` are the vars of the groups around it.
     fn group(&mut self, name: &str, node: &Node, outer: &Fields) -> Result<(), InventoryError> {
         let Some(group) = self.mapping(node, name)? else {
             return Ok(());
@@ -172,7 +176,7 @@
         Ok(())
     }
 
-    /// Adds a host, or its fields to those that an earlier group gave it.
+    /// Adds a host, or merges its fields with those that an earlier group gave it.
     fn merge(&mut self, entry: Entry) {
         let Some(known) = self
             .entries
--- a/src/front/ogc/params/bbox.rs
+++ b/src/front/ogc/params/bbox.rs
@@ -3,7 +3,8 @@
 use super::super::crs::{Crs, Transform};
 use super::RequestError;
 
-/// Turns a box of four numbers, or six with heights, into CRS84 and checks that it lies on the globe.
+/// Transforms a box of four numbers, or six with heights, to CRS84 and checks that it lies on the
+/// globe.
 pub(super) fn bbox_to_crs84(numbers: Vec<f64>, crs: Crs) -> Result<Vec<f64>, RequestError> {
     if !matches!(numbers.len(), 4 | 6) || !numbers.iter().all(|number| number.is_finite()) {
         return Err(RequestError::BboxCount);
@@ -20,14 +21,15 @@
     }
 }
 
-/// A box in CRS84 that holds the given one.
+/// Returns a box in CRS84 that contains the given one.
 fn transformed(numbers: &[f64], crs: Crs) -> Result<Vec<f64>, RequestError> {
     let transform = Transform::of(crs).ok_or(RequestError::UnusableCrs("bbox-crs"))?;
     let bbox = transform.bbox_to_crs84(numbers);
     bbox.ok_or(RequestError::BboxUndefined)
 }
 
-/// Whether a box has its corners in order and on the globe. West may lie beyond east: the box then spans the antimeridian.
+/// Returns whether a box has its corners in order and on the globe. A west beyond the east is
+/// valid: the box then spans the antimeridian.
 fn is_on_globe(bbox: &[f64]) -> bool {
     match *bbox {
         [west, south, east, north] => south <= north && in_range(&[west, east], &[south, north]),
--- a/src/front/ogc/params/error.rs
+++ b/src/front/ogc/params/error.rs
@@ -1,4 +1,5 @@
-//! Why a query is rejected before any server is asked. The texts are what clients read in the problem's detail.
+//! Errors of queries that are rejected before any server is queried. Clients read the messages in
+//! the problem's detail.
 
 use super::super::cql2::FilterError;
 use thiserror::Error;
@@ -20,7 +21,7 @@
         /// The value.
         value: String,
     },
-    /// A limit is no positive number.
+    /// A limit is not a positive number.
     #[error("limit is no number from 1 on")]
     Limit,
     /// A coordinate reference system is unknown.
@@ -34,7 +35,7 @@
     /// A coordinate reference system can't be set up.
     #[error("{0}: it cannot be used")]
     UnusableCrs(&'static str),
-    /// A box has something else than numbers.
+    /// A box contains something other than numbers.
     #[error("bbox: numbers are needed")]
     BboxNumbers,
     /// A box has a wrong count of numbers, or infinite ones.
@@ -79,7 +80,7 @@
     /// There is no sort key, or there are too many.
     #[error("sortby: 1 to {max} properties are needed")]
     SortCount {
-        /// Most sort keys.
+        /// Largest number of sort keys.
         max: usize,
     },
     /// There is no such sortable.
@@ -88,16 +89,16 @@
     /// A sort key is given twice.
     #[error("sortby: {0:?} is there twice")]
     DuplicateSortKey(String),
-    /// The body of a search is no JSON.
+    /// The body of a search is not JSON.
     #[error("the body: {0}")]
     Body(#[source] serde_json::Error),
-    /// The body of a search is JSON, but no object.
+    /// The body of a search is JSON, but not an object.
     #[error("the body is no JSON object")]
     BodyObject,
     /// A member of a search is unknown.
     #[error("unknown member {0:?}")]
     UnknownMember(String),
-    /// A member of a search is no text.
+    /// A member of a search is not text.
     #[error("{0}: text is needed")]
     MemberText(String),
     /// A search names no list of collections.
@@ -118,7 +119,7 @@
 }
 
 impl RequestError {
-    /// The HTTP status of the response.
+    /// Returns the HTTP status of the response.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
--- a/src/front/ogc/params/filter.rs
+++ b/src/front/ogc/params/filter.rs
@@ -1,11 +1,11 @@
-//! Filters: the check of parsed ones, and queryables that are given as parameters.
+//! Preparation of parsed filters, and queryables as parameters.
 
 use super::super::cql2::{check, ComparisonOperator, Filter, QueryableType, Queryables, Value};
 use super::super::crs::{filter_to_crs84, Crs, Transform};
 use super::super::filter_bounds::is_on_globe;
 use super::RequestError;
 
-/// Checks a filter against the queryables and turns its geometries into CRS84.
+/// Checks a filter against the queryables and transforms its geometries to CRS84.
 pub(super) fn prepare_filter(
     filter: &mut Filter,
     crs: Crs,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The condition that a queryable has this value (Part 1, 7.15.5).
+/// Returns the condition that a queryable has a value (OGC API - Features, Part 1, 7.15.5).
 pub(super) fn queryable_condition(
     name: &str,
     text: &str,
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -5,7 +5,7 @@
 /// Most media ranges of an `Accept` header that are read.
 const MAX_MEDIA_RANGES: usize = 64;
 
-/// The format of an answer.
+/// Format of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Format {
     /// JSON, GeoJSON for features.
@@ -14,21 +14,21 @@
     Html,
 }
 
-/// How a media range matches a format: the more specific range takes precedence.
+/// Rank of a media range that matches a format; the more specific range takes precedence.
 type Specificity = u8;
 
 const ANY: Specificity = 0;
 const ANY_SUBTYPE: Specificity = 1;
 const EXACT: Specificity = 2;
 
-/// A media range of an `Accept` header.
+/// Media range of an `Accept` header.
 struct MediaRange {
     weight: f32,
     json: Option<Specificity>,
     html: Option<Specificity>,
 }
 
-/// The most specific range seen for a format.
+/// Most specific media range so far for a format.
 #[derive(Default)]
 struct Preference {
     best: Option<MatchedRange>,
@@ -56,17 +56,18 @@
         }
     }
 
-    /// The weight of the format; 0: it is not accepted.
+    /// Returns the weight of the format; 0 is not acceptable.
     fn weight(&self) -> f32 {
         self.best.as_ref().map_or(0.0, |best| best.weight)
     }
 }
 
-/// The format of an answer, from the parameter `f` if given, else from the header `Accept`. JSON is chosen where both are
-/// accepted alike.
+/// Chooses the format of an answer by the parameter `f` if given, else by the header `Accept`. JSON
+/// is chosen if both are equally acceptable.
 ///
 /// # Errors
-/// `f` names an unknown format, or the client accepts neither.
+///
+/// Fails if `f` names an unknown format, or if the client accepts neither.
 pub fn negotiate_format(f: Option<&str>, accept: Option<&str>) -> Result<Format, RequestError> {
     match f {
         Some("json" | "geojson") => return Ok(Format::Json),
@@ -95,7 +96,7 @@
     }
 }
 
-/// A media range with its weight; a malformed weight counts as 0.
+/// Parses a media range with its weight; a malformed weight counts as 0.
 fn parse_media_range(text: &str) -> MediaRange {
     let mut words = text.split(';').map(str::trim);
     let media_type = words.next().unwrap_or_default().to_ascii_lowercase();
--- a/src/front/ogc/params/items.rs
+++ b/src/front/ogc/params/items.rs
@@ -1,4 +1,4 @@
-//! The parameters of `/items` (OGC API - Features, Parts 1 to 3).
+//! Parsing of the parameters of `/items` (OGC API - Features, Parts 1 to 3).
 
 use super::super::cql2::{self, Filter};
 use super::super::crs::Crs;
@@ -7,7 +7,7 @@
 use super::sorting::parse_sortby;
 use super::{values, ParameterRules, Params, RequestError};
 
-/// Parameters whose meaning depends on others, whatever their order.
+/// Parameters whose meaning depends on others, in whatever order they are given.
 #[derive(Default)]
 struct Dependent<'a> {
     bbox: Option<&'a str>,
@@ -19,7 +19,7 @@
     conditions: Vec<Filter>,
 }
 
-/// The decoded names and values of a query string.
+/// Decodes the names and values of a query string.
 #[must_use]
 pub fn decode_query(query: &str) -> Vec<(String, String)> {
     url::form_urlencoded::parse(query.as_bytes())
@@ -27,10 +27,11 @@
         .collect()
 }
 
-/// Parses the parameters of `/items`, given as names and values.
+/// Parses the parameters of `/items`.
 ///
 /// # Errors
-/// A parameter is unknown, malformed or given twice.
+///
+/// Fails if a parameter is unknown, malformed or given twice.
 pub fn parse_items_query(
     pairs: &[(String, String)],
     rules: &ParameterRules<'_>,
@@ -80,7 +81,7 @@
         bbox_to_crs84(numbers, self.bbox_crs.unwrap_or(Crs::Crs84)).map(Some)
     }
 
-    /// The filter and the conditions on queryables, joined.
+    /// Returns the conjunction of the filter and the conditions on queryables.
     fn parse_filter(self, rules: &ParameterRules<'_>) -> Result<Option<Filter>, RequestError> {
         let mut filter = match (self.filter, self.filter_language) {
             (None, None) => None,
--- a/src/front/ogc/params/mod.rs
+++ b/src/front/ogc/params/mod.rs
@@ -1,5 +1,7 @@
-//! The parameters of a query for features, checked here so that servers are only asked what is well formed. Beyond this
-//! module all coordinates are in CRS84.
+//! Parameters of a query for features.
+//!
+//! This module checks them, so that servers receive well-formed queries only. All coordinates beyond
+//! this module are in CRS84.
 
 mod bbox;
 mod error;
@@ -19,28 +21,28 @@
 use super::crs::Crs;
 use super::paging::{BoundSortKeys, SortKey};
 
-/// A query for features.
+/// Checked query for features.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Params {
     /// Most features of an answer.
     pub limit: usize,
-    /// Where this page begins, as a `next` link has it.
+    /// Cursor of a `next` link, at which this page begins.
     pub cursor: Option<String>,
-    /// A box in CRS84: four numbers, or six with heights.
+    /// Box in CRS84: four numbers, or six with heights.
     pub bbox: Option<Vec<f64>>,
-    /// A time or an interval, as the client wrote it.
+    /// Time or interval, as the client wrote it.
     pub datetime: Option<String>,
-    /// The condition that features must meet.
+    /// Condition that features must meet.
     pub filter: Option<Filter>,
-    /// The coordinate reference system of the answer.
+    /// Coordinate reference system of the answer.
     pub crs: Crs,
-    /// The sort keys; empty: any order.
+    /// Sort keys; if empty, any order.
     pub sortby: Vec<SortKey>,
-    /// The properties of the answer's features; `None`: all.
+    /// Properties of the answer's features; `None` for all.
     pub properties: Option<Vec<String>>,
 }
 
-/// The bounds of a query's `limit`.
+/// Limits on a query's `limit`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRules {
     /// Number of features in an answer when its query names no limit.
@@ -49,17 +51,17 @@
     pub max_limit: usize,
 }
 
-/// What the parameters of a query are checked against.
+/// Rules that the parameters of a query are checked against.
 #[derive(Debug, Clone)]
 pub struct ParameterRules<'a> {
-    /// The bounds of `limit`.
+    /// Limits on `limit`.
     pub limits: LimitRules,
-    /// The queryables of the collection.
+    /// Queryables of the collection.
     pub queryables: &'a Queryables,
 }
 
 impl Params {
-    /// A query without any condition.
+    /// Returns a query without any condition.
     fn unconditional(limits: LimitRules) -> Self {
         Params {
             limit: limits.default_limit.min(limits.max_limit),
@@ -73,8 +75,10 @@
         }
     }
 
-    /// The text that binds a cursor to its query: everything that decides which features there are, how they look and in
-    /// which order. Its hash is in the cursors that clients hold, so the text must stay as it is.
+    /// Returns the text that binds a cursor to its query: everything that determines the features
+    /// of an answer, their form and their order.
+    ///
+    /// Cursors that clients hold contain its hash, so the text must not change between releases.
     #[must_use]
     pub fn cursor_binding(&self) -> String {
         format!(
@@ -88,7 +92,7 @@
         )
     }
 
-    /// The box as servers are asked for it.
+    /// Returns the box as the text of a server's parameter `bbox`.
     #[must_use]
     pub fn bbox_text(&self) -> Option<String> {
         let bbox = self.bbox.as_ref()?;
--- a/src/front/ogc/params/search.rs
+++ b/src/front/ogc/params/search.rs
@@ -1,4 +1,4 @@
-//! The body of a search (STAC API, Item Search, `POST /search`).
+//! Parsing of the body of a search (STAC API, Item Search, `POST /search`).
 
 use super::super::cql2::{self, Filter, Queryables};
 use super::super::crs::Crs;
@@ -8,27 +8,29 @@
 use super::{values, LimitRules, Params, RequestError};
 use serde_json::Value as Json;
 
-/// A search.
+/// Search of a collection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
-    /// The collection that is searched.
+    /// Collection that is searched.
     pub collection: String,
-    /// The query on it.
+    /// Parameters of the query.
     pub params: Params,
 }
 
 /// Parses the body of a search as JSON.
 ///
 /// # Errors
-/// The body is no JSON.
+///
+/// Fails if the body is not JSON.
 pub fn parse_search_body(body: &[u8]) -> Result<Json, RequestError> {
     serde_json::from_slice(body).map_err(RequestError::Body)
 }
 
-/// The collection that the body of a search names.
+/// Returns the collection that the body of a search names.
 ///
 /// # Errors
-/// The body names none or several.
+///
+/// Fails if the body names none or several.
 pub fn search_collection(body: &Json) -> Result<String, RequestError> {
     let collections = body["collections"]
         .as_array()
@@ -39,10 +41,12 @@
     }
 }
 
-/// Parses the body of a search; `queryables_of` gives the queryables of a collection, or `None` if there is no such one.
+/// Parses the body of a search; `queryables_of` returns the queryables of a collection, or `None`
+/// if there is no such collection.
 ///
 /// # Errors
-/// A member is unknown or malformed.
+///
+/// Fails if a member is unknown or malformed.
 pub fn parse_search(
     body: &Json,
     queryables_of: impl Fn(&str) -> Option<Queryables>,
@@ -77,7 +81,7 @@
     Ok(Search { collection, params })
 }
 
-/// The text of member `name`.
+/// Returns the text of member `name`.
 fn text<'a>(name: &str, value: &'a Json) -> Result<&'a str, RequestError> {
     value
         .as_str()
@@ -91,7 +95,7 @@
     bbox_to_crs84(numbers.ok_or(RequestError::BboxNumbers)?, Crs::Crs84)
 }
 
-/// A filter as CQL2 text or CQL2 JSON, whichever it is.
+/// Parses a filter as CQL2 text if it is a text, else as CQL2 JSON.
 fn parse_filter(value: &Json, crs: Crs, queryables: &Queryables) -> Result<Filter, RequestError> {
     let mut filter = match value.as_str() {
         Some(text) => cql2::parse_text(text)?,
--- a/src/front/ogc/params/sorting.rs
+++ b/src/front/ogc/params/sorting.rs
@@ -8,7 +8,8 @@
 /// Most sort keys of a query.
 const MAX_SORT_KEYS: usize = 8;
 
-/// Sort keys as a parameter has them: names with commas between them, with a minus for a descending order.
+/// Parses the sort keys of a parameter: names separated by commas, with a minus for a descending
+/// order.
 pub(super) fn parse_sortby(
     value: &str,
     queryables: &Queryables,
@@ -20,7 +21,7 @@
     let text = text.trim();
     let (property, descending) = match text.strip_prefix('-') {
         Some(property) => (property, true),
-        // A plus in a query is a blank by the time it is here.
+        // A plus sign in a query string is already decoded to a blank.
         None => (text.strip_prefix('+').unwrap_or(text).trim(), false),
     };
     SortKey {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Sort keys as the body of a search has them: objects with `field` and `direction`.
+/// Parses the sort keys in the body of a search: objects with `field` and `direction`.
 pub(super) fn parse_sort_list(
     value: &Json,
     queryables: &Queryables,
@@ -56,7 +57,7 @@
     })
 }
 
-/// The keys, if there are neither too few nor too many and each is a sortable that is named once.
+/// Returns the keys if their number is within the limits and each is a sortable that is named once.
 fn check_sort_keys(
     keys: Vec<SortKey>,
     queryables: &Queryables,
@@ -78,7 +79,8 @@
     Ok(keys)
 }
 
-/// Whether features can be sorted by a property: any queryable but geometries and arrays, and the id.
+/// Returns whether features can be sorted by a property: any queryable except geometries and
+/// arrays, and the id.
 fn is_sortable(property: &str, queryables: &Queryables) -> bool {
     let declared = queryables.named.get(property);
     let unordered = matches!(
--- a/src/front/ogc/params/values.rs
+++ b/src/front/ogc/params/values.rs
@@ -1,22 +1,23 @@
-//! Parsing of single values.
+//! Parsing of single parameter values.
 
 use super::super::crs::Crs;
 use super::RequestError;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// Most properties named in a selection.
+/// Most properties in a selection.
 const MAX_PROPERTIES: usize = 200;
-/// Characters of a date, such as `2026-12-01`.
+/// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
-/// A limit of at most `max_limit`: a greater one is no error, since the answer then has a `next` link.
+/// Parses a limit. A greater one than `max_limit` is reduced to it, since the answer then has a
+/// `next` link.
 pub(super) fn limit(value: &str, max_limit: usize) -> Result<usize, RequestError> {
     let limit = value.parse::<usize>().ok().filter(|limit| *limit > 0);
     Ok(limit.ok_or(RequestError::Limit)?.min(max_limit))
 }
 
-/// The coordinate reference system that parameter `name` identifies.
+/// Parses the identifier of a coordinate reference system in parameter `name`.
 pub(super) fn crs(name: &str, value: &str) -> Result<Crs, RequestError> {
     let unsupported = || RequestError::UnsupportedCrs {
         name: name.to_owned(),
@@ -25,7 +26,7 @@
     Crs::parse(value).ok_or_else(unsupported)
 }
 
-/// Names of properties with commas between them.
+/// Parses names of properties separated by commas.
 pub(super) fn properties(value: &str) -> Result<Vec<String>, RequestError> {
     let names: Vec<String> = value
         .split(',')
@@ -37,7 +38,8 @@
     Ok(names)
 }
 
-/// Checks a time or an interval (Part 1, 7.15.4) and returns it as it was written.
+/// Checks a time or an interval (OGC API - Features, Part 1, 7.15.4) and returns it as it was
+/// written.
 pub(super) fn datetime(value: &str) -> Result<String, RequestError> {
     match value.split_once('/') {
         None => {
@@ -52,7 +54,7 @@
     Ok(value.to_owned())
 }
 
-/// An end of an interval; `None`: it is open.
+/// Parses an end of an interval; `None` is open.
 fn interval_end(text: &str) -> Result<Option<OffsetDateTime>, RequestError> {
     match text {
         "" | ".." => Ok(None),
@@ -60,7 +62,7 @@
     }
 }
 
-/// An RFC 3339 time; a date counts as its midnight.
+/// Parses an RFC 3339 time; a date counts as its midnight.
 fn instant(text: &str) -> Result<OffsetDateTime, RequestError> {
     let full = if text.len() == DATE_LENGTH {
         format!("{text}T00:00:00Z")
--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -1,4 +1,5 @@
-//! Documents about the service: landing page, conformance, collections and schemas (OGC API - Common and Features).
+//! Documents about the service: landing page, conformance, collections and schemas (OGC API -
+//! Common and Features).
 
 use super::html;
 use super::json::{json_response, GEOJSON, HTML, JSON, OPENAPI, SCHEMA};
@@ -14,7 +15,7 @@
 const SORTABLES_REL: &str = "http://www.opengis.net/def/rel/ogc/1.0/sortables";
 const JSON_SCHEMA_DIALECT: &str = "https://json-schema.org/draft/2020-12/schema";
 
-/// The conformance classes that are served, and no others.
+/// Conformance classes that are served.
 const CONFORMANCE_CLASSES: [&str; 26] = [
     "http://www.opengis.net/spec/ogcapi-common-1/1.0/conf/core",
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core",
@@ -44,11 +45,11 @@
     "http://www.opengis.net/spec/cql2/1.0/conf/arithmetic",
 ];
 
-/// Where a document is, and in which format it is written.
+/// Location and format of a document.
 #[derive(Debug, Clone)]
 pub(in crate::front::ogc) struct DocumentContext {
     pub base_url: String,
-    /// The path of the document, without a query.
+    /// Path of the document, without a query.
     pub path: String,
     pub format: Format,
 }
@@ -58,12 +59,13 @@
         format!("{}{}", self.base_url, self.path)
     }
 
-    /// Links to this document and to its other format; `json_type`: its media type as JSON.
+    /// Returns links to this document and to its other format; `json_type` is its media type as
+    /// JSON.
     fn links(&self, json_type: &str) -> Vec<Json> {
         self_and_alternate(self.format, json_type, |f| format!("{}?f={f}", self.url())).into()
     }
 
-    /// The document as a response.
+    /// Renders the document as a response.
     pub(super) fn respond(&self, title: &str, json_type: &'static str, json: &Json) -> Response {
         match self.format {
             Format::Json => json_response(200, json_type, json),
@@ -72,7 +74,7 @@
     }
 }
 
-/// The landing page.
+/// Renders the landing page.
 pub(in crate::front::ogc) fn landing_page(context: &DocumentContext) -> Response {
     let base = &context.base_url;
     let mut links = context.links(JSON);
@@ -88,13 +90,13 @@
     context.respond("quinceflow", JSON, &json)
 }
 
-/// The conformance classes.
+/// Renders the conformance classes.
 pub(in crate::front::ogc) fn conformance(context: &DocumentContext) -> Response {
     let json = json!({"conformsTo": CONFORMANCE_CLASSES, "links": context.links(JSON)});
     context.respond("Conformance", JSON, &json)
 }
 
-/// All collections.
+/// Renders the list of collections.
 pub(in crate::front::ogc) fn collections(
     context: &DocumentContext,
     ids: &[String],
@@ -108,7 +110,7 @@
     context.respond("Collections", JSON, &json)
 }
 
-/// One collection.
+/// Renders a collection.
 pub(in crate::front::ogc) fn collection(
     context: &DocumentContext,
     id: &str,
@@ -116,7 +118,7 @@
 ) -> Response {
     let mut json = collection_json(&context.base_url, id, edge);
     let links = json["links"].as_array().cloned().unwrap_or_default();
-    // The links to the document itself take the place of the first one.
+    // The links to the document itself replace the first link.
     json["links"] = context
         .links(JSON)
         .into_iter()
@@ -156,7 +158,7 @@
     ]
 }
 
-/// The queryables, sortables or returned properties of a collection as a JSON schema.
+/// Renders the queryables, sortables or returned properties of a collection as a JSON schema.
 pub(in crate::front::ogc) fn schema(
     context: &DocumentContext,
     title: &str,
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -1,4 +1,4 @@
-//! The response to a request for one feature by its identifier.
+//! Response to a request for one feature by its identifier.
 
 use super::html;
 use super::json::{json_response, GEOJSON, JSON};
@@ -16,7 +16,7 @@
 use serde_json::{json, Value as Json};
 use std::sync::Arc;
 
-/// A request for one feature, which may be in any shard of its collection.
+/// Request for one feature, which may be in any shard of its collection.
 pub(in crate::front::ogc) struct FeatureRequest {
     pub base_url: String,
     pub collection: String,
@@ -25,14 +25,14 @@
     pub shard_requests: Vec<ShardRequest>,
 }
 
-/// The response to a request for one feature.
+/// Renders the response to a request for one feature.
 pub(in crate::front::ogc) fn feature(request: &FeatureRequest, answer: Answer) -> Response {
     find_feature(request, answer)
         .and_then(|text| render(request, &text))
         .unwrap_or_else(|error| error_response(&error))
 }
 
-/// The text of the feature, from the first shard that has it.
+/// Returns the text of the feature, from the first shard that has it.
 fn find_feature(request: &FeatureRequest, answer: Answer) -> Result<Vec<u8>, ApiError> {
     if let Some(error) = ApiError::from_answer(&answer) {
         return Err(error);
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -1,4 +1,5 @@
-//! The response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API - Features, Part 1, 7.15) or HTML.
+//! Response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API - Features,
+//! Part 1, 7.15) or HTML.
 
 use super::html;
 use super::items_result::ItemsResult;
@@ -18,10 +19,10 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// The header that says whether all shards are in the response.
+/// Header that tells whether all shards are in the response.
 const COMPLETE_HEADER: &str = "X-Answer-Whole";
 
-/// The response to a query for features.
+/// Renders the response to a query for features.
 pub(in crate::front::ogc) fn feature_collection(result: &ItemsResult<'_>) -> Response {
     let request = result.request;
     let members = other_members(result);
@@ -40,8 +41,10 @@
     response
 }
 
-/// The entity tag: of the features, and of what else the body depends on except for its time. The cursor is left out, since
-/// each response has another one.
+/// Returns the entity tag, from the features and everything else that the body depends on except
+/// its time.
+///
+/// The cursor is excluded, since each response has another one.
 fn items_tag(result: &ItemsResult<'_>) -> String {
     let request = result.request;
     let html = request.format == Format::Html;
@@ -61,7 +64,7 @@
     )
 }
 
-/// The members of the collection beside its features.
+/// Returns the members of the collection other than its features.
 fn other_members(result: &ItemsResult<'_>) -> Json {
     let mut members = json!({
         "type": "FeatureCollection",
@@ -70,8 +73,8 @@
         "links": links(result),
     });
     if !result.complete {
-        // A client must not take a partial response for a complete one: a map without the devices of a shard looks like a
-        // map of a place without devices.
+        // Clients must be able to tell a partial response from a complete one: on a map, a missing
+        // shard looks like an area without features.
         members["partial"] = true.into();
         members["missing"] = result.missing_shards.clone().into();
     } else if let Some(matched) = result.number_matched {
@@ -117,7 +120,7 @@
     links
 }
 
-/// Links of a search carry the body to send.
+/// Returns the links of a search, which carry the body to send.
 fn search_links(request: &ItemsRequest, body: &Json, next_cursor: Option<&str>) -> Vec<Json> {
     let href = format!("{}/search", request.base_url);
     let mut links = vec![json!({"rel": "self", "href": href, "method": "POST", "type": GEOJSON})];
@@ -131,8 +134,10 @@
     links
 }
 
-/// The collection as GeoJSON. Features are written as their servers wrote them unless the query changes them, and those that
-/// follow each other in a page are not even copied.
+/// Writes the collection as GeoJSON.
+///
+/// Features are written as their servers wrote them unless the query changes them. The bytes of
+/// features that are adjacent in a page are shared without a copy.
 fn geojson(result: &ItemsResult<'_>, members: &Json) -> Body {
     let mut body = Body::from("{\"features\":[");
     let projection = FeatureProjection::of(&result.request.params);
@@ -150,7 +155,7 @@
     body
 }
 
-/// Writes a comma before every element but the first.
+/// Separator of the elements of a JSON array: a comma before every element but the first.
 #[derive(Default)]
 struct Separator {
     started: bool,
@@ -179,7 +184,7 @@
     }
 }
 
-/// Adds the features of a slice without a copy of their bytes.
+/// Appends the features of a slice without copying their bytes.
 fn push_shared(
     body: &mut Body,
     separator: &mut Separator,
@@ -202,7 +207,7 @@
     }
 }
 
-/// Whether there is a comma and otherwise only blanks between two features of a page.
+/// Returns whether only a comma and white space separate two features of a page.
 fn is_adjacent(page: &FeaturePage, left: &Range<usize>, right: &Range<usize>) -> bool {
     let between = &page.body[left.end..right.start];
     between
@@ -211,7 +216,7 @@
         && between.contains(&b',')
 }
 
-/// The bytes of a page, shared with a response until it is written.
+/// Bytes of a page, shared with a response until it is written.
 struct SharedPage {
     page: Arc<FeaturePage>,
     _memory: Arc<MemoryReservation>,
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -1,4 +1,4 @@
-//! HTML pages of the same resources: documents as tables, features with a map.
+//! HTML pages: documents as tables, features with a map.
 
 use super::items_result::ItemsResult;
 use super::projection::FeatureProjection;
@@ -14,7 +14,7 @@
 /// Most properties that are listed as columns.
 const MAX_COLUMNS: usize = 30;
 
-/// A JSON document about the service: its members and its links.
+/// Renders a JSON document about the service: its members and its links.
 pub(super) fn document(title: &str, json: &Json) -> Response {
     let mut main = String::new();
     for collection in json["collections"].as_array().into_iter().flatten() {
@@ -30,7 +30,7 @@
     page(title, &(main + &link_list(json)))
 }
 
-/// One feature.
+/// Renders one feature.
 pub(super) fn feature(json: &Json) -> Response {
     let title = match &json["id"] {
         Json::String(id) => id.clone(),
@@ -41,7 +41,8 @@
     page(&title, &main)
 }
 
-/// The features of a query: a map and a table. `members`: the other members of the collection.
+/// Renders the features of a query as a map and a table; `members` are the other members of the
+/// collection.
 pub(super) fn feature_collection(result: &ItemsResult<'_>, members: &Json) -> Response {
     let shown = shown_features(result);
     let mut main = summary(result, shown.len());
@@ -64,7 +65,7 @@
         .collect()
 }
 
-/// How many features there are, and which shards are missing.
+/// Returns the number of features and the missing shards in words.
 fn summary(result: &ItemsResult<'_>, shown: usize) -> String {
     let mut text = String::new();
     if !result.complete {
@@ -106,7 +107,7 @@
     text + "</table>"
 }
 
-/// The names of the features' properties, in the order in which they occur.
+/// Returns the names of the features' properties, in the order of their first occurrence.
 fn columns(features: &[Json]) -> Vec<&str> {
     let properties = features
         .iter()
@@ -120,7 +121,7 @@
     columns
 }
 
-/// The members of an object except its links.
+/// Returns a table of the members of an object except its links.
 fn member_table(json: &Json) -> String {
     let mut text = String::from("<table>");
     let members = json.as_object().into_iter().flatten();
@@ -146,7 +147,7 @@
     }
 }
 
-/// The links of a document that have an address.
+/// Returns a list of the links of a document that have an address.
 fn link_list(json: &Json) -> String {
     let mut text = String::from("<ul>");
     for link in json["links"].as_array().into_iter().flatten() {
@@ -174,7 +175,7 @@
     Response::new(200, HTML_UTF8, text)
 }
 
-/// Text with the characters escaped that are markup in HTML.
+/// Escapes the characters of a text that are markup in HTML.
 fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
--- a/src/front/ogc/response/html/tests.rs
+++ b/src/front/ogc/response/html/tests.rs
@@ -1,4 +1,4 @@
-//! HTML pages contain no markup of servers.
+//! Tests that HTML pages contain no markup of servers.
 
 use super::feature;
 use serde_json::json;
--- a/src/front/ogc/response/json.rs
+++ b/src/front/ogc/response/json.rs
@@ -10,7 +10,7 @@
 pub(super) const PROBLEM: &str = "application/problem+json";
 pub(super) const OPENAPI: &str = "application/vnd.oai.openapi+json;version=3.0";
 
-/// A response with a value as its body.
+/// Creates a response with a value as its JSON body.
 pub(super) fn json_response(
     status: u16,
     content_type: &'static str,
--- a/src/front/ogc/response/links.rs
+++ b/src/front/ogc/response/links.rs
@@ -4,12 +4,12 @@
 use crate::front::ogc::params::Format;
 use serde_json::{json, Value as Json};
 
-/// A link to a resource of a media type.
+/// Returns a link to a resource of a media type.
 pub(super) fn link(href: String, rel: &str, media_type: &str) -> Json {
     json!({"href": href, "rel": rel, "type": media_type})
 }
 
-/// The value of the parameter `f` for a format.
+/// Returns the value of the parameter `f` for a format.
 pub(super) fn format_name(format: Format) -> &'static str {
     match format {
         Format::Json => "json",
@@ -17,7 +17,7 @@
     }
 }
 
-/// The media type of a resource in a format; `json_type`: its media type as JSON.
+/// Returns the media type of a resource in a format; `json_type` is its media type as JSON.
 pub(super) fn media_type(format: Format, json_type: &str) -> &str {
     match format {
         Format::Json => json_type,
@@ -25,7 +25,8 @@
     }
 }
 
-/// Links to a resource in the format of this response, and in the other one. `href` gives the address for a value of `f`.
+/// Returns links to a resource in the format of this response and in the other one; `href` returns
+/// the address for a value of `f`.
 pub(super) fn self_and_alternate(
     format: Format,
     json_type: &str,
--- a/src/front/ogc/response/mod.rs
+++ b/src/front/ogc/response/mod.rs
@@ -1,4 +1,5 @@
-//! The responses of the front: documents about the service, features as GeoJSON or HTML, and problem documents.
+//! Rendering of responses: documents about the service, features as GeoJSON or HTML, and problem
+//! documents.
 
 pub(super) mod documents;
 pub(super) mod feature;
--- a/src/front/ogc/response/openapi.rs
+++ b/src/front/ogc/response/openapi.rs
@@ -1,4 +1,4 @@
-//! The description of the service as an OpenAPI 3.0 document.
+//! Description of the service as an OpenAPI 3.0 document.
 
 use super::documents::DocumentContext;
 use super::json::{GEOJSON, HTML, JSON, OPENAPI, PROBLEM, SCHEMA};
@@ -6,7 +6,7 @@
 use crate::proto::http::Response;
 use serde_json::{json, Value as Json};
 
-/// The description of the service.
+/// Renders the description of the service.
 pub(in crate::front::ogc) fn openapi(context: &DocumentContext, edge: &EdgeConfig) -> Response {
     let json = json!({
         "openapi": "3.0.3",
@@ -82,7 +82,7 @@
         "explode": false, "schema": schema})
 }
 
-/// The parameter that all resources have.
+/// Returns the parameter that all resources have.
 fn format_parameter() -> Json {
     json!({"name": "f", "in": "query", "required": false, "description": "the form of the answer",
         "schema": {"type": "string", "enum": ["json", "html"]}})
@@ -96,7 +96,7 @@
     json!({"description": "a problem", "content": content(PROBLEM)})
 }
 
-/// A `GET` operation with a result of a media type.
+/// Returns a `GET` operation with a result of a media type.
 fn get(operation_id: &str, summary: &str, media_type: &str, mut parameters: Vec<Json>) -> Json {
     parameters.push(format_parameter());
     let mut content = content(media_type);
@@ -108,7 +108,7 @@
         "responses": responses}})
 }
 
-/// `POST /search`.
+/// Returns the operation `POST /search`.
 fn search() -> Json {
     let features = json!({"description": "Features", "content": content(GEOJSON)});
     json!({
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -8,14 +8,14 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A problem document.
+/// Creates a problem document.
 pub(in crate::front::ogc) fn problem(status: u16, detail: &str) -> Response {
     let body =
         json!({"type": "about:blank", "title": title(status), "status": status, "detail": detail});
     json_response(status, PROBLEM, &body)
 }
 
-/// The response to a request that failed.
+/// Creates the response to a request that failed.
 pub(in crate::front::ogc) fn error_response(error: &ApiError) -> Response {
     let mut response = problem(error.status(), &error.to_string());
     if let ApiError::Overloaded { retry_after } = error {
@@ -26,7 +26,7 @@
     response
 }
 
-/// Whole seconds (RFC 9110, 10.2.3), and never 0: that would invite all clients to retry at once.
+/// Returns whole seconds (RFC 9110, 10.2.3), at least 1: with 0 all clients would retry at once.
 fn retry_after_seconds(retry_after: Option<Micros>) -> u64 {
     retry_after
         .unwrap_or(Micros::ZERO)
--- a/src/front/ogc/response/projection.rs
+++ b/src/front/ogc/response/projection.rs
@@ -1,19 +1,19 @@
-//! How features are changed for a response: transformed to another coordinate reference system, and with some of their
-//! properties left out.
+//! Projection of features for a response: transformation to another coordinate reference system and
+//! selection of properties.
 
 use crate::front::ogc::crs::{Crs, Transform};
 use crate::front::ogc::params::Params;
 use serde_json::Value as Json;
 use std::borrow::Cow;
 
-/// The changes that a query asks for.
+/// Changes to features that a query requests.
 pub(super) struct FeatureProjection<'a> {
     transform: Option<Transform>,
     properties: Option<&'a [String]>,
 }
 
 impl<'a> FeatureProjection<'a> {
-    /// The changes for a query's parameters `crs` and `properties`.
+    /// Creates the projection for a query's parameters `crs` and `properties`.
     pub fn of(params: &'a Params) -> Self {
         FeatureProjection {
             properties: params.properties.as_deref(),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// All properties, in a coordinate reference system.
+    /// Creates the projection to a coordinate reference system, with all properties.
     pub fn to_crs(crs: Crs) -> Self {
         let transform = if crs == Crs::Crs84 {
             None
@@ -34,12 +34,12 @@
         }
     }
 
-    /// Whether features stay as they are.
+    /// Returns whether features stay unchanged.
     pub fn is_identity(&self) -> bool {
         self.transform.is_none() && self.properties.is_none()
     }
 
-    /// Changes a feature.
+    /// Applies the projection to a feature.
     pub fn change(&self, feature: &mut Json) {
         if let Some(transform) = &self.transform {
             transform_geometry(feature, transform);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A feature's text, changed. `None`: it is no JSON.
+    /// Returns the text of a feature with the projection applied, or `None` if it is not JSON.
     pub fn apply<'t>(&self, feature: &'t [u8]) -> Option<Cow<'t, [u8]>> {
         if self.is_identity() {
             return Some(Cow::Borrowed(feature));
@@ -62,7 +62,8 @@
     }
 }
 
-/// A geometry outside the area for which the system is defined becomes null.
+/// Transforms the geometry of a feature; outside the area for which the system is defined it
+/// becomes null.
 fn transform_geometry(feature: &mut Json, transform: &Transform) {
     if !transform.geojson_from_crs84(&mut feature["geometry"]) {
         feature["geometry"] = Json::Null;
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -1,19 +1,19 @@
-//! A map of features as SVG: the first axis to the right, the second up.
+//! Map of features as SVG, with the first axis to the right and the second up.
 
 use serde_json::Value as Json;
 use std::fmt::Write as _;
 
 /// Most points that are drawn of one line or ring.
 const MAX_POINTS: usize = 2_000;
-/// The size of the map, in pixels.
+/// Size of the map, in pixels.
 const WIDTH: f64 = 800.0;
 const HEIGHT: f64 = 500.0;
-/// The margin around the features, both sides together, in pixels.
+/// Margin around the features, both sides together, in pixels.
 const MARGIN: f64 = 40.0;
-/// The smallest scale: of a single point.
+/// Smallest scale, which a single point has.
 const MIN_UNITS_PER_PIXEL: f64 = 1e-9;
 
-/// A map of the features; empty if none has a position.
+/// Draws a map of the features; empty if none has a position.
 pub(super) fn svg_map(features: &[Json]) -> String {
     let mut positions = Vec::new();
     features
@@ -32,14 +32,14 @@
     text + "</svg>"
 }
 
-/// A position, in the units of the features' coordinate reference system.
+/// Position in the units of the features' coordinate reference system.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     x: f64,
     y: f64,
 }
 
-/// All positions in a geometry, or in its coordinates.
+/// Collects all positions of a geometry or of its coordinates.
 fn collect_positions(json: &Json, into: &mut Vec<Position>) {
     match json {
         Json::Array(list) => {
@@ -69,7 +69,7 @@
     json.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The area that the map shows.
+/// Area that the map shows.
 struct View {
     west: f64,
     south: f64,
@@ -79,7 +79,7 @@
 }
 
 impl View {
-    /// The smallest view with all positions in it. `None`: there are none.
+    /// Returns the smallest view that contains all positions, or `None` if there are none.
     fn around(positions: &[Position]) -> Option<Self> {
         let first = positions.first()?;
         let (mut west, mut south, mut east, mut north) = (first.x, first.y, first.x, first.y);
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Where a position is on the map, in pixels.
+    /// Returns a position on the map, in pixels.
     fn project(&self, position: Position) -> Position {
         Position {
             x: WIDTH / 2.0 + (position.x - (self.west + self.east) / 2.0) / self.units_per_pixel,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The path data of a line or ring (SVG 1.1, 8.3).
+    /// Returns the path data of a line or ring (SVG 1.1, 8.3).
     fn path(&self, line: &Json) -> String {
         let mut positions = Vec::new();
         collect_positions(line, &mut positions);
--- a/src/front/ogc/response/svg_map/tests.rs
+++ b/src/front/ogc/response/svg_map/tests.rs
@@ -1,4 +1,4 @@
-//! Maps show all geometries.
+//! Tests of the map.
 
 use super::*;
 use serde_json::json;
--- a/src/front/platform/error.rs
+++ b/src/front/platform/error.rs
@@ -1,26 +1,26 @@
-//! Why a request for an answer is malformed. The texts are what clients read.
+//! Errors of malformed requests to the platform's front. Clients read the messages.
 
 use thiserror::Error;
 
-/// A request for an answer is malformed; its response has the status 400.
+/// Fault of a malformed request; its response has the status 400.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// A header is missing.
     #[error("{0} is missing")]
     MissingHeader(&'static str),
-    /// The request's identifier is empty, too long, or has other than printable ASCII characters.
+    /// The request's identifier is empty, too long, or has characters other than printable ASCII.
     #[error("X-Trace-Id is no id")]
     RequestId,
     /// There is no such class.
     #[error("X-Qos names no class")]
     UnknownClass,
-    /// The time-out is no number of seconds from 0 on.
+    /// The time-out is not a number of seconds from 0 on.
     #[error("X-Expires-In is no time")]
     Timeout,
-    /// The body is no JSON of the protocol.
+    /// The body is not JSON of the protocol.
     #[error("body: {0}")]
     Body(#[from] serde_json::Error),
-    /// The share of a part is no number from 0 on.
+    /// The share of a part is not a number from 0 on.
     #[error("a fraction is no share")]
     Share,
     /// There is no such shard.
--- a/src/front/platform/mod.rs
+++ b/src/front/platform/mod.rs
@@ -18,18 +18,18 @@
 /// Media type of everything else.
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// What a request may refer to; a reload of the settings replaces it.
+/// Classes and shards that a request may refer to; a reload of the settings replaces them.
 #[derive(Debug)]
 pub struct PlatformCatalog {
     classes: Vec<Arc<str>>,
     shards: u32,
 }
 
-/// The catalog as the front and a reload share it.
+/// Catalog that the front shares with a reload of the settings.
 pub type SharedPlatformCatalog = Arc<Mutex<Arc<PlatformCatalog>>>;
 
 impl PlatformCatalog {
-    /// The catalog of these settings.
+    /// Creates the catalog of the settings.
     #[must_use]
     pub fn new(settings: &CoordinatorSettings) -> Arc<Self> {
         let policy = &settings.policy;
@@ -45,14 +45,14 @@
     }
 }
 
-/// The front for the platform's protocol.
+/// Front for the platform's protocol.
 #[derive(Debug)]
 pub struct Platform {
     catalog: SharedPlatformCatalog,
 }
 
 impl Platform {
-    /// A front for requests that refer to `catalog`.
+    /// Creates a front for requests that refer to `catalog`.
     #[must_use]
     pub fn new(catalog: SharedPlatformCatalog) -> Self {
         Platform { catalog }
@@ -94,7 +94,7 @@
     }
 }
 
-/// A response of plain text.
+/// Creates a response of plain text.
 fn text(status: u16, text: &str) -> Reaction {
     Reaction::Respond(Response::new(status, TEXT, text))
 }
--- a/src/front/platform/request.rs
+++ b/src/front/platform/request.rs
@@ -9,21 +9,21 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Most characters of a request's identifier: it is repeated in every frame.
+/// Most characters of a request's identifier, which is repeated in every frame.
 const MAX_REQUEST_ID: usize = 128;
-/// Longest time-out of a client in seconds; a longer one counts as this.
+/// Longest time-out of a client in seconds; a longer one is reduced to it.
 const MAX_TIMEOUT_S: f64 = 3_600.0;
-/// Shares are rounded: their sum may differ from 1 by so much.
+/// Largest difference between 1 and the sum of the shares, which are rounded.
 const MAX_ROUNDING: f64 = 1e-3;
 
-/// The body. Errors of the JSON reader name this type and its fields.
+/// Body of a request. Errors of the JSON reader name this type and its fields.
 #[derive(Deserialize)]
 struct Query {
     tablets: Vec<Tablet>,
     statement: String,
 }
 
-/// A part of a query, as the body has it.
+/// Part of a query in the body.
 #[derive(Deserialize)]
 struct Tablet {
     tablet: u32,
@@ -31,10 +31,12 @@
     guess: Option<f64>,
 }
 
-/// Parses a request. `sent_at`: when its client sent it.
+/// Parses a request that its client sent at `sent_at`.
 ///
 /// # Errors
-/// A header or the body is malformed, or names what `catalog` doesn't have.
+///
+/// Fails if a header or the body is malformed, or names a class or a shard that `catalog` doesn't
+/// have.
 pub(super) fn parse(
     catalog: &PlatformCatalog,
     request: &HttpRequest,
@@ -89,7 +91,7 @@
     Ok(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
-/// The parts of a query over a platform of so many shards.
+/// Returns the parts of a query over a platform with a number of shards.
 fn parts(tablets: Vec<Tablet>, shards: u32) -> Result<Vec<PartRequest>, RequestError> {
     let mut parts: Vec<PartRequest> = Vec::with_capacity(tablets.len());
     for tablet in tablets {
@@ -116,7 +118,7 @@
     if parts.is_empty() {
         return Err(RequestError::NoShards);
     }
-    // Were the sum less than 1, an incomplete answer could pass for a complete one.
+    // With a sum below 1 an incomplete answer could pass for a complete one.
     let sum = parts.iter().map(|part| part.weight).sum::<f64>();
     if (sum - 1.0).abs() > MAX_ROUNDING {
         return Err(RequestError::ShareSum);
--- a/src/front/platform/response.rs
+++ b/src/front/platform/response.rs
@@ -7,22 +7,22 @@
 use serde::Serialize;
 use std::borrow::Cow;
 
-/// The body of an answer.
+/// Body of an answer.
 #[derive(Serialize)]
 struct Served<'a> {
-    /// The answer is complete.
+    /// Whether the answer is complete.
     full: bool,
     pieces: Vec<Piece<'a>>,
 }
 
-/// A part of an answer.
+/// Part of an answer.
 #[derive(Serialize)]
 struct Piece<'a> {
     tablet: u32,
     cell: Cow<'a, str>,
 }
 
-/// The response that an answer becomes.
+/// Returns the response for an answer.
 pub(super) fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served { complete, parts } => {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A time in seconds with three decimals, as the platform's `Retry-After` has it.
+/// Formats a time in seconds with three decimals, as in the platform's `Retry-After`.
 fn seconds(time: Micros) -> String {
     format!("{}.{:03}", time.0 / 1_000_000, time.0 / 1_000 % 1_000)
 }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the platform's protocol without a core: which requests are submitted, and what the others are told.
+//! Tests of the platform's protocol without a core: the requests that are submitted and the
+//! responses to all others.
 
 use super::request::parse;
 use super::{Platform, PlatformCatalog, RequestError};
@@ -39,7 +40,7 @@
         .expect("well formed")
 }
 
-/// Parses a request with these headers, `replaced` put in place of the usual ones or, without a value, left out.
+/// Parses a request with the usual headers, one of which is replaced or, without a value, omitted.
 fn parse_with(replaced: Option<(&str, Option<&str>)>, body: &str) -> Result<Request, RequestError> {
     let value = |name: &str, usual| match replaced {
         Some((other, value)) if other == name => value,
