--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -99,7 +99,8 @@
             _ => None,
         },
         Filter::Spatial(relation, left, right) => {
-            let (left, right) = (geometry(left, feature)?, geometry(right, feature)?);
+            let left = geometry(left, feature)?;
+            let right = geometry(right, feature)?;
             Some(spatial::relates(*relation, &left, &right))
         }
         Filter::Temporal(relation, left, right) => Some(time_span::relates(
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -28,7 +28,8 @@
 pub(super) fn matches(text: &str, pattern: &str) -> bool {
     let pieces = parse(pattern);
     let text: Vec<char> = text.chars().collect();
-    let (mut character, mut piece) = (0, 0);
+    let mut character = 0;
+    let mut piece = 0;
     let mut backtrack: Option<Backtrack> = None;
     while character < text.len() {
         match pieces.get(piece) {
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -61,8 +61,9 @@
 
 /// Parses a position. Its height, if any, is discarded, since no relation considers it.
 fn position(input: &mut Input<'_>) -> Parsed<Coord<f64>> {
-    let (x, y, _) = (number, number, opt(number)).parse_next(input)?;
-    Ok(Coord { x, y })
+    (number, number, opt(number))
+        .map(|(x, y, _)| Coord { x, y })
+        .parse_next(input)
 }
 
 /// Parses items in brackets, with commas between them.
--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -193,8 +193,9 @@
                     &mut at,
                 )
                 .ok()?;
-                let (x, y) = (at.0.to_degrees(), at.1.to_degrees());
-                (x.is_finite() && y.is_finite()).then_some((x, y))
+                let longitude = at.0.to_degrees();
+                let latitude = at.1.to_degrees();
+                (longitude.is_finite() && latitude.is_finite()).then_some((longitude, latitude))
             }
         }
     }
@@ -216,10 +217,8 @@
         ];
         for step in 0..=EDGE_STEPS {
             let share = step as f64 / EDGE_STEPS as f64;
-            let (x, y) = (
-                min_x + (max_x - min_x) * share,
-                min_y + (max_y - min_y) * share,
-            );
+            let x = min_x + (max_x - min_x) * share;
+            let y = min_y + (max_y - min_y) * share;
             for (x, y) in [(x, min_y), (x, max_y), (min_x, y), (max_x, y)] {
                 let (x, y) = self.to_crs84(x, y)?;
                 bounds = [
@@ -289,7 +288,8 @@
             let Some((first, second)) = self.from_crs84(x, y) else {
                 return false;
             };
-            (list[0], list[1]) = (json!(first), json!(second));
+            list[0] = json!(first);
+            list[1] = json!(second);
             return true;
         }
         list.iter_mut()
--- a/src/front/ogc/inventory/tests.rs
+++ b/src/front/ogc/inventory/tests.rs
@@ -12,17 +12,34 @@
     let csv = "name,address,collections,state\n\
         a,127.0.0.1:9001,devices/north;zones,in_service\n\
         b,127.0.0.1:9002,devices/south,draining\n";
-    let yaml = "all:\n  vars:\n    state: in_service\n  children:\n    north:\n      vars:\n        collections: devices/north\n      \
-        hosts:\n        a: {ansible_host: 127.0.0.1, ansible_port: 9001}\n    zones:\n      hosts:\n        a:\n          \
-        collections: [zones]\n          ansible_host: 127.0.0.1\n          ansible_port: 9001\n    south:\n      hosts:\n        b:\n          \
-        address: 127.0.0.1:9002\n          collections: devices/south\n          state: draining\n";
-    let (a, b) = (
-        read_csv("i.csv", csv).expect("csv"),
-        read_yaml("i.yaml", yaml).expect("yaml"),
-    );
-    assert_eq!(a, b);
-    assert_eq!(a[0].shards.len(), 2);
-    assert_eq!(a[1].state, EndpointState::Draining);
+    let yaml = r"
+all:
+  vars:
+    state: in_service
+  children:
+    north:
+      vars:
+        collections: devices/north
+      hosts:
+        a: {ansible_host: 127.0.0.1, ansible_port: 9001}
+    zones:
+      hosts:
+        a:
+          collections: [zones]
+          ansible_host: 127.0.0.1
+          ansible_port: 9001
+    south:
+      hosts:
+        b:
+          address: 127.0.0.1:9002
+          collections: devices/south
+          state: draining
+";
+    let from_csv = read_csv("i.csv", csv).expect("csv");
+    let from_yaml = read_yaml("i.yaml", yaml).expect("yaml");
+    assert_eq!(from_csv, from_yaml);
+    assert_eq!(from_csv[0].shards.len(), 2);
+    assert_eq!(from_csv[1].state, EndpointState::Draining);
 }
 
 #[test]
@@ -36,8 +53,8 @@
     assert!(bad("b,127.0.0.1:2").starts_with("i.csv:3: "));
     assert!(error_text(read_csv("i.csv", "name,address\n")).starts_with("i.csv:1: collections: "));
     assert!(error_text(read_csv("i.csv", "name,address,collections\n")).starts_with("i.csv:1: "));
-    let yaml =
-        "all:\n  hosts:\n    a:\n      address: 127.0.0.1:1\n      collections: x\n      state: asleep\n";
+    let yaml = "all:\n  hosts:\n    a:\n      address: 127.0.0.1:1\n      \
+        collections: x\n      state: asleep\n";
     assert!(error_text(read_yaml("i.yaml", yaml)).starts_with("i.yaml:6: state: "));
     assert!(error_text(read_yaml("i.yaml", "all:\n  hots: {}\n")).starts_with("i.yaml:2: hots: "));
     assert!(error_text(read_yaml("i.yaml", "all:\n  hosts: [a\n")).starts_with("i.yaml:"));
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -78,7 +78,8 @@
     let Some(accept) = accept else {
         return Ok(Format::Json);
     };
-    let (mut json, mut html) = (Preference::default(), Preference::default());
+    let mut json = Preference::default();
+    let mut html = Preference::default();
     for range in accept
         .split(',')
         .take(MAX_MEDIA_RANGES)
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -155,7 +155,9 @@
             continue;
         };
         let title = link["title"].as_str().unwrap_or(rel);
-        let (href, rel, title) = (escape(href), escape(rel), escape(title));
+        let href = escape(href);
+        let rel = escape(rel);
+        let title = escape(title);
         let _ = write!(
             text,
             "<li><a rel=\"{rel}\" href=\"{href}\">{title}</a></li>"
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -82,10 +82,15 @@
     /// Returns the smallest view that contains all positions, or `None` if there are none.
     fn around(positions: &[Position]) -> Option<Self> {
         let first = positions.first()?;
-        let (mut west, mut south, mut east, mut north) = (first.x, first.y, first.x, first.y);
+        let mut west = first.x;
+        let mut south = first.y;
+        let mut east = first.x;
+        let mut north = first.y;
         for position in positions {
-            (west, east) = (west.min(position.x), east.max(position.x));
-            (south, north) = (south.min(position.y), north.max(position.y));
+            west = west.min(position.x);
+            south = south.min(position.y);
+            east = east.max(position.x);
+            north = north.max(position.y);
         }
         let horizontal = (east - west) / (WIDTH - MARGIN);
         let vertical = (north - south) / (HEIGHT - MARGIN);
