--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -4,7 +4,7 @@
 
 use super::config::{CollectionConfig, EdgeConfig};
 use super::inventory::{read_file_with_all_errors, CollectionShard, InventoryError, Server};
-use recovery::{line_with, parse_with_recovery};
+use recovery::{line_with, parse_with_recovery, LineFault};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -57,23 +57,24 @@
         .unwrap_or(path.as_os_str())
         .to_string_lossy()
         .into_owned();
-    let text = match std::fs::read_to_string(path) {
-        Ok(text) => text,
-        Err(error) => {
-            let fault = Fault {
-                file,
-                line: 0,
-                message: error.to_string(),
-            };
-            return Report {
-                faults: vec![fault],
-                summary: String::new(),
-            };
-        }
+    let mut report = match std::fs::read_to_string(path) {
+        Ok(text) => check_text(path, &file, &text),
+        Err(error) => Report::of_fault(Fault {
+            file,
+            line: 0,
+            message: error.to_string(),
+        }),
     };
-    let (edge, faults) = parse_with_recovery(&text);
-    let in_file = |fault: recovery::LineFault| Fault {
-        file: file.clone(),
+    report.faults.truncate(MAX_FAULTS);
+    report
+}
+
+/// Checks the text of the edge file at `path` and the inventory that it names; `file` is the edge
+/// file's name in faults.
+fn check_text(path: &Path, file: &str, text: &str) -> Report {
+    let (edge, faults) = parse_with_recovery(text);
+    let in_file = |fault: LineFault| Fault {
+        file: file.to_owned(),
         line: fault.line,
         message: fault.message,
     };
@@ -85,19 +86,26 @@
     let inventory = edge
         .as_ref()
         .map(|edge| edge.inventory.clone())
-        .or_else(|| inventory_name(&text));
+        .or_else(|| inventory_name(text));
     if let Some(inventory) = inventory {
         let inventory = path.parent().unwrap_or(Path::new("")).join(inventory);
         match read_file_with_all_errors(&inventory) {
-            Ok(servers) => report.add_servers(&file, &text, edge.as_ref(), &servers),
+            Ok(servers) => report.add_servers(file, text, edge.as_ref(), &servers),
             Err(errors) => report.faults.extend(errors.into_iter().map(Fault::from)),
         }
     }
-    report.faults.truncate(MAX_FAULTS);
     report
 }
 
 impl Report {
+    /// Creates a report of a single fault.
+    fn of_fault(fault: Fault) -> Self {
+        Report {
+            faults: vec![fault],
+            summary: String::new(),
+        }
+    }
+
     /// Checks the collections of an edge file against its servers and summarizes both.
     fn add_servers(
         &mut self,
