--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -8,7 +8,7 @@
 pub(super) use time_span::{parse_instant, TimeSpan};
 
 use super::geometry::parse_geojson;
-use super::{ComparisonOperator, Filter, Value};
+use super::{ArrayRelation, ComparisonOperator, Filter, Value};
 use geo::Geometry;
 use operand::Operand;
 use serde_json::Value as Json;
@@ -61,40 +61,24 @@
     }
 }
 
+/// Returns the truth of a filter for a feature, or `None` if it is unknown.
 fn evaluate(filter: &Filter, feature: &Feature<'_>) -> Option<bool> {
-    let operand = |value| Operand::evaluate(value, feature);
     match filter {
         Filter::And(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), false),
         Filter::Or(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), true),
         Filter::Not(part) => evaluate(part, feature).map(|truth| !truth),
         Filter::Constant(truth) => Some(*truth),
         Filter::Compare(operator, left, right) => {
-            let order = operand(left)?.compare(&operand(right)?)?;
-            Some(satisfies(*operator, order))
-        }
-        Filter::Like(text, pattern) => match (operand(text)?, operand(pattern)?) {
-            (Operand::Text(text), Operand::Text(pattern)) => {
-                Some(pattern::matches(&text, &pattern))
-            }
-            _ => None,
-        },
-        Filter::Between(value, low, high) => {
-            let value = operand(value)?;
-            let above = value.compare(&operand(low)?)? != Ordering::Less;
-            Some(above && value.compare(&operand(high)?)? != Ordering::Greater)
-        }
-        Filter::In(value, items) => {
-            let value = operand(value)?;
-            decide(
-                items
-                    .iter()
-                    .map(|item| Some(value.compare(&operand(item)?)? == Ordering::Equal)),
-                true,
-            )
+            let left = Operand::evaluate(left, feature)?;
+            let right = Operand::evaluate(right, feature)?;
+            Some(satisfies(*operator, left.compare(&right)?))
         }
+        Filter::Like(text, pattern) => is_like(text, pattern, feature),
+        Filter::Between(value, low, high) => is_between(value, low, high, feature),
+        Filter::In(value, items) => is_in(value, items, feature),
         Filter::IsNull(Value::Property(name)) => Some(feature.value(name).is_none()),
-        Filter::IsNull(value) => Some(operand(value).is_none()),
-        Filter::Test(value) => match operand(value)? {
+        Filter::IsNull(value) => Some(Operand::evaluate(value, feature).is_none()),
+        Filter::Test(value) => match Operand::evaluate(value, feature)? {
             Operand::Bool(truth) => Some(truth),
             _ => None,
         },
@@ -103,17 +87,58 @@
             let right = geometry(right, feature)?;
             Some(spatial::relates(*relation, &left, &right))
         }
-        Filter::Temporal(relation, left, right) => Some(time_span::relates(
-            *relation,
-            time_span(left, feature)?,
-            time_span(right, feature)?,
-        )),
-        Filter::Array(relation, left, right) => match (operand(left)?, operand(right)?) {
-            (Operand::Array(left), Operand::Array(right)) => {
-                Some(operand::relates(*relation, &left, &right))
-            }
-            _ => None,
-        },
+        Filter::Temporal(relation, left, right) => {
+            let left = time_span(left, feature)?;
+            let right = time_span(right, feature)?;
+            Some(time_span::relates(*relation, left, right))
+        }
+        Filter::Array(relation, left, right) => array_relates(*relation, left, right, feature),
+    }
+}
+
+/// Returns whether a text matches a pattern, or `None` if it is unknown.
+fn is_like(text: &Value, pattern: &Value, feature: &Feature<'_>) -> Option<bool> {
+    let text = Operand::evaluate(text, feature)?;
+    let pattern = Operand::evaluate(pattern, feature)?;
+    match (text, pattern) {
+        (Operand::Text(text), Operand::Text(pattern)) => Some(pattern::matches(&text, &pattern)),
+        _ => None,
+    }
+}
+
+/// Returns whether a value lies between two others, both included, or `None` if it is unknown.
+fn is_between(value: &Value, low: &Value, high: &Value, feature: &Feature<'_>) -> Option<bool> {
+    let value = Operand::evaluate(value, feature)?;
+    let low = Operand::evaluate(low, feature)?;
+    let is_above = value.compare(&low)? != Ordering::Less;
+    let high = Operand::evaluate(high, feature)?;
+    Some(is_above && value.compare(&high)? != Ordering::Greater)
+}
+
+/// Returns whether a value is equal to one of a list, or `None` if it is unknown.
+fn is_in(value: &Value, items: &[Value], feature: &Feature<'_>) -> Option<bool> {
+    let value = Operand::evaluate(value, feature)?;
+    let is_equal = |item| {
+        let item = Operand::evaluate(item, feature)?;
+        Some(value.compare(&item)? == Ordering::Equal)
+    };
+    decide(items.iter().map(is_equal), true)
+}
+
+/// Returns whether a relation holds between two arrays, or `None` if it is unknown.
+fn array_relates(
+    relation: ArrayRelation,
+    left: &Value,
+    right: &Value,
+    feature: &Feature<'_>,
+) -> Option<bool> {
+    let left = Operand::evaluate(left, feature)?;
+    let right = Operand::evaluate(right, feature)?;
+    match (left, right) {
+        (Operand::Array(left), Operand::Array(right)) => {
+            Some(operand::relates(relation, &left, &right))
+        }
+        _ => None,
     }
 }
 
