--- a/src/front/ogc/cql2/tests.rs
+++ b/src/front/ogc/cql2/tests.rs
@@ -1,10 +1,15 @@
-//! Tests of parsing, printing, validation, evaluation and pushdown of filters.
+//! Tests of filters: fixtures, and properties of generated filters. The modules below test examples.
 
+mod evaluation;
+mod parsing;
+mod pushdown;
+mod validation;
+
+use super::pushdown::is_printable;
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
-use std::collections::BTreeMap;
 
 fn queryables() -> Queryables {
     let kinds = [
@@ -26,198 +31,6 @@
         "name": "Élan 7", "volts": 240, "live": true, "built": "2026-03-04T10:00:00Z", "tags": ["a", "b"], "gone": null}})
 }
 
-fn holds(text: &str) -> bool {
-    let filter = parse_text(text).unwrap_or_else(|e| panic!("{text}: {e}"));
-    let printed = filter.to_string();
-    assert_eq!(
-        parse_text(&printed).as_ref(),
-        Ok(&filter),
-        "{text} as {printed}"
-    );
-    let json = to_json(&filter).to_string();
-    assert_eq!(parse_json(&json).as_ref(), Ok(&filter), "{text} as {json}");
-    Matcher::new(filter).matches(&feature())
-}
-
-#[test]
-fn filters_are_true_of_the_features_that_they_describe() {
-    let yes = [
-        "volts = 240",
-        "volts > 100 AND volts <= 240.0",
-        "name LIKE 'Él%' and not name like '_lan'",
-        "CASEI(name) = CASEI('éLAN 7')",
-        "ACCENTI(name) LIKE 'Elan%'",
-        "volts BETWEEN 239 AND 241",
-        "volts NOT BETWEEN 1 AND 2",
-        "name IN ('x','Élan 7')",
-        "volts not in (1,2)",
-        "gone IS NULL and name IS NOT NULL",
-        "live",
-        "live = TRUE",
-        "NOT (live = FALSE OR volts < 1)",
-        "volts + 10 * 2 = 260",
-        "(volts + 10) * 2 = 500 AND 2 ^ 3 ^ 2 = 512",
-        "volts % 7 = 2 AND volts div 7 = 34",
-        "volts = -1 OR volts = +240 OR TRUE",
-        "volts = volts",
-        "S_INTERSECTS(geometry, POLYGON((0 0,10 0,10 10,0 10,0 0)))",
-        "S_WITHIN(geometry,BBOX(0,0,10,10)) AND S_DISJOINT(geometry,POINT(1 1))",
-        "S_CONTAINS(MULTIPOLYGON(((0 0,10 0,10 10,0 10,0 0),(1 1,2 1,2 2,1 1))),geometry)",
-        "S_EQUALS(geometry, POINT(5 5))",
-        "S_TOUCHES(geometry, LINESTRING(5 5, 6 6))",
-        "s_intersects(geometry, geometrycollection(point(1 1), linestring(0 0, 9 9)))",
-        "S_INTERSECTS(geometry, MULTIPOINT(1 1, 5 5)) AND S_INTERSECTS(geometry,MULTIPOINT((5 5)))",
-        "S_INTERSECTS(geometry, BBOX(170,-10,6,10))",
-        "T_AFTER(built, DATE('2026-03-03'))",
-        "T_DURING(built, INTERVAL('2026-03-01','2026-03-31'))",
-        "T_INTERSECTS(built, INTERVAL('..', '2026-03-04T10:00:00Z'))",
-        "T_BEFORE(built, TIMESTAMP('2026-03-04T10:00:01Z'))",
-        "T_DURING(INTERVAL(built, '2026-03-05T00:00:00Z'), INTERVAL('2026-03-01', '2026-03-31'))",
-        "T_MEETS(INTERVAL('2026-01-01T00:00:00Z',built), INTERVAL(built,'..'))",
-        "built > DATE('2026-03-01') AND built < TIMESTAMP('2026-12-01T00:00:00Z')",
-        "A_CONTAINS(tags, ('a')) AND A_CONTAINEDBY(tags, ('a','b','c')) AND A_EQUALS(tags,('b','a'))",
-        "A_OVERLAPS(tags, ('x','b'))",
-        "\"name\" = 'Élan 7'",
-        "id = 'd7'",
-        "missing = 1 OR live",
-        // A backslash before an escaped mark.
-        "name <> 'a\\\\'b' AND name <> '\\''",
-    ];
-    for text in yes {
-        assert!(holds(text), "{text}");
-    }
-    let no = [
-        "volts <> 240",
-        "missing = 1",
-        "NOT missing = 1",
-        "missing = 1 AND live",
-        "name = 240",
-        "volts / 0 = 1",
-        "S_CROSSES(geometry, LINESTRING(0 0, 10 10))",
-        "S_OVERLAPS(geometry, POINT(5 5))",
-        "T_FINISHES(INTERVAL('2026-01-01','2026-02-01'), INTERVAL('2026-01-01','2026-02-01'))",
-        "name LIKE 'Élan\\_%'",
-        "FALSE",
-    ];
-    for text in no {
-        assert!(!holds(text), "{text}");
-    }
-}
-
-#[test]
-fn malformed_filters_are_rejected_with_a_message() {
-    let deep = format!("{}live{}", "(".repeat(400), ")".repeat(400));
-    let chain = vec!["volts"; 5_000].join("+") + " = 1";
-    let nots = "NOT ".repeat(5_000) + "live";
-    let wide = vec!["live"; 5_000].join(" OR ");
-    let points = format!(
-        "S_INTERSECTS(geometry,LINESTRING({}))",
-        vec!["1 1"; 30_000].join(",")
-    );
-    let bad = [
-        "",
-        " ",
-        "volts",
-        "volts =",
-        "= 1",
-        "volts = 1 AND",
-        "volts = 1 volts",
-        "volts == 1",
-        "name LIKE",
-        "name = 'x",
-        "f(volts) = 1",
-        "S_INTERSECTS(geometry)",
-        "S_INTERSECTS(geometry,POLYGON((0 0,1 0,1 1)))",
-        "S_INTERSECTS(geometry,POLYGON((0 0,1 0,1 1,0 1)))",
-        "volts IN ()",
-        "volts BETWEEN 1",
-        "volts IS 1",
-        "T_AFTER(built, DATE('soon')",
-        "\"volts = 1",
-        "(live",
-        "volts = 1e999",
-        "S_INTERSECTS(geometry,BBOX(1,2,3))",
-        &deep,
-        &chain,
-        &nots,
-        &wide,
-        &points,
-    ];
-    let strict = queryables();
-    for text in bad {
-        let read = parse_text(text).and_then(|f| check(&f, &strict));
-        let why = read
-            .expect_err(&text.chars().take(60).collect::<String>())
-            .to_string();
-        assert!(!why.is_empty() && why.len() < 400, "{why}");
-    }
-    for json in [
-        "",
-        "{}",
-        "[]",
-        "1",
-        r#"{"op":"and","args":[true]}"#,
-        r#"{"op":"x","args":[]}"#,
-        &"[".repeat(9_000),
-    ] {
-        assert!(parse_json(json).is_err(), "{json}");
-    }
-    assert!(
-        parse_json(&(r#"{"op":"not","args":["#.repeat(60) + "true" + &"]}".repeat(60))).is_err()
-    );
-}
-
-#[test]
-fn operands_must_fit_the_queryables() {
-    let checked = |text: &str| check(&parse_text(text).expect(text), &queryables());
-    for text in [
-        "volts = 1",
-        "name = 'x'",
-        "built = '2026-01-01'",
-        "live",
-        "name IN ('a')",
-        "volts + 1 > 2",
-        "name IS NULL",
-        "S_INTERSECTS(geometry,POINT(1 1))",
-        "T_AFTER(built,DATE('2026-01-01'))",
-        "A_CONTAINS(tags,('a'))",
-    ] {
-        assert_eq!(checked(text), Ok(()), "{text}");
-    }
-    for text in [
-        "watts = 1",
-        "volts = 'x'",
-        "name > 1",
-        "name + 1 = 2",
-        "volts LIKE 'x'",
-        "S_INTERSECTS(name,POINT(1 1))",
-        "T_AFTER(name,DATE('2026-01-01'))",
-        "T_AFTER(built,DATE('2026-13-01'))",
-        "volts",
-        "geometry = 1",
-        "live IN (1)",
-        "A_CONTAINS(name,('a'))",
-        "T_DURING(built,TIMESTAMP('2026-01-01T00:00:00Z'))",
-        "CASEI(volts) = 'x'",
-        "T_AFTER(built,INTERVAL('2026-02-01','2026-01-01'))",
-        "name BETWEEN 'a' AND 'b'",
-    ] {
-        assert!(checked(text).is_err(), "{text}");
-    }
-    let schema = queryables().to_schema();
-    assert_eq!(Queryables::from_schema(&schema), Some(queryables()));
-    assert_eq!(Queryables::from_schema(&json!([])), None);
-    let fewer = Queryables {
-        named: BTreeMap::from([("volts".to_owned(), QueryableType::Text)]),
-        open: false,
-    };
-    assert_eq!(
-        queryables().intersection(&fewer).named,
-        BTreeMap::from([("volts".to_owned(), QueryableType::Any)])
-    );
-    assert_eq!(Queryables::unknown().intersection(&fewer), fewer);
-}
-
 fn capabilities(classes: &[&str]) -> Capabilities {
     let all = ["cql2-text", "features-filter", "basic-cql2"]
         .iter()
@@ -229,58 +42,11 @@
     }
 }
 
-#[test]
-fn conditions_that_a_server_can_apply_are_pushed_down_and_the_others_are_residual() {
-    let text =
-        "volts > 1 AND S_INTERSECTS(geometry,POLYGON((0 0,4 0,4 4,0 0))) AND name LIKE 'a%' AND other = 1";
-    let filter = parse_text(text).expect("a filter");
-    let of = |able: &Capabilities| {
-        let split = split(&filter, able);
-        let text = |f: Option<Filter>| f.map(|f| f.to_string()).unwrap_or_default();
-        (
-            text(split.pushed_down),
-            text(split.residual),
-            split.envelope,
-        )
-    };
-    let (pushed_down, residual, envelope) = of(&capabilities(&[]));
-    assert_eq!(pushed_down, "\"volts\" > 1");
-    assert!(
-        residual.contains("POLYGON") && residual.contains("LIKE") && residual.contains("other")
-    );
-    assert_eq!(envelope, Some([0.0, 0.0, 4.0, 4.0]));
-    let (pushed_down, residual, envelope) = of(&capabilities(&[
-        "basic-spatial-functions-plus",
-        "advanced-comparison-operators",
-    ]));
-    assert!(pushed_down.contains("POLYGON") && pushed_down.contains("LIKE"));
-    assert_eq!((residual.as_str(), envelope), ("\"other\" = 1", None));
-    assert_eq!(
-        of(&Capabilities::default()).0,
-        "",
-        "a server that says nothing is asked nothing"
-    );
-    let odd = parse_json(r#"{"op":"=","args":[{"property":"name"},"x\\"]}"#).expect("a filter");
-    assert_eq!(
-        split(&odd, &capabilities(&[])).pushed_down,
-        None,
-        "text cannot say it"
-    );
-    let short = Capabilities {
-        max_filter_text: 30,
-        ..capabilities(&["basic-spatial-functions-plus"])
-    };
-    assert_eq!(of(&short).0, "\"volts\" > 1");
-    // A disjunction is pushed down completely or not at all.
-    let either = parse_text("volts > 1 OR other = 1").expect("a filter");
-    assert_eq!(split(&either, &capabilities(&[])).pushed_down, None);
-}
-
 fn value() -> impl Strategy<Value = Value> {
     let plain = prop_oneof![
         "[a-zA-Z_ .%é-]{1,8}".prop_map(Value::Property),
         any::<String>()
-            .prop_filter("printable", |t| pushdown::is_printable(t))
+            .prop_filter("printable", |t| is_printable(t))
             .prop_map(Value::Text),
         prop_oneof![
             -1e6..1e6_f64,
@@ -410,20 +176,3 @@
         prop_assert_eq!(both, holds(&filter));
     }
 }
-
-#[test]
-fn a_filter_that_was_once_misprinted_parses_back_in_both_forms() {
-    // Marks, control characters, and backslashes before an escaped mark.
-    let text = "a = '= ''''''=2\0\0\0z\0/\\\\'/t\0'";
-    let filter = parse_text(text).expect("it is a filter");
-    assert_eq!(
-        parse_text(&filter.to_string()).as_ref(),
-        Ok(&filter),
-        "{filter}"
-    );
-    assert_eq!(
-        parse_json(&to_json(&filter).to_string()).as_ref(),
-        Ok(&filter),
-        "{filter}"
-    );
-}
