--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn every_table_of_an_earlier_file_is_read() {
+fn the_limits_of_an_earlier_file_are_read() {
     let edge = parse(EVERY_KEY);
     assert_eq!(
         (
@@ -137,6 +137,11 @@
         (edge.limits.retry_ratio, edge.limits.admission),
         (0.5, false)
     );
+}
+
+#[test]
+fn the_slow_start_of_an_earlier_file_is_read() {
+    let edge = parse(EVERY_KEY);
     let slow_start = edge.slow_start.as_ref().expect("a slow start");
     assert_eq!(
         (slow_start.initial_capacity, slow_start.warm_up_ms),
@@ -146,6 +151,11 @@
         (slow_start.overload_factor, slow_start.overload_window_ms),
         (2.5, 1_500)
     );
+}
+
+#[test]
+fn the_classes_of_an_earlier_file_are_read() {
+    let edge = parse(EVERY_KEY);
     let [class] = edge.classes.as_slice() else {
         panic!("one class")
     };
@@ -161,6 +171,11 @@
         (class.min_share, class.priority_weight, class.late_weight),
         (0.8, 2.0, 0.1)
     );
+}
+
+#[test]
+fn the_collections_of_an_earlier_file_are_read() {
+    let edge = parse(EVERY_KEY);
     let [collection] = edge.collections.as_slice() else {
         panic!("one collection")
     };
@@ -181,10 +196,7 @@
 fn keys_that_are_left_out_have_their_defaults() {
     let edge = parse(REQUIRED_KEYS);
     assert_eq!(edge.validate().len(), 0);
-    assert_eq!(
-        (edge.mgmt, edge.slow_start.is_none(), edge.collections.len()),
-        (None, true, 0)
-    );
+    assert_eq!(edge.mgmt, None);
     assert_eq!((edge.coordinators, edge.max_attempts), (1, 4));
     assert_eq!(
         (edge.max_in_flight, edge.max_descriptors, edge.memory_mb),
@@ -209,6 +221,13 @@
         (edge.idle_timeout_ms, edge.max_retry_after_ms),
         (4000, 2000)
     );
+}
+
+#[test]
+fn tables_and_keys_of_tables_that_are_left_out_have_their_defaults() {
+    let edge = parse(REQUIRED_KEYS);
+    assert!(edge.slow_start.is_none());
+    assert_eq!(edge.collections.len(), 0);
     assert_eq!(
         (
             edge.limits.mode.as_str(),
@@ -227,7 +246,7 @@
 }
 
 #[test]
-fn a_file_becomes_the_settings_of_the_module_and_of_the_limits() {
+fn a_file_becomes_the_rule_of_the_limits() {
     let edge = parse(EVERY_KEY);
     assert!(matches!(edge.concurrency_rule(), LimitRule::Fixed(33)));
     let adaptive = parse(REQUIRED_KEYS).concurrency_rule();
@@ -239,7 +258,11 @@
             max: 32
         }
     ));
-    let settings = edge.settings();
+}
+
+#[test]
+fn a_file_becomes_the_settings_of_the_module() {
+    let settings = parse(EVERY_KEY).settings();
     assert_eq!(
         (settings.coordinators, settings.tick, settings.shards),
         (2, 5_000_000, 0)
@@ -259,6 +282,11 @@
         (slow_start.overload_factor, slow_start.overload_window),
         (2.5, 1_500_000_000)
     );
+}
+
+#[test]
+fn a_class_of_a_file_becomes_the_settings_of_the_module() {
+    let settings = parse(EVERY_KEY).settings();
     let class = &settings.classes[0];
     assert_eq!(
         (class.latency_objective, class.deadline),
@@ -306,64 +334,89 @@
     );
 }
 
+/// A line of [`EVERY_KEY`] whose value is put out of range, and the expected error.
+struct OutOfRange {
+    line: &'static str,
+    replacement: &'static str,
+    /// Anchor and message of the only issue.
+    issue: &'static str,
+}
+
+const OUT_OF_RANGE: &[OutOfRange] = &[
+    OutOfRange {
+        line: "name = \"map\"",
+        replacement: "name = \"\"",
+        issue: "\"\": class \"\": its name is empty",
+    },
+    OutOfRange {
+        line: "aim_ms = 2000",
+        replacement: "aim_ms = 0",
+        issue: "\"map\": class \"map\": aim_ms must be above 0 and at most deadline_ms",
+    },
+    OutOfRange {
+        line: "deadline_ms = 6000",
+        replacement: "deadline_ms = 1",
+        issue: "\"map\": class \"map\": aim_ms must be above 0 and at most deadline_ms",
+    },
+    OutOfRange {
+        line: "floor = 0.8",
+        replacement: "floor = 1.1",
+        issue: "\"map\": class \"map\": floor must be above 0 and at most 1",
+    },
+    OutOfRange {
+        line: "effect = \"unsafe\"",
+        replacement: "effect = \"x\"",
+        issue: "\"map\": class \"map\": effect must be safe or unsafe",
+    },
+    OutOfRange {
+        line: "volts = \"number\"",
+        replacement: "volts = \"x\"",
+        issue: "volts: collection \"devices\": queryable \"volts\" is of no kind that is known",
+    },
+    OutOfRange {
+        line: "mode = \"fixed\"",
+        replacement: "mode = \"x\"",
+        issue: "mode: limits: mode must be adaptive or fixed",
+    },
+    OutOfRange {
+        line: "least = 3",
+        replacement: "least = 10",
+        issue: "least: limits: least must be above 0 and at most start",
+    },
+    OutOfRange {
+        line: "repeats = 0.5",
+        replacement: "repeats = 10.5",
+        issue: "repeats: limits: repeats must be from 0 to 10",
+    },
+    OutOfRange {
+        line: "0e0f\"",
+        replacement: "0e\"",
+        issue: "cursor_key: cursor_key must be 32 hexadecimal digits or more, an even number",
+    },
+    OutOfRange {
+        line: "page_size = 501",
+        replacement: "page_size = 0",
+        issue: "page_size: page_size must be above 0",
+    },
+    OutOfRange {
+        line: "attempts = 3",
+        replacement: "attempts = 0",
+        issue: "attempts: attempts must be above 0",
+    },
+];
+
 #[test]
 fn each_value_out_of_range_has_its_error_and_text() {
-    let swap = |from: &str, to: &str| {
-        let text = EVERY_KEY.replacen(from, to, 1);
-        assert_ne!(text, EVERY_KEY, "{from}");
-        let issues = parse(&text).validate();
-        issues
+    for case in OUT_OF_RANGE {
+        let text = EVERY_KEY.replacen(case.line, case.replacement, 1);
+        assert_ne!(text, EVERY_KEY, "{}", case.line);
+        let issues: Vec<_> = parse(&text)
+            .validate()
             .iter()
-            .map(|i| format!("{}: {}", i.anchor, i.error))
-            .collect::<Vec<_>>()
-            .join("; ")
-    };
-    let class = |why: &str| format!("\"map\": class \"map\": {why}");
-    assert_eq!(
-        swap("name = \"map\"", "name = \"\""),
-        "\"\": class \"\": its name is empty"
-    );
-    assert_eq!(
-        swap("aim_ms = 2000", "aim_ms = 0"),
-        class("aim_ms must be above 0 and at most deadline_ms")
-    );
-    assert_eq!(
-        swap("deadline_ms = 6000", "deadline_ms = 1"),
-        class("aim_ms must be above 0 and at most deadline_ms")
-    );
-    assert_eq!(
-        swap("floor = 0.8", "floor = 1.1"),
-        class("floor must be above 0 and at most 1")
-    );
-    assert_eq!(
-        swap("effect = \"unsafe\"", "effect = \"x\""),
-        class("effect must be safe or unsafe")
-    );
-    let queryable =
-        "volts: collection \"devices\": queryable \"volts\" is of no kind that is known";
-    assert_eq!(swap("volts = \"number\"", "volts = \"x\""), queryable);
-    assert_eq!(
-        swap("mode = \"fixed\"", "mode = \"x\""),
-        "mode: limits: mode must be adaptive or fixed"
-    );
-    assert_eq!(
-        swap("least = 3", "least = 10"),
-        "least: limits: least must be above 0 and at most start"
-    );
-    assert_eq!(
-        swap("repeats = 0.5", "repeats = 10.5"),
-        "repeats: limits: repeats must be from 0 to 10"
-    );
-    let key = "cursor_key: cursor_key must be 32 hexadecimal digits or more, an even number";
-    assert_eq!(swap("0e0f\"", "0e\""), key);
-    assert_eq!(
-        swap("page_size = 501", "page_size = 0"),
-        "page_size: page_size must be above 0"
-    );
-    assert_eq!(
-        swap("attempts = 3", "attempts = 0"),
-        "attempts: attempts must be above 0"
-    );
+            .map(|issue| format!("{}: {}", issue.anchor, issue.error))
+            .collect();
+        assert_eq!(issues, [case.issue], "{}", case.replacement);
+    }
 }
 
 #[test]
