--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -4,12 +4,12 @@
 
 use super::config::{CollectionConfig, EdgeConfig};
 use super::inventory::{read_file_with_all_errors, CollectionShard, InventoryError, Server};
-use recovery::{line_with, parse_with_recovery};
+use recovery::{line_with, parse_with_recovery, LineFault};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Most faults that are reported: a file of another kind has one in each line.
+/// Most faults that are reported: a file of another format has one in each line.
 const MAX_FAULTS: usize = 100;
 
 /// A fault of a file, and where it is.
@@ -19,7 +19,7 @@
     pub file: String,
     /// The line, from 1; 0 where it has none.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
 }
 
@@ -45,11 +45,11 @@
 pub struct Report {
     /// Every fault, in the order of files and lines.
     pub faults: Vec<Fault>,
-    /// What the files set up; of use if there is no fault.
+    /// Summary of the configuration; meaningful only without a fault.
     pub summary: String,
 }
 
-/// Checks an edge file and the inventory that it names. No connection is opened and no address is listened at.
+/// Checks an edge file and the inventory that it names, without opening a connection or listening.
 #[must_use]
 pub fn check_edge_file(path: &Path) -> Report {
     let file = path
@@ -57,23 +57,24 @@
         .unwrap_or(path.as_os_str())
         .to_string_lossy()
         .into_owned();
-    let text = match std::fs::read_to_string(path) {
-        Ok(text) => text,
-        Err(error) => {
-            let fault = Fault {
-                file,
-                line: 0,
-                message: error.to_string(),
-            };
-            return Report {
-                faults: vec![fault],
-                summary: String::new(),
-            };
-        }
+    let mut report = match std::fs::read_to_string(path) {
+        Ok(text) => check_text(path, &file, &text),
+        Err(error) => Report::of_fault(Fault {
+            file,
+            line: 0,
+            message: error.to_string(),
+        }),
     };
-    let (edge, faults) = parse_with_recovery(&text);
-    let in_file = |fault: recovery::LineFault| Fault {
-        file: file.clone(),
+    report.faults.truncate(MAX_FAULTS);
+    report
+}
+
+/// Checks the text of the edge file at `path` and the inventory that it names; `file` is the edge
+/// file's name in faults.
+fn check_text(path: &Path, file: &str, text: &str) -> Report {
+    let (edge, faults) = parse_with_recovery(text);
+    let in_file = |fault: LineFault| Fault {
+        file: file.to_owned(),
         line: fault.line,
         message: fault.message,
     };
@@ -81,24 +82,31 @@
         faults: faults.into_iter().map(in_file).collect(),
         summary: String::new(),
     };
-    // The inventory's name may be readable in a file that is otherwise faulty.
+    // The inventory's name may be readable even if other lines are faulty.
     let inventory = edge
         .as_ref()
         .map(|edge| edge.inventory.clone())
-        .or_else(|| inventory_name(&text));
+        .or_else(|| inventory_name(text));
     if let Some(inventory) = inventory {
         let inventory = path.parent().unwrap_or(Path::new("")).join(inventory);
         match read_file_with_all_errors(&inventory) {
-            Ok(servers) => report.add_servers(&file, &text, edge.as_ref(), &servers),
+            Ok(servers) => report.add_servers(file, text, edge.as_ref(), &servers),
             Err(errors) => report.faults.extend(errors.into_iter().map(Fault::from)),
         }
     }
-    report.faults.truncate(MAX_FAULTS);
     report
 }
 
 impl Report {
-    /// Checks the collections of an edge file against its servers and sums both up.
+    /// Creates a report of a single fault.
+    fn of_fault(fault: Fault) -> Self {
+        Report {
+            faults: vec![fault],
+            summary: String::new(),
+        }
+    }
+
+    /// Checks the collections of an edge file against its servers and summarizes both.
     fn add_servers(
         &mut self,
         file: &str,
@@ -131,7 +139,7 @@
     shards.iter().any(|shard| shard.collection == collection.id)
 }
 
-/// The inventory that a file names, if it is TOML at least.
+/// Returns the path of the inventory that an edge file names, if the file is well-formed TOML.
 fn inventory_name(text: &str) -> Option<PathBuf> {
     let table: toml::Table = text.parse().ok()?;
     table.get("inventory")?.as_str().map(Into::into)
--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -8,7 +8,7 @@
 pub(super) use time_span::{parse_instant, TimeSpan};
 
 use super::geometry::parse_geojson;
-use super::{ComparisonOperator, Filter, Value};
+use super::{ArrayRelation, ComparisonOperator, Filter, Value};
 use geo::Geometry;
 use operand::Operand;
 use serde_json::Value as Json;
@@ -20,8 +20,8 @@
 pub struct Feature<'a>(pub &'a Json);
 
 impl<'a> Feature<'a> {
-    /// The value of a name: a property, else `id`, else the geometry under its usual names. `None`: there is none, or it is
-    /// null.
+    /// Returns the value of a name: a property, else `id`, else the geometry under its usual names.
+    /// A null is `None`.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<&'a Json> {
         let found = self.0["properties"].get(name).or_else(|| match name {
@@ -33,89 +33,117 @@
     }
 }
 
-/// Matches features against a filter.
+/// Filter that is applied to features.
 #[derive(Debug, Clone)]
 pub struct Matcher {
     filter: Filter,
 }
 
 impl Matcher {
-    /// A matcher for a filter.
+    /// Creates a matcher for a filter.
     #[must_use]
     pub fn new(filter: Filter) -> Self {
         Matcher { filter }
     }
 
-    /// Whether the filter is true of a feature. If it is unknown, the feature doesn't match.
+    /// Returns whether the filter is true of a feature. A feature of which it is unknown doesn't
+    /// match.
     #[must_use]
     pub fn matches(&self, feature: &Json) -> bool {
         evaluate(&self.filter, &Feature(feature)) == Some(true)
     }
 
-    /// Whether the filter is true of a feature as text. What is no JSON doesn't match.
+    /// Returns whether the filter is true of a feature as text. Text that is not JSON doesn't
+    /// match.
     #[must_use]
     pub fn matches_text(&self, feature: &[u8]) -> bool {
         serde_json::from_slice(feature).is_ok_and(|json: Json| self.matches(&json))
     }
 }
 
+/// Returns the truth of a filter for a feature, or `None` if it is unknown.
 fn evaluate(filter: &Filter, feature: &Feature<'_>) -> Option<bool> {
-    let operand = |value| Operand::evaluate(value, feature);
     match filter {
         Filter::And(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), false),
         Filter::Or(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), true),
         Filter::Not(part) => evaluate(part, feature).map(|truth| !truth),
         Filter::Constant(truth) => Some(*truth),
         Filter::Compare(operator, left, right) => {
-            let order = operand(left)?.compare(&operand(right)?)?;
-            Some(satisfies(*operator, order))
-        }
-        Filter::Like(text, pattern) => match (operand(text)?, operand(pattern)?) {
-            (Operand::Text(text), Operand::Text(pattern)) => {
-                Some(pattern::matches(&text, &pattern))
-            }
-            _ => None,
-        },
-        Filter::Between(value, low, high) => {
-            let value = operand(value)?;
-            let above = value.compare(&operand(low)?)? != Ordering::Less;
-            Some(above && value.compare(&operand(high)?)? != Ordering::Greater)
-        }
-        Filter::In(value, items) => {
-            let value = operand(value)?;
-            decide(
-                items
-                    .iter()
-                    .map(|item| Some(value.compare(&operand(item)?)? == Ordering::Equal)),
-                true,
-            )
+            let left = Operand::evaluate(left, feature)?;
+            let right = Operand::evaluate(right, feature)?;
+            Some(satisfies(*operator, left.compare(&right)?))
         }
+        Filter::Like(text, pattern) => is_like(text, pattern, feature),
+        Filter::Between(value, low, high) => is_between(value, low, high, feature),
+        Filter::In(value, items) => is_in(value, items, feature),
         Filter::IsNull(Value::Property(name)) => Some(feature.value(name).is_none()),
-        Filter::IsNull(value) => Some(operand(value).is_none()),
-        Filter::Test(value) => match operand(value)? {
+        Filter::IsNull(value) => Some(Operand::evaluate(value, feature).is_none()),
+        Filter::Test(value) => match Operand::evaluate(value, feature)? {
             Operand::Bool(truth) => Some(truth),
             _ => None,
         },
         Filter::Spatial(relation, left, right) => {
-            let (left, right) = (geometry(left, feature)?, geometry(right, feature)?);
+            let left = geometry(left, feature)?;
+            let right = geometry(right, feature)?;
             Some(spatial::relates(*relation, &left, &right))
         }
-        Filter::Temporal(relation, left, right) => Some(time_span::relates(
-            *relation,
-            time_span(left, feature)?,
-            time_span(right, feature)?,
-        )),
-        Filter::Array(relation, left, right) => match (operand(left)?, operand(right)?) {
-            (Operand::Array(left), Operand::Array(right)) => {
-                Some(operand::relates(*relation, &left, &right))
-            }
-            _ => None,
-        },
+        Filter::Temporal(relation, left, right) => {
+            let left = time_span(left, feature)?;
+            let right = time_span(right, feature)?;
+            Some(time_span::relates(*relation, left, right))
+        }
+        Filter::Array(relation, left, right) => array_relates(*relation, left, right, feature),
+    }
+}
+
+/// Returns whether a text matches a pattern, or `None` if it is unknown.
+fn is_like(text: &Value, pattern: &Value, feature: &Feature<'_>) -> Option<bool> {
+    let text = Operand::evaluate(text, feature)?;
+    let pattern = Operand::evaluate(pattern, feature)?;
+    match (text, pattern) {
+        (Operand::Text(text), Operand::Text(pattern)) => Some(pattern::matches(&text, &pattern)),
+        _ => None,
+    }
+}
+
+/// Returns whether a value lies between two others, both included, or `None` if it is unknown.
+fn is_between(value: &Value, low: &Value, high: &Value, feature: &Feature<'_>) -> Option<bool> {
+    let value = Operand::evaluate(value, feature)?;
+    let low = Operand::evaluate(low, feature)?;
+    let is_above = value.compare(&low)? != Ordering::Less;
+    let high = Operand::evaluate(high, feature)?;
+    Some(is_above && value.compare(&high)? != Ordering::Greater)
+}
+
+/// Returns whether a value is equal to one of a list, or `None` if it is unknown.
+fn is_in(value: &Value, items: &[Value], feature: &Feature<'_>) -> Option<bool> {
+    let value = Operand::evaluate(value, feature)?;
+    let is_equal = |item| {
+        let item = Operand::evaluate(item, feature)?;
+        Some(value.compare(&item)? == Ordering::Equal)
+    };
+    decide(items.iter().map(is_equal), true)
+}
+
+/// Returns whether a relation holds between two arrays, or `None` if it is unknown.
+fn array_relates(
+    relation: ArrayRelation,
+    left: &Value,
+    right: &Value,
+    feature: &Feature<'_>,
+) -> Option<bool> {
+    let left = Operand::evaluate(left, feature)?;
+    let right = Operand::evaluate(right, feature)?;
+    match (left, right) {
+        (Operand::Array(left), Operand::Array(right)) => {
+            Some(operand::relates(relation, &left, &right))
+        }
+        _ => None,
     }
 }
 
-/// The truth of several conditions of which a `decisive` one decides: `false` for AND, `true` for OR. Unknown if none
-/// decides and one is unknown.
+/// Combines conditions of which one with the truth `decisive` decides: `false` for AND, `true` for
+/// OR. Returns `None` if none decides and one is unknown.
 fn decide(conditions: impl Iterator<Item = Option<bool>>, decisive: bool) -> Option<bool> {
     let mut unknown = false;
     for condition in conditions {
@@ -128,7 +156,7 @@
     (!unknown).then_some(!decisive)
 }
 
-/// Whether the order of two values satisfies a comparison.
+/// Returns whether the order of two values satisfies a comparison.
 fn satisfies(operator: ComparisonOperator, order: Ordering) -> bool {
     match operator {
         ComparisonOperator::Equal => order == Ordering::Equal,
@@ -140,7 +168,7 @@
     }
 }
 
-/// The geometry of an operand; `None`: it is unknown.
+/// Returns the geometry of an operand, or `None` if it is unknown.
 fn geometry<'a>(value: &'a Value, feature: &Feature<'_>) -> Option<Cow<'a, Geometry<f64>>> {
     match value {
         Value::Geometry(geometry) => Some(Cow::Borrowed(geometry)),
@@ -150,7 +178,7 @@
     }
 }
 
-/// The span of an operand; `None`: it is unknown, or ends before it begins.
+/// Returns the time span of an operand, or `None` if it is unknown or ends before it begins.
 fn time_span(value: &Value, feature: &Feature<'_>) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
--- /dev/null
+++ b/src/front/ogc/cql2/tests/pushdown.rs
@@ -0,0 +1,73 @@
+//! Tests of the division of filters between a server and this program.
+
+use super::super::{parse_json, parse_text, split, Capabilities, Filter};
+use super::capabilities;
+
+/// A filter of four conditions, the last of which names an unknown queryable.
+const FILTER: &str = "volts > 1 AND S_INTERSECTS(geometry,POLYGON((0 0,4 0,4 4,0 0))) \
+    AND name LIKE 'a%' AND other = 1";
+
+/// The parts of a split filter as text, empty if absent.
+struct SplitText {
+    pushed_down: String,
+    residual: String,
+    envelope: Option<[f64; 4]>,
+}
+
+/// Splits [`FILTER`] for a server with these capabilities.
+fn split_filter(capabilities: &Capabilities) -> SplitText {
+    let filter = parse_text(FILTER).expect("a filter");
+    let split = split(&filter, capabilities);
+    let text = |part: Option<Filter>| part.map(|part| part.to_string()).unwrap_or_default();
+    SplitText {
+        pushed_down: text(split.pushed_down),
+        residual: text(split.residual),
+        envelope: split.envelope,
+    }
+}
+
+#[test]
+fn conditions_that_a_server_can_apply_are_pushed_down_and_the_others_are_residual() {
+    let basic = split_filter(&capabilities(&[]));
+    assert_eq!(basic.pushed_down, "\"volts\" > 1");
+    assert!(basic.residual.contains("POLYGON"));
+    assert!(basic.residual.contains("LIKE"));
+    assert!(basic.residual.contains("other"));
+    assert_eq!(basic.envelope, Some([0.0, 0.0, 4.0, 4.0]));
+
+    let able = split_filter(&capabilities(&[
+        "basic-spatial-functions-plus",
+        "advanced-comparison-operators",
+    ]));
+    assert!(able.pushed_down.contains("POLYGON"));
+    assert!(able.pushed_down.contains("LIKE"));
+    assert_eq!(able.residual, "\"other\" = 1");
+    assert_eq!(able.envelope, None);
+}
+
+#[test]
+fn a_server_without_capabilities_gets_no_filter() {
+    assert_eq!(split_filter(&Capabilities::default()).pushed_down, "");
+}
+
+#[test]
+fn a_filter_that_text_cannot_express_is_residual() {
+    let json = r#"{"op":"=","args":[{"property":"name"},"x\\"]}"#;
+    let filter = parse_json(json).expect("a filter");
+    assert_eq!(split(&filter, &capabilities(&[])).pushed_down, None);
+}
+
+#[test]
+fn the_longest_conditions_are_residual_if_the_text_is_too_long() {
+    let short = Capabilities {
+        max_filter_text: 30,
+        ..capabilities(&["basic-spatial-functions-plus"])
+    };
+    assert_eq!(split_filter(&short).pushed_down, "\"volts\" > 1");
+}
+
+#[test]
+fn a_disjunction_is_pushed_down_completely_or_not_at_all() {
+    let filter = parse_text("volts > 1 OR other = 1").expect("a filter");
+    assert_eq!(split(&filter, &capabilities(&[])).pushed_down, None);
+}
