--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -4,12 +4,13 @@
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{all_in_service, endpoint_list, terminating, ControlledDiscovery};
-use crate::standin::frames::{read_part_ids, serve_parts, write_answer};
+use crate::standin::frames::{read_part_ids, write_answer};
 use crate::standin::http::bind_loopback;
 use crate::standin::process::Process;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::thread::JoinHandle;
 
 /// The shards of each query of [`count_late_parts`].
 const ALL_SHARDS: [u32; 6] = [0, 1, 2, 3, 4, 5];
@@ -108,31 +109,65 @@
     );
 }
 
-/// The first call that a node receives, and the connection on which its answer is written.
+/// A call that a node received, and the connection on which its answer is written.
 struct ReceivedCall {
+    /// The index of the node.
+    node: usize,
     part_ids: Vec<String>,
     stream: TcpStream,
 }
 
-/// Passes on the first call on each listener. A second one on its connection is not answered.
-fn receive_first_calls(listeners: [TcpListener; 2]) -> Receiver<ReceivedCall> {
-    let (sender, calls) = channel();
-    for listener in listeners {
-        let sender = sender.clone();
-        std::thread::spawn(move || {
-            let (mut stream, _) = listener.accept().expect("a connection");
-            let part_ids = read_part_ids(&mut stream).expect("a part");
-            let answering = stream.try_clone().expect("a handle");
-            sender
-                .send(ReceivedCall {
-                    part_ids,
-                    stream: answering,
-                })
-                .expect("written");
-            serve_parts(stream, |_| panic!("nothing more is on this one"))
-        });
+/// Nodes that accept one connection each and pass on every call on it, unanswered.
+struct CallRecorder {
+    calls: Receiver<ReceivedCall>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+impl CallRecorder {
+    /// Starts to accept on each listener, whose index is the node's.
+    fn start(listeners: [TcpListener; 2]) -> CallRecorder {
+        let (sender, calls) = channel();
+        let threads = listeners
+            .into_iter()
+            .enumerate()
+            .map(|(node, listener)| {
+                let sender = sender.clone();
+                std::thread::spawn(move || record_calls(node, &listener, &sender))
+            })
+            .collect();
+        CallRecorder { calls, threads }
+    }
+
+    /// Waits for the next call at any node and returns it.
+    fn wait_for_call(&self) -> ReceivedCall {
+        self.calls.recv().expect("an attempt")
+    }
+
+    /// Ends the process, waits until its connections are read to their ends, and asserts that no
+    /// further call was on them.
+    fn assert_no_further_call(self, process: Process) {
+        drop(process);
+        for thread in self.threads {
+            thread.join().expect("the node's thread ends");
+        }
+        let further: Vec<ReceivedCall> = self.calls.try_iter().collect();
+        let part_ids: Vec<_> = further.iter().map(|call| &call.part_ids).collect();
+        assert!(part_ids.is_empty(), "further calls: {part_ids:?}");
+    }
+}
+
+/// Accepts a connection and passes on its calls until it ends.
+fn record_calls(node: usize, listener: &TcpListener, calls: &Sender<ReceivedCall>) {
+    let (mut stream, _) = listener.accept().expect("a connection");
+    while let Ok(part_ids) = read_part_ids(&mut stream) {
+        let answering = stream.try_clone().expect("a handle");
+        let call = ReceivedCall {
+            node,
+            part_ids,
+            stream: answering,
+        };
+        calls.send(call).expect("the test receives calls");
     }
-    calls
 }
 
 #[test]
@@ -145,10 +180,10 @@
     let (edge, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("left-retry", &agent, &addresses);
     let client = send_request(&edge, &QueryRequest::new("left", "look", &[0]).to_http());
-    let calls = receive_first_calls(nodes);
+    let recorder = CallRecorder::start(nodes);
 
     // The node that receives the part answers once no node accepts parts, so that its retry waits.
-    let mut rejected = calls.recv().expect("an attempt");
+    let mut rejected = recorder.wait_for_call();
     let draining: Vec<_> = addresses
         .iter()
         .enumerate()
@@ -169,16 +204,17 @@
 
     // The nodes accept parts again: only that of another client is sent.
     let other = send_request(&edge, &QueryRequest::new("stays", "look", &[0]).to_http());
-    let mut served = calls.recv().expect("an attempt");
+    let mut served = recorder.wait_for_call();
     assert_eq!(served.part_ids, ["stays.0"]);
+    assert_ne!(served.node, rejected.node, "one call on each connection");
     write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("written");
-    drop(served);
     let mut first = String::new();
     BufReader::new(other)
         .read_line(&mut first)
         .expect("an answer");
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
     edge.wait_for_counter("attempts_dispatched", 2);
+    recorder.assert_no_further_call(edge);
 }
 
 #[test]
