--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -1,66 +1,51 @@
 //! Operation of the front: draining, overload, shutdown and counters.
 
-use crate::standin::feature_server::{
-    healthy_reply, inventory_row, inventory_row_in_state, query_parameter, FeatureServer, Reply,
-};
+use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
 use crate::standin::management::management_call;
 use crate::standin::process::Process;
-use crate::support::{expected, ITEMS};
-use std::sync::mpsc::channel;
-use std::sync::Mutex;
+use crate::support::{expected, GatedServer, ITEMS};
+
+/// Waits until the grace period of draining is over: a query to the collection `hung` times out
+/// after 400 ms.
+fn wait_for_drain_grace(edge: &Process) {
+    let timed_out = edge.get_with_headers("/collections/hung/items", "X-Qos: brief\r\n");
+    assert_eq!(timed_out.status, 504);
+}
 
 #[test]
 fn a_draining_server_gets_no_further_pages_and_a_failed_reload_changes_nothing() {
-    let (opener, gate) = channel::<()>();
-    let gate = Mutex::new(gate);
-    let draining = FeatureServer::start(move |target| {
-        if query_parameter(target, "offset").is_none() {
-            gate.lock().expect("gate").recv().expect("opened");
-        }
-        healthy_reply(target, 0..6, 2)
-    });
+    let draining = GatedServer::start(0..6, 2);
     let healthy = FeatureServer::healthy(0..6, 2);
     let hung = FeatureServer::start(|_| Reply::Hang);
-    let clock = inventory_row("h", &hung, "hung");
-    let edge = Process::start_edge(
-        "drain",
-        "",
-        &(inventory_row("a", &draining, "devices") + &clock),
-    );
+    let hung_row = inventory_row("h", &hung, "hung");
+    let rows = inventory_row("a", &draining.server, "devices") + &hung_row;
+    let rows_with_drain = inventory_row_in_state("a", &draining.server, "devices", "draining")
+        + &inventory_row("b", &healthy, "devices")
+        + &hung_row;
+    let edge = Process::start_edge("drain", "", &rows);
+
     std::thread::scope(|scope| {
         let client = scope.spawn(|| edge.get(ITEMS));
-        while draining.count_requests(|_| true) == 0 {
-            std::thread::yield_now();
-        }
+        draining.wait_for_request();
         edge.write_inventory("a,nowhere,devices,\n");
         edge.signal("HUP");
-        assert!(edge
-            .wait_for_log("inventory reload rejected")
-            .contains("i.csv:2: address: "));
-        edge.write_inventory(
-            &(inventory_row_in_state("a", &draining, "devices", "draining")
-                + &inventory_row("b", &healthy, "devices")
-                + &clock),
-        );
-        edge.signal("HUP");
-        edge.wait_for_log("inventory reloaded");
-        // This query times out after 400 ms: by then the grace period of draining is over.
-        assert_eq!(
-            edge.get_with_headers("/collections/hung/items", "X-Qos: brief\r\n")
-                .status,
-            504
-        );
-        opener.send(()).expect("the server waits");
+        let rejected = edge.wait_for_log("inventory reload rejected");
+        assert!(rejected.contains("i.csv:2: address: "));
+        edge.reload_inventory(&rows_with_drain);
+        wait_for_drain_grace(&edge);
+        draining.open();
         let response = client.join().expect("a response");
         assert_eq!((response.status, response.ids()), (200, expected(0..6)));
     });
+
+    let requests = || draining.server.count_requests(|_| true);
     assert_eq!(
-        draining.count_requests(|_| true),
+        requests(),
         1,
         "no page was requested after the grace period"
     );
     assert_eq!(edge.get(ITEMS).status, 200);
-    assert_eq!(draining.count_requests(|_| true), 1);
+    assert_eq!(requests(), 1);
 }
 
 #[test]
@@ -94,22 +79,16 @@
 
 #[test]
 fn after_sigterm_pending_queries_are_answered_before_the_exit() {
-    let (opener, gate) = channel::<()>();
-    let gate = Mutex::new(gate);
-    let server = FeatureServer::start(move |target| {
-        gate.lock().expect("gate").recv().expect("opened");
-        healthy_reply(target, 0..2, 2)
-    });
-    let mut edge = Process::start_edge("end", "", &inventory_row("a", &server, "devices"));
+    let gated = GatedServer::start(0..2, 2);
+    let rows = inventory_row("a", &gated.server, "devices");
+    let mut edge = Process::start_edge("end", "", &rows);
     std::thread::scope(|scope| {
         let client =
             scope.spawn(|| edge.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
-        while server.count_requests(|_| true) == 0 {
-            std::thread::yield_now();
-        }
+        gated.wait_for_request();
         edge.signal("TERM");
         edge.wait_for_log("graceful shutdown started");
-        opener.send(()).expect("the server waits");
+        gated.open();
         // The connection is persistent: it ends with the program.
         assert_eq!(client.join().expect("a response").status, 200);
     });
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -54,60 +54,64 @@
     assert_eq!(server.count_requests(|_| true), 3);
 }
 
-#[test]
-fn next_links_are_followed_only_on_at_the_same_server() {
-    let elsewhere = FeatureServer::healthy(0..2, 1);
-    let other = elsewhere.address;
-    let lead = move |href: String| {
+/// Starts a server whose pages all have the feature d0 and a `next` link; `next_link` gives the
+/// link's target for the target of the request.
+fn start_with_next_link(
+    mut next_link: impl FnMut(&str) -> String + Send + 'static,
+) -> FeatureServer {
+    FeatureServer::start(move |target| {
+        let href = next_link(target);
         Reply::Json(format!(
             r#"{{"features":[{{"id":"d0"}}],"links":[{{"rel":"next","href":"{href}"}}]}}"#
         ))
-    };
-    let away = FeatureServer::start(move |_| {
-        lead(format!("http://{other}/collections/away/items?offset=1"))
-    });
-    let round = FeatureServer::start(move |t| lead(t.to_owned()));
+    })
+}
+
+/// Starts a server whose `next` links go on without end.
+fn start_endless() -> FeatureServer {
     let mut page = 0;
-    let endless = FeatureServer::start(move |_| {
+    start_with_next_link(move |_| {
         page += 1;
-        lead(format!("/collections/endless/items?offset={page}"))
-    });
-    let large = FeatureServer::start(|_| {
-        Reply::Json(format!(
-            r#"{{"features":[],"x":"{}"}}"#,
-            "x".repeat(100_000)
-        ))
-    });
+        format!("/collections/endless/items?offset={page}")
+    })
+}
+
+/// Starts a server whose page has more than 100,000 bytes.
+fn start_with_large_page() -> FeatureServer {
+    let padding = "x".repeat(100_000);
+    FeatureServer::start(move |_| Reply::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#)))
+}
+
+#[test]
+fn next_links_are_followed_only_on_at_the_same_server() {
+    let elsewhere = FeatureServer::healthy(0..2, 1);
+    let away_link = format!(
+        "http://{}/collections/away/items?offset=1",
+        elsewhere.address
+    );
+    let away = start_with_next_link(move |_| away_link.clone());
+    let round = start_with_next_link(str::to_owned);
+    let endless = start_endless();
+    let large = start_with_large_page();
     let rows = inventory_row("a", &away, "away")
         + &inventory_row("b", &round, "round")
         + &inventory_row("c", &endless, "endless")
         + &inventory_row("d", &large, "large");
-    let edge = Process::start_edge(
-        "links",
-        "attempts = 1\nmost_pages = 7\nmost_bytes = 50000",
-        &rows,
-    );
+    let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
+    let edge = Process::start_edge("links", settings, &rows);
+
     for name in ["away", "round", "large"] {
-        assert!(
-            edge.get(&format!("/collections/{name}/items")).status >= 500,
-            "{name}"
-        );
+        let status = edge.get(&format!("/collections/{name}/items")).status;
+        assert!(status >= 500, "{name}");
     }
     assert_eq!(elsewhere.count_requests(|_| true), 0);
-    assert_eq!(
-        (
-            round.count_requests(|_| true),
-            large.count_requests(|_| true)
-        ),
-        (1, 1)
-    );
+    assert_eq!(round.count_requests(|_| true), 1);
+    assert_eq!(large.count_requests(|_| true), 1);
+
     // Endless links without a new feature: the one feature is returned once, after at most two
     // attempts of two pages.
     let response = edge.get("/collections/endless/items");
     assert_eq!((response.status, response.ids()), (200, expected(0..1)));
-    assert!(
-        endless.count_requests(|_| true) <= 4,
-        "{}",
-        endless.count_requests(|_| true)
-    );
+    let requests = endless.count_requests(|_| true);
+    assert!(requests <= 4, "{requests}");
 }
--- a/tests/ogc/resources.rs
+++ b/tests/ogc/resources.rs
@@ -4,63 +4,76 @@
 use crate::standin::process::Process;
 use crate::support::ITEMS;
 
+/// Targets that name no resource.
+const UNKNOWN_TARGETS: [&str; 4] = [
+    "/collections/none",
+    "/collections/none/items",
+    "/collections/devices/items/d9",
+    "/elsewhere",
+];
+
+/// Targets with a parameter that is not valid.
+const INVALID_TARGETS: [&str; 6] = [
+    "/collections/devices/items?limit=0",
+    "/collections/devices/items?bbox=1,2",
+    "/collections/devices/items?color=red",
+    "/collections/devices/items?filter=S_INTERSECTS(geometry,POINT(1))",
+    "/collections/devices/items?cursor=none",
+    "/conformance?color=red",
+];
+
 #[test]
 fn core_resources_and_their_errors_are_served() {
     let server = FeatureServer::healthy(0..3, 10);
     let edge = Process::start_edge("core", "", &inventory_row("a", &server, "devices"));
+    assert_resources_are_served(&edge);
+    assert_polygon_is_requested_as_its_envelope(&edge, &server);
+    for target in UNKNOWN_TARGETS {
+        assert_problem_document(&edge, target, 404);
+    }
+    for target in INVALID_TARGETS {
+        assert_problem_document(&edge, target, 400);
+    }
+    let post = "POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    assert_eq!(edge.send_request(post).status, 405);
+    assert_eq!(edge.send_request("no http at all\r\n\r\n").status, 400);
+}
+
+/// Asserts that the links of the landing page lead to resources, and that collections and features
+/// are served.
+fn assert_resources_are_served(edge: &Process) {
     let landing = edge.get("/");
     for rel in ["self", "service-desc", "conformance", "data"] {
         let target = landing.link(rel).unwrap_or_else(|| panic!("no {rel}"));
         assert_eq!(edge.get(&target).status, 200, "{rel}");
     }
     assert_eq!(edge.get("/up").status, 200);
-    assert_eq!(
-        edge.get("/collections").json()["collections"][0]["id"],
-        "devices"
-    );
-    assert_eq!(
-        edge.get("/collections/devices").link("items").as_deref(),
-        Some(ITEMS)
-    );
-    let one = edge.get("/collections/devices/items/d1");
-    assert_eq!((one.status, one.json()["id"].as_str()), (200, Some("d1")));
-    let area =
+    let collections = edge.get("/collections").json();
+    assert_eq!(collections["collections"][0]["id"], "devices");
+    let collection = edge.get("/collections/devices");
+    assert_eq!(collection.link("items").as_deref(), Some(ITEMS));
+    let feature = edge.get("/collections/devices/items/d1");
+    assert_eq!(feature.status, 200);
+    assert_eq!(feature.json()["id"].as_str(), Some("d1"));
+}
+
+/// Asserts that a server that does not declare filters is asked for the envelope of the polygon
+/// only.
+fn assert_polygon_is_requested_as_its_envelope(edge: &Process, server: &FeatureServer) {
+    let polygon =
         "filter=S_INTERSECTS(geometry,POLYGON((0%200,9%200,9%209,0%200)))&filter-lang=cql2-text";
-    assert_eq!(edge.get(&format!("{ITEMS}?{area}")).status, 200);
-    // A server that does not declare filters is asked for the envelope of the polygon only.
-    assert_eq!(server.count_requests(|t| t.contains("filter=")), 0);
-    assert_eq!(
-        server.count_requests(|t| t.contains("bbox=0%2C0%2C9%2C9")),
-        1
-    );
-    let bad = [
-        (404, "/collections/none".to_owned()),
-        (404, "/collections/none/items".to_owned()),
-        (404, "/collections/devices/items/d9".to_owned()),
-        (404, "/elsewhere".to_owned()),
-        (400, format!("{ITEMS}?limit=0")),
-        (400, format!("{ITEMS}?bbox=1,2")),
-        (400, format!("{ITEMS}?color=red")),
-        (
-            400,
-            format!("{ITEMS}?filter=S_INTERSECTS(geometry,POINT(1))"),
-        ),
-        (400, format!("{ITEMS}?cursor=none")),
-        (400, "/conformance?color=red".to_owned()),
-    ];
-    for (status, target) in bad {
-        let response = edge.get(&target);
-        assert_eq!(response.status, status, "{target}");
-        assert_eq!(
-            response.headers["content-type"], "application/problem+json",
-            "{target}"
-        );
-        assert_eq!(response.json()["status"], status, "{target}");
-    }
-    assert_eq!(
-        edge.send_request("POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            .status,
-        405
-    );
-    assert_eq!(edge.send_request("no http at all\r\n\r\n").status, 400);
+    assert_eq!(edge.get(&format!("{ITEMS}?{polygon}")).status, 200);
+    let with_filter = server.count_requests(|target| target.contains("filter="));
+    assert_eq!(with_filter, 0);
+    let with_envelope = server.count_requests(|target| target.contains("bbox=0%2C0%2C9%2C9"));
+    assert_eq!(with_envelope, 1);
+}
+
+/// Asserts that a target gets this status, in the head and in a problem document.
+fn assert_problem_document(edge: &Process, target: &str, status: u16) {
+    let response = edge.get(target);
+    assert_eq!(response.status, status, "{target}");
+    let media_type = &response.headers["content-type"];
+    assert_eq!(media_type, "application/problem+json", "{target}");
+    assert_eq!(response.json()["status"], status, "{target}");
 }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -206,6 +206,13 @@
         write_inventory(&self.folder, rows);
     }
 
+    /// Replaces the inventory, sends SIGHUP and waits until the process has applied it.
+    pub fn reload_inventory(&self, rows: &str) {
+        self.write_inventory(rows);
+        self.signal("HUP");
+        self.wait_for_log("inventory reloaded");
+    }
+
     /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
