--- /dev/null
+++ b/tests/log_events/main.rs
@@ -0,0 +1,10 @@
+//! Log events of the process: level, message and fields of one event of each kind that a test can
+//! bring about.
+
+mod connections;
+mod discovery;
+mod feature_front;
+#[path = "../standin/mod.rs"]
+mod standin;
+mod start;
+mod support;
--- /dev/null
+++ b/tests/log_events/start.rs
@@ -0,0 +1,88 @@
+//! Log events of the start and of the hand-over to a successor.
+
+use crate::standin::data_node::{addresses_of, DataNode};
+use crate::standin::deployment::Deployment;
+use crate::standin::discovery::{all_in_service, endpoint_list, serve_constant_list};
+use crate::standin::http::bind_loopback;
+use crate::support::{create_short_folder, refusing_address, LoggingProcess};
+use serde_json::json;
+use std::io::Write;
+use std::os::unix::net::UnixListener;
+
+#[test]
+fn both_processes_of_a_hand_over_log_it() {
+    let nodes = [DataNode::serving()];
+    let addresses = addresses_of(&nodes);
+    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let configuration = Deployment::BASIC.configuration(discovery, &addresses);
+    let temporary = create_short_folder("both");
+    let predecessor =
+        LoggingProcess::start_with_hand_over("predecessor", &configuration, &temporary);
+    predecessor.wait_for("listening for client connections");
+    let successor = LoggingProcess::start_with_hand_over("successor", &configuration, &temporary);
+    successor
+        .wait_for("listening sockets received from predecessor")
+        .assert("INFO", json!({"service": "n0"}));
+    let handed_over = predecessor.wait_for("listening sockets handed over to successor");
+    handed_over.assert("INFO", json!({"socket_count": 1}));
+    let _ = std::fs::remove_dir_all(&temporary);
+}
+
+#[test]
+fn failed_hand_overs_are_logged_by_both_sides() {
+    let nodes = [DataNode::serving()];
+    let addresses = addresses_of(&nodes);
+    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let configuration = Deployment::BASIC.configuration(discovery, &addresses);
+    let temporary = create_short_folder("failed");
+    let path = temporary.join("quinceflow-127.0.0.1-0.sock");
+    let other_program = UnixListener::bind(&path).expect("bound");
+    std::thread::spawn(move || {
+        // Kept open: closing one with unread input would reset it, and the process might read no version.
+        let mut open = Vec::new();
+        for mut connection in other_program.incoming().flatten() {
+            let _ = connection.write_all(b"another version\n");
+            open.push(connection);
+        }
+    });
+    let process = LoggingProcess::start_with_hand_over("other", &configuration, &temporary);
+    let mut failed = process.wait_for("socket hand-over from predecessor failed");
+    assert_eq!(failed.take_field("path"), path.display().to_string());
+    failed.take_field_containing("error", "of another version");
+    failed.assert("WARN", json!({}));
+    process.wait_for("listening for client connections");
+    let mut connection =
+        std::os::unix::net::UnixStream::connect(&path).expect("it waits for a successor");
+    connection
+        .write_all(b"quinceflow hand-over 0\n")
+        .expect("it reads");
+    let mut failed = process.wait_for("socket hand-over to successor failed");
+    failed.take_field_containing("error", "of another version");
+    failed.assert("WARN", json!({}));
+    let _ = std::fs::remove_dir_all(&temporary);
+}
+
+#[test]
+fn faults_of_the_start_are_logged_with_their_place() {
+    let nodes = [DataNode::serving()];
+    let mut configuration =
+        Deployment::BASIC.configuration(refusing_address(), &addresses_of(&nodes));
+    let in_use = bind_loopback();
+    let admin_address = in_use.local_addr().expect("bound").to_string();
+    configuration["mgmt"] = json!(admin_address);
+    let temporary = create_short_folder("long").join("long-name-".repeat(12));
+    std::fs::create_dir_all(&temporary).expect("a folder");
+    let process = LoggingProcess::start_with_hand_over("faults", &configuration, &temporary);
+    let mut not_offered = process.wait_for("listening sockets cannot be offered to a successor");
+    not_offered.take_field_containing("path", "quinceflow-127.0.0.1-0.sock");
+    assert!(!not_offered.take_field("error").is_empty());
+    not_offered.assert("WARN", json!({}));
+    let mut not_started = process.wait_for("admin endpoint not started");
+    not_started.take_field_containing("error", &format!("listen on {admin_address}: "));
+    not_started.assert("WARN", json!({}));
+    let _ = std::fs::remove_dir_all(temporary.parent().expect("its folder"));
+    let unusable = LoggingProcess::start_platform("unusable", &json!({"listen": "nowhere"}));
+    let mut error = unusable.wait_for("exiting with an error");
+    error.take_field_containing("error", "config.json: ");
+    error.assert("ERROR", json!({}));
+}
--- /dev/null
+++ b/tests/log_events/support.rs
@@ -0,0 +1,209 @@
+//! A process that logs JSON, and the events that it logs.
+
+use crate::standin::http::bind_loopback;
+use crate::standin::process::CLASSES;
+use serde_json::Value;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{channel, Receiver};
+use std::time::Duration;
+
+/// How long a process may take to log an event that a test waits for.
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A process that logs JSON; it is killed, and its folder removed, when this is dropped.
+pub struct LoggingProcess {
+    pub child: Child,
+    pub events: Receiver<Value>,
+    pub folder: PathBuf,
+}
+
+impl LoggingProcess {
+    /// Starts the front for feature queries with an admin endpoint and these rows of an inventory.
+    pub fn start_edge(test: &str, rows: &str) -> LoggingProcess {
+        let folder = create_folder(test);
+        write_edge_file(&folder, "mgmt = \"127.0.0.1:0\"");
+        write_inventory(&folder, rows);
+        let mut command = json_logging_command();
+        command
+            .arg("--edge")
+            .arg(folder.join("edge.toml"))
+            .env_remove("NODE_CONFIG")
+            .env_remove("TMPDIR");
+        LoggingProcess::spawn(command, folder)
+    }
+
+    /// Starts the platform's front with this configuration and without a folder for hand-overs.
+    pub fn start_platform(test: &str, configuration: &Value) -> LoggingProcess {
+        let folder = create_folder(test);
+        let mut command = platform_command(&folder, configuration);
+        command.env_remove("TMPDIR");
+        LoggingProcess::spawn(command, folder)
+    }
+
+    /// Starts the platform's front; it hands over and receives listening sockets in `temporary`.
+    pub fn start_with_hand_over(
+        test: &str,
+        configuration: &Value,
+        temporary: &Path,
+    ) -> LoggingProcess {
+        let folder = create_folder(test);
+        let mut command = platform_command(&folder, configuration);
+        command.env("TMPDIR", temporary);
+        LoggingProcess::spawn(command, folder)
+    }
+
+    pub fn spawn(mut command: Command, folder: PathBuf) -> LoggingProcess {
+        let mut child = command
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
+        let stderr = child.stderr.take().expect("piped");
+        let (sender, events) = channel();
+        std::thread::spawn(move || {
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                let event = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{e}: {line}"));
+                let _ = sender.send(event);
+            }
+        });
+        LoggingProcess {
+            child,
+            events,
+            folder,
+        }
+    }
+
+    /// The next event with this message.
+    pub fn wait_for(&self, message: &str) -> LogEvent {
+        loop {
+            let event = self.events.recv_timeout(EVENT_TIMEOUT);
+            let event = event.unwrap_or_else(|e| panic!("no event {message:?}: {e}"));
+            if event["fields"]["message"] == message {
+                let level = event["level"].as_str().expect("a level").to_owned();
+                return LogEvent {
+                    level,
+                    fields: event["fields"].clone(),
+                };
+            }
+        }
+    }
+
+    /// Sends a signal by its name without `SIG`.
+    pub fn signal(&self, name: &str) {
+        let sent = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(self.child.id().to_string())
+            .status();
+        assert!(sent.expect("kill runs").success());
+    }
+}
+
+impl Drop for LoggingProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// An event as it was logged: its message is `message` among the fields.
+#[derive(Debug, PartialEq)]
+pub struct LogEvent {
+    pub level: String,
+    pub fields: Value,
+}
+
+impl LogEvent {
+    /// Asserts the level and all fields beside the message.
+    pub fn assert(&self, level: &str, fields: Value) {
+        let mut expected = fields;
+        expected["message"] = self.fields["message"].clone();
+        assert_eq!((self.level.as_str(), &self.fields), (level, &expected));
+    }
+
+    /// Removes a field whose value differs from run to run and returns it.
+    pub fn take_field(&mut self, name: &str) -> String {
+        let value = self.fields.as_object_mut().expect("fields").remove(name);
+        let value = value.unwrap_or_else(|| panic!("no field {name}: {:?}", self.fields));
+        value
+            .as_str()
+            .unwrap_or_else(|| panic!("{name} is no text: {value}"))
+            .to_owned()
+    }
+
+    /// Asserts that the field is the address of a listening socket, and removes it.
+    pub fn take_bound_address(&mut self, name: &str) {
+        let address: SocketAddr = self.take_field(name).parse().expect("an address");
+        assert_ne!(address.port(), 0);
+    }
+
+    /// Asserts that the field is a text that contains this, and removes it.
+    pub fn take_field_containing(&mut self, name: &str, text: &str) {
+        let value = self.take_field(name);
+        assert!(value.contains(text), "{name}: {value}");
+    }
+}
+
+pub fn json_logging_command() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
+    command.args(["--log", "json"]);
+    command
+}
+
+pub fn platform_command(folder: &Path, configuration: &Value) -> Command {
+    let file = folder.join("config.json");
+    std::fs::write(&file, configuration.to_string()).expect("a configuration");
+    let mut command = json_logging_command();
+    for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_MGMT"] {
+        command.env_remove(name);
+    }
+    command.env("NODE_CONFIG", file);
+    command
+}
+
+pub fn create_folder(test: &str) -> PathBuf {
+    let name = format!("log-events-{test}-{}", std::process::id());
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+/// A folder with a short path: the path of a Unix socket may have 107 bytes.
+pub fn create_short_folder(test: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+pub fn write_edge_file(folder: &Path, settings: &str) {
+    let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
+    std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
+}
+
+pub fn write_inventory(folder: &Path, rows: &str) {
+    let text = format!("name,address,collections,state\n{rows}");
+    std::fs::write(folder.join("i.csv"), text).expect("an inventory");
+}
+
+/// A command that runs another one with so many file descriptors at most.
+pub fn with_descriptors(descriptors: usize, command: &Command) -> Command {
+    let mut shell = Command::new("sh");
+    shell
+        .arg("-c")
+        .arg(format!("ulimit -n {descriptors}; exec \"$0\" \"$@\""));
+    shell.arg(command.get_program()).args(command.get_args());
+    for (name, value) in command.get_envs() {
+        match value {
+            Some(value) => shell.env(name, value),
+            None => shell.env_remove(name),
+        };
+    }
+    shell
+}
+
+/// An address at which nothing listens.
+pub fn refusing_address() -> SocketAddr {
+    bind_loopback().local_addr().expect("bound")
+}
