--- /dev/null
+++ b/tests/platform/connections.rs
@@ -0,0 +1,190 @@
+//! Connections of data nodes and clients that close, stay silent, or exhaust the descriptors.
+
+use crate::standin::data_node::{DataNode, NodeBehaviour};
+use crate::standin::deployment::Deployment;
+use crate::support::query;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+
+#[test]
+fn an_unresponsive_connection_fails_no_query_while_its_node_is_healthy() {
+    // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a
+    // connection is given up for age: it is given up for its silence, and half an answer has no end
+    // in later bytes.
+    for fault in [
+        NodeBehaviour::StopResponding,
+        NodeBehaviour::PartialResponse,
+    ] {
+        let nodes = [(); 2].map(|()| {
+            DataNode::start(move |n| {
+                if n == 100 {
+                    fault
+                } else {
+                    NodeBehaviour::Serve
+                }
+            })
+        });
+        let (edge, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
+        edge.wait_until_ready();
+        let seen = |n: &DataNode| n.received_parts().len();
+        for n in 0..1_000 {
+            assert_eq!(
+                query(&edge, &format!("q{n}"), "lookup", &[0, 1]).status,
+                200,
+                "query {n}"
+            );
+            if nodes.iter().all(|n| seen(n) > 120) {
+                break;
+            }
+        }
+        let met = nodes.each_ref().map(|n| (seen(n), n.connections()));
+        assert!(
+            met.iter().all(|(parts, links)| *parts > 120 && *links > 1),
+            "parts and connections: {met:?}"
+        );
+    }
+}
+
+#[test]
+fn a_connection_closed_by_its_node_loses_no_part() {
+    // Each close has reached the process before the next part is sent; the unit tests of the node
+    // client cover a part sent before the close is seen.
+    let nodes = [
+        DataNode::start(|_| NodeBehaviour::ServeAndClose),
+        DataNode::start(|_| NodeBehaviour::ServeAndClose),
+    ];
+    let (edge, _changes) = Deployment::BASIC.start("closed", &nodes);
+    edge.wait_until_ready();
+    for n in 0..10 {
+        assert_eq!(
+            query(&edge, &format!("q{n}"), "send", &[0]).status,
+            200,
+            "query {n}"
+        );
+        while nodes
+            .iter()
+            .map(DataNode::closed_connections)
+            .sum::<usize>()
+            <= n
+        {
+            std::thread::yield_now();
+        }
+    }
+}
+
+#[test]
+fn silent_and_incomplete_connections_are_closed_and_do_not_block_other_clients() {
+    // Incomplete requests and silent connections have a limit of time, and are evicted for new
+    // clients.
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, _changes) = Deployment {
+        descriptors: 60,
+        ..Deployment::BASIC
+    }
+    .start("silent", &nodes);
+    edge.wait_until_ready();
+    let connect = || TcpStream::connect(edge.address).expect("the machine accepts");
+    let mut half = connect();
+    write!(half, "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\n{{").expect("written");
+    let mut text = String::new();
+    half.read_to_string(&mut text)
+        .expect("an answer and an end");
+    assert!(
+        text.starts_with("HTTP/1.1 408 ") && text.contains("Connection: close"),
+        "{text}"
+    );
+    let mut crowd: Vec<TcpStream> = (0..150).map(|_| connect()).collect();
+    assert_eq!(query(&edge, "q1", "lookup", &[0, 1]).status, 200);
+    for silent in &mut crowd {
+        // Closed without a response; otherwise this read would block for ever.
+        assert!(matches!(silent.read(&mut [0; 1]), Ok(0) | Err(_)));
+    }
+}
+
+#[test]
+fn an_error_response_reaches_a_client_that_keeps_sending() {
+    // A close with unread input sends a reset, by which the client would lose the error.
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, _changes) = Deployment::BASIC.start("linger", &nodes);
+    let mut client = TcpStream::connect(edge.address).expect("it listens");
+    write!(
+        client,
+        "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"
+    )
+    .expect("written");
+    let mut lines = BufReader::new(client.try_clone().expect("a handle")).lines();
+    assert_eq!(
+        lines.next().and_then(Result::ok).as_deref(),
+        Some("HTTP/1.1 413 Content Too Large")
+    );
+    // The response has come, and bytes that are sent after it are still read.
+    for _ in 0..50 {
+        client.write_all(&[b'x'; 1_000]).expect("not reset");
+    }
+    assert!(lines
+        .by_ref()
+        .map_while(Result::ok)
+        .any(|l| l == "Connection: close"));
+    client
+        .shutdown(std::net::Shutdown::Write)
+        .expect("half closed");
+    assert!(lines.all(|l| l.is_ok()), "it closes without a reset");
+}
+
+#[test]
+fn queries_are_served_while_descriptors_are_exhausted() {
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, _changes) = Deployment {
+        descriptors: 40,
+        ..Deployment::BASIC
+    }
+    .start("descriptors", &nodes);
+    edge.wait_until_ready();
+    assert_eq!(query(&edge, "q0", "lookup", &[0, 1]).status, 200);
+    let crowd: Vec<TcpStream> = (0..100)
+        .map(|_| TcpStream::connect(edge.address).expect("the machine accepts"))
+        .collect();
+    for n in 1..10 {
+        assert_eq!(
+            query(&edge, &format!("q{n}"), "lookup", &[0, 1]).status,
+            200
+        );
+    }
+    drop(crowd);
+}
+
+#[test]
+fn after_sigterm_persistent_connections_are_served_before_they_are_closed() {
+    // Responses after the signal do not close their connections, and new clients are accepted.
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (mut edge, _changes) = Deployment {
+        latency_objective_ms: 1_000,
+        ..Deployment::BASIC
+    }
+    .start("term", &nodes);
+    edge.wait_until_ready();
+    let mut kept = TcpStream::connect(edge.address).expect("it listens");
+    // A connection with half a request is not idle.
+    write!(kept, "GET /up HTTP/1.1\r\n").expect("written");
+    edge.signal("HUP");
+    edge.signal("TERM");
+    edge.wait_for_log("graceful shutdown started");
+    write!(kept, "\r\n").expect("written");
+    let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
+    write!(
+        kept,
+        "POST /api HTTP/1.1\r\nX-Trace-Id: q1\r\nX-Qos: lookup\r\nX-Expires-In: 1\r\n\
+         Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .expect("written");
+    assert_eq!(query(&edge, "q2", "lookup", &[0, 1]).status, 200);
+    let mut text = String::new();
+    kept.read_to_string(&mut text).expect("read");
+    assert!(
+        text.starts_with("HTTP/1.1 503 ") && text.contains("HTTP/1.1 200 "),
+        "{text}"
+    );
+    assert!(!text.contains("Connection: close"), "{text}");
+    assert!(edge.wait_for_exit());
+}
--- /dev/null
+++ b/tests/platform/main.rs
@@ -0,0 +1,8 @@
+//! The platform's protocol on real sockets, with stand-ins for data nodes, discovery and clients.
+
+mod connections;
+mod queries;
+mod requests;
+#[path = "../standin/mod.rs"]
+mod standin;
+mod support;
--- /dev/null
+++ b/tests/platform/queries.rs
@@ -0,0 +1,127 @@
+//! Queries, their retries, and the discovery of nodes.
+
+use crate::standin::data_node::{DataNode, NodeBehaviour};
+use crate::standin::deployment::Deployment;
+use crate::standin::discovery::{endpoint_list, terminating};
+use crate::standin::management::{dump_value, management_call};
+use crate::support::query;
+use serde_json::json;
+use std::sync::{Arc, Mutex};
+
+#[test]
+fn a_query_is_answered_from_its_parts_over_persistent_connections() {
+    let nodes = [
+        DataNode::serving(),
+        DataNode::serving(),
+        DataNode::serving(),
+    ];
+    let (edge, _changes) = Deployment::BASIC.start("whole", &nodes);
+    edge.wait_until_ready();
+    for n in 0..20 {
+        let answer = query(&edge, &format!("q{n}"), "lookup", &[0, 1, 2]);
+        let cell = |s: u32| json!({"tablet": s, "cell": format!("cell{s}")});
+        assert_eq!(answer.status, 200);
+        assert_eq!(
+            answer.json(),
+            json!({"full": true, "pieces": [cell(0), cell(1), cell(2)]})
+        );
+    }
+    let open: Vec<usize> = nodes.iter().map(DataNode::connections).collect();
+    // Not one each: if the machine pauses, an answer is overdue, and the next parts take another
+    // connection.
+    assert!(
+        open.iter().all(|n| *n <= 4),
+        "connections are reused: {open:?}"
+    );
+}
+
+#[test]
+fn failed_parts_are_retried_on_the_other_node_unless_they_may_have_run_and_are_not_idempotent() {
+    for (act, class, status) in [
+        (NodeBehaviour::Fail, "lookup", 200),
+        (NodeBehaviour::Disconnect, "lookup", 200),
+        (NodeBehaviour::Reject, "send", 200),
+        (NodeBehaviour::Fail, "send", 502),
+        (NodeBehaviour::Disconnect, "send", 502),
+    ] {
+        // The fault strikes the first part that any node receives.
+        let struck = Arc::new(Mutex::new(false));
+        let first = |struck: Arc<Mutex<bool>>| {
+            move |_| {
+                if std::mem::replace(&mut *struck.lock().expect("flag"), true) {
+                    NodeBehaviour::Serve
+                } else {
+                    act
+                }
+            }
+        };
+        let nodes = [
+            DataNode::start(first(struck.clone())),
+            DataNode::start(first(struck)),
+        ];
+        let (edge, _changes) =
+            Deployment::BASIC.start(&format!("fault{}{class}", act as u8), &nodes);
+        edge.wait_until_ready();
+        assert_eq!(query(&edge, "q1", class, &[0]).status, status);
+        let dump = management_call(edge.management_address(), "DUMP\n");
+        let errors = dump_value(&dump, &format!("node.responses.{class}.errors"));
+        assert_eq!(errors, u64::from(status != 200), "{dump}");
+        let sent: usize = nodes.iter().map(|n| n.received_parts().len()).sum();
+        assert_eq!(
+            sent,
+            if status == 200 { 2 } else { 1 },
+            "a part that may have run is sent once"
+        );
+    }
+}
+
+#[test]
+fn a_draining_node_receives_no_new_parts() {
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, changes) = Deployment::BASIC.start("drain", &nodes);
+    edge.wait_until_ready();
+    assert_eq!(query(&edge, "q0", "lookup", &[0, 1]).status, 200);
+    changes.send(&endpoint_list(
+        2,
+        false,
+        &[terminating(0, nodes[0].address)],
+    ));
+    // Until the process has counted three lists: the cached one, discovery's first, and this one.
+    loop {
+        edge.signal("USR1");
+        if edge
+            .wait_for_log("counters")
+            .contains(" endpoint_updates=3 ")
+        {
+            break;
+        }
+    }
+    let before = nodes[0].received_parts().len();
+    for n in 1..10 {
+        assert_eq!(
+            query(&edge, &format!("q{n}"), "lookup", &[0, 1]).status,
+            200
+        );
+    }
+    assert_eq!(nodes[0].received_parts().len(), before);
+}
+
+#[test]
+fn after_an_unreadable_watch_event_the_complete_list_is_requested() {
+    // A watch that resumed from the last good version would lose the change in the bad event.
+    let nodes = [DataNode::serving(), DataNode::serving()];
+    let (edge, discovery) = Deployment::BASIC.start("line", &nodes);
+    edge.wait_until_ready();
+    discovery.send("{no list");
+    while discovery.requests().len() < 2 {
+        // The stand-in notices that the watch is closed when it sends the next event.
+        discovery.send("");
+        std::thread::yield_now();
+    }
+    let asked = discovery.requests();
+    assert!(
+        asked[0].contains("since=0") && asked[1].contains("since=0"),
+        "{asked:?}"
+    );
+    assert_eq!(query(&edge, "q1", "lookup", &[0, 1]).status, 200);
+}
