--- /dev/null
+++ b/tests/ordinary_path/dispatch.rs
@@ -0,0 +1,129 @@
+//! Which parts are sent and omitted, and the endpoint list that they are sent by.
+
+use crate::common::*;
+use quinceflow::*;
+
+#[test]
+fn light_parts_are_omitted_when_their_replicas_are_slow() {
+    // Light parts cost as much as heavy ones: they are the first to be omitted.
+    let ask = |harness: &mut Harness, id: u64| {
+        let group = GroupId(id as u32);
+        let mut events = vec![query_event(id, 0, 0, 3 * S)];
+        for (n, weight) in [0.5, 0.3, 0.1, 0.04, 0.03, 0.03].into_iter().enumerate() {
+            let part = PartId(id + 1 + n as u64);
+            events.push(Event::Part {
+                part,
+                group,
+                shard: ShardId(n as u32 % 3),
+                weight,
+            });
+        }
+        harness.report(events)
+    };
+    let mut harness = Harness::new(settings(Class {
+        min_share: 0.5,
+        ..class(Effect::Idempotent)
+    }));
+    assert_eq!(
+        sent_attempts(&ask(&mut harness, 100)).len(),
+        6,
+        "all are requested while there is capacity"
+    );
+    harness.run_for(700 * MS);
+    let requested = sent_attempts(&ask(&mut harness, 200));
+    assert!((2..6).contains(&requested.len()), "{requested:?}");
+    assert!(
+        requested.iter().any(|s| s.0 == PartId(201)),
+        "the heaviest is requested"
+    );
+}
+
+#[test]
+fn all_parts_of_a_wide_query_are_sent_at_once() {
+    // No part waits for a probe of its node's load: the last answers tell the load as well.
+    let wide: Vec<u32> = (0..64).map(|n| n % 3).collect();
+    let (_, _, actions) = Harness::new(two_priorities()).submit_as(1, 0, &wide);
+    assert_eq!(sent_attempts(&actions).len(), 64);
+}
+
+#[test]
+fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
+    // Parts of wide queries at slow nodes would be late, and would take the room of queries that
+    // need their parts there.
+    let mut settings = settings(Class {
+        min_share: 0.6,
+        ..class(Effect::Idempotent)
+    });
+    settings.cells = 10;
+    settings.shards = 10;
+    settings.cells_per_shard = 1;
+    let mut harness = Harness::new(settings);
+    let members = (0..10)
+        .map(|n| endpoint(n, EndpointState::Ready, 0))
+        .collect();
+    harness.report(vec![Event::Endpoints {
+        kind: EndpointListKind::Full,
+        endpoints: members,
+    }]);
+    let all: Vec<u32> = (0..10).collect();
+    for _ in 0..4 {
+        let (_, parts, _) = harness.submit(&all);
+        harness.now += 40 * MS;
+        parts[4..]
+            .iter()
+            .for_each(|p| drop(harness.complete(*p, 0, Outcome::Ok, 40 * MS)));
+        harness.now += 910 * MS;
+        parts[..4]
+            .iter()
+            .for_each(|p| drop(harness.complete(*p, 0, Outcome::Ok, 950 * MS)));
+    }
+    let requested = sent_attempts(&harness.submit(&all).2);
+    assert_eq!(
+        requested.len(),
+        8,
+        "half of what may be missing is omitted: {requested:?}"
+    );
+    assert!(
+        (4..10).all(|n| requested.iter().any(|s| s.1 == replica(n))),
+        "of the slow ones only"
+    );
+    harness.now += 40 * MS;
+    requested
+        .iter()
+        .for_each(|s| drop(harness.complete(s.0, 0, Outcome::Ok, 40 * MS)));
+    harness.run_for(60 * S);
+    assert_eq!(
+        sent_attempts(&harness.submit(&all).2).len(),
+        10,
+        "slow answers of long ago omit none"
+    );
+}
+
+#[test]
+fn a_failed_poll_for_the_endpoint_list_is_retried_within_the_interval() {
+    let mut settings = settings(class(Effect::Idempotent));
+    settings.max_poll_interval = Some(10 * S);
+    let mut policy = DecisionPolicy::new(settings, 3, START);
+    let mut now = START;
+    let mut polls = Vec::new();
+    for n in 0..4000 {
+        let mut actions = Vec::new();
+        let failed = Event::Endpoints {
+            kind: EndpointListKind::Failed,
+            endpoints: Vec::new(),
+        };
+        let events = if n > 0 && polls.last() == Some(&(now - 5 * MS)) {
+            vec![failed]
+        } else {
+            vec![Event::TimerFired]
+        };
+        policy.handle(now, &events, &mut actions);
+        if actions.contains(&Action::Subscribe) {
+            polls.push(now);
+        }
+        now += 5 * MS;
+    }
+    assert!(polls.len() >= 8, "polled {} times in 20 s", polls.len());
+    assert!(polls.len() <= 60, "polled {} times in 20 s", polls.len());
+    assert!(polls.windows(2).all(|w| w[1] - w[0] < 5 * S));
+}
