--- /dev/null
+++ b/tests/ogc_run/main.rs
@@ -0,0 +1,10 @@
+//! Some minutes of feature queries under the usual faults, outside CI:
+//! `MINUTES=4 cargo test --release --test ogc_run -- --ignored --nocapture`. Results:
+//! docs/recorded-run.md.
+
+mod faults;
+mod run;
+mod servers;
+#[path = "../standin/mod.rs"]
+mod standin;
+mod walk;
--- /dev/null
+++ b/tests/ogc_run/servers.rs
@@ -0,0 +1,63 @@
+//! The feature servers of the run, and the faults that they are given.
+
+use crate::standin::feature_server::{healthy_reply, inventory_row_in_state, FeatureServer, Reply};
+use std::ops::Range;
+use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
+use std::sync::Arc;
+use std::time::Duration;
+
+pub const SHARDS: [&str; 3] = ["east", "north", "south"];
+pub const FAULTS: [&str; 7] = [
+    "healthy", "errors", "hang", "truncate", "slow", "drain", "burst",
+];
+pub const SERVERS: usize = 6;
+
+pub fn ids(shard: usize) -> Range<usize> {
+    shard * 1000..shard * 1000 + 40 + shard
+}
+
+/// The shards of a server: each shard is at four servers.
+pub fn shards_of(server: usize) -> [usize; 2] {
+    [server % 3, (server + 1) % 3]
+}
+
+/// A server of two shards whose fault is set from outside.
+pub fn server(shards: [usize; 2], fault: Arc<AtomicUsize>) -> FeatureServer {
+    let mut seed = 7usize;
+    FeatureServer::start(move |target| {
+        let shard = shards
+            .into_iter()
+            .find(|s| target.contains(&format!("/{}/", SHARDS[*s])))
+            .expect("its shard");
+        let reply = healthy_reply(target, ids(shard), 10);
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        // About every other page fails: if all did, the fault would be met on first pages only.
+        let fails = (seed >> 33).is_multiple_of(2);
+        match (FAULTS[fault.load(Relaxed)], reply) {
+            ("errors", _) if fails => Reply::Status(500),
+            ("hang", _) => Reply::Hang,
+            ("truncate", Reply::Json(body)) if fails => Reply::Truncated(body),
+            ("slow", reply) => {
+                std::thread::sleep(Duration::from_millis(30));
+                reply
+            }
+            (_, reply) => reply,
+        }
+    })
+}
+
+pub fn inventory(servers: &[FeatureServer], draining: Option<usize>) -> String {
+    let row = |(n, server): (usize, &FeatureServer)| {
+        let [first, second] = shards_of(n).map(|shard| SHARDS[shard]);
+        let shards = format!("devices/{first};devices/{second}");
+        let state = if draining == Some(n) {
+            "draining"
+        } else {
+            "in_service"
+        };
+        inventory_row_in_state(&format!("s{n}"), server, &shards, state)
+    };
+    servers.iter().enumerate().map(row).collect()
+}
--- /dev/null
+++ b/tests/ogc_run/walk.rs
@@ -0,0 +1,137 @@
+//! The responses to a query over its `next` links, and whether they are right.
+
+use crate::servers::{ids, SHARDS};
+use crate::standin::client::Response;
+use crate::standin::feature_server::query_parameter;
+use std::collections::BTreeSet;
+
+pub const CLASSES: [&str; 3] = ["exact", "part", "once"];
+/// The class whose parts must not run twice.
+pub const NON_IDEMPOTENT: &str = "once";
+/// The last coordinate of a query's `bbox` is the query's number over this.
+pub const BBOX_SCALE: f64 = 1e5;
+
+/// A query, as its `bbox` tells it: the servers see no other mark of it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueryId {
+    pub client: usize,
+    pub query: usize,
+}
+
+impl QueryId {
+    pub fn class(self) -> &'static str {
+        CLASSES[(self.client + self.query) % CLASSES.len()]
+    }
+
+    pub fn first_target(self) -> String {
+        let QueryId { client, query } = self;
+        format!(
+            "/collections/devices/items?limit=5000&bbox=0,0,{client},{}",
+            query as f64 / BBOX_SCALE
+        )
+    }
+
+    /// The query that a request starts at a shard; `None` for the further pages of a shard.
+    pub fn started_by(target: &str) -> Option<QueryId> {
+        if query_parameter(target, "offset").is_some() {
+            return None;
+        }
+        let parameters = target.split_once('?').expect("a query").1;
+        let bbox = parameters
+            .split('&')
+            .find_map(|parameter| parameter.strip_prefix("bbox="))?;
+        let numbers: Vec<f64> = bbox
+            .split("%2C")
+            .map(|n| n.parse().expect("a number"))
+            .collect();
+        Some(QueryId {
+            client: numbers[2] as usize,
+            query: (numbers[3] * BBOX_SCALE).round() as usize,
+        })
+    }
+}
+
+/// The responses to a query, in order: each but the first answers the `next` link of the one before
+/// it.
+pub struct Walk {
+    pub query: QueryId,
+    /// The responses with status 200.
+    pub pages: Vec<Response>,
+    /// The status of the response that ended the walk before the last page.
+    pub failure: Option<u16>,
+}
+
+impl Walk {
+    /// The kind of a walk: whether all of its pages are right, and how it ended.
+    pub fn kind(&self) -> String {
+        let complete = self
+            .pages
+            .iter()
+            .all(|page| missing_shards(page).is_empty());
+        match self.failure {
+            _ if !self.is_right() => {
+                println!(
+                    "wrong: {:?} {:?} {:?}",
+                    self.query, self.failure, self.pages
+                );
+                "wrong".to_owned()
+            }
+            Some(status) if self.pages.is_empty() => status.to_string(),
+            Some(status) => format!("{status} on a later page"),
+            None if complete => "complete".to_owned(),
+            None => "partial".to_owned(),
+        }
+    }
+
+    /// Whether the pages hold, in order and each once, all features of each shard that no page
+    /// calls missing. Of a missing shard they hold the features before those that are missing; the
+    /// page that calls it missing holds none. After a failure the same is true of the features
+    /// before those of the page that failed.
+    pub fn is_right(&self) -> bool {
+        if !self.pages.iter().all(page_is_consistent) {
+            return false;
+        }
+        let returned: Vec<String> = self.pages.iter().flat_map(Response::ids).collect();
+        let missing: BTreeSet<usize> = self.pages.iter().flat_map(missing_shards).collect();
+        let expected: Vec<String> = (0..SHARDS.len())
+            .flat_map(|shard| {
+                let all = ids(shard).map(|id| format!("d{id}"));
+                let count = all.clone().filter(|id| returned.contains(id)).count();
+                all.take(if missing.contains(&shard) {
+                    count
+                } else {
+                    usize::MAX
+                })
+            })
+            .collect();
+        match self.failure {
+            None => returned == expected,
+            Some(_) => expected.starts_with(&returned),
+        }
+    }
+}
+
+/// The indexes of the shards that a page calls missing.
+pub fn missing_shards(page: &Response) -> BTreeSet<usize> {
+    let json = page.json();
+    let names = json["missing"].as_array().into_iter().flatten();
+    let index = |name: &serde_json::Value| SHARDS.iter().position(|shard| name == shard);
+    names
+        .map(|name| index(name).expect("a shard's name"))
+        .collect()
+}
+
+/// Whether `X-Answer-Whole` agrees with `missing`, the page holds no feature of a shard that it
+/// calls missing, and a page that is not the last holds a feature.
+pub fn page_is_consistent(page: &Response) -> bool {
+    let missing = missing_shards(page);
+    let returned = page.ids();
+    let is_missing = |id: &String| {
+        missing
+            .iter()
+            .any(|s| ids(*s).any(|number| *id == format!("d{number}")))
+    };
+    page.headers["x-answer-whole"] == missing.is_empty().to_string()
+        && !returned.iter().any(is_missing)
+        && (page.link("next").is_none() || !returned.is_empty())
+}
