--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -1,12 +1,16 @@
 //! The classes of CQL2 beyond the basic ones: further comparisons, functions on text, space, time
 //! and arrays, and arithmetic; and searches by POST.
 
-use super::check::{require, require_same, Check, Stop, Verdict};
+mod search;
+mod temporal;
+
+use super::check::{Check, Stop, Verdict};
 use super::filters::{number_is, quoted, require_matches};
 use super::samples::{point_of, text_of, BoundingBox, QueryableKind, Sample};
 use super::Suite;
-use crate::client::{Header, Request, Response};
-use serde_json::{json, Value as Json};
+use search::search_by_post_is_right;
+use serde_json::Value as Json;
+use temporal::temporal_predicates_are_right;
 
 const COMPARISON: &str = "conf/advanced-comparison-operators";
 const CASE: &str = "conf/case-insensitive-comparison";
@@ -25,11 +29,6 @@
 const SPAN: f64 = 20.0;
 /// Number of characters of a text that a pattern starts with.
 const PATTERN_LENGTH: usize = 3;
-/// Number of points on each of the four edges of the searched polygon.
-const POINTS_PER_EDGE: u32 = 2_500;
-/// Limit of the search.
-const SEARCH_LIMIT: usize = 500;
-
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new(
@@ -248,61 +247,6 @@
     require_matches(suite, &filter, |_| false)
 }
 
-fn temporal_predicates_are_right(suite: &mut Suite) -> Verdict {
-    let sample = suite.median_time()?;
-    require_instant_predicates(suite, &sample)?;
-    require_interval_predicates(suite, &sample)
-}
-
-/// Returns whether a feature has an instant of this name that satisfies the predicate.
-fn instant_is(feature: &Json, name: &str, holds: impl Fn(&str) -> bool) -> bool {
-    text_of(feature, name).is_some_and(holds)
-}
-
-fn require_instant_predicates(suite: &mut Suite, sample: &Sample<String>) -> Verdict {
-    let Sample { name, value: time } = sample;
-    require_matches(
-        suite,
-        &format!("T_AFTER({name},TIMESTAMP('{time}'))"),
-        |feature| instant_is(feature, name, |instant| instant > time.as_str()),
-    )?;
-    require_matches(
-        suite,
-        &format!("T_BEFORE({name},TIMESTAMP('{time}'))"),
-        |feature| instant_is(feature, name, |instant| instant < time.as_str()),
-    )?;
-    require_matches(
-        suite,
-        &format!("T_EQUALS({name},TIMESTAMP('{time}'))"),
-        |feature| instant_is(feature, name, |instant| instant == time),
-    )
-}
-
-fn require_interval_predicates(suite: &mut Suite, sample: &Sample<String>) -> Verdict {
-    let Sample { name, value: time } = sample;
-    let day = &time[.."2001-01-01".len()];
-    require_matches(
-        suite,
-        &format!("T_INTERSECTS({name},INTERVAL('{time}','..'))"),
-        |feature| instant_is(feature, name, |instant| instant >= time.as_str()),
-    )?;
-    require_matches(
-        suite,
-        &format!("T_INTERSECTS({name},DATE('{day}'))"),
-        |feature| instant_is(feature, name, |instant| instant.starts_with(day)),
-    )?;
-    require_matches(
-        suite,
-        &format!("T_DISJOINT({name},INTERVAL('..','{time}'))"),
-        |feature| instant_is(feature, name, |instant| instant > time.as_str()),
-    )?;
-    // All features are later than the interval's start.
-    let during = format!("T_DURING({name},INTERVAL('2001-01-01T00:00:00Z','{time}'))");
-    require_matches(suite, &during, |feature| {
-        instant_is(feature, name, |instant| instant < time.as_str())
-    })
-}
-
 /// Returns the elements of an array property of a feature; empty if the feature lacks it.
 fn elements_of(feature: &Json, name: &str) -> Vec<String> {
     let elements = feature["properties"][name].as_array().into_iter().flatten();
@@ -346,88 +290,3 @@
         },
     )
 }
-
-/// Checks a search for numbers above the median in a polygon of ten thousand points.
-fn search_by_post_is_right(suite: &mut Suite) -> Verdict {
-    let Sample {
-        name,
-        value: median,
-    } = suite.median()?;
-    let bbox = suite.middle_box()?;
-    let geometry = suite.geometry()?;
-    let above = json!({"op": ">", "args": [{"property": name}, median]});
-    let polygon = json!({"type": "Polygon", "coordinates": [ring_of(bbox)]});
-    let within = json!({"op": "s_intersects", "args": [{"property": geometry}, polygon]});
-    let response = post_search(suite, &json!({"op": "and", "args": [above, within]}))?;
-    if matches!(response.status, 404 | 405) {
-        return Err(Stop::not_applicable("there is no POST /search"));
-    }
-    require(response.status == 200, || {
-        format!(
-            "status {}: {}",
-            response.status,
-            response.text().chars().take(200).collect::<String>()
-        )
-    })?;
-    let mut found = response.ids();
-    found.sort();
-    let expected = suite.expected_ids(|feature| {
-        bbox.contains(feature) && number_is(feature, &name, |n| n > median)
-    });
-    if expected.len() > SEARCH_LIMIT {
-        return require(found.len() == SEARCH_LIMIT, || {
-            format!("{} features", found.len())
-        });
-    }
-    require_same("an area of 10,000 points", &found, &expected)
-}
-
-/// Sends a search of the collection with a filter in CQL2 JSON and returns the response.
-fn post_search(suite: &mut Suite, filter: &Json) -> Result<Response, Stop> {
-    let search = json!({
-        "collections": [suite.collection],
-        "limit": SEARCH_LIMIT,
-        "filter-lang": "cql2-json",
-        "filter": filter,
-    });
-    let body = search.to_string();
-    let headers = [Header::new("Content-Type", "application/json")];
-    suite.send(&Request {
-        body: body.as_bytes(),
-        ..Request::new("POST", "/search", &headers)
-    })
-}
-
-/// Returns a box as a closed ring with many points on each edge.
-fn ring_of(bbox: BoundingBox) -> Vec<[f64; 2]> {
-    let BoundingBox {
-        west,
-        south,
-        east,
-        north,
-    } = bbox;
-    let between = |from: f64, to: f64, number: u32| {
-        from + (to - from) * f64::from(number) / f64::from(POINTS_PER_EDGE)
-    };
-    let edge = |from: [f64; 2], to: [f64; 2]| {
-        (0..POINTS_PER_EDGE).map(move |number| {
-            [
-                between(from[0], to[0], number),
-                between(from[1], to[1], number),
-            ]
-        })
-    };
-    let corners = [
-        [west, south],
-        [east, south],
-        [east, north],
-        [west, north],
-        [west, south],
-    ];
-    let mut ring: Vec<[f64; 2]> = corners
-        .windows(2)
-        .flat_map(|pair| edge(pair[0], pair[1]))
-        .collect();
-    ring.push(corners[0]);
-    ring
-}
--- /dev/null
+++ b/testkit/src/conformance/filter_functions/search.rs
@@ -0,0 +1,98 @@
+//! Searches by POST with a filter in CQL2 JSON.
+
+use super::super::check::{require, require_same, Stop, Verdict};
+use super::super::filters::number_is;
+use super::super::samples::{BoundingBox, Sample};
+use super::super::Suite;
+use crate::client::{Header, Request, Response};
+use serde_json::{json, Value as Json};
+
+/// Number of points on each of the four edges of the searched polygon.
+const POINTS_PER_EDGE: u32 = 2_500;
+/// Limit of the search.
+const SEARCH_LIMIT: usize = 500;
+
+/// Checks a search for numbers above the median in a polygon of ten thousand points.
+pub(super) fn search_by_post_is_right(suite: &mut Suite) -> Verdict {
+    let Sample {
+        name,
+        value: median,
+    } = suite.median()?;
+    let bbox = suite.middle_box()?;
+    let geometry = suite.geometry()?;
+    let above = json!({"op": ">", "args": [{"property": name}, median]});
+    let polygon = json!({"type": "Polygon", "coordinates": [ring_of(bbox)]});
+    let within = json!({"op": "s_intersects", "args": [{"property": geometry}, polygon]});
+    let response = post_search(suite, &json!({"op": "and", "args": [above, within]}))?;
+    if matches!(response.status, 404 | 405) {
+        return Err(Stop::not_applicable("there is no POST /search"));
+    }
+    require(response.status == 200, || {
+        format!(
+            "status {}: {}",
+            response.status,
+            response.text().chars().take(200).collect::<String>()
+        )
+    })?;
+    let mut found = response.ids();
+    found.sort();
+    let expected = suite.expected_ids(|feature| {
+        bbox.contains(feature) && number_is(feature, &name, |n| n > median)
+    });
+    if expected.len() > SEARCH_LIMIT {
+        return require(found.len() == SEARCH_LIMIT, || {
+            format!("{} features", found.len())
+        });
+    }
+    require_same("an area of 10,000 points", &found, &expected)
+}
+
+/// Sends a search of the collection with a filter in CQL2 JSON and returns the response.
+fn post_search(suite: &mut Suite, filter: &Json) -> Result<Response, Stop> {
+    let search = json!({
+        "collections": [suite.collection],
+        "limit": SEARCH_LIMIT,
+        "filter-lang": "cql2-json",
+        "filter": filter,
+    });
+    let body = search.to_string();
+    let headers = [Header::new("Content-Type", "application/json")];
+    suite.send(&Request {
+        body: body.as_bytes(),
+        ..Request::new("POST", "/search", &headers)
+    })
+}
+
+/// Returns a box as a closed ring with many points on each edge.
+fn ring_of(bbox: BoundingBox) -> Vec<[f64; 2]> {
+    let BoundingBox {
+        west,
+        south,
+        east,
+        north,
+    } = bbox;
+    let between = |from: f64, to: f64, number: u32| {
+        from + (to - from) * f64::from(number) / f64::from(POINTS_PER_EDGE)
+    };
+    let edge = |from: [f64; 2], to: [f64; 2]| {
+        (0..POINTS_PER_EDGE).map(move |number| {
+            [
+                between(from[0], to[0], number),
+                between(from[1], to[1], number),
+            ]
+        })
+    };
+    let corners = [
+        [west, south],
+        [east, south],
+        [east, north],
+        [west, north],
+        [west, south],
+    ];
+    let mut ring: Vec<[f64; 2]> = corners
+        .windows(2)
+        .flat_map(|pair| edge(pair[0], pair[1]))
+        .collect();
+    ring.push(corners[0]);
+    ring
+}
