--- /dev/null
+++ b/tests/ogc/pages.rs
@@ -0,0 +1,117 @@
+//! Pages of feature servers: merged over shards, continued over `next` links, and bounded.
+
+use crate::standin::feature_server::{healthy_reply, inventory_row, FeatureServer, Reply};
+use crate::standin::process::Process;
+use crate::support::{expected, ITEMS};
+
+#[test]
+fn pages_of_all_shards_are_merged_and_a_limited_response_continues() {
+    let north = FeatureServer::healthy(0..7, 3);
+    let south = FeatureServer::healthy(100..105, 2);
+    let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
+    let edge = Process::start_edge("pages", "", &rows);
+    let complete = edge.get(ITEMS);
+    let all: Vec<String> = expected(0..7)
+        .into_iter()
+        .chain(expected(100..105))
+        .collect();
+    assert_eq!((complete.status, complete.ids()), (200, all.clone()));
+    assert_eq!(complete.json()["numberMatched"], 12);
+    assert_eq!(complete.headers["x-answer-whole"], "true");
+    assert_eq!(
+        north.count_requests(|t| t.starts_with("/collections/n/items")),
+        3,
+        "each page once"
+    );
+    let mut returned = Vec::new();
+    let mut next = Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9"));
+    while let Some(target) = next {
+        let page = edge.get(&target);
+        assert!(page.ids().len() <= 4);
+        returned.extend(page.ids());
+        next = page.link("next");
+    }
+    assert_eq!(
+        returned, all,
+        "no duplicates and no gaps over the next links"
+    );
+    assert!(
+        north.count_requests(|t| t.contains("bbox=0%2C0%2C9%2C9")) > 0,
+        "the box is passed on to the servers"
+    );
+}
+
+#[test]
+fn all_pages_are_fetched_from_a_server_that_closes_after_each() {
+    // Each page is fetched on a new connection, since the server has closed the one before.
+    let server = FeatureServer::start(|target| match healthy_reply(target, 0..6, 2) {
+        Reply::Json(body) => Reply::CloseDelimited(body),
+        other => other,
+    });
+    let edge = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
+    let response = edge.get(ITEMS);
+    assert_eq!((response.status, response.ids()), (200, expected(0..6)));
+    assert_eq!(server.count_requests(|_| true), 3);
+}
+
+/// Starts a server whose pages all have the feature d0 and a `next` link; `next_link` gives the
+/// link's target for the target of the request.
+fn start_with_next_link(
+    mut next_link: impl FnMut(&str) -> String + Send + 'static,
+) -> FeatureServer {
+    FeatureServer::start(move |target| {
+        let href = next_link(target);
+        Reply::Json(format!(
+            r#"{{"features":[{{"id":"d0"}}],"links":[{{"rel":"next","href":"{href}"}}]}}"#
+        ))
+    })
+}
+
+/// Starts a server whose `next` links go on without end.
+fn start_endless() -> FeatureServer {
+    let mut page = 0;
+    start_with_next_link(move |_| {
+        page += 1;
+        format!("/collections/endless/items?offset={page}")
+    })
+}
+
+/// Starts a server whose page has more than 100,000 bytes.
+fn start_with_large_page() -> FeatureServer {
+    let padding = "x".repeat(100_000);
+    FeatureServer::start(move |_| Reply::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#)))
+}
+
+#[test]
+fn next_links_are_followed_only_on_at_the_same_server() {
+    let elsewhere = FeatureServer::healthy(0..2, 1);
+    let away_link = format!(
+        "http://{}/collections/away/items?offset=1",
+        elsewhere.address
+    );
+    let away = start_with_next_link(move |_| away_link.clone());
+    let round = start_with_next_link(str::to_owned);
+    let endless = start_endless();
+    let large = start_with_large_page();
+    let rows = inventory_row("a", &away, "away")
+        + &inventory_row("b", &round, "round")
+        + &inventory_row("c", &endless, "endless")
+        + &inventory_row("d", &large, "large");
+    let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
+    let edge = Process::start_edge("links", settings, &rows);
+
+    for name in ["away", "round", "large"] {
+        let status = edge.get(&format!("/collections/{name}/items")).status;
+        assert!(status >= 500, "{name}");
+    }
+    assert_eq!(elsewhere.count_requests(|_| true), 0);
+    assert_eq!(round.count_requests(|_| true), 1);
+    assert_eq!(large.count_requests(|_| true), 1);
+
+    // Endless links without a new feature: the one feature is returned once, after at most two
+    // attempts of two pages.
+    let response = edge.get("/collections/endless/items");
+    assert_eq!((response.status, response.ids()), (200, expected(0..1)));
+    let requests = endless.count_requests(|_| true);
+    assert!(requests <= 4, "{requests}");
+}
