--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// Answers a query, if that is allowed; the answer from the first step may begin the follow-up step.
+/// Answers a query, if that is allowed; the answer from the first step may begin the follow-up
+/// step.
 fn answer(query: &mut Query, settings: &Settings, now: Nanos) -> Vec<Action> {
     let Some(completeness) = completeness(query, settings.class(query.class)) else {
         return Vec::new();
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -1,4 +1,5 @@
-//! Attempts: what may be sent, that is first attempts, retries and hedged requests, within the rules on sending.
+//! Attempts: what may be sent, that is first attempts, retries and hedged requests, within the
+//! rules on sending.
 
 mod next_step;
 mod retry_limiter;
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,5 +1,5 @@
-//! Choice of replicas: the replicas of the endpoint list, their health and warm-up, and the choice among
-//! a shard's holders.
+//! Choice of replicas: the replicas of the endpoint list, their health and warm-up, and the choice
+//! among a shard's holders.
 
 mod outlier;
 mod replica;
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -136,8 +136,8 @@
 
     /// Returns the wait to expect at the replica, in ns.
     ///
-    /// This is the longest of the decayed response time, the age of the oldest attempt in flight and
-    /// the queueing of this coordinator's attempts there, plus a penalty while the replica is
+    /// This is the longest of the decayed response time, the age of the oldest attempt in flight
+    /// and the queueing of this coordinator's attempts there, plus a penalty while the replica is
     /// ejected.
     pub fn expected_wait(
         &self,
--- a/src/policy/replicas/slow_start.rs
+++ b/src/policy/replicas/slow_start.rs
@@ -45,9 +45,9 @@
 
     /// Returns whether a part of this work, in ns, may be sent now: the rule "slow start".
     ///
-    /// The work that all coordinators together may send is split evenly among them. Where a share is less
-    /// than one part, each coordinator spaces its parts randomly, on average so far apart that all
-    /// together stay below the limit with a margin for chance.
+    /// The work that all coordinators together may send is split evenly among them. Where a share
+    /// is less than one part, each coordinator spaces its parts randomly, on average so far apart
+    /// that all together stay below the limit with a margin for chance.
     pub fn admits(&self, work: f64, settings: &Settings, now: Nanos) -> bool {
         let (Some(rule), Some(started_at)) = (settings.slow_start, self.started_at) else {
             return true;
