--- a/src/proto/http/response.rs
+++ b/src/proto/http/response.rs
@@ -6,6 +6,15 @@
 /// The initial capacity of an encoded head, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
+/// A header field of a response.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ResponseHeader {
+    /// The field name.
+    pub name: &'static str,
+    /// The field value.
+    pub value: String,
+}
+
 /// A response to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
@@ -13,8 +22,8 @@
     pub status: u16,
     /// The media type of the body; empty if there is no `Content-Type`.
     pub content_type: &'static str,
-    /// Further headers, as name and value.
-    pub headers: Vec<(&'static str, String)>,
+    /// The additional header fields, in the order written.
+    pub headers: Vec<ResponseHeader>,
     /// The body.
     pub body: Body,
 }
@@ -31,6 +40,23 @@
         }
     }
 
+    /// Appends a header field.
+    pub fn add_header(&mut self, name: &'static str, value: impl Into<String>) {
+        self.headers.push(ResponseHeader {
+            name,
+            value: value.into(),
+        });
+    }
+
+    /// Returns the value of the first additional header field that was added under this name.
+    #[must_use]
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers
+            .iter()
+            .find(|header| header.name == name)
+            .map(|header| header.value.as_str())
+    }
+
     /// Encodes the head; `close` announces that the connection closes after the response.
     pub(super) fn encode_head(&self, close: bool) -> String {
         let mut head = String::with_capacity(HEAD_CAPACITY);
@@ -43,8 +69,8 @@
         if !self.content_type.is_empty() {
             let _ = write!(head, "Content-Type: {}\r\n", self.content_type);
         }
-        for (name, value) in &self.headers {
-            let _ = write!(head, "{name}: {value}\r\n");
+        for header in &self.headers {
+            let _ = write!(head, "{}: {}\r\n", header.name, header.value);
         }
         if close {
             head.push_str("Connection: close\r\n");
