--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -20,18 +20,39 @@
 /// The interval at which connections to servers are checked. Short, since a part may be waiting for
 /// an answer that will never come.
 const REAP_SERVERS_INTERVAL: Micros = MAX_SLEEP;
+
 /// A coordinator and the parts of its loop before the start.
 pub(super) struct CoordinatorParts {
     /// The coordinator, which takes the inputs of each turn and returns commands.
-    pub(super) coordinator: Coordinator,
+    coordinator: Coordinator,
     /// The connections to servers.
-    pub(super) upstream: Box<dyn Upstream>,
+    upstream: Box<dyn Upstream>,
     /// The receiving end of the coordinator's inbox.
-    pub(super) arrivals: Receiver<Input>,
+    arrivals: Receiver<Input>,
     /// The source of reloads.
-    pub(super) reload: Box<dyn Reload>,
+    reload: Box<dyn Reload>,
     /// The longest deadline of a query.
-    pub(super) longest_deadline: Micros,
+    longest_deadline: Micros,
+}
+
+impl CoordinatorParts {
+    /// Puts the parts together. `longest_deadline` is that of a query under the settings at the
+    /// start.
+    pub(super) fn new(
+        coordinator: Coordinator,
+        upstream: Box<dyn Upstream>,
+        arrivals: Receiver<Input>,
+        reload: Box<dyn Reload>,
+        longest_deadline: Micros,
+    ) -> Self {
+        CoordinatorParts {
+            coordinator,
+            upstream,
+            arrivals,
+            reload,
+            longest_deadline,
+        }
+    }
 }
 
 /// The loop of a coordinator, with everything that its turns act on.
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -34,7 +34,14 @@
 }
 
 /// A listening socket as it is offered to a successor.
-pub(super) struct SharedListener(pub(super) Listener);
+pub(super) struct SharedListener(Listener);
+
+impl SharedListener {
+    /// Shares a listening socket, which stays in use here.
+    pub(super) fn new(listener: Listener) -> Self {
+        SharedListener(listener)
+    }
+}
 
 impl AsFd for SharedListener {
     fn as_fd(&self) -> BorrowedFd<'_> {
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -48,11 +48,7 @@
     let admin = admin_config(platform.as_ref(), edge.as_ref());
     // First, since a process with a predecessor is set up differently.
     let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
-    let process = ProcessContext {
-        clock,
-        signals,
-        generations: inherited.generations,
-    };
+    let process = ProcessContext::new(clock, signals, inherited.generations);
     let services = build_services(platform, edge, &process, &metrics)?;
     let listeners = open_listeners(&services, &mut inherited.sockets)?;
     if let Some(path) = inherited.path {
@@ -155,7 +151,7 @@
     let fronts = services.len();
     services
         .iter_mut()
-        .for_each(|service| service.limits = service.limits.shared(fronts));
+        .for_each(|service| service.share_limits(fronts));
     Ok(services)
 }
 
@@ -165,7 +161,7 @@
 ) -> Result<Vec<Listener>, ServerError> {
     services
         .iter()
-        .map(|service| listeners::listener_for(service.listen, inherited))
+        .map(|service| listeners::listener_for(service.listen_address(), inherited))
         .collect()
 }
 
@@ -174,8 +170,8 @@
     listeners: &[Listener],
 ) -> Vec<ListeningSocket<SharedListener>> {
     let share = |(service, listener): (&Service, &Listener)| ListeningSocket {
-        address: service.listen,
-        socket: SharedListener(listener.clone()),
+        address: service.listen_address(),
+        socket: SharedListener::new(listener.clone()),
     };
     services.iter().zip(listeners).map(share).collect()
 }
--- a/src/net/server/process.rs
+++ b/src/net/server/process.rs
@@ -15,3 +15,18 @@
     /// The other process of an upgrade.
     pub(super) generations: Arc<ProcessGenerations>,
 }
+
+impl ProcessContext {
+    /// Creates the context that is handed to each service.
+    pub(super) fn new(
+        clock: Clock,
+        signals: Arc<Signals>,
+        generations: Arc<ProcessGenerations>,
+    ) -> Self {
+        ProcessContext {
+            clock,
+            signals,
+            generations,
+        }
+    }
+}
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -21,19 +21,19 @@
 /// A service before its start.
 pub(super) struct Service {
     /// The name of the service in the log.
-    pub(super) name: String,
+    name: String,
     /// The configured address for clients.
-    pub(super) listen: SocketAddr,
+    listen: SocketAddr,
     /// The limits of its client connections.
-    pub(super) limits: ClientLimits,
+    limits: ClientLimits,
     /// The protocol towards clients.
-    pub(super) front: Box<dyn Front>,
+    front: Box<dyn Front>,
     /// The phases of its startup and shutdown.
-    pub(super) lifecycle: Arc<Lifecycle>,
+    lifecycle: Arc<Lifecycle>,
     /// The coordinator's inbox.
-    pub(super) inbox: Sender<Input>,
+    inbox: Sender<Input>,
     /// The coordinator and the parts of its loop.
-    pub(super) coordinator: CoordinatorParts,
+    coordinator: CoordinatorParts,
 }
 
 /// A service after its start.
@@ -45,6 +45,37 @@
 }
 
 impl Service {
+    /// Creates a service from its configuration and its parts.
+    pub(super) fn new(
+        name: String,
+        listen: SocketAddr,
+        limits: ClientLimits,
+        front: Box<dyn Front>,
+        lifecycle: Arc<Lifecycle>,
+        inbox: Sender<Input>,
+        coordinator: CoordinatorParts,
+    ) -> Self {
+        Service {
+            name,
+            listen,
+            limits,
+            front,
+            lifecycle,
+            inbox,
+            coordinator,
+        }
+    }
+
+    /// Returns the configured address for clients.
+    pub(super) fn listen_address(&self) -> SocketAddr {
+        self.listen
+    }
+
+    /// Reduces the limits of the client connections to the share of one of `fronts` fronts.
+    pub(super) fn share_limits(&mut self, fronts: usize) {
+        self.limits = self.limits.shared(fronts);
+    }
+
     /// Starts to accept connections, and starts the coordinator.
     pub(super) fn start(
         self,
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -41,28 +41,28 @@
     let catalog = Arc::new(Mutex::new(PlatformCatalog::new(settings)));
     let upstream = NodeClient::new(settings, inbox.clone(), clock);
     let reload = PlatformReload::new(config, source, catalog.clone(), metrics.clone());
-    let seed = platform_seed(config, has_predecessor);
-    Ok(Service {
-        name: config.name.clone(),
-        listen: config.listen,
-        limits: ClientLimits::new(config.max_descriptors, config.max_memory),
-        front: Box::new(Platform::new(catalog)),
-        coordinator: CoordinatorParts {
-            coordinator: Coordinator::new(
-                settings.policy.clone(),
-                settings.max_in_flight,
-                seed,
-                clock.now(),
-                metrics.clone(),
-            ),
-            upstream: Box::new(upstream),
-            arrivals,
-            reload: Box::new(reload),
-            longest_deadline: longest_deadline(&settings.policy),
-        },
+    let coordinator = Coordinator::new(
+        settings.policy.clone(),
+        settings.max_in_flight,
+        platform_seed(config, has_predecessor),
+        clock.now(),
+        metrics.clone(),
+    );
+    Ok(Service::new(
+        config.name.clone(),
+        config.listen,
+        ClientLimits::new(config.max_descriptors, config.max_memory),
+        Box::new(Platform::new(catalog)),
         lifecycle,
         inbox,
-    })
+        CoordinatorParts::new(
+            coordinator,
+            Box::new(upstream),
+            arrivals,
+            Box::new(reload),
+            longest_deadline(&settings.policy),
+        ),
+    ))
 }
 
 /// Returns the seed of the policy. Both processes of an upgrade have the same configured seed, with
@@ -127,26 +127,26 @@
     // Two edges that start at the same time must not choose the same servers at the same time.
     let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
     let upstream = FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone());
-    let coordinator = CoordinatorParts {
-        coordinator: Coordinator::new(
+    let parts = CoordinatorParts::new(
+        Coordinator::new(
             edge.settings(),
             edge.max_in_flight,
             seed,
             clock.now(),
             metrics.clone(),
         ),
-        upstream: Box::new(upstream),
+        Box::new(upstream),
         arrivals,
-        reload: Box::new(reload),
-        longest_deadline: longest_deadline(&edge.settings()),
-    };
-    Ok(Service {
-        name: "feature queries".to_owned(),
-        listen: edge.listen,
-        limits: ClientLimits::new(edge.max_descriptors, edge.memory_mb * BYTES_PER_MIB),
-        coordinator,
-        front: Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
+        Box::new(reload),
+        longest_deadline(&edge.settings()),
+    );
+    Ok(Service::new(
+        "feature queries".to_owned(),
+        edge.listen,
+        ClientLimits::new(edge.max_descriptors, edge.memory_mb * BYTES_PER_MIB),
+        Box::new(OgcFront::new(edge, catalog, key, metrics.clone(), capacity)),
         lifecycle,
         inbox,
-    })
+        parts,
+    ))
 }
