--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -5,7 +5,7 @@
 pub mod platform;
 
 use crate::coordinator::{Answer, Request, Token};
-use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY};
+use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY_BYTES};
 use crate::time::Micros;
 
 /// Turns the core's answer into a response, or into another request to the core where one round is not enough.
@@ -30,7 +30,7 @@
 
     /// Most bytes of a request's body.
     fn max_body(&self) -> usize {
-        MAX_BODY
+        MAX_BODY_BYTES
     }
 
     /// Stack size of the coroutine that serves a connection, in words of eight bytes. Only touched pages count as memory.
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -190,7 +190,7 @@
         if self.is_lingering() {
             return true;
         }
-        if !self.http.must_linger() || socket.shutdown(Shutdown::Write).is_err() {
+        if !self.http.needs_lingering_close() || socket.shutdown(Shutdown::Write).is_err() {
             return false;
         }
         self.linger = Some(Linger {
--- a/src/proto/admin.rs
+++ b/src/proto/admin.rs
@@ -4,7 +4,7 @@
 use super::buffer::Buffer;
 
 /// The maximum length of a command's line, in bytes.
-const MAX_LINE: usize = 256;
+const MAX_COMMAND_BYTES: usize = 256;
 
 /// A command of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
         let data = self.input.data();
         let line = match data.iter().position(|byte| *byte == b'\n') {
             Some(length) => &data[..length],
-            None if data.len() > MAX_LINE => return Some(AdminCommand::Unknown),
+            None if data.len() > MAX_COMMAND_BYTES => return Some(AdminCommand::Unknown),
             None if !input_ended || data.is_empty() => return None,
             None => data,
         };
--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -10,9 +10,9 @@
 
 /// The size up to which adjacent owned pieces are joined, in bytes: another system call costs more
 /// than the copy.
-const MAX_JOINED: usize = 16 * 1024;
+const MAX_JOINED_BYTES: usize = 16 * 1024;
 /// The size up to which shared ranges are copied, in bytes: a piece of its own costs more.
-const MAX_COPIED: usize = 512;
+const MAX_COPIED_BYTES: usize = 512;
 
 /// A contiguous part of a body.
 #[derive(Clone)]
@@ -53,7 +53,7 @@
     pub fn push(&mut self, bytes: &[u8]) {
         self.length += bytes.len();
         match self.pieces.back_mut() {
-            Some(Piece::Owned(last)) if last.len() + bytes.len() <= MAX_JOINED => {
+            Some(Piece::Owned(last)) if last.len() + bytes.len() <= MAX_JOINED_BYTES => {
                 last.extend_from_slice(bytes)
             }
             _ if bytes.is_empty() => {}
@@ -72,7 +72,7 @@
         if length == 0 {
             return;
         }
-        if length <= MAX_COPIED {
+        if length <= MAX_COPIED_BYTES {
             let bytes = shared.as_ref().as_ref()[range].to_vec();
             return self.push(&bytes);
         }
@@ -84,7 +84,8 @@
     pub fn append(&mut self, mut other: Body) {
         debug_assert_eq!(other.consumed, 0, "only complete bodies are joined");
         // The first piece is joined to the last one here, so that a small response is one write.
-        if matches!(other.pieces.front(), Some(Piece::Owned(first)) if first.len() <= MAX_JOINED) {
+        if matches!(other.pieces.front(), Some(Piece::Owned(first)) if first.len() <= MAX_JOINED_BYTES)
+        {
             if let Some(Piece::Owned(first)) = other.pieces.pop_front() {
                 other.length -= first.len();
                 self.push(&first);
--- a/src/proto/buffer.rs
+++ b/src/proto/buffer.rs
@@ -1,9 +1,9 @@
 //! The input buffer of a connection, which grows as needed and compacts in place.
 
 /// The minimum free space offered to a read, in bytes.
-const MIN_FREE_SPACE: usize = 2 * 1024;
+const MIN_READ_BYTES: usize = 2 * 1024;
 /// The largest capacity that an empty buffer keeps, in bytes.
-const MAX_IDLE_CAPACITY: usize = 16 * 1024;
+const MAX_IDLE_BYTES: usize = 16 * 1024;
 
 /// Bytes that were read from a socket and have not been consumed yet.
 #[derive(Debug, Default)]
@@ -25,11 +25,11 @@
     /// Returns space for a read of at least 2 KiB. [`Buffer::commit`] takes over the bytes that
     /// were read into it.
     pub fn free_space(&mut self) -> &mut [u8] {
-        if self.bytes.len() - self.end < MIN_FREE_SPACE {
+        if self.bytes.len() - self.end < MIN_READ_BYTES {
             self.compact();
         }
-        if self.bytes.len() - self.end < MIN_FREE_SPACE {
-            let length = (self.bytes.len() * 2).max(self.end + MIN_FREE_SPACE);
+        if self.bytes.len() - self.end < MIN_READ_BYTES {
+            let length = (self.bytes.len() * 2).max(self.end + MIN_READ_BYTES);
             self.bytes.resize(length, 0);
         }
         &mut self.bytes[self.end..]
@@ -48,7 +48,7 @@
         }
         self.start = 0;
         self.end = 0;
-        if self.bytes.len() > MAX_IDLE_CAPACITY {
+        if self.bytes.len() > MAX_IDLE_BYTES {
             self.bytes = Vec::new();
         }
     }
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 /// The maximum length of a line, in bytes; a complete list of a large fleet is far shorter.
-const MAX_LINE: usize = 1024 * 1024;
+const MAX_LIST_LINE_BYTES: usize = 1024 * 1024;
 /// The status of a watch that was accepted.
 const STATUS_OK: u16 = 200;
 
@@ -255,7 +255,7 @@
 impl Default for WatchResponse {
     fn default() -> Self {
         WatchResponse {
-            reader: ResponseReader::new(MAX_LINE),
+            reader: ResponseReader::new(MAX_LIST_LINE_BYTES),
         }
     }
 }
--- a/src/proto/frames/codec.rs
+++ b/src/proto/frames/codec.rs
@@ -4,7 +4,7 @@
 use crate::interface::Outcome;
 
 /// The maximum length of a frame from a data node, in bytes: the largest value and its line.
-const MAX_FRAME_LENGTH: usize = 64 * 1024 + 1024;
+const MAX_FRAME_BYTES: usize = 64 * 1024 + 1024;
 /// The size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
 /// The size of a frame's length field and letter, in bytes.
@@ -130,7 +130,7 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
-    if length == 0 || length > MAX_FRAME_LENGTH {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err(FrameError::Length(length));
     }
     let Some(body) = data.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
--- a/src/proto/frames/codec/tests.rs
+++ b/src/proto/frames/codec/tests.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn length_beyond_the_bound_is_rejected_before_the_frame_is_complete() {
-    let too_long = MAX_FRAME_LENGTH + 1;
+    let too_long = MAX_FRAME_BYTES + 1;
     let error = decode(&(too_long as u32).to_be_bytes()).err();
     assert_eq!(error, Some(FrameError::Length(too_long)));
     assert_eq!(
@@ -88,7 +88,7 @@
         Some(FrameError::Length(0))
     );
     assert!(matches!(
-        decode(&(MAX_FRAME_LENGTH as u32).to_be_bytes()),
+        decode(&(MAX_FRAME_BYTES as u32).to_be_bytes()),
         Ok(None)
     ));
 }
--- a/src/proto/http/connection.rs
+++ b/src/proto/http/connection.rs
@@ -3,14 +3,14 @@
 use super::framing::Framing;
 use super::request::{HttpRequest, RequestHead};
 use super::response::Response;
-use super::{HttpError, MAX_BODY, MAX_HEAD};
+use super::{HttpError, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::proto::body::Body;
 use crate::proto::buffer::Buffer;
 
 /// The maximum length of the input behind a request in progress, in bytes.
-const MAX_UNREAD: usize = MAX_HEAD + MAX_BODY;
+const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// The maximum number of bytes that are discarded behind requests in progress; reading stops then.
-const MAX_DISCARDED: usize = 1024 * 1024;
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
 /// The state of the connection.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
             input: Buffer::default(),
             state: State::Head,
             output: Body::default(),
-            max_body: MAX_BODY,
+            max_body: MAX_BODY_BYTES,
             close: false,
             draining: false,
             omit_body: false,
@@ -67,7 +67,7 @@
 }
 
 impl ServerConnection {
-    /// Sets the maximum length of a request's body, in bytes; the default is [`MAX_BODY`].
+    /// Sets the maximum length of a request's body, in bytes; the default is [`MAX_BODY_BYTES`].
     pub fn set_max_body(&mut self, bytes: usize) {
         self.max_body = bytes;
     }
@@ -82,8 +82,8 @@
     /// its responses, must wait.
     #[must_use]
     pub fn wants_input(&self) -> bool {
-        self.input.data().len() < MAX_UNREAD
-            && self.output.len() < MAX_BODY
+        self.input.data().len() < MAX_PIPELINED_BYTES
+            && self.output.len() < MAX_BODY_BYTES
             && !matches!(self.state, State::Closed)
     }
 
@@ -131,7 +131,7 @@
     /// A connection between requests needs none, since its client has sent nothing after its last
     /// response.
     #[must_use]
-    pub fn must_linger(&self) -> bool {
+    pub fn needs_lingering_close(&self) -> bool {
         !self.input_ended && (matches!(self.state, State::Closed) || !self.input.data().is_empty())
     }
 
@@ -159,8 +159,9 @@
     /// be cancelled.
     pub fn discard_excess(&mut self) -> bool {
         let unread = self.input.data().len();
-        let excess =
-            self.awaits_response() && unread >= MAX_UNREAD && self.discarded < MAX_DISCARDED;
+        let excess = self.awaits_response()
+            && unread >= MAX_PIPELINED_BYTES
+            && self.discarded < MAX_DISCARDED_BYTES;
         if excess {
             self.discarded += unread;
             self.input.consume(unread);
--- a/src/proto/http/error.rs
+++ b/src/proto/http/error.rs
@@ -9,7 +9,8 @@
     /// The message is not HTTP, or contradicts itself.
     #[error("Malformed")]
     Malformed,
-    /// The header section is longer than [`MAX_HEAD`](super::MAX_HEAD), or has too many fields.
+    /// The header section is longer than [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has too many
+    /// fields.
     #[error("HeadTooLarge")]
     HeadTooLarge,
     /// The body is longer than the receiver accepts.
--- a/src/proto/http/framing.rs
+++ b/src/proto/http/framing.rs
@@ -5,7 +5,7 @@
 use crate::proto::buffer::Buffer;
 
 /// The maximum length of a chunk's size line, and of one trailer field, in bytes.
-const MAX_LINE: usize = 1024;
+const MAX_CHUNK_LINE_BYTES: usize = 1024;
 /// The line end that follows the data of a chunk.
 const CRLF: &[u8] = b"\r\n";
 
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
     /// A body with a length, of which this many bytes are still to come.
-    Length(u64),
+    ContentLength(u64),
     /// A body in chunks, which ends after the last chunk and the trailer fields.
     Chunked(ChunkState),
     /// A body that ends with the connection.
-    UntilClose,
+    CloseDelimited,
 }
 
 /// The next element of a chunked body.
@@ -58,12 +58,12 @@
         max_body: usize,
     ) -> Result<bool, HttpError> {
         match self {
-            Framing::Length(left) => {
+            Framing::ContentLength(left) => {
                 move_counted(left, buffer, body, max_body)?;
                 Ok(*left == 0)
             }
             Framing::Chunked(state) => state.read(buffer, body, max_body),
-            Framing::UntilClose => {
+            Framing::CloseDelimited => {
                 move_all(buffer, body, max_body)?;
                 Ok(false)
             }
@@ -112,7 +112,9 @@
                 };
                 Ok(ChunkProgress::Advanced)
             }
-            Ok(httparse::Status::Partial) if data.len() < MAX_LINE => Ok(ChunkProgress::NeedsInput),
+            Ok(httparse::Status::Partial) if data.len() < MAX_CHUNK_LINE_BYTES => {
+                Ok(ChunkProgress::NeedsInput)
+            }
             _ => Err(HttpError::Malformed),
         }
     }
@@ -135,7 +137,7 @@
 fn read_trailer(buffer: &mut Buffer) -> Result<ChunkProgress, HttpError> {
     let data = buffer.data();
     let Some(length) = data.windows(CRLF.len()).position(|window| window == CRLF) else {
-        return if data.len() < MAX_LINE {
+        return if data.len() < MAX_CHUNK_LINE_BYTES {
             Ok(ChunkProgress::NeedsInput)
         } else {
             Err(HttpError::Malformed)
--- a/src/proto/http/headers.rs
+++ b/src/proto/http/headers.rs
@@ -62,7 +62,7 @@
                 if lengths.any(|other| other != length) {
                     return Err(HttpError::Malformed);
                 }
-                parse_length(length).map(|length| Some(Framing::Length(length)))
+                parse_length(length).map(|length| Some(Framing::ContentLength(length)))
             }
             (None, None) => Ok(None),
         }
--- a/src/proto/http/mod.rs
+++ b/src/proto/http/mod.rs
@@ -17,8 +17,8 @@
 pub use response_reader::{ResponseHead, ResponseReader};
 
 /// The maximum length of a header section with its start line, in bytes.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The default maximum length of a request's body, in bytes, which is the platform's limit.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The maximum number of header fields in a message.
 const MAX_HEADERS: usize = 64;
--- a/src/proto/http/request.rs
+++ b/src/proto/http/request.rs
@@ -2,7 +2,7 @@
 
 use super::framing::Framing;
 use super::headers::Headers;
-use super::{HttpError, MAX_HEAD, MAX_HEADERS};
+use super::{HttpError, MAX_HEADERS, MAX_HEAD_BYTES};
 
 /// A request that was completely received.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -38,14 +38,14 @@
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(data) {
-            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD => length,
-            Ok(httparse::Status::Partial) if data.len() < MAX_HEAD => return Ok(None),
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+            Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
             Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
             Err(_) => return Err(HttpError::Malformed),
         };
         let headers = Headers::from_parsed(parsed.headers)?;
-        let framing = headers.framing()?.unwrap_or(Framing::Length(0));
-        if matches!(framing, Framing::Length(length) if length > max_body as u64) {
+        let framing = headers.framing()?.unwrap_or(Framing::ContentLength(0));
+        if matches!(framing, Framing::ContentLength(length) if length > max_body as u64) {
             return Err(HttpError::BodyTooLarge);
         }
         let is_http_1_0 = parsed.version == Some(0);
--- a/src/proto/http/response_reader.rs
+++ b/src/proto/http/response_reader.rs
@@ -2,7 +2,7 @@
 
 use super::framing::Framing;
 use super::headers::Headers;
-use super::{HttpError, MAX_HEAD, MAX_HEADERS};
+use super::{HttpError, MAX_HEADERS, MAX_HEAD_BYTES};
 use crate::proto::buffer::Buffer;
 
 /// The head of a response.
@@ -82,7 +82,7 @@
     /// the response is complete.
     pub fn end_of_input(&mut self) -> bool {
         let framing = self.response.as_ref().map(|response| response.framing);
-        self.complete |= framing == Some(Framing::UntilClose);
+        self.complete |= framing == Some(Framing::CloseDelimited);
         self.complete
     }
 
@@ -94,7 +94,7 @@
             let data = self.input.data();
             let length = match parsed.parse(data) {
                 Ok(httparse::Status::Complete(length)) => length,
-                Ok(httparse::Status::Partial) if data.len() < MAX_HEAD => return Ok(None),
+                Ok(httparse::Status::Partial) if data.len() < MAX_HEAD_BYTES => return Ok(None),
                 Ok(_) => return Err(HttpError::HeadTooLarge),
                 Err(_) => return Err(HttpError::Malformed),
             };
@@ -112,11 +112,11 @@
 impl PartialResponse {
     fn new(status: u16, headers: Headers, is_http_1_0: bool) -> Result<Self, HttpError> {
         let framing = match status {
-            204 | 304 => Framing::Length(0),
-            _ => headers.framing()?.unwrap_or(Framing::UntilClose),
+            204 | 304 => Framing::ContentLength(0),
+            _ => headers.framing()?.unwrap_or(Framing::CloseDelimited),
         };
         let reusable = !is_http_1_0
-            && framing != Framing::UntilClose
+            && framing != Framing::CloseDelimited
             && !headers.has_token("connection", "close");
         Ok(PartialResponse {
             head: ResponseHead {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -146,7 +146,7 @@
     assert!(server.next_request().is_none());
     server.advance_output(server.output().len());
     assert!(
-        server.is_finished() && server.must_linger(),
+        server.is_finished() && server.needs_lingering_close(),
         "a close on unread bytes is a reset"
     );
     for _ in 0..200 {
