--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -18,9 +18,9 @@
 
 /// The time after which a caller is closed. The oldest caller is closed sooner if there are too
 /// many.
-const MAX_CALL: Duration = Duration::from_secs(6);
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 /// The longest wait for a socket, and so the interval at which the callers' time limit is checked.
-const MAX_POLL: Timespec = Timespec {
+const MAX_POLL_WAIT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 250_000_000,
 };
@@ -32,7 +32,7 @@
 /// Returns the number of a process's descriptors that are reserved for the endpoint: its listening
 /// socket and its callers.
 #[must_use]
-pub fn reserved(descriptors: usize) -> usize {
+pub fn reserved_descriptors(descriptors: usize) -> usize {
     (descriptors / 16).clamp(3, 33)
 }
 
@@ -122,7 +122,7 @@
         // Most calls come with their connection.
         callers.retain_mut(|c| !is_done(c, endpoint));
     }
-    callers.retain_mut(|c| !is_done(c, endpoint) && c.accepted_at.elapsed() < MAX_CALL);
+    callers.retain_mut(|c| !is_done(c, endpoint) && c.accepted_at.elapsed() < CALL_TIMEOUT);
 }
 
 /// Waits until a socket has input, or for the maximum. Returns whether the wait succeeded.
@@ -133,7 +133,7 @@
             .iter()
             .map(|c| PollFd::new(&c.stream, PollFlags::IN)),
     );
-    poll(&mut sockets, Some(&MAX_POLL)).is_ok()
+    poll(&mut sockets, Some(&MAX_POLL_WAIT)).is_ok()
 }
 
 fn accept(listener: &TcpListener) -> Option<TcpStream> {
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -27,7 +27,10 @@
 
 #[test]
 fn a_sixteenth_of_the_descriptors_is_reserved_within_bounds() {
-    assert_eq!([1, 64, 256, 512, 10_000].map(reserved), [3, 4, 16, 32, 33]);
+    assert_eq!(
+        [1, 64, 256, 512, 10_000].map(reserved_descriptors),
+        [3, 4, 16, 32, 33]
+    );
 }
 
 #[test]
--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -9,7 +9,7 @@
 
 /// The time that a newly accepted connection has to send its first request while connections are
 /// closed.
-const MIN_FIRST_REQUEST: Micros = Micros::from_millis(300);
+const FIRST_REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
 
 impl ClientConnections {
     /// Starts or updates the draining after a shutdown was requested. Idle connections stay open,
@@ -36,7 +36,7 @@
         self.lifecycle.shut_down(ShutdownEvent::Close);
         for connection in sync::lock(&self.connections).values() {
             let mut state = connection.lock();
-            if state.received_request || now.since(state.accepted_at) > MIN_FIRST_REQUEST {
+            if state.received_request || now.since(state.accepted_at) > FIRST_REQUEST_TIMEOUT {
                 state.close_when_idle();
             }
         }
--- a/src/net/clients/eviction.rs
+++ b/src/net/clients/eviction.rs
@@ -6,7 +6,7 @@
 
 /// The time after its last activity in which a connection without a query is not evicted, since its
 /// client may be about to send one. Short, since clients in the backlog wait for it.
-const MIN_SILENCE: Micros = Micros::from_millis(30);
+const EVICTION_GRACE_PERIOD: Micros = Micros::from_millis(30);
 
 /// The kinds of connections that may be evicted, in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,7 +51,7 @@
             class: EvictionClass::WithoutQuery,
             since,
         };
-        return (now.since(since) > MIN_SILENCE).then_some(priority);
+        return (now.since(since) > EVICTION_GRACE_PERIOD).then_some(priority);
     }
     connection.idle.then_some(EvictionPriority {
         class: EvictionClass::BetweenQueries,
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -4,7 +4,7 @@
 use crate::net::admin;
 
 /// The minimum memory for requests in progress, in bytes.
-const MIN_BYTES: usize = 1024 * 1024;
+const MIN_REQUEST_BYTES: usize = 1024 * 1024;
 
 /// The limits of one front's client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,11 +24,11 @@
     /// until they are evicted, and the last third for servers, the discovery watch and the runtime.
     #[must_use]
     pub fn new(descriptors: usize, memory: usize) -> Self {
-        let available = descriptors.saturating_sub(admin::reserved(descriptors));
+        let available = descriptors.saturating_sub(admin::reserved_descriptors(descriptors));
         ClientLimits {
             connections: (available * 2 / 3).max(1),
             idle: available / 6,
-            bytes: (memory.saturating_sub(BASE_MEMORY) / 3).max(MIN_BYTES),
+            bytes: (memory.saturating_sub(BASE_MEMORY) / 3).max(MIN_REQUEST_BYTES),
         }
     }
 
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -134,10 +134,10 @@
     pub fn reap(&self, now: Micros) {
         self.evict_excess_idle();
         let connections = sync::lock(&self.connections);
-        let max_idle = timeouts::max_idle(connections.len(), self.limits().connections);
+        let idle_timeout = timeouts::idle_timeout(connections.len(), self.limits().connections);
         for connection in connections.values() {
             let mut state = connection.lock();
-            if let Some(timeout) = timeouts::exceeded(&state.activity(), now, max_idle) {
+            if let Some(timeout) = timeouts::exceeded(&state.activity(), now, idle_timeout) {
                 self.time_out(&mut state, timeout);
             }
         }
--- a/src/net/clients/timeouts.rs
+++ b/src/net/clients/timeouts.rs
@@ -6,25 +6,25 @@
 
 /// The time in which a request must be complete, from its first byte; for the first request of a
 /// connection, from the accept. Clients are owed an error or a close within 3 s.
-const MAX_REQUEST: Micros = Micros::from_millis(2_200);
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(2_200);
 /// The time after which an idle connection is closed.
-const MAX_IDLE: Micros = Micros::from_secs(30);
+const IDLE_TIMEOUT: Micros = Micros::from_secs(30);
 /// The same while more than half of the connections are in use.
-const MAX_IDLE_CROWDED: Micros = Micros::from_millis(2_500);
+const CROWDED_IDLE_TIMEOUT: Micros = Micros::from_millis(2_500);
 /// The time in which a client must read part of a response.
-const MAX_WRITE_STALL: Micros = Micros::from_secs(15);
+const WRITE_TIMEOUT: Micros = Micros::from_secs(15);
 /// The time in which input after an error response is discarded: closing a socket with unread input
 /// sends a reset, which can destroy the response on its way.
-const MAX_LINGER: Micros = Micros::from_secs(1);
+const LINGER_TIMEOUT: Micros = Micros::from_secs(1);
 
 /// Returns the time after which an idle connection is closed, if `connections` of `max_connections`
 /// are in use.
 #[must_use]
-pub fn max_idle(connections: usize, max_connections: usize) -> Micros {
+pub fn idle_timeout(connections: usize, max_connections: usize) -> Micros {
     if connections * 2 > max_connections {
-        MAX_IDLE_CROWDED
+        CROWDED_IDLE_TIMEOUT
     } else {
-        MAX_IDLE
+        IDLE_TIMEOUT
     }
 }
 
@@ -45,22 +45,26 @@
 
 /// Returns the time limit that a connection has exceeded, if any.
 #[must_use]
-pub fn exceeded(connection: &ConnectionActivity, now: Micros, max_idle: Micros) -> Option<Timeout> {
+pub fn exceeded(
+    connection: &ConnectionActivity,
+    now: Micros,
+    idle_timeout: Micros,
+) -> Option<Timeout> {
     let quiet = now.since(connection.last_activity_at);
     if connection
         .lingering_since
-        .is_some_and(|since| now.since(since) > MAX_LINGER)
+        .is_some_and(|since| now.since(since) > LINGER_TIMEOUT)
     {
         return Some(Timeout::Linger);
     }
     if connection.output_pending {
-        return (quiet > MAX_WRITE_STALL).then_some(Timeout::Response);
+        return (quiet > WRITE_TIMEOUT).then_some(Timeout::Response);
     }
     if connection.idle && !connection.received_request {
-        return (now.since(connection.accepted_at) > MAX_REQUEST).then_some(Timeout::FirstByte);
+        return (now.since(connection.accepted_at) > REQUEST_TIMEOUT).then_some(Timeout::FirstByte);
     }
     if connection.idle {
-        return (quiet > max_idle).then_some(Timeout::Idle);
+        return (quiet > idle_timeout).then_some(Timeout::Idle);
     }
     if connection.busy || connection.lingering_since.is_some() {
         return None;
@@ -74,7 +78,7 @@
     } else {
         connection.accepted_at
     };
-    (now.since(since) > MAX_REQUEST).then_some(Timeout::Request)
+    (now.since(since) > REQUEST_TIMEOUT).then_some(Timeout::Request)
 }
 
 #[cfg(test)]
--- a/src/net/clients/timeouts/tests.rs
+++ b/src/net/clients/timeouts/tests.rs
@@ -19,7 +19,7 @@
 }
 
 fn exceeded_now(connection: ConnectionActivity) -> Option<Timeout> {
-    exceeded(&connection, NOW, max_idle(1, 2))
+    exceeded(&connection, NOW, idle_timeout(1, 2))
 }
 
 #[test]
@@ -52,14 +52,14 @@
         received_request: true,
         ..idle_for(ms)
     };
-    assert_eq!(exceeded(&idle(30_000), NOW, max_idle(50, 100)), None);
+    assert_eq!(exceeded(&idle(30_000), NOW, idle_timeout(50, 100)), None);
     assert_eq!(
-        exceeded(&idle(30_001), NOW, max_idle(50, 100)),
+        exceeded(&idle(30_001), NOW, idle_timeout(50, 100)),
         Some(Timeout::Idle)
     );
-    assert_eq!(exceeded(&idle(2_500), NOW, max_idle(51, 100)), None);
+    assert_eq!(exceeded(&idle(2_500), NOW, idle_timeout(51, 100)), None);
     assert_eq!(
-        exceeded(&idle(2_501), NOW, max_idle(51, 100)),
+        exceeded(&idle(2_501), NOW, idle_timeout(51, 100)),
         Some(Timeout::Idle)
     );
 }
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -57,7 +57,7 @@
     Settings(#[from] SettingsError),
     /// The cached endpoint list cannot be encoded again.
     #[error("known: {0}")]
-    KnownEndpoints(#[source] serde_json::Error),
+    CachedEndpoints(#[source] serde_json::Error),
     /// A replaced file lacks a key that the file in force has.
     #[error("{key} is missing")]
     MissingKey {
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -30,7 +30,7 @@
     #[serde(default)]
     limits: ProcessLimits,
     #[serde(default, rename = "known")]
-    known_endpoints: Value,
+    cached_endpoints: Value,
     settings: Value,
 }
 
@@ -105,7 +105,7 @@
     /// The maximum memory of the process, in bytes.
     pub max_memory: usize,
     /// The cached endpoint list, in discovery's format.
-    pub known_endpoints: Vec<u8>,
+    pub cached_endpoints: Vec<u8>,
     /// The settings.
     pub settings: CoordinatorSettings,
 }
@@ -164,8 +164,8 @@
             seed: parse_seed(&file.seed),
             max_descriptors: file.limits.max_descriptors,
             max_memory: file.limits.max_memory_mib.saturating_mul(1024 * 1024),
-            known_endpoints: serde_json::to_vec(&file.known_endpoints)
-                .map_err(ConfigFileError::KnownEndpoints)?,
+            cached_endpoints: serde_json::to_vec(&file.cached_endpoints)
+                .map_err(ConfigFileError::CachedEndpoints)?,
             settings,
         })
     }
@@ -186,8 +186,8 @@
 /// Parses the file as JSON without its endpoint list; see [`Config`].
 fn file_shape(text: &[u8]) -> Result<Value, ConfigFileError> {
     let mut file: Value = serde_json::from_slice(text)?;
-    if let Some(known_endpoints) = file.get_mut("known") {
-        *known_endpoints = Value::Null;
+    if let Some(cached_endpoints) = file.get_mut("known") {
+        *cached_endpoints = Value::Null;
     }
     Ok(file)
 }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -54,7 +54,7 @@
         (config.seed, config.max_descriptors, config.max_memory),
         (0xff, 64, 192 * 1024 * 1024)
     );
-    assert_eq!(config.known_endpoints, br#"[{"any":"form"}]"#);
+    assert_eq!(config.cached_endpoints, br#"[{"any":"form"}]"#);
 }
 
 #[test]
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -30,7 +30,7 @@
     /// The timeout of a connect to a server.
     pub(super) connect_timeout: Micros,
     /// The time after which an idle connection is closed.
-    pub(super) idle_limit: Micros,
+    pub(super) idle_timeout: Micros,
     /// The throughput of all servers, for admission.
     pub(super) capacity: Arc<ServerCapacity>,
 }
@@ -193,7 +193,7 @@
         let mut server = lock(&self.server);
         while let Some(connection) = server.idle.pop() {
             let idle_for = self.context.clock.now().since(connection.idle_since);
-            if idle_for < self.context.idle_limit && is_open(&connection.stream) {
+            if idle_for < self.context.idle_timeout && is_open(&connection.stream) {
                 return Some(connection.stream);
             }
         }
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -56,7 +56,7 @@
                 inbox,
                 clock,
                 connect_timeout: Micros::from_millis(edge.dial_timeout_ms),
-                idle_limit: Micros::from_millis(edge.idle_timeout_ms),
+                idle_timeout: Micros::from_millis(edge.idle_timeout_ms),
                 capacity,
             },
         }
@@ -190,7 +190,7 @@
             let mut state = lock(server);
             COUNTERS
                 .server_connections_idle_closed
-                .add(state.close_expired(now, self.context.idle_limit));
+                .add(state.close_expired(now, self.context.idle_timeout));
             state.remove_cancelled();
             // A pause that the server requested may be over.
             let startable = state.take_startable(now);
--- a/src/net/feature_client/server.rs
+++ b/src/net/feature_client/server.rs
@@ -102,11 +102,11 @@
             .retain(|request| !request.cancellation.is_cancelled());
     }
 
-    /// Closes connections that were idle for `idle_limit`. Returns their number.
-    pub(super) fn close_expired(&mut self, now: Micros, idle_limit: Micros) -> usize {
+    /// Closes connections that were idle for `idle_timeout`. Returns their number.
+    pub(super) fn close_expired(&mut self, now: Micros, idle_timeout: Micros) -> usize {
         let before = self.idle.len();
         self.idle
-            .retain(|connection| now.since(connection.idle_since) < idle_limit);
+            .retain(|connection| now.since(connection.idle_since) < idle_timeout);
         before - self.idle.len()
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -55,7 +55,7 @@
 
 /// The stack of the coroutine that runs the coordinator, in words of eight bytes: it renders
 /// responses, and their compression needs the larger size in a debug build.
-pub const TURN_STACK_WORDS: usize = 0x20000;
+pub const COORDINATOR_STACK_WORDS: usize = 0x20000;
 
 /// Starts a coroutine with a stack of `stack_words` words of eight bytes.
 ///
--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -76,9 +76,9 @@
         self.wake_driver();
     }
 
-    /// Returns whether nothing is in flight and the connection was not used for `idle_limit`.
-    pub(super) fn is_idle_for(&self, idle_limit: Micros, now: Micros) -> bool {
-        self.protocol.is_idle() && now.since(self.last_used) >= idle_limit
+    /// Returns whether nothing is in flight and the connection was not used for `idle_timeout`.
+    pub(super) fn is_idle_for(&self, idle_timeout: Micros, now: Micros) -> bool {
+        self.protocol.is_idle() && now.since(self.last_used) >= idle_timeout
     }
 
     /// Returns whether these attempts may be sent here, with at most `max_attempts` in flight.
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -43,7 +43,7 @@
     /// The timeout of a connect to a node.
     connect_timeout: Micros,
     /// The time after which an idle connection is closed.
-    idle_limit: Micros,
+    idle_timeout: Micros,
     /// The maximum number of attempts in flight on a connection.
     max_attempts: usize,
 }
@@ -53,7 +53,7 @@
         let node_idle_timeout = Micros::from_nanos(settings.idle_timeout);
         ConnectionLimits {
             connect_timeout: Micros::from_nanos(settings.connect_timeout),
-            idle_limit: (node_idle_timeout - IDLE_MARGIN).max(Micros(node_idle_timeout.0 / 2)),
+            idle_timeout: (node_idle_timeout - IDLE_MARGIN).max(Micros(node_idle_timeout.0 / 2)),
             max_attempts: settings.max_streams_per_connection,
         }
     }
@@ -81,7 +81,7 @@
         let mut silent = None;
         for connection in &self.connections {
             let mut state = connection.lock();
-            if state.is_idle_for(limits.idle_limit, now) {
+            if state.is_idle_for(limits.idle_timeout, now) {
                 state.close_when_idle();
             }
             if !state.accepts(requests, limits.max_attempts) {
@@ -243,11 +243,11 @@
     }
 
     fn reap(&mut self, now: Micros, _in_flight: &dyn Fn(AttemptKey) -> bool) {
-        let idle_limit = self.limits.idle_limit;
+        let idle_timeout = self.limits.idle_timeout;
         for node in self.nodes.values_mut() {
             let address = node.address;
             node.connections
-                .retain(|connection| !reap_connection(connection, address, idle_limit, now));
+                .retain(|connection| !reap_connection(connection, address, idle_timeout, now));
         }
     }
 }
@@ -257,7 +257,7 @@
 fn reap_connection(
     connection: &NodeConnection,
     address: Option<SocketAddr>,
-    idle_limit: Micros,
+    idle_timeout: Micros,
     now: Micros,
 ) -> bool {
     let mut state = connection.lock();
@@ -271,7 +271,7 @@
         });
         state.close_corrupt();
     }
-    if state.is_idle_for(idle_limit, now) && !state.closing {
+    if state.is_idle_for(idle_timeout, now) && !state.closing {
         COUNTERS.server_connections_idle_closed.increment();
         state.close_when_idle();
     }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -102,7 +102,7 @@
 }
 
 /// The result of asking a predecessor for its listening sockets.
-struct Inheritance {
+struct InheritedSockets {
     /// The path at which this process waits for its own successor; `None` if it cannot.
     path: Option<PathBuf>,
     /// The listening sockets received from the predecessor.
@@ -112,7 +112,7 @@
 }
 
 /// Requests the listening sockets of the predecessor, if there is one.
-fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
+fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> InheritedSockets {
     let address = platform
         .map(|config| config.listen)
         .or(edge.map(|edge| edge.listen));
@@ -121,7 +121,7 @@
         Some(handover) => (handover.sockets, Some(handover.predecessor)),
         None => (Vec::new(), None),
     };
-    Inheritance {
+    InheritedSockets {
         path,
         sockets,
         generations: Arc::new(ProcessGenerations::new(predecessor)),
@@ -190,7 +190,7 @@
                 .iter()
                 .try_for_each(|clients| clients.lifecycle().health())
         }),
-        max_callers: admin::reserved(config.max_descriptors) - 1,
+        max_callers: admin::reserved_descriptors(config.max_descriptors) - 1,
     };
     if let Err(e) = admin::start(config.address, endpoint) {
         tracing::warn!(error = %e, "admin endpoint not started");
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -11,7 +11,7 @@
 use crate::net::clients::{ClientConnections, ClientLimits};
 use crate::net::lifecycle::Lifecycle;
 use crate::net::timer::Timer;
-use crate::net::{spawn, LARGE_STACK_WORDS, TURN_STACK_WORDS};
+use crate::net::{spawn, COORDINATOR_STACK_WORDS, LARGE_STACK_WORDS};
 use crate::time::Clock;
 use may::coroutine::JoinHandle;
 use may::sync::mpsc::Sender;
@@ -105,7 +105,7 @@
         tracing::info!(service = self.name, %address, "listening for client connections");
         let coordinator_loop =
             CoordinatorLoop::new(self.coordinator, clients.clone(), timer, process);
-        let coordinator = spawn(TURN_STACK_WORDS, move || coordinator_loop.run())
+        let coordinator = spawn(COORDINATOR_STACK_WORDS, move || coordinator_loop.run())
             .map_err(ServerError::Coroutine)?;
         Ok(RunningService {
             clients,
--- a/src/net/server/shutdown.rs
+++ b/src/net/server/shutdown.rs
@@ -19,7 +19,7 @@
 const CLOSING_TIME: Micros = Micros::from_millis(300);
 /// The shortest time from the signal until connections are closed, however short the deadlines are:
 /// clients go on connecting for a while after the signal.
-const MIN_DRAINING: Micros = Micros::from_millis(450);
+const MIN_DRAIN_TIME: Micros = Micros::from_millis(450);
 /// The time before the earliest kill from which connections without a pending response no longer
 /// delay the exit.
 const EXIT_MARGIN: Micros = Micros::from_millis(50);
@@ -121,7 +121,7 @@
         if elapsed >= self.answer_time + KILL_MARGIN - EXIT_MARGIN {
             return ShutdownPhase::LastResponses;
         }
-        if elapsed >= (self.answer_time - CLOSING_TIME).max(MIN_DRAINING) {
+        if elapsed >= (self.answer_time - CLOSING_TIME).max(MIN_DRAIN_TIME) {
             return ShutdownPhase::Closing;
         }
         ShutdownPhase::Draining
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -33,7 +33,7 @@
     has_predecessor: bool,
 ) -> Result<Service, ServerError> {
     let (inbox, arrivals) = channel();
-    let revision = load_known_endpoints(config, clock, &inbox);
+    let revision = load_cached_endpoints(config, clock, &inbox);
     let settings = &config.settings;
     let source = watch::DiscoverySource::new(config.discovery, settings.policy.max_poll_interval);
     let lifecycle = Arc::new(Lifecycle::default());
@@ -76,11 +76,11 @@
 }
 
 /// Sends the cached endpoint list to the coordinator and returns its revision; 0 if there is none.
-fn load_known_endpoints(config: &Config, clock: Clock, inbox: &Sender<Input>) -> u64 {
-    match parse_cached_endpoint_list(&config.known_endpoints, clock.now(), unix_ms()) {
-        Ok(known) => {
-            let _ = inbox.send(Input::EndpointUpdate(known.update));
-            known.revision
+fn load_cached_endpoints(config: &Config, clock: Clock, inbox: &Sender<Input>) -> u64 {
+    match parse_cached_endpoint_list(&config.cached_endpoints, clock.now(), unix_ms()) {
+        Ok(cached) => {
+            let _ = inbox.send(Input::EndpointUpdate(cached.update));
+            cached.revision
         }
         Err(e) => {
             tracing::warn!(error = %e, "cached endpoint list rejected");
