--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -16,13 +16,21 @@
     )
 }
 
+fn header<'a>(response: &'a Response, name: &str) -> Option<&'a str> {
+    response
+        .headers
+        .iter()
+        .find(|h| h.name == name)
+        .map(|h| h.value.as_str())
+}
+
 #[test]
 fn current_versions_are_not_sent_and_large_bodies_are_compressed() {
     let text = "device ".repeat(500);
     let plain = options("").deliver(Response::new(200, "text/plain", text.as_str()));
-    let tag = plain.header("ETag").expect("a tag").to_owned();
+    let tag = header(&plain, "ETag").expect("a tag").to_owned();
     assert_eq!(
-        (plain.body.len(), plain.header("Content-Encoding")),
+        (plain.body.len(), header(&plain, "Content-Encoding")),
         (text.len(), None)
     );
     let compressed = options("Accept-Encoding: br, gzip;q=0.5\r\n").deliver(Response::new(
@@ -35,7 +43,7 @@
         .read_to_string(&mut decompressed)
         .expect("gzip");
     assert_eq!(
-        (decompressed.as_str(), compressed.header("ETag")),
+        (decompressed.as_str(), header(&compressed, "ETag")),
         (text.as_str(), Some(tag.as_str()))
     );
     for etag in [tag.clone(), format!("\"x\", {}", &tag[2..]), "*".to_owned()] {
@@ -45,16 +53,19 @@
             text.as_str(),
         ));
         assert_eq!(
-            (known.status, known.body.len(), known.header("ETag")),
+            (known.status, known.body.len(), header(&known, "ETag")),
             (304, 0, Some(tag.as_str()))
         );
     }
     let other = options("If-None-Match: \"x\"\r\nAccept-Encoding: gzip;q=0\r\n")
         .deliver(Response::new(200, "", text.as_str()));
     assert_eq!(
-        (other.status, other.header("Content-Encoding")),
+        (other.status, header(&other, "Content-Encoding")),
         (200, None)
     );
     let error = options("Accept-Encoding: gzip\r\n").deliver(Response::new(503, "", text.as_str()));
-    assert_eq!((error.body.len(), error.header("ETag")), (text.len(), None));
+    assert_eq!(
+        (error.body.len(), header(&error, "ETag")),
+        (text.len(), None)
+    );
 }
