--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -42,18 +42,33 @@
     (clients, connections)
 }
 
-/// Creates an idle connection that was accepted, and last active, `age_s` seconds ago.
-fn connection(age_s: u64, received_request: bool, submitted_query: bool) -> ConnectionState {
+/// Creates an idle connection without requests that was accepted, and last active, `age_s` seconds
+/// ago.
+fn without_request(age_s: u64) -> ConnectionState {
     let accepted_at = Clock::start().now() - Micros::from_secs(age_s);
     ConnectionState {
         accepted_at,
         last_activity_at: accepted_at,
-        received_request,
-        submitted_query,
         ..ConnectionState::default()
     }
 }
 
+/// Creates an idle connection whose requests were answered by the front alone.
+fn without_query(age_s: u64) -> ConnectionState {
+    ConnectionState {
+        received_request: true,
+        ..without_request(age_s)
+    }
+}
+
+/// Creates an idle connection between two queries.
+fn between_queries(age_s: u64) -> ConnectionState {
+    ConnectionState {
+        submitted_query: true,
+        ..without_query(age_s)
+    }
+}
+
 fn are_closing(connections: &[Arc<Connection>]) -> Vec<bool> {
     connections
         .iter()
@@ -69,15 +84,15 @@
         idle: 2,
         bytes: 1,
     };
-    let mut busy = connection(50, true, true);
+    let mut busy = between_queries(50);
     busy.http.input().extend(b"GET / HTTP/1.1\r\n\r\n");
     assert!(matches!(busy.http.next_request(), Some(Ok(_))));
     let states = vec![
-        connection(9, true, true),
+        between_queries(9),
         busy,
-        connection(3, true, true),
-        connection(7, true, true),
-        connection(99, true, false),
+        between_queries(3),
+        between_queries(7),
+        without_query(99),
     ];
     let (clients, connections) = clients(limits, states);
     clients.evict_excess_idle();
@@ -96,10 +111,10 @@
         bytes: 1,
     };
     let states = vec![
-        connection(50, true, true),
-        connection(5, true, false),
-        connection(4, false, false),
-        connection(0, false, false),
+        between_queries(50),
+        without_query(5),
+        without_request(4),
+        without_request(0),
     ];
     let (clients, connections) = clients(limits, states);
     for expected in [
@@ -121,7 +136,7 @@
         idle: 1,
         bytes: 1,
     };
-    let (clients, connections) = clients(limits, vec![connection(1, false, false)]);
+    let (clients, connections) = clients(limits, vec![without_request(1)]);
     let address = clients.listener.inner().local_addr().expect("bound");
     let mut client = TcpStream::connect(address).expect("it listens");
     client.write_all(b"GET /up HTTP/1.1\r\n\r\n").expect("sent");
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the platform's configuration file and its reload.
+
 use super::*;
 use serde_json::json;
 
--- a/src/net/node_client/driver/tests.rs
+++ b/src/net/node_client/driver/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the driver on connections that the node closes.
+
 use super::*;
 use crate::coordinator::{AttemptKey, AttemptRequest, ClassMetrics};
 use crate::interface::{AttemptNo, PartId, ShardId};
--- a/src/net/node_client/silence/tests.rs
+++ b/src/net/node_client/silence/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the silence detection.
+
 use super::*;
 use crate::interface::{AttemptNo, PartId};
 
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the backoff between discovery watches.
+
 use super::*;
 use std::collections::BTreeSet;
 
--- a/src/proto/body/tests.rs
+++ b/src/proto/body/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the queue of owned and shared bytes.
+
 use super::*;
 
 #[test]
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the parser of endpoint lists.
+
 use super::*;
 
 const LIST: &str = concat!(
--- a/src/proto/fetch/tests.rs
+++ b/src/proto/fetch/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of responses without a length.
+
 use super::*;
 
 #[test]
--- a/src/proto/frames/codec/tests.rs
+++ b/src/proto/frames/codec/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the rejection of invalid frames.
+
 use super::*;
 
 fn decode_error(letter: u8, payload: &[u8]) -> FrameError {
