--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,7 +1,7 @@
 //! Accepting client connections.
 
 use super::connection::{Connection, ConnectionState};
-use super::ClientConnections;
+use super::{ClientConnections, ConnectionId};
 use crate::coordinator::{log_throttled, COUNTERS};
 use crate::net::spawn;
 use crate::sync;
@@ -80,7 +80,7 @@
             }
         };
         let connection = Arc::new(Connection::new(self.accepted_state(&stream)));
-        let id = self.next_id();
+        let id = ConnectionId(self.next_id());
         sync::lock(&self.connections).insert(id, connection.clone());
         if let Err(e) = self.spawn_connection(id, connection, stream) {
             log_throttled(&COUNTERS.accept_errors, || {
@@ -106,7 +106,7 @@
     /// Starts the coroutine of a connection, which removes the connection at its end.
     fn spawn_connection(
         self: &Arc<Self>,
-        id: u64,
+        id: ConnectionId,
         connection: Arc<Connection>,
         stream: CoIo<TcpStream>,
     ) -> io::Result<()> {
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -31,10 +31,14 @@
 use std::sync::{Arc, Mutex};
 use timeouts::Timeout;
 
+/// The id of a client connection, unique within its front.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct ConnectionId(u64);
+
 /// The client connections of one front.
 pub struct ClientConnections {
     /// The open connections by their ids.
-    connections: Mutex<HashMap<u64, Arc<Connection>>>,
+    connections: Mutex<HashMap<ConnectionId, Arc<Connection>>>,
     /// The connections that await the coordinator's answer, by the tokens of their requests.
     awaiting: Mutex<HashMap<Token, Arc<Connection>>>,
     /// The next id of a connection or token of a request.
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -38,7 +38,8 @@
         .into_iter()
         .map(|state| Arc::new(Connection::new(state)))
         .collect();
-    sync::lock(&clients.connections).extend((0..).zip(connections.iter().cloned()));
+    sync::lock(&clients.connections)
+        .extend((0..).map(ConnectionId).zip(connections.iter().cloned()));
     (clients, connections)
 }
 
