--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -84,8 +84,9 @@
     pub fn append(&mut self, mut other: Body) {
         debug_assert_eq!(other.consumed, 0, "only complete bodies are joined");
         // The first piece is joined to the last one here, so that a small response is one write.
-        if matches!(other.pieces.front(), Some(Piece::Owned(first)) if first.len() <= MAX_JOINED_BYTES)
-        {
+        let is_short =
+            |piece: &Piece| matches!(piece, Piece::Owned(bytes) if bytes.len() <= MAX_JOINED_BYTES);
+        if other.pieces.front().is_some_and(is_short) {
             if let Some(Piece::Owned(first)) = other.pieces.pop_front() {
                 other.length -= first.len();
                 self.push(&first);
