--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -8,7 +8,7 @@
 pub mod platform;
 
 use crate::coordinator::{Answer, Request, Token};
-use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY};
+use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY_BYTES};
 use crate::time::Micros;
 
 /// Turns the core's answer into a response, or into another request to the core where one round is
@@ -36,7 +36,7 @@
 
     /// Returns the largest accepted body of a request, in bytes.
     fn max_body(&self) -> usize {
-        MAX_BODY
+        MAX_BODY_BYTES
     }
 
     /// Returns the stack size of the coroutine that serves a connection, in words of eight bytes.
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -20,8 +20,8 @@
     response
         .headers
         .iter()
-        .find(|h| h.0 == name)
-        .map(|h| h.1.as_str())
+        .find(|h| h.name == name)
+        .map(|h| h.value.as_str())
 }
 
 #[test]
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the platform's configuration file and its reload.
+
 use super::*;
 use serde_json::json;
 
@@ -54,7 +56,7 @@
         (config.seed, config.max_descriptors, config.max_memory),
         (0xff, 64, 192 * 1024 * 1024)
     );
-    assert_eq!(config.known_endpoints, br#"[{"any":"form"}]"#);
+    assert_eq!(config.cached_endpoints, br#"[{"any":"form"}]"#);
 }
 
 #[test]
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -48,11 +48,7 @@
     let admin = admin_config(platform.as_ref(), edge.as_ref());
     // First, since a process with a predecessor is set up differently.
     let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
-    let process = ProcessContext {
-        clock,
-        signals,
-        generations: inherited.generations,
-    };
+    let process = ProcessContext::new(clock, signals, inherited.generations);
     let services = build_services(platform, edge, &process, &metrics)?;
     let listeners = open_listeners(&services, &mut inherited.sockets)?;
     if let Some(path) = inherited.path {
@@ -106,7 +102,7 @@
 }
 
 /// The result of asking a predecessor for its listening sockets.
-struct Inheritance {
+struct InheritedSockets {
     /// The path at which this process waits for its own successor; `None` if it cannot.
     path: Option<PathBuf>,
     /// The listening sockets received from the predecessor.
@@ -116,7 +112,7 @@
 }
 
 /// Requests the listening sockets of the predecessor, if there is one.
-fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Inheritance {
+fn request_handover(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> InheritedSockets {
     let address = platform
         .map(|config| config.listen)
         .or(edge.map(|edge| edge.listen));
@@ -125,7 +121,7 @@
         Some(handover) => (handover.sockets, Some(handover.predecessor)),
         None => (Vec::new(), None),
     };
-    Inheritance {
+    InheritedSockets {
         path,
         sockets,
         generations: Arc::new(ProcessGenerations::new(predecessor)),
@@ -155,7 +151,7 @@
     let fronts = services.len();
     services
         .iter_mut()
-        .for_each(|service| service.limits = service.limits.shared(fronts));
+        .for_each(|service| service.share_limits(fronts));
     Ok(services)
 }
 
@@ -165,7 +161,7 @@
 ) -> Result<Vec<Listener>, ServerError> {
     services
         .iter()
-        .map(|service| listeners::listener_for(service.listen, inherited))
+        .map(|service| listeners::listener_for(service.listen_address(), inherited))
         .collect()
 }
 
@@ -174,8 +170,8 @@
     listeners: &[Listener],
 ) -> Vec<ListeningSocket<SharedListener>> {
     let share = |(service, listener): (&Service, &Listener)| ListeningSocket {
-        address: service.listen,
-        socket: SharedListener(listener.clone()),
+        address: service.listen_address(),
+        socket: SharedListener::new(listener.clone()),
     };
     services.iter().zip(listeners).map(share).collect()
 }
@@ -194,7 +190,7 @@
                 .iter()
                 .try_for_each(|clients| clients.lifecycle().health())
         }),
-        max_callers: admin::reserved(config.max_descriptors) - 1,
+        max_callers: admin::reserved_descriptors(config.max_descriptors) - 1,
     };
     if let Err(e) = admin::start(config.address, endpoint) {
         tracing::warn!(error = %e, "admin endpoint not started");
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -11,7 +11,7 @@
 use crate::net::clients::{ClientConnections, ClientLimits};
 use crate::net::lifecycle::Lifecycle;
 use crate::net::timer::Timer;
-use crate::net::{spawn, LARGE_STACK_WORDS, TURN_STACK_WORDS};
+use crate::net::{spawn, COORDINATOR_STACK_WORDS, LARGE_STACK_WORDS};
 use crate::time::Clock;
 use may::coroutine::JoinHandle;
 use may::sync::mpsc::Sender;
@@ -21,19 +21,19 @@
 /// A service before its start.
 pub(super) struct Service {
     /// The name of the service in the log.
-    pub(super) name: String,
+    name: String,
     /// The configured address for clients.
-    pub(super) listen: SocketAddr,
+    listen: SocketAddr,
     /// The limits of its client connections.
-    pub(super) limits: ClientLimits,
+    limits: ClientLimits,
     /// The protocol towards clients.
-    pub(super) front: Box<dyn Front>,
+    front: Box<dyn Front>,
     /// The phases of its startup and shutdown.
-    pub(super) lifecycle: Arc<Lifecycle>,
+    lifecycle: Arc<Lifecycle>,
     /// The coordinator's inbox.
-    pub(super) inbox: Sender<Input>,
+    inbox: Sender<Input>,
     /// The coordinator and the parts of its loop.
-    pub(super) coordinator: CoordinatorParts,
+    coordinator: CoordinatorParts,
 }
 
 /// A service after its start.
@@ -45,6 +45,37 @@
 }
 
 impl Service {
+    /// Creates a service from its configuration and its parts.
+    pub(super) fn new(
+        name: String,
+        listen: SocketAddr,
+        limits: ClientLimits,
+        front: Box<dyn Front>,
+        lifecycle: Arc<Lifecycle>,
+        inbox: Sender<Input>,
+        coordinator: CoordinatorParts,
+    ) -> Self {
+        Service {
+            name,
+            listen,
+            limits,
+            front,
+            lifecycle,
+            inbox,
+            coordinator,
+        }
+    }
+
+    /// Returns the configured address for clients.
+    pub(super) fn listen_address(&self) -> SocketAddr {
+        self.listen
+    }
+
+    /// Reduces the limits of the client connections to the share of one of `fronts` fronts.
+    pub(super) fn share_limits(&mut self, fronts: usize) {
+        self.limits = self.limits.shared(fronts);
+    }
+
     /// Starts to accept connections, and starts the coordinator.
     pub(super) fn start(
         self,
@@ -74,7 +105,7 @@
         tracing::info!(service = self.name, %address, "listening for client connections");
         let coordinator_loop =
             CoordinatorLoop::new(self.coordinator, clients.clone(), timer, process);
-        let coordinator = spawn(TURN_STACK_WORDS, move || coordinator_loop.run())
+        let coordinator = spawn(COORDINATOR_STACK_WORDS, move || coordinator_loop.run())
             .map_err(ServerError::Coroutine)?;
         Ok(RunningService {
             clients,
