--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -1,15 +1,18 @@
 //! The life cycle of an attempt: dispatch, outcome, timeout and cancellation.
 
 use super::in_flight::InFlightAttempt;
+use super::pending::{PendingPart, PendingQuery};
 use super::QueryTracker;
 use crate::coordinator::active_settings::ActiveSettings;
 use crate::coordinator::counters::{Counter, COUNTERS};
 use crate::coordinator::diagnostics::check_invariant;
 use crate::coordinator::messages::{AttemptEnd, AttemptRequest, Command};
+use crate::coordinator::metrics::ClassMetrics;
 use crate::coordinator::request::AttemptKey;
 use crate::coordinator::turn::Turn;
 use crate::interface::{Event, Outcome, PartId, ReplicaId};
 use crate::time::Micros;
+use std::sync::Arc;
 
 /// An attempt at a part that the policy orders.
 pub(in crate::coordinator) struct DispatchOrder {
@@ -41,29 +44,10 @@
             "a part has two attempts in flight",
         );
         COUNTERS.attempts_dispatched.increment();
-        let query = pending.query;
-        let deadline = (turn.now + order.timeout).min(query.deadline);
         let key = self.in_flight.next_key(order.part);
-        let attempt = InFlightAttempt {
-            replica: order.replica,
-            dispatched_at: turn.now,
-            deadline,
-            // A connection may be established much later: what must not be written by then is
-            // cancelled before.
-            timer_at: deadline.min(order.write_by),
-            write_started: false,
-            request_id: query.request.request_id.clone(),
-            class: query.class,
-        };
-        let request = AttemptRequest {
-            key,
-            request_id: query.request.request_id.clone(),
-            shard: pending.part.shard,
-            payload: query.request.payload.clone(),
-            context: pending.part.context.clone(),
-            timeout: deadline.since(turn.now),
-            metrics: self.classes.metrics(query.class).clone(),
-        };
+        let attempt = new_attempt(order, pending.query, turn.now);
+        let metrics = self.classes.metrics(attempt.class);
+        let request = new_request(key, &attempt, &pending, metrics);
         self.request_ids.acquire(&attempt.request_id);
         self.classes.acquire(attempt.class);
         self.in_flight.insert(key, attempt);
@@ -158,6 +142,40 @@
     }
 }
 
+/// Returns an attempt that is dispatched now.
+fn new_attempt(order: &DispatchOrder, query: &PendingQuery, now: Micros) -> InFlightAttempt {
+    let deadline = (now + order.timeout).min(query.deadline);
+    InFlightAttempt {
+        replica: order.replica,
+        dispatched_at: now,
+        deadline,
+        // The connection may be established much later: the timer cancels the attempt before it is
+        // written too late.
+        timer_at: deadline.min(order.write_by),
+        write_started: false,
+        request_id: query.request.request_id.clone(),
+        class: query.class,
+    }
+}
+
+/// Returns the request of an attempt to its server.
+fn new_request(
+    key: AttemptKey,
+    attempt: &InFlightAttempt,
+    pending: &PendingPart<'_>,
+    metrics: &Arc<ClassMetrics>,
+) -> AttemptRequest {
+    AttemptRequest {
+        key,
+        request_id: attempt.request_id.clone(),
+        shard: pending.part.shard,
+        payload: pending.query.request.payload.clone(),
+        context: pending.part.context.clone(),
+        timeout: attempt.deadline.since(attempt.dispatched_at),
+        metrics: metrics.clone(),
+    }
+}
+
 /// Counts the outcome of an attempt and returns the event of it for the policy.
 fn record_outcome(
     key: AttemptKey,
