--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -4,7 +4,7 @@
 use crate::frame::Batch;
 use crate::record::Record;
 use crate::reply::Reply;
-use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event};
+use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event, Settings};
 use std::collections::BTreeMap;
 
 /// The events of one batch by instance, in order.
@@ -49,14 +49,9 @@
         };
         match record {
             Record::New { seed, settings } => {
-                let settings = settings::parse_policy_settings(&settings).map_err(|error| {
-                    AdapterError::Settings {
-                        batch: batch.number,
-                        source: error.into(),
-                    }
-                })?;
-                self.instances
-                    .insert(instance()?, DecisionPolicy::new(settings, seed, batch.now));
+                let settings = parse_settings(&settings, batch)?;
+                let policy = DecisionPolicy::new(settings, seed, batch.now);
+                self.instances.insert(instance()?, policy);
                 inboxes.insert(instance()?, Vec::new());
             }
             Record::Destroy => {
@@ -118,3 +113,11 @@
         Ok(reply.finish())
     }
 }
+
+/// Parses the settings of an instance that starts in this batch.
+fn parse_settings(text: &str, batch: &Batch) -> Result<Settings, AdapterError> {
+    settings::parse_policy_settings(text).map_err(|error| AdapterError::Settings {
+        batch: batch.number,
+        source: error.into(),
+    })
+}
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -1,5 +1,6 @@
 //! Hosts instances of the policy and speaks the simulator's protocol on standard input and output.
-//! It makes no decisions; times are nanoseconds, as in the protocol and the policy.
+//!
+//! The adapter makes no decisions; times are nanoseconds, as in the protocol and the policy.
 #![forbid(unsafe_code)]
 
 mod error;
