--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -16,7 +16,9 @@
 /// [`SettingsError::UnknownEffect`] for a class with an effect that the wire protocol does not
 /// have.
 pub fn policy_settings(object: SettingsObject) -> Result<Settings, SettingsError> {
-    let (family, rules, limits) = (object.query_family, object.rules, object.limits);
+    let family = object.query_family;
+    let rules = object.rules;
+    let limits = object.limits;
     let mut classes = Vec::new();
     for (index, class) in object.classes.into_iter().enumerate() {
         classes.push(convert_class(index, class, &family, &limits)?);
