--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -217,13 +217,11 @@
                 timeout,
                 not_after,
             } => {
-                let (timeout, write_by) =
-                    (Micros::from_nanos(timeout), Micros::from_nanos(not_after));
                 let order = DispatchOrder {
                     part,
                     replica,
-                    timeout,
-                    write_by,
+                    timeout: Micros::from_nanos(timeout),
+                    write_by: Micros::from_nanos(not_after),
                 };
                 self.queries.dispatch(&order, &self.settings, turn);
             }
