--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -42,8 +42,6 @@
 use std::sync::Arc;
 use turn::Turn;
 
-const NANOS_PER_MICROSECOND: Nanos = 1_000;
-
 /// One coordinator: the turn loop around the policy.
 #[derive(Debug)]
 pub struct Coordinator {
@@ -242,8 +240,8 @@
     }
 
     fn set_policy_timer(&mut self, at: Nanos) {
-        // Rounded up: a turn ahead of that time would find nothing due, and set the timer again.
-        let at = Micros::from_nanos(at.saturating_add(NANOS_PER_MICROSECOND - 1));
+        // A turn ahead of that time would find nothing due, and set the timer again.
+        let at = Micros::from_nanos_rounded_up(at);
         self.policy_timer = Some(self.policy_timer.map_or(at, |earlier| earlier.min(at)));
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -2,8 +2,9 @@
 //! to and from other clocks and units.
 //!
 //! The decision policy, the settings and the simulator's protocol have nanoseconds ([`Nanos`]); the
-//! coordinator, the limits, the fronts and the drivers have [`Micros`]. [`Micros::to_nanos`] and
-//! [`Micros::from_nanos`] are the conversion between them.
+//! coordinator, the limits, the fronts and the drivers have [`Micros`]. [`Micros::to_nanos`],
+//! [`Micros::from_nanos`] and [`Micros::from_nanos_rounded_up`] are the only conversions between
+//! them.
 //!
 //! No clock is global: a [`Clock`] is started once and copied to its users.
 
@@ -11,6 +12,8 @@
 use std::ops::{Add, Sub};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+const NANOS_PER_MICRO: Nanos = 1_000;
+
 /// A point in monotonic time or a span of it, in whole microseconds. Sums and differences saturate.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
@@ -34,13 +37,19 @@
     /// Converts to the unit of the decision policy.
     #[must_use]
     pub fn to_nanos(self) -> Nanos {
-        self.0.saturating_mul(1_000)
+        self.0.saturating_mul(NANOS_PER_MICRO)
     }
 
     /// Converts from the unit of the decision policy; a fraction of a microsecond is dropped.
     #[must_use]
     pub fn from_nanos(nanos: Nanos) -> Self {
-        Micros(nanos / 1_000)
+        Micros(nanos / NANOS_PER_MICRO)
+    }
+
+    /// Converts from the unit of the decision policy; a fraction of a microsecond is rounded up.
+    #[must_use]
+    pub fn from_nanos_rounded_up(nanos: Nanos) -> Self {
+        Self::from_nanos(nanos.saturating_add(NANOS_PER_MICRO - 1))
     }
 
     /// Returns the span from `earlier` to this point; zero if `earlier` is later.
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -15,3 +15,11 @@
         "before the clock's start: long ago"
     );
 }
+
+#[test]
+fn nanoseconds_are_rounded_down_or_up_to_microseconds() {
+    for (nanos, down, up) in [(0, 0, 0), (999, 0, 1), (1_000, 1, 1), (1_001, 1, 2)] {
+        assert_eq!(Micros::from_nanos(nanos), Micros(down));
+        assert_eq!(Micros::from_nanos_rounded_up(nanos), Micros(up));
+    }
+}
