--- a/src/limits/server_capacity.rs
+++ b/src/limits/server_capacity.rs
@@ -1,10 +1,11 @@
 //! The throughput of all servers together.
 //!
-//! The drivers of all coordinators report to one value of [`ServerCapacity`], so it has a lock.
+//! The drivers report to the value that admission reads, so it has a lock.
 
 use crate::interface::ReplicaId;
+use crate::sync::lock;
 use std::collections::HashMap;
-use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::sync::Mutex;
 
 /// The throughput of each server: drivers report it, and admission uses the sum.
 #[derive(Debug, Default)]
@@ -18,22 +19,15 @@
     /// or its throughput is unknown.
     pub fn report(&self, replica: ReplicaId, throughput: Option<f64>) {
         match throughput {
-            Some(throughput) => self.lock().insert(replica, throughput),
-            None => self.lock().remove(&replica),
+            Some(throughput) => lock(&self.throughputs).insert(replica, throughput),
+            None => lock(&self.throughputs).remove(&replica),
         };
     }
 
     /// Returns the sum over all servers, in pages per second; `None` without a known throughput.
     #[must_use]
     pub fn total_throughput(&self) -> Option<f64> {
-        let throughputs = self.lock();
+        let throughputs = lock(&self.throughputs);
         (!throughputs.is_empty()).then(|| throughputs.values().sum())
     }
-
-    /// Locks the map; a panic of another thread leaves it valid.
-    fn lock(&self) -> MutexGuard<'_, HashMap<ReplicaId, f64>> {
-        self.throughputs
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-    }
 }
