--- a/src/degradation/validate/tests.rs
+++ b/src/degradation/validate/tests.rs
@@ -5,8 +5,8 @@
     assert_eq!(DegradationTable::built_in().validate(4), []);
 }
 
-#[test]
-fn each_fault_is_reported_with_its_level() {
+/// Returns the built-in table with faults in both levels.
+fn faulty_table() -> DegradationTable {
     let mut table = DegradationTable::built_in();
     table.levels[0].conditions[0].leave = 0.19;
     table.levels[0].conditions.remove(3);
@@ -14,13 +14,21 @@
     table.levels[1].conditions[0].leave = 0.1;
     table.levels[1].effects.max_attempts = Some(5);
     table.levels[1].effects.retry_after_factor = 0.5;
-    let error = |level: &str, fault| DegradationTableError {
+    table
+}
+
+fn error(level: &str, fault: LevelFault) -> DegradationTableError {
+    DegradationTableError {
         level: level.to_owned(),
         fault,
-    };
+    }
+}
+
+#[test]
+fn each_fault_is_reported_with_its_level() {
     let signal = Signal::EjectedNodes;
     assert_eq!(
-        table.validate(4),
+        faulty_table().validate(4),
         [
             error(
                 "reduced",
@@ -36,6 +44,11 @@
             error("essential", LevelFault::InvalidRetryAfterFactor),
         ]
     );
+}
+
+#[test]
+fn a_level_without_conditions_and_one_without_a_minimum_stay_are_reported() {
+    let mut table = faulty_table();
     table.levels[0].conditions.clear();
     table.levels[1].min_stay_ms = 0;
     let errors = table.validate(4);
@@ -49,10 +62,15 @@
     );
 }
 
+fn assert_texts<const N: usize>(cases: [(LevelFault, &str); N]) {
+    for (fault, text) in cases {
+        assert_eq!(fault.to_string(), text);
+    }
+}
+
 #[test]
-fn faults_are_described_by_the_keys_of_the_operators_file() {
-    let signal = Signal::EjectedNodes;
-    let texts = [
+fn faults_of_a_level_are_described_by_the_keys_of_the_operators_file() {
+    assert_texts([
         (LevelFault::InvalidName, "its name is empty or there twice"),
         (
             LevelFault::NoCondition,
@@ -62,6 +80,13 @@
             LevelFault::DurationTooShort,
             "enter_ms, leave_ms and stay_ms must be 500 or more",
         ),
+    ]);
+}
+
+#[test]
+fn faults_of_a_condition_are_described_by_the_keys_of_the_operators_file() {
+    let signal = Signal::EjectedNodes;
+    assert_texts([
         (
             LevelFault::InvalidBounds { signal },
             "Avoided: enter and leave must be numbers, and enter above 0",
@@ -82,6 +107,12 @@
             LevelFault::NotAboveMilderLevel { signal },
             "Avoided: it is entered by no more than the level below it",
         ),
+    ]);
+}
+
+#[test]
+fn faults_of_effects_are_described_by_the_keys_of_the_operators_file() {
+    assert_texts([
         (
             LevelFault::InvalidAdmittedShare,
             "admit: shares must be from 0 to 1",
@@ -98,8 +129,5 @@
             LevelFault::InvalidRetryAfterFactor,
             "come_back must be from 1 to 60",
         ),
-    ];
-    for (fault, text) in texts {
-        assert_eq!(fault.to_string(), text);
-    }
+    ]);
 }
