--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -20,7 +20,8 @@
     mut record: impl FnMut(Micros, &mut SignalReadings),
 ) -> usize {
     let mut readings = SignalReadings::default();
-    let (mut now, mut transitions) = (secs(from), 0);
+    let mut now = secs(from);
+    let mut transitions = 0;
     while now < secs(from + seconds) {
         record(now, &mut readings);
         let before = controller.level();
@@ -181,7 +182,8 @@
     /// Records the values, if any, and evaluates them a second later than the last ones. Checks the
     /// step.
     fn after(&self, ejected: Option<f64>, retries: Option<f64>) -> ExploredState {
-        let (mut controller, mut readings) = (self.controller.clone(), self.readings.clone());
+        let mut controller = self.controller.clone();
+        let mut readings = self.readings.clone();
         let now = secs(2 + self.depth);
         if let Some(ejected) = ejected {
             readings.record(Signal::EjectedNodes, ejected, now);
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -28,7 +28,8 @@
 
 #[test]
 fn cheap_queries_are_admitted_beside_expensive_ones() {
-    let (map, small) = (cost(5_000, 2), cost(10, 2));
+    let map = cost(5_000, 2);
+    let small = cost(10, 2);
     let mut admission = controller();
     let maps = (0..1_000)
         .take_while(|_| admission.admit(map, OBJECTIVE, Some(200.0)).is_ok())
@@ -67,7 +68,8 @@
     let mut admission = AdmissionController::new(10 * MIB);
     (0..200).for_each(|_| admission.record_page(300_000, 500, 500));
     let map = cost(5_000, 1);
-    let (mut reserved, mut rejected) = (Vec::new(), 0);
+    let mut reserved = Vec::new();
+    let mut rejected = 0;
     for _ in 0..20 {
         match admission.admit(map, Micros::from_secs(600), Some(1e6)) {
             Ok(bytes) => reserved.push(bytes),
@@ -88,12 +90,21 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::with_cases(200) })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(17),
+        failure_persistence: None,
+        ..ProptestConfig::with_cases(200)
+    })]
 
     /// In any order of queries: releasing all that was admitted leaves nothing in flight, and a
     /// rejection changes nothing.
     #[test]
-    fn all_that_is_admitted_is_released(steps in proptest::collection::vec((1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0), 0..100)) {
+    fn all_that_is_admitted_is_released(
+        steps in proptest::collection::vec(
+            (1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0),
+            0..100,
+        )
+    ) {
         let mut admission = controller();
         let mut open = Vec::new();
         for (limit, shards, end, throughput) in steps {
--- a/src/limits/limiter/tests.rs
+++ b/src/limits/limiter/tests.rs
@@ -152,15 +152,29 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(13), failure_persistence: None, ..ProptestConfig::with_cases(200) })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(13),
+        failure_persistence: None,
+        ..ProptestConfig::with_cases(200)
+    })]
 
     #[test]
-    fn a_limit_stays_within_its_bounds(steps in proptest::collection::vec((0_u8..3, 0_u64..10_000_000, 0_u64..500_000, 0_usize..300), 0..300)) {
+    fn a_limit_stays_within_its_bounds(
+        steps in proptest::collection::vec(
+            (0_u8..3, 0_u64..10_000_000, 0_u64..500_000, 0_usize..300),
+            0..300,
+        )
+    ) {
         let mut limiter = ConcurrencyLimiter::new(RULE);
         let mut now = Micros::ZERO;
         for (kind, latency, passed, in_flight) in steps {
             now = now + Micros(passed);
-            let outcome = [RequestOutcome::Success(usize::from(kind) * 40), RequestOutcome::Overloaded, RequestOutcome::Cancelled][usize::from(kind)];
+            let outcomes = [
+                RequestOutcome::Success(usize::from(kind) * 40),
+                RequestOutcome::Overloaded,
+                RequestOutcome::Cancelled,
+            ];
+            let outcome = outcomes[usize::from(kind)];
             limiter.record(now, outcome, Micros(latency), in_flight);
             prop_assert!((2..=200).contains(&limiter.limit()));
         }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -13,7 +13,12 @@
 }
 
 fn class_object(name: &str) -> Value {
-    json!({"aim": 1_000_000_000, "deadline": 3_000_000_000_u64, "effect": "read_like", "name": name})
+    json!({
+        "aim": 1_000_000_000,
+        "deadline": 3_000_000_000_u64,
+        "effect": "read_like",
+        "name": name,
+    })
 }
 
 /// The text of the error that validation of the object gives with one change.
