--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -106,8 +106,8 @@
             actions.clear();
             policy.handle(batch.now, &events, &mut actions);
             if !actions.is_empty() {
-                reply.from(instance);
-                actions.iter().for_each(|action| reply.action(action));
+                reply.select_instance(instance);
+                actions.iter().for_each(|action| reply.push_action(action));
             }
         }
         Ok(reply.finish())
--- a/src/bin/quinceflow-sim-adapter/reply.rs
+++ b/src/bin/quinceflow-sim-adapter/reply.rs
@@ -32,12 +32,12 @@
     }
 
     /// Selects the instance to which the following actions belong.
-    pub fn from(&mut self, instance: u16) {
-        self.record(code::FROM, &[&instance.to_le_bytes()]);
+    pub fn select_instance(&mut self, instance: u16) {
+        self.push_record(code::FROM, &[&instance.to_le_bytes()]);
     }
 
     /// Appends an action.
-    pub fn action(&mut self, action: &Action) {
+    pub fn push_action(&mut self, action: &Action) {
         match action {
             Action::Send {
                 part,
@@ -45,36 +45,36 @@
                 timeout,
                 ..
             } => {
-                self.record(
+                self.push_record(
                     code::SEND,
                     &[&part.0.to_le_bytes(), &replica.0, &timeout.to_le_bytes()],
                 );
             }
             Action::Cancel { part, attempt } => {
-                self.record(
+                self.push_record(
                     code::CANCEL,
                     &[&part.0.to_le_bytes(), &attempt.0.to_le_bytes()],
                 );
             }
             Action::Answer { query, complete } => {
-                self.record(
+                self.push_record(
                     code::ANSWER,
                     &[&query.0.to_le_bytes(), &[u8::from(*complete)]],
                 );
             }
             Action::Reject { query, retry_after } => {
                 let retry_after = retry_after.unwrap_or(0);
-                self.record(
+                self.push_record(
                     code::REJECT,
                     &[&query.0.to_le_bytes(), &retry_after.to_le_bytes()],
                 );
             }
-            Action::Fail(query) => self.record(code::FAIL, &[&query.0.to_le_bytes()]),
+            Action::Fail(query) => self.push_record(code::FAIL, &[&query.0.to_le_bytes()]),
             Action::SetTimer(at) => {
-                self.record(code::SET_TIMER, &[&at.to_le_bytes(), &0u64.to_le_bytes()]);
+                self.push_record(code::SET_TIMER, &[&at.to_le_bytes(), &0u64.to_le_bytes()]);
             }
-            Action::CloseIdle(replica) => self.record(code::CLOSE_IDLE, &[&replica.0]),
-            Action::Subscribe => self.record(code::SUBSCRIBE, &[&[1]]),
+            Action::CloseIdle(replica) => self.push_record(code::CLOSE_IDLE, &[&replica.0]),
+            Action::Subscribe => self.push_record(code::SUBSCRIBE, &[&[1]]),
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Appends a record: its code, its length and its fields.
-    fn record(&mut self, code: u8, fields: &[&[u8]]) {
+    fn push_record(&mut self, code: u8, fields: &[&[u8]]) {
         let length: usize = fields.iter().map(|field| field.len()).sum();
         self.bytes.push(code);
         self.bytes.extend((length as u32).to_le_bytes());
--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -33,9 +33,9 @@
     pub pinned: bool,
 }
 
-/// The previous visits to one level.
+/// The previous entries into one level.
 #[derive(Debug, Clone, Copy, Default)]
-struct VisitHistory {
+struct EntryHistory {
     /// Whether the level was last entered within [`REENTRY_WINDOW`] after it had been left.
     reentered_soon: bool,
     /// The time when the level was last left.
@@ -56,8 +56,8 @@
     enter_requested_since: Option<Micros>,
     /// The time since which the current level has not been requested.
     leave_requested_since: Option<Micros>,
-    /// The visits to each level of the table.
-    visit_histories: Vec<VisitHistory>,
+    /// The history of each level of the table.
+    entry_histories: Vec<EntryHistory>,
     /// The time until which an operator has pinned the level.
     pin_expires_at: Option<Micros>,
     history: VecDeque<Transition>,
@@ -68,7 +68,7 @@
     /// it spreads the durations of many instances.
     #[must_use]
     pub fn new(table: DegradationTable, jitter: f64, now: Micros) -> Self {
-        let visit_histories = vec![VisitHistory::default(); table.levels.len()];
+        let entry_histories = vec![EntryHistory::default(); table.levels.len()];
         DegradationController {
             table,
             jitter_factor: 0.8 + 0.4 * jitter.clamp(0.0, 1.0),
@@ -76,7 +76,7 @@
             entered_at: now,
             enter_requested_since: None,
             leave_requested_since: None,
-            visit_histories,
+            entry_histories,
             pin_expires_at: None,
             history: VecDeque::new(),
         }
@@ -156,8 +156,8 @@
             return None;
         }
         let requested_since = *self.enter_requested_since.get_or_insert(now);
-        let hold = self.with_jitter(next?.enter_after_ms);
-        (now.since(requested_since) >= hold).then_some(causes)
+        let enter_after = self.with_jitter(next?.enter_after_ms);
+        (now.since(requested_since) >= enter_after).then_some(causes)
     }
 
     /// Returns the current values of the level's signals, if they have not requested the level for
@@ -175,11 +175,12 @@
         }
         let leave_requested_since = *self.leave_requested_since.get_or_insert(now);
         let mut min_stay = self.with_jitter(present.min_stay_ms);
-        if self.visit_histories[index].reentered_soon {
+        if self.entry_histories[index].reentered_soon {
             min_stay = min_stay.max(REENTRY_WINDOW);
         }
-        let held = now.since(leave_requested_since) >= self.with_jitter(present.leave_after_ms);
-        if !held || now.since(self.entered_at) < min_stay {
+        let leave_is_due =
+            now.since(leave_requested_since) >= self.with_jitter(present.leave_after_ms);
+        if !leave_is_due || now.since(self.entered_at) < min_stay {
             return None;
         }
         let latest = |condition: &Condition| latest_value(condition, readings, now);
@@ -196,9 +197,9 @@
     ) -> Option<&Transition> {
         let from = self.level;
         if to < from {
-            self.visit_histories[from - 1].left_at = Some(now);
+            self.entry_histories[from - 1].left_at = Some(now);
         } else if let Some(index) = to.checked_sub(1) {
-            let history = &mut self.visit_histories[index];
+            let history = &mut self.entry_histories[index];
             history.reentered_soon = history
                 .left_at
                 .is_some_and(|left_at| now.since(left_at) < REENTRY_WINDOW);
