--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -144,8 +144,7 @@
         self.queries.expire_attempts(&mut turn);
         self.fire_policy_timer(&mut turn);
         self.run_policy(&mut turn);
-        // After the policy: in a turn that comes late, the policy still is to end the queries that
-        // are over.
+        // The policy runs first: in a late turn it still ends the queries whose deadline has passed.
         self.queries.expire_queries(&mut turn);
         self.deferred_events = turn.deferred_events;
         batch_dispatches(commands, self.settings.max_batch());
--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -102,9 +102,9 @@
                 replica: attempt.replica,
                 key,
             });
-            // An attempt whose write never started is taken back, so it never ran, and a part that
-            // must not be repeated may be sent again. One whose write has started goes on to its
-            // last byte, and runs.
+            // An attempt whose write has not started is withdrawn: it never ran, so a part that must
+            // not be repeated may be sent again. An attempt whose write has started is written to
+            // its last byte, and may run.
             let outcome = if attempt.write_started {
                 Outcome::TimedOut
             } else {
