--- a/src/bin/quinceflow-sim-adapter/error.rs
+++ b/src/bin/quinceflow-sim-adapter/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the adapter's input and output, with their position.
 
+use crate::ids::{InstanceId, PoolId};
 use std::error::Error;
 use std::io;
 use std::string::FromUtf8Error;
@@ -74,10 +75,10 @@
     NoCurrentInstance { batch: u32 },
     /// A list refers to endpoints that were not sent.
     #[error("batch {batch}: MEMBERSHIP names no POOL {pool}")]
-    UnknownPool { batch: u32, pool: u16 },
+    UnknownPool { batch: u32, pool: PoolId },
     /// An event is for an instance that was not started.
     #[error("batch {batch}: no instance {instance} was started")]
-    UnknownInstance { batch: u32, instance: u16 },
+    UnknownInstance { batch: u32, instance: InstanceId },
     /// Writing a reply failed.
     #[error("reply {batch}: {source}")]
     WriteReply { batch: u32, source: io::Error },
--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -2,19 +2,20 @@
 
 use crate::error::AdapterError;
 use crate::frame::Batch;
+use crate::ids::{InstanceId, PoolId};
 use crate::record::Record;
 use crate::reply::Reply;
 use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event, Settings};
 use std::collections::BTreeMap;
 
 /// The events of one batch by instance, in order.
-type Inboxes = BTreeMap<u16, Vec<Event>>;
+type Inboxes = BTreeMap<InstanceId, Vec<Event>>;
 
 /// All instances of this process; they share no state.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u16, DecisionPolicy>,
-    pools: BTreeMap<u16, Vec<Endpoint>>,
+    instances: BTreeMap<InstanceId, DecisionPolicy>,
+    pools: BTreeMap<PoolId, Vec<Endpoint>>,
 }
 
 impl Host {
@@ -38,7 +39,7 @@
     fn apply(
         &mut self,
         record: Record,
-        current: Option<u16>,
+        current: Option<InstanceId>,
         batch: &Batch,
         inboxes: &mut Inboxes,
     ) -> Result<(), AdapterError> {
@@ -77,7 +78,7 @@
     fn endpoints(
         &self,
         kind: EndpointListKind,
-        pool: u16,
+        pool: PoolId,
         batch: &Batch,
     ) -> Result<Vec<Endpoint>, AdapterError> {
         if kind == EndpointListKind::Failed {
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -7,6 +7,7 @@
 mod fields;
 mod frame;
 mod host;
+mod ids;
 mod record;
 mod reply;
 
--- a/src/bin/quinceflow-sim-adapter/record.rs
+++ b/src/bin/quinceflow-sim-adapter/record.rs
@@ -3,6 +3,7 @@
 use crate::error::AdapterError;
 use crate::fields::Fields;
 use crate::frame::Batch;
+use crate::ids::{InstanceId, PoolId};
 use quinceflow::{
     AttemptNo, CellId, ClassId, Endpoint, EndpointListKind, EndpointState, Event, GroupId, Outcome,
     PartId, QueryId, ShardId, TenantId, ZoneId,
@@ -33,13 +34,19 @@
 #[derive(Debug, PartialEq)]
 pub enum Record {
     /// Selects the instance to which the following records belong.
-    On(u16),
+    On(InstanceId),
     /// Defines the endpoints to which later lists refer by this number.
-    Pool { pool: u16, endpoints: Vec<Endpoint> },
+    Pool {
+        pool: PoolId,
+        endpoints: Vec<Endpoint>,
+    },
     /// Starts the instance.
     New { seed: u64, settings: String },
     /// Sends the instance an endpoint list.
-    EndpointList { kind: EndpointListKind, pool: u16 },
+    EndpointList {
+        kind: EndpointListKind,
+        pool: PoolId,
+    },
     /// Ends the instance.
     Destroy,
     /// Sends the instance an event.
@@ -92,7 +99,7 @@
             code::ACCEPTED | code::PEER_MESSAGE => Ok(Record::Other),
             code::DESTROY => Ok(Record::Destroy),
             code::POOL => read_pool(&mut fields("POOL")),
-            code::ON => Ok(Record::On(fields("ON").u16()?)),
+            code::ON => Ok(Record::On(InstanceId(fields("ON").u16()?))),
             _ => Err(AdapterError::UnknownRecord(code)),
         }
     }
@@ -109,7 +116,7 @@
 fn read_endpoint_list(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
     let kind = fields.u8()?;
     let _version = fields.u32()?;
-    let pool = fields.u16()?;
+    let pool = PoolId(fields.u16()?);
     let kind = match kind {
         0 => EndpointListKind::Delta,
         1 => EndpointListKind::Full,
@@ -174,7 +181,7 @@
 }
 
 fn read_pool(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
-    let pool = fields.u16()?;
+    let pool = PoolId(fields.u16()?);
     let count = fields.u32()?;
     let endpoints = (0..count)
         .map(|_| read_endpoint(fields))
--- a/src/bin/quinceflow-sim-adapter/reply.rs
+++ b/src/bin/quinceflow-sim-adapter/reply.rs
@@ -1,5 +1,6 @@
 //! The reply to a batch: the actions of all instances.
 
+use crate::ids::InstanceId;
 use quinceflow::Action;
 
 /// The codes of records in a reply; their names are those of the protocol.
@@ -32,8 +33,8 @@
     }
 
     /// Selects the instance to which the following actions belong.
-    pub fn select_instance(&mut self, instance: u16) {
-        self.push_record(code::FROM, &[&instance.to_le_bytes()]);
+    pub fn select_instance(&mut self, instance: InstanceId) {
+        self.push_record(code::FROM, &[&instance.0.to_le_bytes()]);
     }
 
     /// Appends an action.
