--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -95,13 +95,9 @@
     /// Ends the attempts that have timed out, or whose write has not started in time.
     pub(in crate::coordinator) fn expire_attempts(&mut self, turn: &mut Turn<'_>) {
         while let Some(key) = self.in_flight.next_expired(turn.now) {
-            let Some(attempt) = self.remove_attempt(key) else {
+            let Some(attempt) = self.stop_attempt(key, turn) else {
                 continue;
             };
-            turn.commands.push(Command::CancelAttempt {
-                replica: attempt.replica,
-                key,
-            });
             // An attempt whose write has not started is withdrawn: it never ran, so a part that must
             // not be repeated may be sent again. An attempt whose write has started is written to
             // its last byte, and may run.
@@ -117,13 +113,9 @@
 
     /// Cancels an attempt; the policy is notified of its end in the next turn.
     pub(in crate::coordinator) fn cancel(&mut self, key: AttemptKey, turn: &mut Turn<'_>) {
-        let Some(attempt) = self.remove_attempt(key) else {
+        let Some(attempt) = self.stop_attempt(key, turn) else {
             return;
         };
-        turn.commands.push(Command::CancelAttempt {
-            replica: attempt.replica,
-            key,
-        });
         let outcome = if attempt.write_started {
             Outcome::Cancelled
         } else {
@@ -133,6 +125,16 @@
             .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
+    /// Removes an attempt and commands its driver to stop waiting for it.
+    fn stop_attempt(&mut self, key: AttemptKey, turn: &mut Turn<'_>) -> Option<InFlightAttempt> {
+        let attempt = self.remove_attempt(key)?;
+        turn.commands.push(Command::CancelAttempt {
+            replica: attempt.replica,
+            key,
+        });
+        Some(attempt)
+    }
+
     /// Removes an attempt with all that it uses, so that it can have no second outcome.
     fn remove_attempt(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let attempt = self.in_flight.remove(key)?;
