--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the controller: few transitions near a bound, and recovery from any state.
+
 use super::*;
 use crate::degradation::{Effects, Signal};
 
--- a/src/degradation/table/tests.rs
+++ b/src/degradation/table/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the form of the operators' table.
+
 use super::*;
 
 #[test]
--- a/src/degradation/validate/tests.rs
+++ b/src/degradation/validate/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the validation of a degradation table.
+
 use super::*;
 
 #[test]
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the admission of queries by their cost.
+
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/src/limits/limiter/tests.rs
+++ b/src/limits/limiter/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the concurrency limit, against a simulated server.
+
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the settings: defaults, faults and missing keys.
+
 use super::*;
 use serde_json::{json, Value};
 
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the conversions of time.
+
 use super::*;
 
 #[test]
