--- a/tests/degradation.rs
+++ b/tests/degradation.rs
@@ -1,10 +1,9 @@
-//! The decision policy in a level of reduced service: its effects, which end once the level is
-//! left.
+//! The decision policy in a degradation level: the effects of the level, which end once it is left.
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
 use quinceflow::degradation::Effects;
-use quinceflow::{Action, Class, ClassId, Effect, Event, Nanos, Outcome, Settings};
+use quinceflow::{Action, Class, ClassId, Effect, Event, Nanos, Outcome, PartId, Settings};
 
 /// Sends the settings of a level to the policy.
 fn enter(harness: &mut Harness, settings: &Settings, effects: &Effects) {
@@ -123,49 +122,72 @@
     }
 }
 
-#[test]
-fn a_level_answers_early_with_partial_results_but_never_below_the_minimum_share() {
-    let settings = settings(Class {
-        min_share: 0.6,
-        ..class(Effect::Idempotent)
-    });
-    for (received, early) in [(2, true), (1, false)] {
+/// A query of three parts in a level that answers after half of the latency objective of a second.
+struct PartialQuery {
+    harness: Harness,
+    parts: Vec<PartId>,
+    partial_answer: Action,
+}
+
+impl PartialQuery {
+    /// Submits the query, answers its first `received` parts, and checks that it has no final
+    /// action until 25 ms before half of the latency objective.
+    fn run_until_half_of_the_objective(received: usize) -> Self {
+        let settings = settings(Class {
+            min_share: 0.6,
+            ..class(Effect::Idempotent)
+        });
+        let effects = Effects {
+            answer_after: Some(0.5),
+            ..Effects::default()
+        };
         let mut harness = Harness::new(settings.clone());
-        enter(
-            &mut harness,
-            &settings,
-            &Effects {
-                answer_after: Some(0.5),
-                ..Effects::default()
-            },
-        );
+        enter(&mut harness, &settings, &effects);
         let (query, parts, _) = harness.submit(&[0, 1, 2]);
         for part in &parts[..received] {
             harness.answer(*part);
         }
-        let answer = Action::Answer {
-            query,
-            complete: false,
-        };
-        let before =
-            final_actions(&harness.run_for(500 * MS - received as u64 * 100 * MS - 25 * MS));
+        let time_left = 500 * MS - received as u64 * 100 * MS - 25 * MS;
+        let before = final_actions(&harness.run_for(time_left));
         assert_eq!(before, [], "not before half of the latency objective");
-        let then = final_actions(&harness.run_for(100 * MS));
-        assert_eq!(
-            then,
-            if early { vec![answer.clone()] } else { vec![] },
-            "{received} of 3 are received"
-        );
-        if !early {
-            // Later parts are still waited for, up to the latency objective.
-            assert!(final_actions(&harness.run_for(200 * MS)).is_empty());
-            assert_eq!(
-                final_actions(&harness.answer(parts[1])),
-                vec![answer],
-                "as soon as the minimum share is reached"
-            );
+        Self {
+            harness,
+            parts,
+            partial_answer: Action::Answer {
+                query,
+                complete: false,
+            },
         }
     }
+
+    /// Returns the final actions of the next milliseconds.
+    fn final_actions_within(&mut self, milliseconds: u64) -> Vec<Action> {
+        final_actions(&self.harness.run_for(milliseconds * MS))
+    }
+}
+
+#[test]
+fn a_level_answers_early_with_partial_results() {
+    let mut query = PartialQuery::run_until_half_of_the_objective(2);
+    let expected = vec![query.partial_answer.clone()];
+    assert_eq!(
+        query.final_actions_within(100),
+        expected,
+        "2 of 3 are received"
+    );
+}
+
+#[test]
+fn a_level_never_answers_below_the_minimum_share() {
+    let mut query = PartialQuery::run_until_half_of_the_objective(1);
+    assert_eq!(query.final_actions_within(100), [], "1 of 3 is received");
+    // Later parts are still waited for, up to the latency objective.
+    assert_eq!(query.final_actions_within(200), []);
+    assert_eq!(
+        final_actions(&query.harness.answer(query.parts[1])),
+        [query.partial_answer],
+        "as soon as the minimum share is reached"
+    );
 }
 
 #[test]
