--- a/src/coordinator/batching.rs
+++ b/src/coordinator/batching.rs
@@ -11,7 +11,7 @@
     }
     let mut batched: Vec<Command> = Vec::with_capacity(commands.len());
     for command in commands.drain(..) {
-        if !joins_a_batch(&command, &mut batched, max_batch) {
+        if !append_to_batch(&command, &mut batched, max_batch) {
             batched.push(command);
         }
     }
@@ -20,7 +20,7 @@
 
 /// Appends the attempts of a dispatch to the first call to the same server with free capacity;
 /// returns whether there was one.
-fn joins_a_batch(command: &Command, batched: &mut [Command], max_batch: usize) -> bool {
+fn append_to_batch(command: &Command, batched: &mut [Command], max_batch: usize) -> bool {
     let Command::Dispatch { replica, attempts } = command else {
         return false;
     };
--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -55,7 +55,7 @@
     /// Returns whether a line of a stale list still applies. A drain or a removal does, since an
     /// incarnation never becomes ready again after it, and so does a later incarnation. In all else
     /// the newer list is right.
-    fn accepts_stale(&self, node: &NodeEndpoint) -> bool {
+    fn applies_if_stale(&self, node: &NodeEndpoint) -> bool {
         let stops = self.ready && node.state != EndpointState::Ready;
         self.is_later_incarnation(node.started_at)
             || (stops && !self.is_earlier_incarnation(node.started_at))
@@ -137,7 +137,7 @@
                 .ids
                 .get(&node.name)
                 .and_then(|replica| self.endpoints.get(replica));
-            known.is_none_or(|known| known.accepts_stale(node))
+            known.is_none_or(|known| known.applies_if_stale(node))
         });
     }
 
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -30,19 +30,22 @@
 
 #[test]
 fn cheap_queries_are_admitted_beside_expensive_ones() {
-    let map = cost(5_000, 2);
-    let small = cost(10, 2);
+    let expensive = cost(5_000, 2);
+    let cheap = cost(10, 2);
     let mut admission = controller();
-    let maps = (0..1_000)
-        .take_while(|_| admission.admit(map, OBJECTIVE, Some(200.0)).is_ok())
+    let expensive_admitted = (0..1_000)
+        .take_while(|_| admission.admit(expensive, OBJECTIVE, Some(200.0)).is_ok())
         .count();
-    let smalls = (0..10_000)
-        .take_while(|_| admission.admit(small, OBJECTIVE, Some(200.0)).is_ok())
+    let cheap_admitted = (0..10_000)
+        .take_while(|_| admission.admit(cheap, OBJECTIVE, Some(200.0)).is_ok())
         .count();
-    assert!((5..=20).contains(&maps), "{maps}");
-    assert!(smalls >= 100, "{smalls}");
+    assert!(
+        (5..=20).contains(&expensive_admitted),
+        "{expensive_admitted}"
+    );
+    assert!(cheap_admitted >= 100, "{cheap_admitted}");
     let rejection = admission
-        .admit(map, OBJECTIVE, Some(200.0))
+        .admit(expensive, OBJECTIVE, Some(200.0))
         .expect_err("full");
     assert!(rejection.retry_after >= MIN_RETRY_AFTER && rejection.retry_after <= MAX_RETRY_AFTER);
     assert_eq!(rejection.reason, RejectionReason::Throughput);
@@ -69,11 +72,11 @@
 fn responses_fit_into_the_memory() {
     let mut admission = AdmissionController::new(10 * MIB);
     (0..200).for_each(|_| admission.record_page(300_000, 500, 500));
-    let map = cost(5_000, 1);
+    let expensive = cost(5_000, 1);
     let mut reserved = Vec::new();
     let mut rejected = 0;
     for _ in 0..20 {
-        match admission.admit(map, Micros::from_secs(600), Some(1e6)) {
+        match admission.admit(expensive, Micros::from_secs(600), Some(1e6)) {
             Ok(bytes) => reserved.push(bytes),
             Err(rejection) => {
                 assert_eq!(rejection.reason, RejectionReason::Memory);
@@ -88,7 +91,7 @@
     reserved
         .drain(..)
         .for_each(|bytes| admission.release_bytes(bytes));
-    assert!(admission.admit(map, OBJECTIVE, None).is_ok());
+    assert!(admission.admit(expensive, OBJECTIVE, None).is_ok());
 }
 
 proptest! {
