--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -2,19 +2,20 @@
 
 use crate::error::AdapterError;
 use crate::frame::Batch;
+use crate::ids::{InstanceId, PoolId};
 use crate::record::Record;
 use crate::reply::Reply;
-use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event};
+use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event, Settings};
 use std::collections::BTreeMap;
 
 /// The events of one batch by instance, in order.
-type Inboxes = BTreeMap<u16, Vec<Event>>;
+type Inboxes = BTreeMap<InstanceId, Vec<Event>>;
 
 /// All instances of this process; they share no state.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u16, DecisionPolicy>,
-    pools: BTreeMap<u16, Vec<Endpoint>>,
+    instances: BTreeMap<InstanceId, DecisionPolicy>,
+    pools: BTreeMap<PoolId, Vec<Endpoint>>,
 }
 
 impl Host {
@@ -38,7 +39,7 @@
     fn apply(
         &mut self,
         record: Record,
-        current: Option<u16>,
+        current: Option<InstanceId>,
         batch: &Batch,
         inboxes: &mut Inboxes,
     ) -> Result<(), AdapterError> {
@@ -49,14 +50,9 @@
         };
         match record {
             Record::New { seed, settings } => {
-                let settings = settings::parse_policy_settings(&settings).map_err(|error| {
-                    AdapterError::Settings {
-                        batch: batch.number,
-                        source: error.into(),
-                    }
-                })?;
-                self.instances
-                    .insert(instance()?, DecisionPolicy::new(settings, seed, batch.now));
+                let settings = parse_settings(&settings, batch)?;
+                let policy = DecisionPolicy::new(settings, seed, batch.now);
+                self.instances.insert(instance()?, policy);
                 inboxes.insert(instance()?, Vec::new());
             }
             Record::Destroy => {
@@ -82,7 +78,7 @@
     fn endpoints(
         &self,
         kind: EndpointListKind,
-        pool: u16,
+        pool: PoolId,
         batch: &Batch,
     ) -> Result<Vec<Endpoint>, AdapterError> {
         if kind == EndpointListKind::Failed {
@@ -111,10 +107,18 @@
             actions.clear();
             policy.handle(batch.now, &events, &mut actions);
             if !actions.is_empty() {
-                reply.from(instance);
-                actions.iter().for_each(|action| reply.action(action));
+                reply.select_instance(instance);
+                actions.iter().for_each(|action| reply.push_action(action));
             }
         }
         Ok(reply.finish())
     }
 }
+
+/// Parses the settings of an instance that starts in this batch.
+fn parse_settings(text: &str, batch: &Batch) -> Result<Settings, AdapterError> {
+    settings::parse_policy_settings(text).map_err(|error| AdapterError::Settings {
+        batch: batch.number,
+        source: error.into(),
+    })
+}
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -1,11 +1,13 @@
 //! Hosts instances of the policy and speaks the simulator's protocol on standard input and output.
-//! It makes no decisions; times are nanoseconds, as in the protocol and the policy.
+//!
+//! The adapter makes no decisions; times are nanoseconds, as in the protocol and the policy.
 #![forbid(unsafe_code)]
 
 mod error;
 mod fields;
 mod frame;
 mod host;
+mod ids;
 mod record;
 mod reply;
 
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -42,8 +42,6 @@
 use std::sync::Arc;
 use turn::Turn;
 
-const NANOS_PER_MICROSECOND: Nanos = 1_000;
-
 /// One coordinator: the turn loop around the policy.
 #[derive(Debug)]
 pub struct Coordinator {
@@ -146,8 +144,7 @@
         self.queries.expire_attempts(&mut turn);
         self.fire_policy_timer(&mut turn);
         self.run_policy(&mut turn);
-        // After the policy: in a turn that comes late, the policy still is to end the queries that
-        // are over.
+        // The policy runs first: in a late turn it still ends the queries whose deadline has passed.
         self.queries.expire_queries(&mut turn);
         self.deferred_events = turn.deferred_events;
         batch_dispatches(commands, self.settings.max_batch());
@@ -217,13 +214,11 @@
                 timeout,
                 not_after,
             } => {
-                let (timeout, write_by) =
-                    (Micros::from_nanos(timeout), Micros::from_nanos(not_after));
                 let order = DispatchOrder {
                     part,
                     replica,
-                    timeout,
-                    write_by,
+                    timeout: Micros::from_nanos(timeout),
+                    write_by: Micros::from_nanos(not_after),
                 };
                 self.queries.dispatch(&order, &self.settings, turn);
             }
@@ -244,8 +239,8 @@
     }
 
     fn set_policy_timer(&mut self, at: Nanos) {
-        // Rounded up: a turn ahead of that time would find nothing due, and set the timer again.
-        let at = Micros::from_nanos(at.saturating_add(NANOS_PER_MICROSECOND - 1));
+        // A turn ahead of that time would find nothing due, and set the timer again.
+        let at = Micros::from_nanos_rounded_up(at);
         self.policy_timer = Some(self.policy_timer.map_or(at, |earlier| earlier.min(at)));
     }
 }
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the controller: few transitions near a bound, and recovery from any state.
+
 use super::*;
 use crate::degradation::{Effects, Signal};
 
@@ -11,8 +13,8 @@
     DegradationController::new(DegradationTable::built_in(), jitter, secs(1))
 }
 
-/// Evaluates the signals for so many seconds, with the readings that `record` adds each time. The
-/// result is the number of transitions.
+/// Evaluates the signals for this number of seconds, with the readings that `record` adds each time.
+/// Returns the number of transitions.
 fn run(
     controller: &mut DegradationController,
     from: u64,
@@ -20,7 +22,8 @@
     mut record: impl FnMut(Micros, &mut SignalReadings),
 ) -> usize {
     let mut readings = SignalReadings::default();
-    let (mut now, mut transitions) = (secs(from), 0);
+    let mut now = secs(from);
+    let mut transitions = 0;
     while now < secs(from + seconds) {
         record(now, &mut readings);
         let before = controller.level();
@@ -181,7 +184,8 @@
     /// Records the values, if any, and evaluates them a second later than the last ones. Checks the
     /// step.
     fn after(&self, ejected: Option<f64>, retries: Option<f64>) -> ExploredState {
-        let (mut controller, mut readings) = (self.controller.clone(), self.readings.clone());
+        let mut controller = self.controller.clone();
+        let mut readings = self.readings.clone();
         let now = secs(2 + self.depth);
         if let Some(ejected) = ejected {
             readings.record(Signal::EjectedNodes, ejected, now);
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the admission of queries by their cost.
+
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -28,18 +30,22 @@
 
 #[test]
 fn cheap_queries_are_admitted_beside_expensive_ones() {
-    let (map, small) = (cost(5_000, 2), cost(10, 2));
+    let expensive = cost(5_000, 2);
+    let cheap = cost(10, 2);
     let mut admission = controller();
-    let maps = (0..1_000)
-        .take_while(|_| admission.admit(map, OBJECTIVE, Some(200.0)).is_ok())
+    let expensive_admitted = (0..1_000)
+        .take_while(|_| admission.admit(expensive, OBJECTIVE, Some(200.0)).is_ok())
         .count();
-    let smalls = (0..10_000)
-        .take_while(|_| admission.admit(small, OBJECTIVE, Some(200.0)).is_ok())
+    let cheap_admitted = (0..10_000)
+        .take_while(|_| admission.admit(cheap, OBJECTIVE, Some(200.0)).is_ok())
         .count();
-    assert!((5..=20).contains(&maps), "{maps}");
-    assert!(smalls >= 100, "{smalls}");
+    assert!(
+        (5..=20).contains(&expensive_admitted),
+        "{expensive_admitted}"
+    );
+    assert!(cheap_admitted >= 100, "{cheap_admitted}");
     let rejection = admission
-        .admit(map, OBJECTIVE, Some(200.0))
+        .admit(expensive, OBJECTIVE, Some(200.0))
         .expect_err("full");
     assert!(rejection.retry_after >= MIN_RETRY_AFTER && rejection.retry_after <= MAX_RETRY_AFTER);
     assert_eq!(rejection.reason, RejectionReason::Throughput);
@@ -66,10 +72,11 @@
 fn responses_fit_into_the_memory() {
     let mut admission = AdmissionController::new(10 * MIB);
     (0..200).for_each(|_| admission.record_page(300_000, 500, 500));
-    let map = cost(5_000, 1);
-    let (mut reserved, mut rejected) = (Vec::new(), 0);
+    let expensive = cost(5_000, 1);
+    let mut reserved = Vec::new();
+    let mut rejected = 0;
     for _ in 0..20 {
-        match admission.admit(map, Micros::from_secs(600), Some(1e6)) {
+        match admission.admit(expensive, Micros::from_secs(600), Some(1e6)) {
             Ok(bytes) => reserved.push(bytes),
             Err(rejection) => {
                 assert_eq!(rejection.reason, RejectionReason::Memory);
@@ -84,16 +91,25 @@
     reserved
         .drain(..)
         .for_each(|bytes| admission.release_bytes(bytes));
-    assert!(admission.admit(map, OBJECTIVE, None).is_ok());
+    assert!(admission.admit(expensive, OBJECTIVE, None).is_ok());
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(17), failure_persistence: None, ..ProptestConfig::with_cases(200) })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(17),
+        failure_persistence: None,
+        ..ProptestConfig::with_cases(200)
+    })]
 
     /// In any order of queries: releasing all that was admitted leaves nothing in flight, and a
     /// rejection changes nothing.
     #[test]
-    fn all_that_is_admitted_is_released(steps in proptest::collection::vec((1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0), 0..100)) {
+    fn all_that_is_admitted_is_released(
+        steps in proptest::collection::vec(
+            (1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0),
+            0..100,
+        )
+    ) {
         let mut admission = controller();
         let mut open = Vec::new();
         for (limit, shards, end, throughput) in steps {
