--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -1,4 +1,5 @@
-//! The admission of queries, by what they cost, and the reservations of those that are admitted.
+//! The admission of queries by their estimated cost, and the reservations of admitted queries. The
+//! estimate and the admission control itself are in [`crate::limits`].
 
 use super::client_request::{ClientContext, ItemsRequest};
 use super::cql2::Filter;
@@ -9,7 +10,8 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// What an admitted query has in flight; released when the query ends, however it does.
+/// The reservation of the pages that an admitted query has in flight, released when the query ends
+/// or is dropped.
 pub(super) struct PageReservation {
     state: Arc<FrontState>,
     cost: QueryCost,
@@ -53,7 +55,13 @@
         }
     }
 
-    /// Admits a query over a number of shards, or rejects it with the time after which to retry.
+    /// Admits a query over `shards` shards and reserves its cost. Without admission control,
+    /// nothing is reserved.
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::Overloaded`], with the time after which to retry, if the servers or the memory
+    /// have no capacity for the query.
     pub fn admit(
         state: &Arc<FrontState>,
         client: &ClientContext,
--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -1,4 +1,5 @@
-//! Which collections there are, which shards each consists of, and which servers hold each shard.
+//! The catalog of the present inventory: its collections, the shards of each, and the servers that
+//! hold each shard. Reading an inventory is left to [`inventory`](super::inventory).
 
 use super::inventory::{CollectionShard, Server};
 use crate::coordinator::{EndpointUpdate, NodeEndpoint};
@@ -7,10 +8,11 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::Hash;
 
-/// Most holders of a shard that get an identifier which excludes them: identifiers grow with the square of the holders.
+/// The maximum number of holders of a shard that get an identifier excluding them. The number of
+/// identifiers grows with its square.
 const MAX_EXCLUDED_HOLDERS: usize = 8;
 
-/// A server that takes new work and holds a shard.
+/// A server that accepts new work and holds a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardHolder<'a> {
     /// The identifier of the shard at this server alone.
@@ -19,37 +21,39 @@
     pub address: &'a str,
 }
 
-/// A shard, and one of its servers by name.
+/// A shard and one of its servers, by name.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct ShardAtServer {
     shard: ShardId,
     server: String,
 }
 
-/// A server of the present inventory, as found by its address.
+/// A server of the present inventory, without its address.
 #[derive(Debug)]
 struct ServerEntry {
     name: String,
     state: EndpointState,
 }
 
-/// What the previous inventory said of a server.
+/// The state of a server in the previous inventory.
 #[derive(Debug, Clone, Copy)]
 struct ServerHistory {
     state: EndpointState,
-    /// When it last started; `None`: before this process.
+    /// The time of the server's last start; `None` if that was before this process started.
     started: Option<Micros>,
 }
 
-/// Assigns shard identifiers. None is ever assigned again, since a query may still refer to it.
+/// The assignment of shard identifiers. An identifier is never reused, since a query may still
+/// refer to it.
 #[derive(Debug, Default)]
 struct ShardIds {
-    /// The shard that each identifier stands for, by its number.
+    /// The shard that each identifier stands for, indexed by the identifier.
     shards: Vec<CollectionShard>,
 }
 
 impl ShardIds {
-    /// The identifier that `ids` has under `key`, or a new one for `shard`.
+    /// Returns the identifier that `ids` has under `key`, after assigning a new one to `shard` if
+    /// there is none.
     fn get_or_assign<K: Eq + Hash>(
         &mut self,
         ids: &mut HashMap<K, ShardId>,
@@ -62,35 +66,37 @@
         })
     }
 
-    /// The shard that an identifier stands for.
+    /// Returns the shard that an identifier stands for.
     fn get(&self, id: ShardId) -> Option<&CollectionShard> {
         self.shards.get(id.0 as usize)
     }
 }
 
-/// The collections of the present inventory. Shards keep their identifiers over reloads.
+/// The collections of the present inventory. Shards keep their identifiers when the inventory is
+/// reloaded.
 #[derive(Debug, Default)]
 pub struct Catalog {
     ids: ShardIds,
     shard_ids: HashMap<CollectionShard, ShardId>,
-    /// A shard at one server: a page that continues there has an identifier of its own, which that server alone holds,
-    /// so that the module routes it nowhere else.
+    /// The identifiers that only one server holds. The policy module can route a request for such
+    /// an identifier to no other server: requests for pages that continue at a server use it.
     sticky_ids: HashMap<ShardAtServer, ShardId>,
-    /// The sticky identifiers that the present inventory gives to a server.
+    /// The sticky identifiers that a server has in the present inventory.
     active_sticky_ids: HashSet<ShardId>,
-    /// A shard anywhere but at one server: a shard that broke off there is begun anew at another one.
+    /// The identifiers that all holders of a shard but one have. A shard that was interrupted at
+    /// that one is restarted at another by this identifier.
     excluding_ids: HashMap<ShardAtServer, ShardId>,
-    /// The shards that some server holds.
+    /// The shards of each collection that at least one server holds.
     live_shards: BTreeMap<String, Vec<ShardId>>,
     servers_by_address: HashMap<String, ServerEntry>,
     history: HashMap<String, ServerHistory>,
-    /// An inventory was loaded before.
+    /// Whether an inventory was loaded before.
     loaded: bool,
 }
 
 impl Catalog {
-    /// Replaces the inventory and returns the core's view of it. A server that appears or comes back after the first
-    /// inventory counts as just started.
+    /// Replaces the inventory and returns the endpoints for the core. A server that appears or
+    /// becomes ready again after the first inventory counts as started at `now`.
     pub fn load(&mut self, servers: &[Server], now: Micros) -> EndpointUpdate {
         self.clear_present(servers);
         let mut nodes = Vec::new();
@@ -131,7 +137,8 @@
         }
     }
 
-    /// Drops what only the previous inventory said, and the identifiers of servers that `servers` doesn't name.
+    /// Clears the entries of the previous inventory, and the identifiers of servers that `servers`
+    /// does not name.
     fn clear_present(&mut self, servers: &[Server]) {
         self.live_shards.clear();
         self.servers_by_address.clear();
@@ -143,8 +150,8 @@
             .retain(|key, _| names.contains(key.server.as_str()));
     }
 
-    /// The identifiers under which a server holds its shards: each shard's own, the sticky one, and one for each other
-    /// holder that excludes that holder.
+    /// Returns the identifiers under which a server holds its shards: each shard's own, the sticky
+    /// one, and one for each other holder that excludes that holder.
     fn assign_shards(&mut self, server: &Server, servers: &[Server]) -> Vec<ShardId> {
         let mut assigned = Vec::new();
         for shard in &server.shards {
@@ -182,7 +189,8 @@
         assigned
     }
 
-    /// When a server last started, as far as the inventories tell; `None`: before this process.
+    /// Returns the time of a server's last start by the inventories; `None` if that was before this
+    /// process started.
     fn started(&self, server: &Server, now: Micros) -> Option<Micros> {
         match self.history.get(&server.name) {
             Some(ServerHistory {
@@ -194,7 +202,7 @@
         }
     }
 
-    /// Orders each collection's shards by their names.
+    /// Sorts each collection's shards by their names.
     fn sort_live_shards(&mut self) {
         let ids = &self.ids;
         for shards in self.live_shards.values_mut() {
@@ -202,19 +210,20 @@
         }
     }
 
-    /// The names of the collections, in order.
+    /// Returns the names of the collections, in order.
     pub fn collections(&self) -> impl Iterator<Item = &str> {
         self.live_shards.keys().map(String::as_str)
     }
 
-    /// The shards that hold a collection, in the order of their names; `None`: there is no such collection.
+    /// Returns the shards of a collection in the order of their names; `None` if there is no such
+    /// collection.
     #[must_use]
     pub fn shards(&self, collection: &str) -> Option<&[ShardId]> {
         self.live_shards.get(collection).map(Vec::as_slice)
     }
 
-    /// The identifier of a shard anywhere but at the server of this address, if another server that takes new work
-    /// holds it.
+    /// Returns the identifier of a shard that excludes the server at `address`; `None` if no other
+    /// server that accepts new work holds the shard.
     #[must_use]
     pub fn excluding_server(&self, shard: ShardId, address: &str) -> Option<ShardId> {
         let server = self.servers_by_address.get(address)?;
@@ -233,7 +242,8 @@
             .copied()
     }
 
-    /// The identifier of a shard at the server of this address alone, if that takes new work and holds it.
+    /// Returns the identifier of a shard that only the server at `address` holds; `None` if that
+    /// server does not accept new work or does not hold the shard.
     #[must_use]
     pub fn sticky_shard(&self, shard: ShardId, address: &str) -> Option<ShardId> {
         let server = self
@@ -248,7 +258,7 @@
         self.active_sticky_ids.contains(&sticky).then_some(sticky)
     }
 
-    /// The servers that take new work and hold a shard, ordered by the shard's identifier there.
+    /// Returns the servers that accept new work and hold a shard, ordered by the sticky identifier.
     #[must_use]
     pub fn ready_holders(&self, shard: ShardId) -> Vec<ShardHolder<'_>> {
         let ready = self
@@ -267,7 +277,7 @@
         holders
     }
 
-    /// The name of the server at an address.
+    /// Returns the name of the server at an address.
     #[must_use]
     pub fn server_name(&self, address: &str) -> Option<&str> {
         self.servers_by_address
@@ -275,7 +285,7 @@
             .map(|server| server.name.as_str())
     }
 
-    /// The address of a server, by its name.
+    /// Returns the address of the server with this name.
     #[must_use]
     pub fn server_address(&self, name: &str) -> Option<String> {
         let found = self
@@ -285,7 +295,7 @@
         found.map(|(address, _)| address.clone())
     }
 
-    /// The server's own name for a shard.
+    /// Returns the name that the servers use for a shard.
     #[must_use]
     pub fn source_name(&self, shard: ShardId) -> Option<&str> {
         self.ids.get(shard).map(|shard| shard.source.as_str())
--- a/src/front/ogc/client_request.rs
+++ b/src/front/ogc/client_request.rs
@@ -1,4 +1,5 @@
-//! What is known of a client's request, whatever resource it is for.
+//! The client's part of a request: its class, its timeout, and the parameters of a query. Parsing
+//! the parameters is left to [`params`](super::params).
 
 use super::config::EdgeConfig;
 use super::error::ApiError;
@@ -7,24 +8,29 @@
 use crate::proto::http::HttpRequest;
 use crate::time::Micros;
 
-/// The longest `X-Expires-In` that is accepted, in seconds; a longer one is cut.
+/// The maximum `X-Expires-In`, in seconds. A greater value counts as this one.
 const MAX_TIMEOUT_S: f64 = 3_600.0;
 
-/// Which client a query is for, and how long it waits: the same for all rounds of the query.
+/// The client of a query and its timeout, which are the same for all rounds of the query.
 #[derive(Debug, Clone)]
 pub(super) struct ClientContext {
-    /// Where the core's answers go.
+    /// The token that identifies the client's connection in the core's answers.
     pub token: Token,
     /// The index of the class in the edge file.
     pub class: usize,
-    /// How long the client waits, from `sent_at`.
+    /// The time that the client waits, counted from `sent_at`.
     pub timeout: Micros,
-    /// When the client sent the request, as near as can be known.
+    /// The estimated time at which the client sent the request.
     pub sent_at: Micros,
 }
 
 impl ClientContext {
-    /// The context of a request by its headers `X-Qos` and `X-Expires-In`.
+    /// Returns the context of a request by its headers `X-Qos` and `X-Expires-In`.
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::UnknownClass`] and [`ApiError::InvalidTimeout`], if one of the headers has no
+    /// valid value.
     pub fn of(
         request: &HttpRequest,
         edge: &EdgeConfig,
@@ -55,7 +61,7 @@
     }
 }
 
-/// A number of seconds, not negative.
+/// Parses a nonnegative number of seconds.
 fn parse_timeout(text: &str) -> Option<Micros> {
     let seconds = text
         .parse::<f64>()
@@ -64,7 +70,8 @@
     Some(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
-/// The base of the links in a response: where the client reaches this front, as its `Host` header says.
+/// Returns scheme and host for the links in a response: the host of the `Host` header, or else the
+/// address that the front listens at.
 pub(super) fn base_url(request: &HttpRequest, edge: &EdgeConfig) -> String {
     let is_plain = |host: &&str| {
         host.bytes()
@@ -77,12 +84,13 @@
     }
 }
 
-/// A query for the features of a collection, and what the links of its response need.
+/// A query for the features of a collection, and the parts of the request that the links of its
+/// response repeat.
 pub(super) struct ItemsRequest {
-    /// Scheme and host of the links.
+    /// The scheme and host of the links.
     pub base_url: String,
     pub collection: String,
-    /// The query string as it was received; empty for a search.
+    /// The query string as received; empty for a search.
     pub query_string: String,
     /// The body of a search.
     pub search_body: Option<serde_json::Value>,
--- a/src/front/ogc/cursor.rs
+++ b/src/front/ogc/cursor.rs
@@ -1,7 +1,9 @@
-//! Cursors: where the next response of a query starts, as a token that clients carry. A token is opaque to them, bound to
-//! their query, and authenticated, so that only cursors that were given out are accepted.
+//! Cursors: the position at which the next response of a query starts, in a token that the client
+//! sends back. A token is opaque to clients, bound to its query, and authenticated, so that only
+//! tokens issued by this service are accepted.
 //!
-//! A token is base64url of a version byte, the fields as JSON, and the first 16 bytes of HMAC-SHA-256 (RFC 2104) over both.
+//! A token is the base64url form of a version byte, the fields as JSON, and the first 16 bytes of
+//! the HMAC-SHA-256 (RFC 2104) over both.
 
 use super::stable_hash::stable_hash;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -12,39 +14,43 @@
 
 /// The version of the serialized fields; a token of another version counts as expired.
 const VERSION: u8 = 1;
-/// Bytes of the authentication code at the end of a token.
+/// The length of the authentication code at the end of a token, in bytes.
 const CODE_BYTES: usize = 16;
-/// Most characters of a token: a server's link is the largest part.
+/// The maximum length of a token, in characters. The largest part of a token is a server's link.
 const MAX_TOKEN_CHARS: usize = 8 * 1024;
 
-/// Where the next response starts, and to which query it belongs. The serialized names are part of tokens that clients hold.
+/// The start of the next response of a query. The serialized names are part of the tokens that
+/// clients hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The hash of the query that it continues.
+    /// The hash of the query that the cursor continues.
     #[serde(rename = "q")]
     pub query_hash: u64,
-    /// When the first response of the query was given, as Unix time in seconds: the age counts from there.
+    /// The Unix time of the query's first response, in seconds. The age of the cursor counts from
+    /// it.
     #[serde(rename = "a")]
     pub issued_at_s: u64,
-    /// The shard, by its server's name for it.
+    /// The shard, by the name that the servers use for it.
     #[serde(rename = "s")]
     pub shard: String,
-    /// Features of the page that earlier responses returned.
+    /// The number of features of the page that earlier responses returned.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub skip: usize,
-    /// The page; absent at the start of the shard.
+    /// The page within the shard; `None` for its first page.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub link: Option<CursorLink>,
-    /// A part of the filter is evaluated here on the features of this shard.
+    /// Whether a part of the filter is evaluated by the front on the features of this shard.
     #[serde(rename = "f", default, skip_serializing_if = "std::ops::Not::not")]
     pub filtered_locally: bool,
-    /// In a sorted response, the values of the sort keys of the last feature, and its identifier.
+    /// The values of the sort keys of the last feature and its identifier; `None` unless the
+    /// response is sorted.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub after_values: Option<Vec<serde_json::Value>>,
     /// The number of responses so far.
     #[serde(rename = "n", default)]
     pub response_count: u32,
-    /// The hash of an earlier position, by which cycles are found (see [`Cursor::advanced_from`]).
+    /// The hash of an earlier position, for the detection of cycles (see
+    /// [`Cursor::advanced_from`]).
     #[serde(rename = "m", default)]
     pub link_checkpoint: u64,
 }
@@ -53,15 +59,15 @@
     *n == 0
 }
 
-/// A page by the link that a server gave. Serialized as an array of its fields.
+/// The `next` link of a server's page. Serialized as an array of its fields.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, String, usize)")]
 pub struct CursorLink {
     /// The name of the server.
     pub server: String,
-    /// Path and query.
+    /// The path and query of the request.
     pub target: String,
-    /// Features in a page that the link leads to.
+    /// The number of features in a page that the link leads to.
     pub page_size: usize,
 }
 
@@ -87,24 +93,24 @@
     }
 }
 
-/// Why a cursor cannot be used. The messages are read by clients.
+/// The reason why a cursor cannot be used. Clients read the messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CursorError {
-    /// It was not made with this key, or was altered.
+    /// The token was not sealed with this key, or was altered.
     #[error("cursor: it was not made by this service, or was altered")]
     NotAuthentic,
-    /// It belongs to another query.
+    /// The cursor belongs to another query.
     #[error("cursor: it belongs to another query")]
     WrongQuery,
-    /// It is too old, or of a version that is no longer read.
+    /// The cursor is too old, or has a version that is no longer read.
     #[error("cursor: it is too old; begin anew without it")]
     Expired,
-    /// The links that the server gave go in a cycle.
+    /// The `next` links of the server lead back to an earlier page.
     #[error("the server's pages go in a circle")]
     LinkCycle,
 }
 
-/// The key with which tokens are authenticated.
+/// The key that authenticates tokens.
 #[derive(Clone)]
 pub struct CursorKey(Hmac<Sha256>);
 
@@ -115,7 +121,7 @@
 }
 
 impl CursorKey {
-    /// A key of these bytes, of any length.
+    /// Creates a key from bytes of any length.
     #[must_use]
     pub fn new(bytes: &[u8]) -> Self {
         // HMAC accepts keys of any length: this never fails.
@@ -123,7 +129,7 @@
         CursorKey(mac.unwrap_or_else(|_| Hmac::new(&Default::default())))
     }
 
-    /// The token of a cursor.
+    /// Returns the token of a cursor.
     #[must_use]
     pub fn seal(&self, cursor: &Cursor) -> String {
         let mut bytes = vec![VERSION];
@@ -133,12 +139,13 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The cursor of a token. `query_hash` is the hash of the query that the token came with, `now_s` the Unix time and
-    /// `max_age_s` the age that is accepted, both in seconds.
+    /// Verifies a token and returns its cursor. `query_hash` is the hash of the query that the
+    /// client sent the token with, `now_s` the Unix time and `max_age_s` the maximum age, both in
+    /// seconds.
     ///
     /// # Errors
     ///
-    /// If the token was not made with this key, belongs to another query, or is too old.
+    /// If the token was not sealed with this key, belongs to another query, or is too old.
     pub fn open(
         &self,
         token: &str,
@@ -176,8 +183,8 @@
         code
     }
 
-    /// The bytes before the authentication code. The code is compared in constant time, so that it cannot be found out
-    /// byte by byte.
+    /// Returns the bytes before the authentication code if the code is valid. The comparison takes
+    /// constant time, so that its duration does not reveal the code byte by byte.
     fn verified<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], CursorError> {
         let split = bytes
             .len()
@@ -192,7 +199,7 @@
 }
 
 impl Cursor {
-    /// A cursor at the start of the first shard.
+    /// Creates a cursor without a position.
     #[must_use]
     pub fn new(query_hash: u64, issued_at_s: u64) -> Self {
         Cursor {
@@ -208,10 +215,12 @@
         }
     }
 
-    /// This cursor as the successor of the one that its response started at; `None` if that was the first response.
+    /// Returns this cursor as the successor of `previous`, at which its response started; `None`
+    /// for the first response of a query.
     ///
-    /// Cycles of links are found by Brent's method: the position after response 1, 2, 4, 8 ... is remembered, and if it
-    /// occurs again, no new feature will follow.
+    /// Cycles of links are detected by Brent's algorithm: the cursor keeps the hash of the position
+    /// after response 1, 2, 4, 8 and so on, and a position that occurs again means that no new
+    /// feature will follow.
     ///
     /// # Errors
     ///
@@ -239,7 +248,8 @@
         Ok(self)
     }
 
-    /// The hash of the position. Tokens that clients hold contain it: the text that is hashed must not change.
+    /// Returns the hash of the position. Tokens that clients hold contain it, so the hashed text
+    /// must not change.
     fn position_hash(&self) -> u64 {
         let link = self.link.as_ref().map(CursorLink::as_tuple);
         let text = format!("{link:?} {} {:?}", self.skip, self.after_values);
--- a/src/front/ogc/cursor/tests.rs
+++ b/src/front/ogc/cursor/tests.rs
@@ -1,4 +1,4 @@
-//! Cursors are accepted as they were given out, and no others.
+//! Tests that cursors are accepted as issued, and no others.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Tokens that an earlier release sealed with this key, and what they carry.
+/// Returns tokens that an earlier release sealed with the key of these tests, with their cursors.
 fn earlier_tokens() -> [(&'static str, Cursor); 2] {
     let full = Cursor {
         query_hash: 7,
@@ -91,7 +91,7 @@
         let mut altered = token.clone().into_bytes();
         altered[n] = if altered[n] == b'A' { b'B' } else { b'A' };
         let altered = String::from_utf8(altered).expect("text");
-        // The last character has bits to spare: other texts may mean the same bytes.
+        // The last character has unused bits: other texts may stand for the same bytes.
         let found = key.open(&altered, 7, 1_010, 60);
         assert!(
             found == Err(CursorError::NotAuthentic) || found == Ok(cursor("/x?offset=50")),
--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -8,14 +8,14 @@
 use sha2::{Digest, Sha256};
 use std::io::Write;
 
-/// Smaller bodies are not compressed: the head alone is as large.
+/// The minimum size of a body that is compressed, in bytes: about that of a response's head.
 const MIN_GZIP_BYTES: usize = 1_024;
-/// Bytes of the hash in an entity tag.
+/// The length of the hash in an entity tag, in bytes.
 const TAG_BYTES: usize = 12;
 /// The request headers that a response depends on.
 const VARY: &str = "Accept, Accept-Encoding, X-Qos";
 
-/// What a request says about the delivery of its response.
+/// The options of a request for the delivery of its response.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DeliveryOptions {
     accepts_gzip: bool,
@@ -23,7 +23,7 @@
 }
 
 impl DeliveryOptions {
-    /// The options of a request by its headers.
+    /// Returns the options of a request by its headers.
     pub fn of(request: &HttpRequest) -> Self {
         let accept_encoding = request.headers.get("Accept-Encoding").unwrap_or_default();
         DeliveryOptions {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Delivers the response of a reaction in this way, at once or when it comes.
+    /// Applies the options to the response of a reaction, at once or when its query ends.
     pub fn wrap(self, reaction: Reaction) -> Reaction {
         match reaction {
             Reaction::Respond(response) => Reaction::Respond(self.deliver(response)),
@@ -62,7 +62,8 @@
         response
     }
 
-    /// Whether the client has the version with this tag: the weak comparison of RFC 9110, 8.8.3.2.
+    /// Returns whether the client has the version with this tag, by the weak comparison of RFC
+    /// 9110, 8.8.3.2.
     fn matches(&self, tag: &str) -> bool {
         let opaque = |tag: &str| tag.trim().trim_start_matches("W/").to_owned();
         let matches_one = |listed: &str| listed.trim() == "*" || opaque(listed) == opaque(tag);
@@ -72,7 +73,7 @@
     }
 }
 
-/// Whether an element of `Accept-Encoding` allows gzip.
+/// Returns whether an element of `Accept-Encoding` allows gzip.
 fn accepts_gzip(element: &str) -> bool {
     let mut words = element.split(';').map(str::trim);
     let named = matches!(words.next(), Some("gzip" | "x-gzip" | "*"));
@@ -83,7 +84,7 @@
     named && !excluded
 }
 
-/// The tag of a response; one that has none gets the tag of its body.
+/// Returns the entity tag of a response, after adding that of its body if there is none.
 fn tag_of(response: &mut Response) -> String {
     if let Some((_, tag)) = response.headers.iter().find(|(name, _)| *name == "ETag") {
         return tag.clone();
@@ -93,7 +94,7 @@
     tag
 }
 
-/// Compresses a body, for speed rather than size: one thread serves all requests.
+/// Compresses the body of a response at the fastest level, since one thread serves all requests.
 fn compress(response: &mut Response) {
     let mut encoder = GzEncoder::new(
         Vec::with_capacity(response.body.len() / 4),
@@ -111,7 +112,7 @@
     }
 }
 
-/// A weak entity tag of these bytes.
+/// Returns the weak entity tag of a body in chunks.
 pub(super) fn entity_tag<'a>(chunks: impl Iterator<Item = &'a [u8]>) -> String {
     let mut state = Sha256::new();
     chunks.for_each(|chunk| state.update(chunk));
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -1,4 +1,4 @@
-//! Conditional requests and compression.
+//! Tests of conditional requests and compression.
 
 use super::*;
 use std::io::Read;
--- a/src/front/ogc/discovery.rs
+++ b/src/front/ogc/discovery.rs
@@ -1,4 +1,5 @@
-//! Capability discovery before a query: which servers are asked for what they can filter and sort, and for how long.
+//! Capability discovery before a query: the requests to servers for what they can filter and sort,
+//! and their timeout. The cache of the results is in [`capabilities`](super::capabilities).
 
 use super::capabilities::{parse_capabilities, CapabilityLookup, ReplicaKey};
 use super::client_request::ClientContext;
@@ -12,10 +13,10 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// Longest discovery before a query, or a quarter of the class's latency objective if that is longer; never more than a
-/// quarter of the query's time.
+/// The maximum duration of a discovery for a class with a short latency objective (see
+/// [`discovery_timeout`]).
 const MAX_DISCOVERY: Micros = Micros::from_millis(500);
-/// Most servers that one query discovers.
+/// The maximum number of discoveries before one query.
 const MAX_DISCOVERIES: usize = 16;
 
 /// The discovery of one server's capabilities for a shard.
@@ -46,7 +47,7 @@
         [part(&self.conformance), part(&self.queryables)]
     }
 
-    /// Records what arrived, whatever the core's answer to the round was.
+    /// Records the documents that arrived, whatever the core's answer to the round was.
     fn record(&self, state: &FrontState, now: Micros) {
         let conformance = self.conformance.last_page();
         let queryables = self.queryables.last_page();
@@ -58,8 +59,9 @@
     }
 }
 
-/// The queryables of a collection: those that the edge file declares, otherwise those of any of its servers, since what one
-/// of them cannot filter is filtered here.
+/// Returns the queryables of a collection: those that the edge file declares, otherwise those of
+/// any of its servers. A server may lack some of them, since the front evaluates the conditions
+/// that a server cannot.
 pub(super) fn queryables(
     state: &FrontState,
     collection: &str,
@@ -76,7 +78,8 @@
         .unwrap_or_else(Queryables::unknown)
 }
 
-/// Discovers the capabilities of the shards' servers where that is due and no other query does, then continues.
+/// Discovers the capabilities of the shards' servers whose entries are stale and not being
+/// discovered by another query, then calls `then`.
 pub(super) fn discover_then(
     state: Arc<FrontState>,
     client: &ClientContext,
@@ -118,8 +121,10 @@
     discoveries
 }
 
-/// A class with a long latency objective is assumed to be slow until it was measured: with less time than that the policy
-/// module would reject the discovery.
+/// Returns the timeout of a discovery: [`MAX_DISCOVERY`], or a quarter of the class's latency
+/// objective if that is longer, but at most a quarter of the query's timeout. The policy module
+/// assumes that a class with a long latency objective is slow until it has measurements, and would
+/// reject a discovery with a shorter timeout.
 fn discovery_timeout(state: &FrontState, client: &ClientContext) -> Micros {
     let objective = Micros::from_millis(state.edge.classes[client.class].latency_objective_ms);
     Micros(client.timeout.0 / 4).min(MAX_DISCOVERY.max(Micros(objective.0 / 4)))
--- a/src/front/ogc/filter_bounds.rs
+++ b/src/front/ogc/filter_bounds.rs
@@ -1,9 +1,10 @@
-//! Whether the geometries of a filter are on the globe.
+//! The check that the geometries of a filter are on the globe.
 
 use super::cql2::{Filter, Value};
 use geo::CoordsIter;
 
-/// Whether all points of the filter's geometries and boxes are valid longitudes and latitudes.
+/// Returns whether all points of the filter's geometries and boxes are valid longitudes and
+/// latitudes.
 pub(super) fn is_on_globe(filter: &Filter) -> bool {
     let mut on_globe = true;
     filter.each_value(&mut |value| match value {
@@ -16,7 +17,8 @@
     on_globe
 }
 
-/// A box of four numbers, or of six with heights. West may lie beyond east: the box then spans the antimeridian.
+/// Returns whether a box of four numbers, or of six with heights, is on the globe. The western
+/// longitude may be greater than the eastern one: the box then spans the antimeridian.
 fn is_box(bbox: &[f64]) -> bool {
     match *bbox {
         [west, south, east, north] | [west, south, _, east, north, _] => {
--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -1,4 +1,5 @@
-//! Documents about the service.
+//! The handlers of the documents about the service. Writing the documents is left to
+//! [`response`](crate::front::ogc::response).
 
 use super::ResourceRequest;
 use crate::front::ogc::cql2::{QueryableType, Queryables};
@@ -13,11 +14,11 @@
 /// The schemas of a collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SchemaKind {
-    /// What can be filtered by.
+    /// The properties to filter by.
     Queryables,
-    /// What can be sorted by.
+    /// The properties to sort by.
     Sortables,
-    /// What is returned.
+    /// The properties returned.
     Schema,
 }
 
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Leaves out the properties that do not belong in this schema.
+    /// Removes the properties that are not in this schema.
     fn restrict(self, queryables: &mut Queryables) {
         if self == SchemaKind::Sortables {
             queryables.named.retain(|_, queryable_type| {
@@ -43,13 +44,13 @@
     }
 }
 
-/// Responds, unless the request has parameters: documents have none.
+/// Returns a response, or an error if the request has parameters: documents have none.
 fn respond(request: &ResourceRequest<'_>, response: Response) -> Result<Reaction, ApiError> {
     request.allow_parameters(&[])?;
     Ok(Reaction::Respond(response))
 }
 
-/// Whether the program is ready to serve.
+/// Responds with whether the program is ready to serve.
 pub(super) fn readiness(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
     let response = match request.incoming.ready {
         true => Response::new(200, "text/plain", "ready\n"),
@@ -94,7 +95,7 @@
     )
 }
 
-/// A schema of a collection, after the discovery of what its servers can do.
+/// Responds with a schema of a collection, after capability discovery.
 pub(super) fn schema(
     request: &ResourceRequest<'_>,
     id: &str,
--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -1,4 +1,5 @@
-//! One feature by its identifier: `GET /collections/{collectionId}/items/{featureId}`.
+//! The handler of one feature by its identifier: `GET
+//! /collections/{collectionId}/items/{featureId}`.
 
 use super::ResourceRequest;
 use crate::front::ogc::crs::Crs;
@@ -11,7 +12,7 @@
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use std::sync::Arc;
 
-/// Longest identifier of a feature that servers are asked for, in bytes.
+/// The maximum length of a feature's identifier, in bytes.
 const MAX_ID_BYTES: usize = 512;
 
 /// Requests the feature from all shards of the collection.
@@ -48,7 +49,7 @@
     ))
 }
 
-/// The coordinate reference system of the response.
+/// Returns the coordinate reference system of the response.
 fn crs(request: &ResourceRequest<'_>) -> Result<Crs, ApiError> {
     match request.parameters.iter().find(|(name, _)| name == "crs") {
         None => Ok(Crs::Crs84),
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -1,4 +1,4 @@
-//! The features of a collection: `GET /collections/{collectionId}/items`.
+//! The handler of the features of a collection: `GET /collections/{collectionId}/items`.
 
 use super::ResourceRequest;
 use crate::front::ogc::client_request::ItemsRequest;
@@ -12,7 +12,7 @@
 use crate::front::Reaction;
 use std::sync::Arc;
 
-/// Parameters that mean the same whatever the capabilities of the servers are.
+/// The parameters whose meaning does not depend on the capabilities of the servers.
 const CAPABILITY_INDEPENDENT: [&str; 8] = [
     "limit",
     "bbox",
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! The resources of the front: which handler a request goes to, and the handlers.
+//! The resources of the front: the routing of requests to handlers, and the handlers.
 
 mod documents;
 mod feature;
@@ -24,13 +24,13 @@
 /// The parameter that all resources have: the format of the response.
 const FORMAT_PARAMETER: &str = "f";
 
-/// A request that was received, and what it is handled with.
+/// A received request and the state to handle it with.
 pub(super) struct IncomingRequest<'a> {
     pub state: &'a Arc<FrontState>,
     pub http: &'a HttpRequest,
     pub token: Token,
     pub sent_at: Micros,
-    /// The program is ready to serve.
+    /// Whether the program is ready to serve.
     pub ready: bool,
 }
 
@@ -94,7 +94,8 @@
         ClientContext::of(self.http, &self.state.edge, self.token, self.sent_at)
     }
 
-    /// Starts a query after capability discovery: whether a name is a queryable must not depend on earlier requests.
+    /// Starts a query after capability discovery, so that whether a name is a queryable does not
+    /// depend on earlier requests.
     fn start_after_discovery(
         &self,
         client: &ClientContext,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Rejects parameters other than these and the format.
+    /// Returns an error if the request has a parameter other than `allowed` and the format.
     fn allow_parameters(&self, allowed: &[&str]) -> Result<(), ApiError> {
         let is_allowed = |name: &str| name == FORMAT_PARAMETER || allowed.contains(&name);
         match self.parameters.iter().find(|(name, _)| !is_allowed(name)) {
@@ -140,7 +141,7 @@
     }
 }
 
-/// The segments of a path, decoded; empty ones are left out.
+/// Returns the decoded segments of a path, without the empty ones.
 fn decode_segments(path: &str) -> Result<Vec<String>, ApiError> {
     let decode = |segment: &str| {
         let decoded = percent_encoding::percent_decode_str(segment).decode_utf8();
--- a/src/front/ogc/handlers/search.rs
+++ b/src/front/ogc/handlers/search.rs
@@ -1,4 +1,5 @@
-//! A query in a body, for parameters too long for a request's head: `POST /search`, in the form of the STAC API's Item Search.
+//! The handler of queries in a body, for parameters too long for a request's head: `POST /search`,
+//! in the form of the STAC API's Item Search.
 
 use super::IncomingRequest;
 use crate::front::ogc::client_request::ItemsRequest;
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -1,8 +1,10 @@
-//! OGC API - Features: Parts 1, 2, 3 and 5, with CQL2 filters, sort orders and selections of properties.
+//! The front for OGC API - Features: Parts 1, 2, 3 and 5, with CQL2 filters, sort orders and
+//! selections of properties.
 //!
-//! A request is routed to its resource in `handlers`. A query for features (`query`) runs in rounds: each requests pages
-//! of some shards, a part of the core's request per page. Which pages those are is decided in [`paging`]; which server is
-//! asked, whether attempts are retried, and what is rejected, is decided by the policy module.
+//! `handlers` routes a request to its resource. A query for features (`query`) runs in rounds: each
+//! round requests pages of some shards, by one request to the core with a part per page. [`paging`]
+//! decides which pages to request. The policy module decides which server a part goes to, whether
+//! attempts are retried, and which requests are rejected.
 
 mod admission;
 pub mod capabilities;
@@ -44,7 +46,8 @@
 use state::FrontState;
 use std::sync::Arc;
 
-/// Most bytes of a request's body: a polygon of ten thousand points takes half of this.
+/// The maximum size of a request's body, in bytes. A polygon of ten thousand points takes half of
+/// it.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
 /// The front for feature queries.
@@ -89,13 +92,14 @@
         MAX_BODY_BYTES
     }
 
-    /// Filters are parsed on this stack, nested as deep as they may be; measured with the deepest in a debug build.
+    /// Returns the size of a coroutine's stack, in words. Filters are parsed on this stack; the
+    /// most deeply nested filter fits, in debug builds too.
     fn stack_words(&self) -> usize {
         0x20000
     }
 }
 
-/// The response to a request that cannot be handled.
+/// Returns the response to a request that cannot be handled.
 fn reject(request: &HttpRequest, error: &ApiError) -> Reaction {
     COUNTERS.bad_requests.increment();
     let mut response = error_response(error);
--- a/src/front/ogc/page_request.rs
+++ b/src/front/ogc/page_request.rs
@@ -1,4 +1,5 @@
-//! What one attempt asks a feature server, and what its response amounts to.
+//! Requests to feature servers, and the interpretation of their responses. The exchange itself is
+//! left to the client of the servers.
 
 mod page;
 
@@ -13,36 +14,37 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What a request is for.
+/// The kind of resource that a request is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// A page of features.
     Items,
-    /// One feature by its id: its absence is an answer too.
+    /// One feature by its identifier. That a server does not have it is an answer too.
     Feature,
     /// A JSON document about the server.
     Document,
 }
 
-/// Decides whether a feature, as its server sent it, belongs in the answer.
+/// A function that returns whether a feature, as the bytes that its server sent, belongs in the
+/// answer.
 pub type FeaturePredicate = Arc<dyn Fn(&[u8]) -> bool + Send + Sync>;
 
 /// A request to a feature server.
 pub struct PageRequest {
-    /// What it is for.
+    /// The kind of resource.
     pub kind: RequestKind,
-    /// Path and query.
+    /// The path and query of the request.
     pub target: String,
-    /// The part of the query's filter that is applied here rather than by the server.
+    /// The part of the query's filter that the front evaluates rather than the server.
     pub predicate: Option<FeaturePredicate>,
-    /// An attempt was dispatched, or was about to be.
+    /// Whether an attempt was dispatched, or was about to be.
     attempted: AtomicBool,
-    /// The pages of the attempts that were served. The core refers to a page by its index.
+    /// The pages of the successful attempts. The core refers to a page by its index.
     pages: Mutex<Vec<Arc<FeaturePage>>>,
 }
 
 impl PageRequest {
-    /// A request that no attempt was made for.
+    /// Creates a request without attempts.
     #[must_use]
     pub fn new(kind: RequestKind, target: String) -> Self {
         PageRequest {
@@ -58,19 +60,21 @@
         lock(&self.pages)
     }
 
-    /// The bytes of an attempt's HTTP request.
+    /// Returns the bytes of an attempt's HTTP request, and records that there was an attempt.
     pub fn request(&self, host: &str) -> Vec<u8> {
         self.attempted.store(true, Relaxed);
         let head = "Accept: application/geo+json, application/json\r\n";
         format!("GET {} HTTP/1.1\r\nHost: {host}\r\n{head}\r\n", self.target).into_bytes()
     }
 
-    /// Whether a server was asked: if so, a rejection is not for want of capacity, but since no server could answer.
+    /// Returns whether a request was sent to a server. If so, a rejection by the core does not mean
+    /// a lack of capacity, but that no server could answer.
     pub fn attempted(&self) -> bool {
         self.attempted.load(Relaxed)
     }
 
-    /// The outcome of an attempt by its response. A page is kept for [`page`](PageRequest::page).
+    /// Returns the outcome of an attempt by its response, and stores its page for
+    /// [`page`](PageRequest::page).
     pub fn interpret(&self, server: &str, host: &str, fetched: FetchedResponse) -> AttemptEnd {
         let page = match (fetched.status, self.kind) {
             (200, RequestKind::Items) => {
@@ -82,9 +86,11 @@
                 ..FeaturePage::default()
             }),
             (404, RequestKind::Feature) => Some(FeaturePage::default()),
-            // A server without such a document has answered: that must not end the discoveries at others.
+            // The absence of a document is an answer too: it must not end the discoveries at other
+            // servers.
             (status, RequestKind::Document) if status != 429 => Some(FeaturePage::default()),
-            // Only this status says that the request was not started; with any other failure it may have run.
+            // Only this status means that the request was not started; after any other failure it
+            // may have run.
             (429, _) => return AttemptEnd::Failed(Outcome::Rejected),
             _ => None,
         };
@@ -100,12 +106,12 @@
         AttemptEnd::Served(Value::from(index.to_be_bytes().as_slice()))
     }
 
-    /// The page that came last, whatever the core made of it.
+    /// Returns the page that arrived last, whatever the core's answer was.
     pub fn last_page(&self) -> Option<Arc<FeaturePage>> {
         self.pages().last().cloned()
     }
 
-    /// The page that a value of the core refers to.
+    /// Returns the page that a value of the core refers to.
     pub fn page(&self, value: &Value) -> Option<Arc<FeaturePage>> {
         let index: [u8; 4] = value.as_ref().try_into().ok()?;
         self.pages()
--- a/src/front/ogc/page_request/page.rs
+++ b/src/front/ogc/page_request/page.rs
@@ -1,4 +1,5 @@
-//! Parsing of a server's pages in place: features stay the bytes that they came as.
+//! The parsing of a server's pages. Features are not copied or changed: they stay ranges of the
+//! body.
 
 use super::super::paging::FeaturePage;
 use super::FeaturePredicate;
@@ -9,10 +10,10 @@
 use std::sync::Arc;
 use url::{Position, Url};
 
-/// Most characters of a link that is followed.
+/// The maximum length of a link that is followed, in bytes.
 const MAX_LINK: usize = 4 * 1024;
 
-/// A GeoJSON feature collection, as far as it is read.
+/// The members of a GeoJSON feature collection that the front reads.
 #[derive(Deserialize)]
 struct FeatureCollection<'a> {
     #[serde(borrow)]
@@ -32,8 +33,9 @@
     rel: Cow<'a, str>,
 }
 
-/// Parses a page of features and drops those that `predicate` doesn't hold for. `None`: the body is no page (a server may
-/// send HTML with status 200), or its `next` link doesn't stay at the server.
+/// Parses a page of features and leaves out those that `predicate` does not hold for. Returns
+/// `None` if the body is no feature collection (a server may send HTML with status 200), or if its
+/// `next` link does not lead to the same server.
 #[must_use]
 pub fn parse_page(
     body: Vec<u8>,
@@ -71,7 +73,7 @@
     })
 }
 
-/// Parses a single feature as a page of one. `None`: the body is no JSON object.
+/// Parses a single feature as a page of one. Returns `None` if the body is no JSON object.
 pub(super) fn parse_feature(body: Vec<u8>) -> Option<FeaturePage> {
     let range = {
         let feature: &RawValue = serde_json::from_slice(&body).ok()?;
@@ -89,13 +91,14 @@
     value.get().starts_with('{')
 }
 
-/// Where a value that borrows from `body` lies in it.
+/// Returns the byte range of a value that borrows from `body`.
 fn range_in(body: &[u8], value: &RawValue) -> Range<usize> {
     let start = value.get().as_ptr() as usize - body.as_ptr() as usize;
     start..start + value.get().len()
 }
 
-/// The path and query of a link on a page of `target`. `None`: it leads to another server, or to the same page again.
+/// Returns the path and query of a link on the page of `target`; `None` if the link is invalid,
+/// leads to another server, or leads to the same page again.
 fn resolve_link(host: &str, target: &str, href: &str) -> Option<String> {
     let page = Url::parse(&format!("http://{host}{target}")).ok()?;
     let link = page.join(href).ok()?;
--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -1,9 +1,12 @@
-//! The response to a query without a sort order: the features of the shards, one shard after the other.
+//! The response to a query without a sort order: the features of the shards, one shard after the
+//! other.
 //!
-//! A response starts at a [`ResumePosition`] and ends at its limit. It is built in rounds: [`ConcatMerge::next_fetches`] names
-//! the pages to fetch, [`ConcatMerge::accept`] takes in what came of them. Pages are used up completely, so that a client
-//! that follows the `next` links to the end has each of them fetched once: page sizes are chosen so that a page boundary
-//! falls on the limit, and a response ends early, with a `next` link, rather than start a page that it cannot use up.
+//! A response starts at a [`ResumePosition`] and ends at its limit. It is built in rounds:
+//! [`ConcatMerge::next_fetches`] returns the pages to fetch, and [`ConcatMerge::accept`] uses the
+//! pages that arrived. A response uses complete pages, so that each page is fetched once for a
+//! client that follows the `next` links to the end: page sizes are chosen so that a page boundary
+//! falls on the limit, and a response ends early, with a `next` link, if it could use only a part
+//! of the next page.
 
 mod current_shard;
 mod features;
@@ -23,11 +26,12 @@
 use std::sync::Arc;
 use usage::FetchUsage;
 
-/// A response that holds this share of its limit ends at the end of a shard rather than start the next shard with a small
-/// page, whose links would continue with that size. Requests stay under 1 / (1 - this share) times the number of pages.
+/// The share of its limit from which on a response ends at the end of a shard rather than start the
+/// next shard with a small page, whose links would continue with that size. The number of requests
+/// stays under 1 / (1 - this share) times the number of pages.
 const SUFFICIENT_FILL_SHARE: f64 = 0.15;
-/// A first page under this share of the suitable size only tells the shard's size: the shard is started again with larger
-/// pages.
+/// The minimum size of a shard's first page, as a share of the suitable size. A smaller page only
+/// shows how many features match: the shard is restarted with larger pages.
 const MIN_USEFUL_PAGE_SHARE: f64 = 0.25;
 
 /// A shard whose server did not return the next page.
@@ -39,7 +43,7 @@
     pub server: Arc<str>,
 }
 
-/// A response under construction.
+/// A response under construction, without a sort order.
 #[derive(Debug)]
 pub struct ConcatMerge {
     limits: PagingLimits,
@@ -50,12 +54,12 @@
     current_shard: CurrentShard,
     usage: FetchUsage,
     lookahead: usize,
-    /// The shard that was restarted, if one was: at most one is.
+    /// The shard that was restarted. A response restarts at most one.
     interrupted: Option<InterruptedShard>,
 }
 
 impl ConcatMerge {
-    /// Starts a response at `start`, over a number of shards.
+    /// Creates an empty response at `start`, over `shards` shards.
     #[must_use]
     pub fn new(limits: PagingLimits, start: ResumePosition, shards: usize) -> Self {
         let at_shard_start = start.location == PageLocation::ShardStart && start.skip == 0;
@@ -72,8 +76,9 @@
         }
     }
 
-    /// Takes in the pages of a round, then uses all that have arrived in order. `feature_id` gives the hash of a feature's
-    /// identifier, 0 if it has none.
+    /// Records the pages of a round, then uses the pages that have arrived in order. `feature_id`
+    /// returns the hash of a feature's identifier, 0 if it has none. Never returns
+    /// [`MergeProgress::TooManyPages`].
     pub fn accept(
         &mut self,
         fetched_pages: Vec<FetchedPage>,
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Uses the page at the current position, or passes over a missing shard. `None`: there is more to use.
+    /// Uses the page at the current position, or passes over a missing shard. Returns `None` if
+    /// there may be a further page to use.
     fn use_next_page(&mut self, feature_id: &impl Fn(&[u8]) -> u64) -> Option<MergeProgress> {
         if self.is_exhausted() {
             return Some(MergeProgress::Complete);
@@ -114,7 +120,8 @@
             return Some(MergeProgress::NeedsPages);
         }
         if self.limits.min_shard_share >= 1.0 {
-            // The features before the missing shard are a valid response, whose next link leads to that shard.
+            // The features before the missing shard are a valid response, whose next link leads to
+            // that shard.
             let empty = self.features.count() == 0;
             return Some(if empty {
                 MergeProgress::Failed
@@ -126,8 +133,10 @@
         None
     }
 
-    /// A shard that was fetched ahead with pages too small for what is needed is started again with larger ones, by this
-    /// response or by the next. Parts that are not idempotent are not: they continue in the pages that they have.
+    /// Discards the first page of a shard that was fetched ahead, if the page is too small for the
+    /// features still needed; this response or the next restarts the shard with larger pages.
+    /// Returns the progress if the page was discarded. Shards whose parts are not idempotent
+    /// continue with the pages that they have.
     fn discard_small_first_page(&self, requested: &RequestedPage) -> Option<MergeProgress> {
         let started = self.position.location != PageLocation::ShardStart
             || self.position.shard == self.start.shard;
@@ -154,7 +163,8 @@
         feature_id: &impl Fn(&[u8]) -> u64,
     ) -> Option<MergeProgress> {
         let shard = self.position.shard;
-        // A page that is fetched again may be shorter than it was: the next one has the rest of what was returned.
+        // A page that is fetched again may be shorter than before: the next page then has the rest
+        // of the features to skip.
         let skip = self.position.skip.min(page.features.len());
         self.position.skip -= skip;
         let appended = self.features.append(
@@ -170,12 +180,13 @@
         );
         self.shards[shard].used_features += appended.new_features as u64;
         if appended.end > skip && appended.new_features == 0 && page.next_target.is_some() {
-            // Pages without a new feature may go on for ever.
+            // Pages without a new feature might never end.
             self.shards[shard].missing = true;
             return None;
         }
         if appended.end < page.features.len() {
-            // The server returned more than was requested, or the page is filtered here: the rest is fetched again.
+            // The server returned more than was requested, or the page is filtered here: the next
+            // response fetches the page again.
             self.position.skip = appended.end;
             return Some(MergeProgress::Complete);
         }
@@ -185,8 +196,8 @@
         self.is_filled().then_some(MergeProgress::Complete)
     }
 
-    /// Moves to the page after this one, or to the next shard. `false`: the link was followed before, and the shard counts
-    /// as missing from here on.
+    /// Moves to the page after this one, or to the next shard. Returns `false` and marks the shard
+    /// as missing if the link was followed before.
     fn move_past(&mut self, page: &FeaturePage) -> bool {
         let Some(next) = page.next_location() else {
             self.advance_shard();
@@ -201,7 +212,7 @@
         true
     }
 
-    /// The response is full, or could not use up the next page.
+    /// Returns whether the response is full, or could use only a part of the next page.
     fn is_filled(&self) -> bool {
         if self.remaining() == 0 && !self.is_exhausted() {
             return true;
@@ -212,9 +223,10 @@
         *page_size > self.remaining() && !self.limits.filtered_locally && self.features.count() > 0
     }
 
-    /// Starts the current shard again at another server, after the server that knows how its pages continue failed. Another
-    /// server may have the features in another order, so this is possible once, and only if no earlier response returned
-    /// any feature of the shard. `false`: it is not possible.
+    /// Restarts the current shard at another server, after the server that gave the link to its
+    /// next page failed. Another server may have the features in another order, so a response
+    /// restarts one shard at most, and only if no earlier response returned a feature of the shard.
+    /// Returns whether the shard was restarted.
     fn restart_shard(&mut self) -> bool {
         let may_restart = self.limits.idempotent && self.interrupted.is_none();
         let checkpoint = self.current_shard.checkpoint();
@@ -241,7 +253,7 @@
         self.current_shard.advance(self.features.checkpoint());
     }
 
-    /// The progress when the page at the current position has not arrived.
+    /// Returns the progress if the page at the current position has not arrived.
     fn progress_without_page(&self) -> MergeProgress {
         if self.remaining() == 0 {
             return MergeProgress::Complete;
--- a/src/front/ogc/paging/concat_merge/current_shard.rs
+++ b/src/front/ogc/paging/concat_merge/current_shard.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::hash::{BuildHasher, RandomState};
 
-/// The features and links of the current shard that were seen so far.
+/// The features and links seen so far of the current shard.
 #[derive(Debug)]
 pub(super) struct CurrentShard {
     /// The hashes of the identifiers of the shard's features.
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -1,15 +1,15 @@
-//! Which pages a [`ConcatMerge`] fetches in its next round, and how large they are.
+//! The choice of the pages that a [`ConcatMerge`] fetches in its next round, and of their sizes.
 
 use super::super::page::{PageFetch, PageLocation, ResumePosition};
 use super::ConcatMerge;
 
-/// Shards fetched ahead of the current one when nothing is known of their size; doubled each round.
+/// The number of shards of unknown size that the first round fetches ahead. Doubled in each round.
 pub(super) const INITIAL_LOOKAHEAD: usize = 1;
-/// Most shards fetched ahead of the current one in a round.
+/// The maximum number of shards that a round fetches ahead.
 const MAX_LOOKAHEAD: usize = 32;
 
 impl ConcatMerge {
-    /// The pages to fetch next; none if a page that has arrived must be used first.
+    /// Returns the pages to fetch next; none if a page that has arrived must be used first.
     #[must_use]
     pub fn next_fetches(&self) -> Vec<PageFetch> {
         let mut fetches = Vec::new();
@@ -31,7 +31,7 @@
         self.lookahead = (self.lookahead * 2).min(MAX_LOOKAHEAD);
     }
 
-    /// The page at the current position, unless it has arrived.
+    /// Returns the page at the current position, unless it has arrived.
     fn current_fetch(&self) -> Option<PageFetch> {
         let shard = self.position.shard;
         if self.shards[shard].unused_page.is_some() {
@@ -48,8 +48,8 @@
         })
     }
 
-    /// The first pages of all further shards: small data sets are then complete after one round, and of large ones the
-    /// number of matching features is known.
+    /// Adds the first pages of all further shards. After this round, small data sets are complete,
+    /// and the number of matching features is known of large ones.
     fn add_initial_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let shards = self.shards.len();
         let even_share = self.limits.limit.div_ceil(shards);
@@ -63,7 +63,7 @@
         fetches.extend(further_shards.map(|shard| PageFetch::shard_start(shard, page_size)));
     }
 
-    /// The first pages of further shards, as far as those before them do not fill the response.
+    /// Adds the first pages of further shards, until the shards are expected to fill the response.
     fn add_lookahead_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let current = self.position.shard;
         let mut remaining = self.remaining() as u64;
--- a/src/front/ogc/paging/concat_merge/limits.rs
+++ b/src/front/ogc/paging/concat_merge/limits.rs
@@ -1,30 +1,31 @@
-//! The bounds of a response, and the page sizes that follow from them.
+//! The limits of a response, and the page sizes that follow from them.
 
-/// The bounds of a response.
+/// The limits of a response.
 #[derive(Debug, Clone, Copy)]
 pub struct PagingLimits {
-    /// Most features of the response.
+    /// The maximum number of features in the response.
     pub limit: usize,
-    /// Most features to request from a server at a time.
+    /// The maximum number of features to request in a page.
     pub page_size: usize,
-    /// The first response of a query starts up to this many shards at once: it then knows how many features match in all,
-    /// and which shards are missing.
+    /// The maximum number of shards that the first response of a query starts all at once. The
+    /// response then knows how many features match in all, and which shards are missing.
     pub max_initial_shards: usize,
-    /// Most pages of the response.
+    /// The maximum number of pages to fetch for the response.
     pub max_pages: usize,
-    /// Most bytes of the response's pages.
+    /// The maximum size of the response's pages, in bytes. The page that exceeds it is still used.
     pub max_bytes: usize,
-    /// Pages are filtered here: servers return more features than the response uses.
+    /// Whether the front filters pages: servers then return more features than the response uses.
     pub filtered_locally: bool,
-    /// The least share of the shards from which a response may be given.
+    /// The minimum share of the shards, between 0 and 1, for a response.
     pub min_shard_share: f64,
-    /// A part of the query may run more than once. A shard that is interrupted may then be started again, if no earlier
-    /// response returned any of its features.
+    /// Whether a part of the query may run more than once. If so, an interrupted shard may be
+    /// restarted, unless an earlier response returned one of its features.
     pub idempotent: bool,
 }
 
 impl PagingLimits {
-    /// The page size for a shard that is started now, so that its pages fit the number of features that are needed.
+    /// Returns the page size for a shard that is started when `needed` features are missing from
+    /// the response: complete pages then add up to that number.
     pub(super) fn initial_page_size(&self, needed: usize) -> usize {
         if self.filtered_locally {
             return self.page_size;
--- a/src/front/ogc/paging/concat_merge/result.rs
+++ b/src/front/ogc/paging/concat_merge/result.rs
@@ -1,36 +1,38 @@
-//! The result of a [`ConcatMerge`]: the features so far, the shards missing, and the position of the
-//! next response.
+//! The result of a [`ConcatMerge`]: the features so far, the shards missing, and the position of
+//! the next response.
 
 use super::super::page::{PageSlice, ResumePosition};
 use super::super::progress::has_min_share;
 use super::{ConcatMerge, InterruptedShard};
 
 impl ConcatMerge {
-    /// The features of the response, in order.
+    /// Returns the features of the response, in order.
     #[must_use]
     pub fn slices(&self) -> &[PageSlice] {
         self.features.slices()
     }
 
-    /// The number of features in the response.
+    /// Returns the number of features in the response.
     #[must_use]
     pub fn count(&self) -> usize {
         self.features.count()
     }
 
-    /// The number of features that servers returned more than once.
+    /// Returns the number of features that servers returned more than once.
     #[must_use]
     pub fn duplicates(&self) -> usize {
         self.features.duplicates()
     }
 
-    /// The shard that was started again last, and the server that failed: another one is to be asked.
+    /// Returns the shard that was restarted and the server that failed: the shard must go to
+    /// another one.
     #[must_use]
     pub fn interrupted(&self) -> Option<&InterruptedShard> {
         self.interrupted.as_ref()
     }
 
-    /// The indexes of the shards that could not be fetched, of those that the response passed or needed.
+    /// Returns the indexes of the shards that could not be fetched, among those that the response
+    /// passed or requested.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
         (0..self.shards.len())
@@ -38,7 +40,8 @@
             .collect()
     }
 
-    /// Whether enough of the shards are there. Missing shards count that the response passed, not the one that it ends at.
+    /// Returns whether the response has the minimum share of the shards. Missing shards that the
+    /// response passed count, the one that it ends at does not.
     #[must_use]
     pub fn has_enough_shards(&self) -> bool {
         let missing = self.missing_shards();
@@ -47,7 +50,7 @@
         has_min_share(total - passed.count(), total, self.limits.min_shard_share)
     }
 
-    /// Whether the response has the features of all shards that it passed.
+    /// Returns whether the response has the features of all shards that it passed.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.missing_shards()
@@ -55,13 +58,14 @@
             .all(|shard| *shard >= self.position.shard)
     }
 
-    /// Where the next response starts; `None` after the last feature.
+    /// Returns the start of the next response; `None` after the last feature.
     #[must_use]
     pub fn resume_position(&self) -> Option<&ResumePosition> {
         (!self.is_exhausted()).then_some(&self.position)
     }
 
-    /// The number of features that match in all shards; `None` unless every server reported it or returned all it has.
+    /// Returns the number of matching features in all shards; `None` unless each shard's server
+    /// reported its number or returned all of its features.
     #[must_use]
     pub fn number_matched(&self) -> Option<u64> {
         if self.start != ResumePosition::START
--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -1,32 +1,32 @@
-//! What is known of a shard while a response is built.
+//! The state of a shard while a response is built.
 
 use super::super::page::{FeaturePage, FetchedPage};
 use std::sync::Arc;
 
-/// A page that has arrived, and the number of features that were requested.
+/// A page that has arrived, and the number of features requested.
 #[derive(Debug)]
 pub(super) struct RequestedPage {
     pub page: Arc<FeaturePage>,
     pub page_size: usize,
 }
 
-/// A shard's state.
+/// The state of a shard while a response is built.
 #[derive(Debug, Default)]
 pub(super) struct ShardState {
-    /// A page that has arrived and is not used yet.
+    /// The page that has arrived and is not used yet.
     pub unused_page: Option<RequestedPage>,
     /// The number of matching features that the server reported last.
     pub number_matched: Option<u64>,
-    /// The server reported different numbers of matching features.
+    /// Whether the server reported different numbers of matching features.
     pub inconsistent_count: bool,
-    /// Its pages could not be fetched, or did not end.
+    /// Whether the shard's pages could not be fetched, or did not end.
     pub missing: bool,
-    /// The number of its features that the response uses.
+    /// The number of the shard's features that the response uses.
     pub used_features: u64,
 }
 
 impl ShardState {
-    /// Takes in a page, or that there is none.
+    /// Records a page, or that no server returned it.
     pub fn receive(&mut self, fetched: FetchedPage) {
         let Some(page) = fetched.page else {
             self.missing = true;
@@ -42,7 +42,8 @@
         });
     }
 
-    /// The number of its features that match, if it is known. `passed`: the response has used all of its pages.
+    /// Returns the number of the shard's features that match, if it is known. `passed` is whether
+    /// the response has used all of the shard's pages.
     pub fn total(&self, passed: bool) -> Option<u64> {
         if self.inconsistent_count || self.missing {
             return None;
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -1,4 +1,4 @@
-//! Responses built from the pages of modelled servers.
+//! Tests of responses built from the pages of modelled servers.
 
 use super::*;
 use crate::front::ogc::paging::PageFetch;
@@ -6,11 +6,11 @@
 use proptest::test_runner::RngSeed;
 use std::collections::HashSet;
 
-/// Servers of shards with these numbers of features each. The text of a feature is its number in eight digits.
+/// The servers of some shards. The text of a feature is its number in eight digits.
 struct Model {
     shards: Vec<usize>,
     reports_count: bool,
-    /// The most features that a server returns, whatever is requested.
+    /// The maximum number of features in a page, whatever is requested.
     max_page_size: usize,
     requests: usize,
 }
@@ -77,7 +77,7 @@
         panic!("a response without end");
     }
 
-    /// All features over all responses, and the number of responses.
+    /// Follows the responses to the end. Returns their features and the number of responses.
     fn all(&mut self, limits: PagingLimits) -> (Vec<u64>, usize) {
         let (mut features, mut responses, mut at) = (Vec::new(), 0, Some(ResumePosition::START));
         while let Some(from) = at {
--- a/src/front/ogc/paging/mod.rs
+++ b/src/front/ogc/paging/mod.rs
@@ -1,8 +1,9 @@
-//! Which pages of which shards make up a response: decisions free of input and output.
+//! The merge of the pages of a query's shards into responses, without input and output.
 //!
-//! A response is built in rounds. A merge names the pages to fetch next ([`PageFetch`]), takes in what came of them, and says
-//! whether it needs another round. Without a sort order, [`ConcatMerge`] appends the shards one after the other; with one,
-//! [`SortedMerge`] selects the first features over all shards.
+//! A response is built in rounds. A merge returns the pages to fetch next ([`PageFetch`]), accepts
+//! the result of each ([`FetchedPage`]), and returns whether it needs another round
+//! ([`MergeProgress`]). Without a sort order, [`ConcatMerge`] appends the shards one after the
+//! other; with one, [`SortedMerge`] selects the first features over all shards.
 
 mod concat_merge;
 mod page;
--- a/src/front/ogc/paging/page.rs
+++ b/src/front/ogc/paging/page.rs
@@ -1,4 +1,4 @@
-//! Pages of features, where a shard's pages continue, and the fetches that a merge asks for.
+//! Pages of features, positions in the pages of a shard, and the page fetches of a merge.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
     pub server: Arc<str>,
     /// The response body.
     pub body: Vec<u8>,
-    /// The byte ranges of `body` with the features that pass the filter evaluated here.
+    /// The byte ranges in `body` of the features that pass the filter evaluated by the front.
     pub features: Vec<Range<usize>>,
     /// The number of features in the page, including those that do not pass the filter.
     pub returned_count: usize,
-    /// The path and query of the `next` link; it leads to the same server.
+    /// The path and query of the `next` link, which leads to the same server.
     pub next_target: Option<String>,
-    /// The server's `numberMatched`: all features of the shard that match.
+    /// The server's `numberMatched`: the number of matching features in the shard.
     pub number_matched: Option<u64>,
 }
 
 impl FeaturePage {
-    /// Where the shard continues after this page. Servers keep the page size of the first request in their links, so the
-    /// size is what this page holds, whatever was requested.
+    /// Returns the location of the next page; `None` after the last. Its size is the number of
+    /// features in this page, whatever was requested, since servers repeat the page size that they
+    /// applied in their links.
     #[must_use]
     pub fn next_location(&self) -> Option<PageLocation> {
         let target = self.next_target.as_deref()?.into();
@@ -34,30 +35,31 @@
     }
 }
 
-/// Where in a shard a page starts.
+/// The location of a page within its shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PageLocation {
-    /// At the first feature of the shard.
+    /// The first page of the shard.
     ShardStart,
-    /// Where the `next` link of the page before leads.
+    /// The target of the `next` link of the page before.
     NextLink {
         /// The address of the server that gave the link.
         server: Arc<str>,
-        /// Path and query.
+        /// The path and query of the request.
         target: Arc<str>,
-        /// Features in a page that the link leads to.
+        /// The number of features in a page that the link leads to.
         page_size: usize,
     },
 }
 
-/// Where a response starts: a page of a shard, and how much of that page earlier responses have returned.
+/// The start of a response: a page of a shard, and the number of its features that earlier
+/// responses returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumePosition {
     /// The index of the shard.
     pub shard: usize,
     /// The page within the shard.
     pub location: PageLocation,
-    /// Features of that page that earlier responses returned.
+    /// The number of features of that page that earlier responses returned.
     pub skip: usize,
 }
 
@@ -65,7 +67,7 @@
     /// The start of the first response.
     pub const START: ResumePosition = ResumePosition::shard_start(0);
 
-    /// The start of a shard.
+    /// Returns the start of a shard.
     pub(super) const fn shard_start(shard: usize) -> Self {
         ResumePosition {
             shard,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The result of this fetch.
+    /// Returns the result of this fetch.
     #[must_use]
     pub fn fetched(&self, page: Option<Arc<FeaturePage>>) -> FetchedPage {
         FetchedPage {
@@ -106,12 +108,12 @@
     }
 }
 
-/// What came of a [`PageFetch`].
+/// The result of a [`PageFetch`].
 #[derive(Debug, Clone)]
 pub struct FetchedPage {
     /// The index of the shard.
     pub shard: usize,
-    /// The number of features that were requested.
+    /// The number of features requested.
     pub page_size: usize,
     /// The page; `None` if no server returned it.
     pub page: Option<Arc<FeaturePage>>,
@@ -127,20 +129,20 @@
 }
 
 impl PageSlice {
-    /// The byte ranges of the features in the page's body.
+    /// Returns the byte ranges of the features in the page's body.
     #[must_use]
     pub fn ranges(&self) -> &[Range<usize>] {
         &self.page.features[self.features.clone()]
     }
 
-    /// The features as their server wrote them.
+    /// Returns the features as their server wrote them.
     pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
         self.ranges()
             .iter()
             .map(|range| &self.page.body[range.clone()])
     }
 
-    /// The bytes of the page from the first feature to the last.
+    /// Returns the bytes of the page from the first feature to the last.
     #[must_use]
     pub fn span(&self) -> &[u8] {
         let ranges = self.ranges();
--- a/src/front/ogc/paging/sort_key.rs
+++ b/src/front/ogc/paging/sort_key.rs
@@ -1,4 +1,4 @@
-//! The order of features: sort keys, and the values that a feature has for them.
+//! The sort order of features: sort keys, and the values of a feature for them.
 
 use crate::front::ogc::cql2::Feature;
 use serde_json::Value as Json;
@@ -11,12 +11,12 @@
 pub struct SortKey {
     /// The name of the property.
     pub property: String,
-    /// The largest value comes first.
+    /// Whether the largest value comes first.
     pub descending: bool,
 }
 
-/// Sort keys in the text that cursors are bound to. Its hash is in the cursors that clients hold, so the text stays as it
-/// is whatever the type and its fields are called.
+/// Sort keys in the text that cursors are bound to. Cursors that clients hold contain its hash, so
+/// the text must not change with the names of the type and its fields.
 pub(in crate::front::ogc) struct BoundSortKeys<'a>(pub &'a [SortKey]);
 
 impl fmt::Debug for BoundSortKeys<'_> {
@@ -42,8 +42,8 @@
     }
 }
 
-/// The position of a feature in the order: the values of the sort keys, then its identifier and shard, so that no two
-/// features have the same position.
+/// The position of a feature in the order: the values of the sort keys, then its identifier and
+/// shard, so that no two features have the same position.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct SortValues {
     /// The values of the sort keys, the identifier last.
@@ -55,7 +55,7 @@
 }
 
 impl SortValues {
-    /// The position of a feature. `None`: it is no JSON.
+    /// Returns the position of a feature; `None` if the feature is not JSON.
     pub fn of(
         feature: &[u8],
         keys: &[SortKey],
@@ -75,7 +75,7 @@
     }
 }
 
-/// An identifier as text: 7 and "7" are the same in a link.
+/// Returns an identifier as text, since 7 and "7" are the same in a link.
 fn identifier(id: &Json) -> Json {
     match id {
         Json::Null => Json::Null,
@@ -111,7 +111,8 @@
     }
 }
 
-/// Numbers come first, then text by code points, false before true, then what has no order; null comes last.
+/// Compares two values: numbers come first, then texts by code points, then booleans with false
+/// before true, then arrays and objects, which have no order, and null last.
 fn compare_values(left: &Json, right: &Json) -> Ordering {
     match (left, right) {
         (Json::Number(left), Json::Number(right)) => {
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -1,9 +1,10 @@
-//! The response to a query with a sort order: the first features after a position in the order, over all shards, in bounded
-//! memory.
+//! The response to a query with a sort order: the first features after a position in the order,
+//! over all shards, in bounded memory.
 //!
-//! Like [`ConcatMerge`](super::ConcatMerge) it is built in rounds. Where servers return a shard in order, fetching stops as
-//! soon as none of its further features can be among the first. Where they do not, the shard is read to its end, and what is
-//! not among the first is dropped at once.
+//! Like a [`ConcatMerge`](super::ConcatMerge), the response is built in rounds. If the servers of a
+//! shard return its features in order, fetching stops when no further feature of the shard can be
+//! among the first. Otherwise the shard is read to its end, and features that are not among the
+//! first are dropped at once.
 
 use super::page::{FeaturePage, FetchedPage, PageFetch, PageLocation};
 use super::progress::{has_min_share, MergeProgress};
@@ -12,31 +13,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Shards fetched at a time.
+/// The maximum number of shards fetched at a time.
 const MAX_CONCURRENT_SHARDS: usize = 8;
 
-/// The order and the bounds of a response.
+/// The sort order and the limits of a response.
 #[derive(Debug, Clone)]
 pub struct SortedQuery {
     /// The sort keys.
     pub keys: Vec<SortKey>,
-    /// Most features of the response.
+    /// The maximum number of features in the response.
     pub limit: usize,
-    /// Most features to request from a server at a time.
+    /// The maximum number of features to request in a page.
     pub page_size: usize,
-    /// Most pages to fetch.
+    /// The maximum number of pages to fetch.
     pub max_pages: usize,
-    /// The least share of the shards from which a response may be given.
+    /// The minimum share of the shards, between 0 and 1, for a response.
     pub min_shard_share: f64,
-    /// The values of the last feature of the response before, its identifier last; `None` in the first response.
+    /// The values of the last feature of the response before, its identifier last; `None` in the
+    /// first response.
     pub after_values: Option<Vec<Json>>,
 }
 
 #[derive(Debug)]
 struct ShardState {
-    /// Its next page; `None` after its last.
+    /// The next page; `None` after the last.
     location: Option<PageLocation>,
-    /// Its server has returned its features in order so far.
+    /// Whether the server has returned the shard's features in order so far.
     sorted: bool,
     last_seen: Option<SortValues>,
     missing: bool,
@@ -57,22 +59,23 @@
         self.location = None;
     }
 
-    /// Moves to the next page. A link that leads to the page that it came from would never end.
+    /// Moves to the next page. Marks the shard as missing if the link leads to its own page, since
+    /// such pages never end.
     fn move_to(&mut self, next: Option<PageLocation>) {
         let cycle = next.is_some() && next == self.location;
         self.missing |= cycle;
         self.location = next.filter(|_| !cycle);
     }
 
-    /// Records the values of a feature that its server returned after all before.
+    /// Records the values of the feature that the server returned last.
     fn record(&mut self, values: &SortValues) {
-        // A server that returns its features out of order after all has its shard read to the end.
+        // If a server returns features out of order, the shard is read to its end.
         self.sorted &= self.last_seen.as_ref().is_none_or(|last| last <= values);
         self.last_seen = Some(values.clone());
     }
 }
 
-/// A response under construction.
+/// A response under construction, with a sort order.
 #[derive(Debug)]
 pub struct SortedMerge {
     keys: Vec<SortKey>,
@@ -83,18 +86,20 @@
     min_shard_share: f64,
     after: Option<SortValues>,
     shards: Vec<ShardState>,
-    /// The first features so far.
+    /// The first features in the order so far, at most `limit`.
     selected: BTreeMap<SortValues, Arc<[u8]>>,
-    /// Features after the selected ones were dropped.
+    /// Whether features after the selected ones were dropped.
     dropped: bool,
 }
 
 impl SortedMerge {
-    /// Starts a response. `sorted_shards` has an entry per shard: whether its servers return features in this order.
+    /// Creates an empty response. `sorted_shards` has an entry per shard: whether its servers
+    /// return features in this order.
     #[must_use]
     pub fn new(query: SortedQuery, sorted_shards: &[bool]) -> Self {
         let descending: Arc<[bool]> = query.keys.iter().map(|key| key.descending).collect();
-        // The response before returned all features of these values, whichever shard they were in.
+        // The response before returned all features with these values, whichever shard they were
+        // in.
         let after = query.after_values.map(|values| SortValues {
             values,
             descending: descending.clone(),
@@ -117,7 +122,7 @@
         }
     }
 
-    /// The pages to fetch next.
+    /// Returns the pages to fetch next.
     #[must_use]
     pub fn next_fetches(&self) -> Vec<PageFetch> {
         let contributing = self
@@ -145,7 +150,7 @@
         })
     }
 
-    /// Whether a further page of the shard can have one of the first features.
+    /// Returns whether a further page of the shard can have one of the first features.
     fn can_contribute(&self, state: &ShardState) -> bool {
         if state.location.is_none() {
             return false;
@@ -154,14 +159,15 @@
         !(full && state.sorted && self.is_beyond_selected(state))
     }
 
-    /// Whether the last feature seen of a shard comes after all that are selected, or is the last of them.
+    /// Returns whether the last feature seen of a shard comes after all selected features, or is
+    /// the last of them.
     fn is_beyond_selected(&self, state: &ShardState) -> bool {
         let last_selected = self.selected.last_key_value();
         let compared = state.last_seen.as_ref().zip(last_selected);
         compared.is_some_and(|(seen, (selected, _))| seen >= selected)
     }
 
-    /// Takes in the pages of a round.
+    /// Accepts the pages of a round.
     pub fn accept(&mut self, fetched_pages: Vec<FetchedPage>) -> MergeProgress {
         self.pages_left = self.pages_left.saturating_sub(fetched_pages.len());
         for fetched in fetched_pages {
@@ -193,7 +199,7 @@
         !has_min_share(total - missing, total, self.min_shard_share)
     }
 
-    /// Selects a feature if it is among the first. One that is no JSON is left out.
+    /// Selects a feature if it is among the first. Features that are not JSON are left out.
     fn insert(&mut self, shard: usize, feature: &[u8]) {
         let Some(values) = SortValues::of(feature, &self.keys, &self.descending, shard) else {
             return;
@@ -219,7 +225,7 @@
         }
     }
 
-    /// The features of the response, in order, as one page.
+    /// Returns the features of the response, in order, as one page.
     #[must_use]
     pub fn to_page(&self) -> FeaturePage {
         let mut page = FeaturePage::default();
@@ -232,7 +238,7 @@
         page
     }
 
-    /// The values after which the next response starts; `None` if no feature follows.
+    /// Returns the values after which the next response starts; `None` if no feature follows.
     #[must_use]
     pub fn resume_after(&self) -> Option<Vec<Json>> {
         let more_follows = self.dropped || self.shards.iter().any(|state| state.location.is_some());
@@ -240,7 +246,7 @@
         last.map(|(values, _)| values.values.clone())
     }
 
-    /// The indexes of the shards that could not be fetched.
+    /// Returns the indexes of the shards that could not be fetched.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
         (0..self.shards.len())
@@ -248,7 +254,7 @@
             .collect()
     }
 
-    /// The number of features selected so far; never more than the limit.
+    /// Returns the number of features selected so far, at most the limit.
     #[must_use]
     pub fn selected_count(&self) -> usize {
         self.selected.len()
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -1,4 +1,4 @@
-//! Sorted merges over modelled shards, some of which return their features in order.
+//! Tests of sorted merges over modelled shards, some of which return their features in order.
 
 use super::*;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Features without a key come last in either direction.
+    /// Returns the position in the order. Features without a key come last in either direction.
     fn sort_key(&self, descending: bool) -> (bool, Option<i64>, usize) {
         (
             self.key.is_none(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// All features over all responses, and how many features the servers returned.
+/// The features of all responses, and the number of features that the servers returned.
 struct Run {
     ids: Vec<usize>,
     features_read: usize,
@@ -69,7 +69,8 @@
     page
 }
 
-/// A modelled server's page; the target of its `next` link is the index of the feature that follows.
+/// Returns a modelled server's page. The target of its `next` link is the index of the feature that
+/// follows.
 fn serve(features: &[ModelFeature], fetch: &PageFetch) -> FeaturePage {
     let start = match &fetch.location {
         PageLocation::ShardStart => 0,
@@ -145,7 +146,7 @@
     all.into_iter().map(|feature| feature.id).collect()
 }
 
-/// Keys of a shard's features; some features have none.
+/// Returns a strategy for the keys of a shard's features; some features have none.
 fn shard_keys() -> impl Strategy<Value = Vec<Option<i64>>> {
     proptest::collection::vec(proptest::option::weighted(0.9, -5_i64..5), 0..40)
 }
@@ -200,7 +201,7 @@
     assert_eq!((run.ids.len(), run.features_read), (4_000, 4_000));
 }
 
-/// A page of features with these keys, which are their identifiers too.
+/// Returns a page of features with these keys, which are their identifiers too.
 fn page(next: Option<&str>, keys: &[i64]) -> Option<Arc<FeaturePage>> {
     let texts = keys
         .iter()
@@ -235,7 +236,8 @@
         merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]),
         MergeProgress::TooManyPages
     );
-    // The server is said to return features in order and does not: its shard is read on.
+    // The server declares that it returns features in order and does not: its shard is read to its
+    // end.
     let mut merge = SortedMerge::new(query(2, 10, 9, 1.0), &[true]);
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]),
--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -11,16 +11,16 @@
 use serde_json::Value as Json;
 use std::sync::Arc;
 
-/// The effect of a class whose parts must not run twice, as the edge file names it.
+/// The effect in the edge file of a class whose parts must not run twice.
 const UNSAFE_EFFECT: &str = "unsafe";
 
-/// A merge of pages.
+/// The merge of a query's pages.
 pub(super) enum Merge {
     Concat(Box<ConcatMerge>),
     Sorted(SortedMerge),
 }
 
-/// What a merge holds.
+/// The result of a merge.
 pub(super) struct MergedItems {
     pub slices: Vec<PageSlice>,
     pub number_returned: usize,
@@ -91,7 +91,7 @@
         Merge::Sorted(SortedMerge::new(query, &sorted))
     }
 
-    /// The pages to fetch next.
+    /// Returns the pages to fetch next.
     pub fn next_fetches(&self) -> Vec<PageFetch> {
         match self {
             Merge::Concat(merge) => merge.next_fetches(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes in the pages of a round.
+    /// Accepts the pages of a round.
     pub fn accept(&mut self, fetched: Vec<FetchedPage>) -> MergeProgress {
         match self {
             Merge::Concat(merge) => match merge.accept(fetched, feature_id_hash) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The server at which this shard was interrupted, if it was.
+    /// Returns the address of the server at which this shard was interrupted, if it was.
     pub fn interrupted_server(&self, shard: usize) -> Option<&str> {
         let Merge::Concat(merge) = self else {
             return None;
@@ -121,8 +121,9 @@
             .map(|i| &*i.server)
     }
 
-    /// Whether the features so far are a valid response, which continues where they end. Sorted features are not before all
-    /// shards are there.
+    /// Returns whether the features so far are a valid response after an error, so that the next
+    /// response can continue after them. Sorted features are not, since further shards may have
+    /// features between them.
     pub fn is_valid_when_cut(&self) -> bool {
         match self {
             Merge::Concat(merge) => merge.count() > 0 && merge.has_enough_shards(),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The features so far, and what is known of the shards.
+    /// Returns the features so far and the state of the shards.
     pub fn result(&self) -> MergedItems {
         match self {
             Merge::Concat(merge) => concat_result(merge),
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Where the next response starts; `None` after the last.
+    /// Returns the start of the next response; `None` after the last.
     pub fn next_start(&self) -> Option<ResponseStart> {
         match self {
             Merge::Concat(merge) => merge
@@ -151,7 +152,7 @@
 }
 
 fn concat_result(merge: &ConcatMerge) -> MergedItems {
-    // Shards from the next response's start on are not missing from this one.
+    // Shards from the start of the next response on are not missing from this one.
     let end = merge
         .resume_position()
         .map_or(usize::MAX, |position| position.shard);
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -1,4 +1,5 @@
-//! A query for the features of a collection: rounds of page requests until its response is complete.
+//! A query for the features of a collection: rounds of page requests until its response is
+//! complete. The choice of the pages is left to [`paging`](super::paging).
 
 mod merge;
 mod resume;
@@ -31,16 +32,16 @@
     request: ItemsRequest,
     /// The shards of the collection, in order.
     shards: Vec<ShardSource>,
-    /// How each of the shards is asked.
+    /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
     merge: Merge,
-    /// The fetches of the current round.
+    /// The page fetches of the current round.
     in_flight: Vec<InFlightFetch>,
     resume_point: ResumePoint,
     admitted: AdmittedQuery,
 }
 
-/// A page that the current round fetches.
+/// A page fetch of the current round.
 struct InFlightFetch {
     fetch: PageFetch,
     request: ShardRequest,
@@ -48,6 +49,10 @@
 
 impl ItemsQuery {
     /// Starts a query, at its cursor if it has one.
+    ///
+    /// # Errors
+    ///
+    /// If the cursor cannot be used.
     pub fn start(
         state: Arc<FrontState>,
         client: ClientContext,
@@ -100,7 +105,8 @@
         Reaction::Submit(request, render)
     }
 
-    /// The request for a page. `None`: the only server that can return it has left.
+    /// Returns the request for a page; `None` if the only server that can return the page was
+    /// removed.
     fn shard_request(&self, fetch: &PageFetch) -> Option<ShardRequest> {
         let plan = &self.plans[fetch.shard];
         let (shard, target) = match &fetch.location {
@@ -117,8 +123,8 @@
         })
     }
 
-    /// The shard for the first page, and the target of the request. A shard that was interrupted at a server is started
-    /// again at another one.
+    /// Returns the shard to request the first page from, and the target of the request. An
+    /// interrupted shard is restarted at another server.
     fn first_page(&self, fetch: &PageFetch) -> (ShardId, String) {
         let source = &self.shards[fetch.shard];
         let interrupted_server = self.merge.interrupted_server(fetch.shard);
@@ -129,8 +135,9 @@
         (elsewhere.unwrap_or(source.shard), target)
     }
 
-    /// The shard in which a link is followed: anywhere if all servers have the same order, otherwise at the server that gave
-    /// the link, since others may have the features in another order.
+    /// Returns the shard to follow a link in: at any server if all servers have the same order,
+    /// otherwise at the server that gave the link, since others may have the features in another
+    /// order.
     fn shard_of_link(&self, index: usize, server: &str) -> Option<ShardId> {
         let shard = self.shards[index].shard;
         if self.state.has_same_order(&self.request.collection) {
@@ -139,7 +146,8 @@
         lock(&self.state.catalog).sticky_shard(shard, server)
     }
 
-    /// Takes in the core's answer to a round. `unavailable`: fetches of the round that could not be sent.
+    /// Handles the core's answer to a round. `unavailable` are the fetches of the round that could
+    /// not be sent.
     fn accept_answer(mut self, answer: Answer, unavailable: Vec<FetchedPage>) -> Reaction {
         let in_flight = std::mem::take(&mut self.in_flight);
         let error = ApiError::from_answer(&answer);
@@ -161,7 +169,7 @@
                 }
             }
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
-            // Rejected for load: no shard is missing, there was just no capacity to ask.
+            // Rejected for load: the servers were not asked, so no shard counts as missing.
             Answer::Rejected { late: false, .. }
                 if !in_flight
                     .iter()
@@ -180,7 +188,8 @@
         self.accept(fetched, error)
     }
 
-    /// Takes in the pages of a round. `error`: why the round failed.
+    /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
+    /// reason why the round failed.
     fn accept(mut self, fetched: Vec<FetchedPage>, error: Option<ApiError>) -> Reaction {
         let timed_out = matches!(error, Some(ApiError::Timeout));
         match self.merge.accept(fetched) {
@@ -195,7 +204,8 @@
         }
     }
 
-    /// Ends the query with its result. After an error that is what there is so far, if it is a valid response of its own.
+    /// Ends the query with the features so far if they are a valid response, otherwise with
+    /// `error`.
     fn end(self, error: Option<ApiError>) -> Reaction {
         if let Some(error) = error.filter(|_| !self.merge.is_valid_when_cut()) {
             return self.finish(error_response(&error));
@@ -228,8 +238,8 @@
     }
 }
 
-/// How the shards are asked. The capabilities of their servers matter, and were discovered, only if there is a filter or a
-/// sort order.
+/// Returns the plan for each shard. Only queries with a filter or a sort order depend on the
+/// capabilities of the servers, and only for those were they discovered.
 fn plans(
     state: &FrontState,
     request: &ItemsRequest,
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -1,4 +1,4 @@
-//! Where a query resumes by its cursor, and the cursor of its next response.
+//! The start of a response by the cursor of its request, and the cursor of the next response.
 
 use super::merge::ResponseStart;
 use super::ItemsQuery;
@@ -13,7 +13,7 @@
 use crate::sync::lock;
 use crate::time::unix_ms;
 
-/// Where a query resumes.
+/// The point at which a query resumes.
 pub(super) struct ResumePoint {
     /// The cursor of the request, if it has one.
     cursor: Option<Cursor>,
@@ -22,7 +22,12 @@
 }
 
 impl ResumePoint {
-    /// The point where a request resumes: by its cursor, otherwise the start.
+    /// Returns the point at which a request resumes: that of its cursor, otherwise the start of the
+    /// query.
+    ///
+    /// # Errors
+    ///
+    /// If the cursor cannot be used, or its shard or server was removed.
     pub fn of(
         state: &FrontState,
         request: &ItemsRequest,
@@ -53,7 +58,8 @@
         })
     }
 
-    /// The shard that continues in pages started before.
+    /// Returns the shard that continues with pages that an earlier response started, if there is
+    /// one.
     pub fn resumed_shard(&self) -> Option<ResumedShard> {
         let cursor = self
             .cursor
@@ -67,7 +73,11 @@
 }
 
 impl ItemsQuery {
-    /// The token of the cursor of the next response; `None` after the last.
+    /// Returns the token of the next response's cursor; `None` after the last response.
+    ///
+    /// # Errors
+    ///
+    /// [`CursorError::LinkCycle`] if the position occurred before.
     pub(super) fn next_cursor(&self) -> Result<Option<String>, CursorError> {
         let mut cursor = Cursor::new(query_hash(&self.request), unix_seconds());
         match self.merge.next_start() {
@@ -106,7 +116,7 @@
     unix_ms() / 1_000
 }
 
-/// The hash that binds a cursor to its query.
+/// Returns the hash that binds a cursor to its query.
 fn query_hash(request: &ItemsRequest) -> u64 {
     stable_hash(&[
         request.collection.as_bytes(),
@@ -114,7 +124,7 @@
     ])
 }
 
-/// The position that a cursor leads to, by the present inventory.
+/// Returns the position of a cursor in the present inventory.
 fn position(
     state: &FrontState,
     collection: &str,
--- a/src/front/ogc/round.rs
+++ b/src/front/ogc/round.rs
@@ -1,4 +1,4 @@
-//! Requests to the core for one round of a query, and the metrics of its end.
+//! Requests to the core for one round of a query, and the metrics of a query's end.
 
 use super::client_request::ClientContext;
 use super::page_request::PageRequest;
@@ -9,18 +9,18 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// The rounds of this process, which number the requests to the core.
+/// The number of rounds in this process, for unique request identifiers.
 static ROUNDS: AtomicU64 = AtomicU64::new(0);
 
-/// What a round asks of a shard.
+/// The request of a round to a shard.
 #[derive(Clone)]
 pub(super) struct ShardRequest {
-    /// The shard, or the shard at one server alone.
+    /// The identifier of the shard, or of the shard at one server.
     pub shard: ShardId,
     pub request: Arc<PageRequest>,
 }
 
-/// A request to the core for one round.
+/// Returns the request to the core for one round.
 pub(super) fn core_request(
     state: &FrontState,
     client: &ClientContext,
@@ -35,7 +35,8 @@
     };
     Request {
         token: client.token,
-        // Each round has its own: late parts of one may be in flight when the next one starts.
+        // Each round has its own identifier: late parts of a round may be in flight when the next
+        // one starts.
         request_id: format!("q{}.{}", client.token.0, ROUNDS.fetch_add(1, Relaxed)).into(),
         class: state.edge.classes[client.class].name.as_str().into(),
         tenant: TenantId(0),
@@ -47,7 +48,7 @@
     }
 }
 
-/// Counts the end of a query, whose rounds the core does not count.
+/// Counts the end of a query. The core does not count its rounds.
 pub(super) fn count_response(metrics: &ClassMetrics, response: &Response) {
     let counter = match response.status {
         200..=399 | 404 => &metrics.ok,
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -1,4 +1,5 @@
-//! How each shard of a query is asked: what of the filter and the order its servers evaluate, and what is evaluated here.
+//! The plan of a query for each shard: the parts of the filter and of the sort order that the
+//! shard's servers evaluate, and those that the front evaluates.
 
 use super::cql2::{
     flatten, split, Capabilities, ComparisonOperator, Filter, Junction, Matcher, Value,
@@ -16,31 +17,31 @@
 /// The property that breaks ties in a sort order.
 const ID_PROPERTY: &str = "id";
 
-/// How a shard is asked.
+/// The plan of a query for a shard.
 #[derive(Clone, Default)]
 pub(super) struct ShardPlan {
     /// The part of the filter that servers evaluate, as CQL2 text.
     pushed_down: Option<String>,
-    /// The part of the filter that is evaluated here.
+    /// The part of the filter that the front evaluates.
     pub predicate: Option<FeaturePredicate>,
-    /// A box that all features lie in that can pass: west, south, east, north.
+    /// The box that contains all features that can match: west, south, east, north, in degrees.
     envelope: Option<[f64; 4]>,
-    /// Servers return the features in the order of the query.
+    /// Whether the servers return the features in the order of the query.
     pub sorted: bool,
 }
 
-/// The shard in which a cursor continues in pages that an earlier response started.
+/// The shard that continues with pages that an earlier response started.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ResumedShard {
     /// The index of the shard.
     pub index: usize,
-    /// A part of the filter was evaluated here from the start of the shard on.
+    /// Whether the front evaluates a part of the filter, from the start of the shard on.
     pub filtered_locally: bool,
 }
 
 impl ShardPlan {
-    /// How the shards of a query are asked. `after_values`: the values of the last feature of the response before, in a
-    /// sorted response.
+    /// Returns the plans for the shards of a query. `after_values` are the values of the last
+    /// feature of the response before, in a sorted response.
     pub fn for_shards(
         state: &FrontState,
         params: &Params,
@@ -60,8 +61,9 @@
         replicas.iter().enumerate().map(plan).collect()
     }
 
-    /// A shard that continues in pages started before. If a part of the filter was evaluated here, all of it is, since the
-    /// link's request may contain less of it than would be pushed down now.
+    /// Returns the plan for a shard that continues with pages started before. If the front
+    /// evaluated a part of the filter, it now evaluates all of it, since the link may contain less
+    /// of the filter than would be pushed down now.
     fn resumed(params: &Params, resumed: ResumedShard) -> Self {
         let filter = params.filter.as_ref().filter(|_| resumed.filtered_locally);
         ShardPlan {
@@ -70,7 +72,8 @@
         }
     }
 
-    /// A shard that is asked from its first feature on, or from the last one returned before.
+    /// Returns the plan for a shard that is requested from its first feature on, or from the one
+    /// after the last returned.
     fn from_start(
         params: &Params,
         capabilities: &Capabilities,
@@ -85,7 +88,8 @@
             .filter(|_| plan.sorted)
             .and_then(|values| after_filter(params, values));
         if let Some(after) = after {
-            // Only if servers can evaluate all of it: features before the position are left out here in any case.
+            // Pushed down only if servers can evaluate all of it: the merge leaves out features
+            // before the position in any case.
             if split(&after, capabilities).residual.is_none() {
                 filter = Filter::all(filter.into_iter().chain([after]).collect());
             }
@@ -99,7 +103,8 @@
         plan
     }
 
-    /// Path and query of the request for the first page of a shard. `source`: the servers' own name for it.
+    /// Returns the path and query of the request for the first page of a shard. `source` is the
+    /// servers' name for the shard.
     pub fn target(&self, source: &str, params: &Params, page_size: usize) -> String {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         let envelope = || {
@@ -130,7 +135,7 @@
     Arc::new(move |feature: &[u8]| matcher.matches_text(feature))
 }
 
-/// The value of `sortby` for servers: the sort keys, then the identifier.
+/// Returns the value of `sortby` for servers: the sort keys, then the identifier.
 fn sortby(keys: &[SortKey]) -> String {
     let key = |key: &SortKey| format!("{}{}", if key.descending { "-" } else { "+" }, key.property);
     let keys: Vec<String> = keys
@@ -141,7 +146,7 @@
     keys.join(",")
 }
 
-/// Whether servers with these capabilities can return features in the order of a query.
+/// Returns whether servers with these capabilities can return features in the order of a query.
 fn can_sort(capabilities: &Capabilities, params: &Params) -> bool {
     let known = |name: &str| capabilities.queryables.named.contains_key(name);
     !params.sortby.is_empty()
@@ -175,8 +180,8 @@
     }
 }
 
-/// A filter for the features that come after these values in the order of a query. `None`: there is none, since one of the
-/// values is missing or has no literal.
+/// Returns a filter for the features that come after these values in the order of a query; `None`
+/// if one of the values is missing or has no literal.
 fn after_filter(params: &Params, values: &[Json]) -> Option<Filter> {
     let sort_keys = params
         .sortby
@@ -199,8 +204,8 @@
     })
 }
 
-/// A filter for the features that have the same values as the position for all keys before this one, and come after it by
-/// this one. Features without a value come last.
+/// Returns a filter for the features that equal the position in all keys before the one at `index`,
+/// and come after it by that key. Features without a value come last.
 fn after_at_key(keys: &[BoundKey<'_>], index: usize) -> Option<Filter> {
     let key = &keys[index];
     let mut conditions: Vec<Filter> = keys[..index]
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -1,4 +1,4 @@
-//! The shards of a collection and where they are.
+//! The shards of a collection and their replicas.
 
 use super::capabilities::ReplicaKey;
 use super::catalog::ShardHolder;
@@ -12,18 +12,22 @@
 #[derive(Debug, Clone)]
 pub(super) struct ShardSource {
     pub shard: ShardId,
-    /// The servers' own name for the shard.
+    /// The servers' name for the shard.
     pub name: String,
 }
 
-/// A shard at a server that takes new work.
+/// A shard at a server that accepts new work.
 pub(super) struct ShardReplica {
     /// The identifier of the shard at this server alone.
     pub sticky_shard: ShardId,
     pub key: ReplicaKey,
 }
 
-/// The shards of a collection, in order.
+/// Returns the shards of a collection, in order.
+///
+/// # Errors
+///
+/// [`ApiError::NoSuchCollection`] if there is no such collection.
 pub(super) fn shards_of(
     state: &FrontState,
     collection: &str,
@@ -38,7 +42,7 @@
     Ok(shards.iter().map(source).collect())
 }
 
-/// The servers from which the pages of each shard can come.
+/// Returns the replicas of each shard that can return its pages.
 pub(super) fn replicas(state: &FrontState, shards: &[ShardSource]) -> Vec<Vec<ShardReplica>> {
     let catalog = lock(&state.catalog);
     let replicas_of = |source: &ShardSource| {
--- a/src/front/ogc/stable_hash.rs
+++ b/src/front/ogc/stable_hash.rs
@@ -4,7 +4,8 @@
 use serde_json::value::RawValue;
 use sha2::{Digest, Sha256};
 
-/// A hash of these parts: the first eight bytes of SHA-256 over all parts, each with its length before it.
+/// Returns a hash of these parts: the first eight bytes of the SHA-256 over all parts, each with
+/// its length before it.
 #[must_use]
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut state = Sha256::new();
@@ -17,7 +18,7 @@
     u64::from_be_bytes(first)
 }
 
-/// A hash of a feature's identifier; 0 for a feature without one.
+/// Returns the hash of a feature's identifier, which is never 0; 0 for a feature without one.
 pub(super) fn feature_id_hash(feature: &[u8]) -> u64 {
     #[derive(Deserialize)]
     struct Identified<'a> {
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -11,7 +11,8 @@
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The share of the memory beyond the base that responses may hold; a third is for what clients send.
+/// The share of the memory beyond [`BASE_MEMORY`] that responses may reserve; another third is for
+/// the input of clients.
 const RESPONSE_MEMORY_SHARE: f64 = 0.45;
 
 /// The catalog, shared by the front, the driver and reloads of the inventory.
@@ -67,17 +68,17 @@
         }
     }
 
-    /// The admission of queries, locked.
+    /// Locks and returns the admission control of queries.
     pub fn admission(&self) -> MutexGuard<'_, AdmissionController> {
         lock(&self.admission)
     }
 
-    /// The cache of the servers' capabilities, locked.
+    /// Locks and returns the cache of the servers' capabilities.
     pub fn capabilities(&self) -> MutexGuard<'_, CapabilityCache> {
         lock(&self.capabilities)
     }
 
-    /// The queryables that the edge file declares for a collection.
+    /// Returns the queryables that the edge file declares for a collection.
     pub fn declared_queryables(&self, collection: &str) -> Option<Queryables> {
         self.edge
             .collections
@@ -86,12 +87,13 @@
             .queryables()
     }
 
-    /// The metrics of a class, by its index in the edge file.
+    /// Returns the metrics of a class, by its index in the edge file.
     pub fn class_metrics(&self, class: usize) -> Arc<ClassMetrics> {
         self.metrics.class(&self.edge.classes[class].name)
     }
 
-    /// Whether all servers of a collection return its features in the same order, with links that lead to the same place.
+    /// Returns whether all servers of a collection return its features in the same order, with
+    /// links that lead to the same page at each server.
     pub fn has_same_order(&self, collection: &str) -> bool {
         self.edge
             .collections
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -1,5 +1,5 @@
-//! The front without sockets: arbitrary requests get a problem document or start a query, and cursors of earlier releases
-//! are accepted.
+//! Tests of the front without sockets: arbitrary requests get a problem document or start a query,
+//! and cursors of earlier releases are accepted.
 
 use super::config::EdgeConfig;
 use super::cql2;
@@ -26,8 +26,8 @@
     })
 }
 
-/// The response to a connection's bytes; `None` if they start a query whose round fails, after capability discovery failed
-/// too.
+/// Returns the response to a connection's bytes; `None` if they start a query whose round fails,
+/// after capability discovery failed too.
 fn response_to(front: &OgcFront, bytes: &[u8]) -> Option<Response> {
     let mut server = ServerConnection::default();
     server.set_max_body(front.max_body());
@@ -199,7 +199,7 @@
 
 #[test]
 fn the_deepest_filters_fit_on_the_stack_of_a_connection() {
-    // On a stack as small as that of the coroutines, in whatever build this is.
+    // The stack is as small as that of the coroutines, in any build.
     let words = front().stack_words();
     let deep = |n: usize| format!("{}volts = 1{}", "NOT (".repeat(n), ")".repeat(n));
     let run = move || {
@@ -216,7 +216,7 @@
             assert_eq!(rejected, 2 * n + 1 > cql2::MAX_DEPTH, "{n}: {response:?}");
         }
     };
-    // The test's own frames and libraries need some more than the program's.
+    // The test's own frames and libraries need more than the program's.
     let thread = std::thread::Builder::new()
         .stack_size(words * 8)
         .spawn(run)
@@ -224,8 +224,9 @@
     thread.join().expect("no panic, and no overflow");
 }
 
-/// Queries, and a cursor for each that an earlier release sealed with the key of [`front`]. A cursor is bound to the text of
-/// its query's parameters: were that text to change, the cursors that clients hold would no longer be accepted.
+/// Queries, and a cursor for each that an earlier release sealed with the key of [`front`]. A
+/// cursor is bound to the text of its query's parameters: if that text changed, the cursors that
+/// clients hold would be rejected.
 const EARLIER_CURSORS: [(&str, &str); 3] = [
     (
         "bbox=-121,37,-120,38&datetime=2026-01-01T00:00:00Z/..&limit=50",
@@ -241,7 +242,7 @@
     ),
 ];
 
-/// The targets of a query's first round, after capability discovery.
+/// Returns the targets of a query's first round, after capability discovery.
 fn targets(front: &OgcFront, query: &str) -> Vec<String> {
     let mut server = ServerConnection::default();
     server
