--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -97,7 +97,8 @@
 }
 
 fn cost(state: &FrontState, request: &ItemsRequest, shards: usize) -> QueryCost {
-    let (edge, params) = (&state.edge, &request.params);
+    let edge = &state.edge;
+    let params = &request.params;
     QueryCost::estimate(&QueryShape {
         limit: params.limit,
         page_size: edge.page_size,
--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -7,9 +7,11 @@
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::response::{documents, openapi};
 use crate::front::ogc::shards::shards_of;
+use crate::front::ogc::state::FrontState;
 use crate::front::Reaction;
 use crate::proto::http::Response;
 use crate::sync::lock;
+use std::sync::Arc;
 
 /// The schemas of a collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -105,16 +107,15 @@
     let incoming = request.incoming;
     let shards = shards_of(incoming.state, id)?;
     let client = incoming.client()?;
-    let (id, document, discovered) = (id.to_owned(), request.document.clone(), shards.clone());
-    Ok(discover_then(
-        incoming.state.clone(),
-        &client,
-        &discovered,
-        move |state| {
-            let mut queryables = queryables(&state, &id, &shards);
-            kind.restrict(&mut queryables);
-            let title = format!("{} of {id}", kind.name());
-            Reaction::Respond(documents::schema(&document, &title, &queryables))
-        },
-    ))
+    let id = id.to_owned();
+    let document = request.document.clone();
+    let collection_shards = shards.clone();
+    let respond = move |state: Arc<FrontState>| {
+        let mut queryables = queryables(&state, &id, &collection_shards);
+        kind.restrict(&mut queryables);
+        let title = format!("{} of {id}", kind.name());
+        Reaction::Respond(documents::schema(&document, &title, &queryables))
+    };
+    let state = incoming.state.clone();
+    Ok(discover_then(state, &client, &shards, respond))
 }
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -34,8 +34,10 @@
         .iter()
         .all(|(name, _)| CAPABILITY_INDEPENDENT.contains(&name.as_str()));
     let document = request.document.clone();
-    let (collection, query_string) = (collection.to_owned(), request.query_string.to_owned());
-    let (query_client, query_shards) = (client.clone(), shards.clone());
+    let collection = collection.to_owned();
+    let query_string = request.query_string.to_owned();
+    let query_client = client.clone();
+    let query_shards = shards.clone();
     let start = move |state: Arc<FrontState>| {
         let queryables = match needs_discovery {
             true => queryables(&state, &collection, &query_shards),
--- a/src/front/ogc/handlers/search.rs
+++ b/src/front/ogc/handlers/search.rs
@@ -28,7 +28,8 @@
     let shards = shards_of(incoming.state, &collection)?;
     let client = incoming.client()?;
     let base_url = incoming.base_url();
-    let (query_client, query_shards) = (client.clone(), shards.clone());
+    let query_client = client.clone();
+    let query_shards = shards.clone();
     let start = move |state: Arc<FrontState>| {
         let queryables_of = |id: &str| Some(queryables(&state, id, &query_shards));
         let Search { collection, params } =
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -79,7 +79,9 @@
 
     /// Follows the responses to the end. Returns their features and the number of responses.
     fn all(&mut self, limits: PagingLimits) -> (Vec<u64>, usize) {
-        let (mut features, mut responses, mut at) = (Vec::new(), 0, Some(ResumePosition::START));
+        let mut features = Vec::new();
+        let mut responses = 0;
+        let mut at = Some(ResumePosition::START);
         while let Some(from) = at {
             let merge = self.response(limits, from);
             assert!(merge.count() <= limits.limit && merge.is_complete());
