--- a/src/front/ogc/cursor/tests.rs
+++ b/src/front/ogc/cursor/tests.rs
@@ -52,7 +52,11 @@
         ..full.clone()
     };
     [
-        ("AXsicSI6NywiYSI6MTAwMCwicyI6Im5vcnRoIiwiayI6MywibCI6WyJhIiwiL3g_b2Zmc2V0PTUwIiw1MF0sImYiOnRydWUsIm8iOlsxLjUsImIiLG51bGwsImQ5Il0sIm4iOjUsIm0iOjExfamQYAELlfzdD2OToBD_zh4", full),
+        (
+            "AXsicSI6NywiYSI6MTAwMCwicyI6Im5vcnRoIiwiayI6MywibCI6WyJhIiwiL3g_b2Zmc2V0PTUwIiw1MF0sIm\
+             YiOnRydWUsIm8iOlsxLjUsImIiLG51bGwsImQ5Il0sIm4iOjUsIm0iOjExfamQYAELlfzdD2OToBD_zh4",
+            full,
+        ),
         ("AXsicSI6NywiYSI6MTAwMCwicyI6Im5vcnRoIiwibiI6MSwibSI6MH22flZWs1saqAb8CgRMGLXb", minimal),
     ]
 }
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -271,15 +271,22 @@
 const EARLIER_CURSORS: [(&str, &str); 3] = [
     (
         "bbox=-121,37,-120,38&datetime=2026-01-01T00:00:00Z/..&limit=50",
-        "AXsicSI6MTIwMzA1MTY1MzM1NzUwNzUzMTMsImEiOjQwMDAwMDAwMDAsInMiOiJkZXZpY2VzLXNvdXRoIiwiayI6MywibCI6WyJmZWF0dXJlcy0yIiwiL2NvbGxlY3Rpb25zL2RldmljZXMtc291dGgvaXRlbXM_YmJveD0tMTIxJTJDMzclMkMtMTIwJTJDMzgmbGltaXQ9NTAmb2Zmc2V0PTUwIiw1MF0sIm4iOjEsIm0iOjE3OTQ1NTI1MjUwMjQ3NDQ0OTd9D9bsUsCjlqyH612DPmYwSA",
+        "AXsicSI6MTIwMzA1MTY1MzM1NzUwNzUzMTMsImEiOjQwMDAwMDAwMDAsInMiOiJkZXZpY2VzLXNvdXRoIiwiayI6My\
+         wibCI6WyJmZWF0dXJlcy0yIiwiL2NvbGxlY3Rpb25zL2RldmljZXMtc291dGgvaXRlbXM_YmJveD0tMTIxJTJDMzcl\
+         MkMtMTIwJTJDMzgmbGltaXQ9NTAmb2Zmc2V0PTUwIiw1MF0sIm4iOjEsIm0iOjE3OTQ1NTI1MjUwMjQ3NDQ0OTd9D9\
+         bsUsCjlqyH612DPmYwSA",
     ),
     (
         "filter=volts%3E120%20AND%20name%20LIKE%20%27a%25%27&crs=EPSG:32611&properties=volts,name",
-        "AXsicSI6MTM1MzAwNzI2OTM3NDgwNzk3MjAsImEiOjQwMDAwMDAwMDAsInMiOiJkZXZpY2VzLXNvdXRoIiwiayI6MywibCI6WyJmZWF0dXJlcy0yIiwiL2NvbGxlY3Rpb25zL2RldmljZXMtc291dGgvaXRlbXM_YmJveD0tMTIxJTJDMzclMkMtMTIwJTJDMzgmbGltaXQ9NTAmb2Zmc2V0PTUwIiw1MF0sImYiOnRydWUsIm4iOjMsIm0iOjk5fRGoPG99SQwH-Ay1UbpWc-k",
+        "AXsicSI6MTM1MzAwNzI2OTM3NDgwNzk3MjAsImEiOjQwMDAwMDAwMDAsInMiOiJkZXZpY2VzLXNvdXRoIiwiayI6My\
+         wibCI6WyJmZWF0dXJlcy0yIiwiL2NvbGxlY3Rpb25zL2RldmljZXMtc291dGgvaXRlbXM_YmJveD0tMTIxJTJDMzcl\
+         MkMtMTIwJTJDMzgmbGltaXQ9NTAmb2Zmc2V0PTUwIiw1MF0sImYiOnRydWUsIm4iOjMsIm0iOjk5fRGoPG99SQwH-A\
+         y1UbpWc-k",
     ),
     (
         "sortby=-volts,name",
-        "AXsicSI6MTMzMjAwNjc5MDY3NzU2OTgwMiwiYSI6NDAwMDAwMDAwMCwicyI6IiIsIm8iOlsxMjAuNSwibWV0ZXIiLCJkNyJdLCJuIjoxLCJtIjoxNzU2MjM1NjEwNDgyMjIwMzE0Mn0TPvNGUBnNDXTp6_oeR2sJ",
+        "AXsicSI6MTMzMjAwNjc5MDY3NzU2OTgwMiwiYSI6NDAwMDAwMDAwMCwicyI6IiIsIm8iOlsxMjAuNSwibWV0ZXIiLC\
+         JkNyJdLCJuIjoxLCJtIjoxNzU2MjM1NjEwNDgyMjIwMzE0Mn0TPvNGUBnNDXTp6_oeR2sJ",
     ),
 ];
 
