--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -1,7 +1,7 @@
 //! The handler of one feature by its identifier: `GET
 //! /collections/{collectionId}/items/{featureId}`.
 
-use super::ResourceRequest;
+use super::{parameter_value, ResourceRequest};
 use crate::front::ogc::crs::Crs;
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::page_request::{PageRequest, RequestKind};
@@ -51,9 +51,9 @@
 
 /// Returns the coordinate reference system of the response.
 fn crs(request: &ResourceRequest<'_>) -> Result<Crs, ApiError> {
-    match request.parameters.iter().find(|(name, _)| name == "crs") {
+    match parameter_value(&request.parameters, "crs") {
         None => Ok(Crs::Crs84),
-        Some((_, text)) => Crs::parse(text).ok_or_else(|| ApiError::UnsupportedCrs(text.clone())),
+        Some(text) => Crs::parse(text).ok_or_else(|| ApiError::UnsupportedCrs(text.to_owned())),
     }
 }
 
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -32,7 +32,7 @@
     let parameters = request.parameters.clone();
     let needs_discovery = !parameters
         .iter()
-        .all(|(name, _)| CAPABILITY_INDEPENDENT.contains(&name.as_str()));
+        .all(|parameter| CAPABILITY_INDEPENDENT.contains(&parameter.name.as_str()));
     let document = request.document.clone();
     let collection = collection.to_owned();
     let query_string = request.query_string.to_owned();
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -8,7 +8,7 @@
 use super::client_request::{base_url, ClientContext};
 use super::discovery::discover_then;
 use super::error::ApiError;
-use super::params::{decode_query, negotiate_format};
+use super::params::{decode_query, negotiate_format, QueryParameter};
 use super::response::documents::DocumentContext;
 use super::response::problem::error_response;
 use super::shards::ShardSource;
@@ -39,8 +39,8 @@
     incoming: &'a IncomingRequest<'a>,
     document: DocumentContext,
     query_string: &'a str,
-    /// The decoded names and values of the query string.
-    parameters: Vec<(String, String)>,
+    /// The decoded parameters of the query string.
+    parameters: Vec<QueryParameter>,
 }
 
 impl IncomingRequest<'_> {
@@ -68,8 +68,7 @@
         query_string: &'a str,
     ) -> Result<ResourceRequest<'a>, ApiError> {
         let parameters = decode_query(query_string);
-        let requested = parameters.iter().find(|(name, _)| name == FORMAT_PARAMETER);
-        let requested = requested.map(|(_, value)| value.as_str());
+        let requested = parameter_value(&parameters, FORMAT_PARAMETER);
         let format = negotiate_format(requested, self.http.headers.get("Accept"))?;
         let path = path.trim_end_matches('/');
         let path = if path.is_empty() { "/" } else { path };
@@ -134,13 +133,20 @@
     /// Returns an error if the request has a parameter other than `allowed` and the format.
     fn allow_parameters(&self, allowed: &[&str]) -> Result<(), ApiError> {
         let is_allowed = |name: &str| name == FORMAT_PARAMETER || allowed.contains(&name);
-        match self.parameters.iter().find(|(name, _)| !is_allowed(name)) {
-            Some((name, _)) => Err(ApiError::UnknownParameter(name.clone())),
+        let mut names = self.parameters.iter().map(|parameter| &parameter.name);
+        match names.find(|name| !is_allowed(name)) {
+            Some(name) => Err(ApiError::UnknownParameter(name.clone())),
             None => Ok(()),
         }
     }
 }
 
+/// Returns the value of the first parameter with this name.
+fn parameter_value<'a>(parameters: &'a [QueryParameter], name: &str) -> Option<&'a str> {
+    let parameter = parameters.iter().find(|parameter| parameter.name == name);
+    parameter.map(|parameter| parameter.value.as_str())
+}
+
 /// Returns the decoded segments of a path, without the empty ones.
 fn decode_segments(path: &str) -> Result<Vec<String>, ApiError> {
     let decode = |segment: &str| {
--- a/src/front/ogc/params/items.rs
+++ b/src/front/ogc/params/items.rs
@@ -5,7 +5,7 @@
 use super::bbox::bbox_to_crs84;
 use super::filter::{prepare_filter, queryable_condition};
 use super::sorting::parse_sortby;
-use super::{values, ParameterRules, Params, RequestError};
+use super::{values, ParameterRules, Params, QueryParameter, RequestError};
 
 /// Parameters whose meaning depends on others, whatever their order.
 #[derive(Default)]
@@ -19,26 +19,19 @@
     conditions: Vec<Filter>,
 }
 
-/// The decoded names and values of a query string.
-#[must_use]
-pub fn decode_query(query: &str) -> Vec<(String, String)> {
-    url::form_urlencoded::parse(query.as_bytes())
-        .into_owned()
-        .collect()
-}
-
-/// Parses the parameters of `/items`, given as names and values.
+/// Parses the parameters of `/items`, decoded from a query string.
 ///
 /// # Errors
 /// A parameter is unknown, malformed or given twice.
 pub fn parse_items_query(
-    pairs: &[(String, String)],
+    parameters: &[QueryParameter],
     rules: &ParameterRules<'_>,
 ) -> Result<Params, RequestError> {
     let mut params = Params::unconditional(rules.limits);
     let mut dependent = Dependent::default();
-    for (position, (name, value)) in pairs.iter().enumerate() {
-        if pairs[..position].iter().any(|earlier| earlier.0 == *name) {
+    for (position, QueryParameter { name, value }) in parameters.iter().enumerate() {
+        let mut earlier = parameters[..position].iter();
+        if earlier.any(|parameter| parameter.name == *name) {
             return Err(RequestError::DuplicateParameter(name.clone()));
         }
         match name.as_str() {
--- a/src/front/ogc/params/mod.rs
+++ b/src/front/ogc/params/mod.rs
@@ -6,13 +6,15 @@
 mod filter;
 mod format;
 mod items;
+mod query_parameter;
 mod search;
 mod sorting;
 mod values;
 
 pub use error::RequestError;
 pub use format::{negotiate_format, Format};
-pub use items::{decode_query, parse_items_query};
+pub use items::parse_items_query;
+pub use query_parameter::{decode_query, QueryParameter};
 pub use search::{parse_search, parse_search_body, search_collection, Search};
 
 use super::cql2::{Filter, Queryables};
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -97,12 +97,13 @@
         request.base_url, request.collection
     );
     let mut parameters = decode_query(&request.query_string);
-    parameters.retain(|(name, _)| name != "f");
+    parameters.retain(|parameter| parameter.name != "f");
     let href = |format: &str, cursor: Option<&str>| {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         let kept = parameters
             .iter()
-            .filter(|(name, _)| cursor.is_none() || name != "cursor");
+            .filter(|parameter| cursor.is_none() || parameter.name != "cursor")
+            .map(|parameter| (&parameter.name, &parameter.value));
         query.extend_pairs(kept).append_pair("f", format);
         query.extend_pairs(cursor.map(|cursor| ("cursor", cursor)));
         format!("{path}?{}", query.finish())
