--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -177,18 +177,20 @@
                 );
             }
             if server.state != EndpointState::Removed {
-                let live = self
-                    .live_shards
-                    .entry(shard.collection.clone())
-                    .or_default();
-                if !live.contains(&id) {
-                    live.push(id);
-                }
+                self.add_live_shard(&shard.collection, id);
             }
         }
         assigned
     }
 
+    /// Adds a shard to those of its collection, unless it is among them.
+    fn add_live_shard(&mut self, collection: &str, shard: ShardId) {
+        let live = self.live_shards.entry(collection.to_owned()).or_default();
+        if !live.contains(&shard) {
+            live.push(shard);
+        }
+    }
+
     /// Returns the time of a server's last start by the inventories; `None` if that was before this
     /// process started.
     fn started(&self, server: &Server, now: Micros) -> Option<Micros> {
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -16,7 +16,7 @@
 use super::shard_plan::ShardPlan;
 use super::shards::ShardSource;
 use super::state::FrontState;
-use crate::coordinator::Answer;
+use crate::coordinator::{Answer, ServedPart};
 use crate::front::{Reaction, Render};
 use crate::interface::ShardId;
 use crate::proto::http::Response;
@@ -109,11 +109,16 @@
     /// removed.
     fn shard_request(&self, fetch: &PageFetch) -> Option<ShardRequest> {
         let plan = &self.plans[fetch.shard];
-        let (shard, target) = match &fetch.location {
-            PageLocation::ShardStart => self.first_page(fetch),
-            PageLocation::NextLink { server, target, .. } => {
-                (self.shard_of_link(fetch.shard, server)?, target.to_string())
+        let shard = match &fetch.location {
+            PageLocation::ShardStart => self.shard_to_start(fetch.shard),
+            PageLocation::NextLink { server, .. } => self.shard_of_link(fetch.shard, server)?,
+        };
+        let target = match &fetch.location {
+            PageLocation::ShardStart => {
+                let name = &self.shards[fetch.shard].name;
+                plan.target(name, &self.request.params, fetch.page_size)
             }
+            PageLocation::NextLink { target, .. } => target.to_string(),
         };
         let mut request = PageRequest::new(RequestKind::Items, target);
         request.predicate = plan.predicate.clone();
@@ -123,16 +128,14 @@
         })
     }
 
-    /// Returns the shard to request the first page from, and the target of the request. An
-    /// interrupted shard is restarted at another server.
-    fn first_page(&self, fetch: &PageFetch) -> (ShardId, String) {
-        let source = &self.shards[fetch.shard];
-        let interrupted_server = self.merge.interrupted_server(fetch.shard);
+    /// Returns the shard to request the first page from. An interrupted shard is restarted at
+    /// another server, if there is one.
+    fn shard_to_start(&self, index: usize) -> ShardId {
+        let shard = self.shards[index].shard;
+        let interrupted_server = self.merge.interrupted_server(index);
         let elsewhere = interrupted_server
-            .and_then(|server| lock(&self.state.catalog).excluding_server(source.shard, server));
-        let target =
-            self.plans[fetch.shard].target(&source.name, &self.request.params, fetch.page_size);
-        (elsewhere.unwrap_or(source.shard), target)
+            .and_then(|server| lock(&self.state.catalog).excluding_server(shard, server));
+        elsewhere.unwrap_or(shard)
     }
 
     /// Returns the shard to follow a link in: at any server if all servers have the same order,
@@ -151,43 +154,39 @@
     fn accept_answer(mut self, answer: Answer, unavailable: Vec<FetchedPage>) -> Reaction {
         let in_flight = std::mem::take(&mut self.in_flight);
         let error = ApiError::from_answer(&answer);
+        let attempted = in_flight
+            .iter()
+            .any(|fetch| fetch.request.request.attempted());
         let mut fetched = unavailable;
         match answer {
             Answer::Served { parts, .. } => {
-                for InFlightFetch { fetch, request } in in_flight {
-                    let part = parts.iter().find(|part| part.shard == request.shard);
-                    let page = part.and_then(|part| request.request.page(&part.value));
-                    if let Some(page) = &page {
-                        let mut admission = self.state.admission();
-                        admission.record_page(
-                            page.body.len(),
-                            page.returned_count,
-                            fetch.page_size,
-                        );
-                    }
-                    fetched.push(fetch.fetched(page));
-                }
+                let pages = in_flight.into_iter();
+                fetched.extend(pages.map(|fetch| self.fetched_page(fetch, &parts)));
             }
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
             // Rejected for load: the servers were not asked, so no shard counts as missing.
-            Answer::Rejected { late: false, .. }
-                if !in_flight
-                    .iter()
-                    .any(|fetch| fetch.request.request.attempted()) =>
-            {
-                return self.end(error);
-            }
+            Answer::Rejected { late: false, .. } if !attempted => return self.end(error),
             Answer::Rejected { .. } | Answer::Failed { .. } => {
-                fetched.extend(
-                    in_flight
-                        .into_iter()
-                        .map(|in_flight| in_flight.fetch.fetched(None)),
-                );
+                let failed = in_flight.into_iter();
+                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched(None)));
             }
         }
         self.accept(fetched, error)
     }
 
+    /// Returns the result of a fetch from the served parts of its round, and records the size of
+    /// its page for the admission of further queries.
+    fn fetched_page(&self, in_flight: InFlightFetch, parts: &[ServedPart]) -> FetchedPage {
+        let InFlightFetch { fetch, request } = in_flight;
+        let part = parts.iter().find(|part| part.shard == request.shard);
+        let page = part.and_then(|part| request.request.page(&part.value));
+        if let Some(page) = &page {
+            let mut admission = self.state.admission();
+            admission.record_page(page.body.len(), page.returned_count, fetch.page_size);
+        }
+        fetch.fetched(page)
+    }
+
     /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
     /// reason why the round failed.
     fn accept(mut self, fetched: Vec<FetchedPage>, error: Option<ApiError>) -> Reaction {
