--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -46,7 +46,7 @@
         if response.status != 200 || response.body.is_empty() {
             return response;
         }
-        response.headers.push(("Vary", VARY.to_owned()));
+        response.add_header("Vary", VARY);
         let tag = tag_of(&mut response);
         if self.matches(&tag) {
             return Response {
@@ -86,11 +86,11 @@
 
 /// Returns the entity tag of a response, after adding that of its body if there is none.
 fn tag_of(response: &mut Response) -> String {
-    if let Some((_, tag)) = response.headers.iter().find(|(name, _)| *name == "ETag") {
-        return tag.clone();
+    if let Some(tag) = response.header("ETag") {
+        return tag.to_owned();
     }
     let tag = entity_tag(response.body.chunks());
-    response.headers.push(("ETag", tag.clone()));
+    response.add_header("ETag", tag.as_str());
     tag
 }
 
@@ -106,9 +106,7 @@
         .try_for_each(|chunk| encoder.write_all(chunk));
     if let (Ok(()), Ok(compressed)) = (written, encoder.finish()) {
         response.body = compressed.into();
-        response
-            .headers
-            .push(("Content-Encoding", "gzip".to_owned()));
+        response.add_header("Content-Encoding", "gzip");
     }
 }
 
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -16,14 +16,6 @@
     )
 }
 
-fn header<'a>(response: &'a Response, name: &str) -> Option<&'a str> {
-    response
-        .headers
-        .iter()
-        .find(|h| h.0 == name)
-        .map(|h| h.1.as_str())
-}
-
 /// Delivers a text of 3,500 bytes to a request with these header lines.
 fn delivered(header_lines: &str, status: u16) -> Response {
     options(header_lines).deliver(Response::new(status, "text/plain", text().as_str()))
@@ -45,26 +37,26 @@
 #[test]
 fn current_versions_are_not_sent_and_large_bodies_are_compressed() {
     let plain = delivered("", 200);
-    let tag = header(&plain, "ETag").expect("a tag");
+    let tag = plain.header("ETag").expect("a tag");
     assert_eq!(plain.body.len(), text().len());
-    assert_eq!(header(&plain, "Content-Encoding"), None);
+    assert_eq!(plain.header("Content-Encoding"), None);
 
     let compressed = delivered("Accept-Encoding: br, gzip;q=0.5\r\n", 200);
     assert_eq!(decompress(&compressed.body), text());
-    assert_eq!(header(&compressed, "ETag"), Some(tag));
+    assert_eq!(compressed.header("ETag"), Some(tag));
 
     for etag in [tag, &format!("\"x\", {}", &tag[2..]), "*"] {
         let known = delivered(&format!("If-None-Match: {etag}\r\n"), 200);
         assert_eq!(known.status, 304, "{etag}");
         assert_eq!(known.body.len(), 0, "{etag}");
-        assert_eq!(header(&known, "ETag"), Some(tag));
+        assert_eq!(known.header("ETag"), Some(tag));
     }
 
     let other = delivered("If-None-Match: \"x\"\r\nAccept-Encoding: gzip;q=0\r\n", 200);
     assert_eq!(other.status, 200);
-    assert_eq!(header(&other, "Content-Encoding"), None);
+    assert_eq!(other.header("Content-Encoding"), None);
 
     let error = delivered("Accept-Encoding: gzip\r\n", 503);
     assert_eq!(error.body.len(), text().len());
-    assert_eq!(header(&error, "ETag"), None);
+    assert_eq!(error.header("ETag"), None);
 }
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -105,10 +105,7 @@
     let mut response = error_response(error);
     if response.status == 405 {
         let search = request.target.starts_with("/search");
-        response.headers.push((
-            "Allow",
-            if search { "POST" } else { "GET, HEAD" }.to_owned(),
-        ));
+        response.add_header("Allow", if search { "POST" } else { "GET, HEAD" });
     }
     Reaction::Respond(response)
 }
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -68,9 +68,7 @@
         Format::Json => json_response(200, GEOJSON, &feature),
         Format::Html => html::feature(&feature),
     };
-    response
-        .headers
-        .push(("Content-Crs", format!("<{}>", request.crs)));
+    response.add_header("Content-Crs", format!("<{}>", request.crs));
     Ok(response)
 }
 
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -30,13 +30,9 @@
         Format::Json => Response::new(200, GEOJSON, geojson(result, &members)),
         Format::Html => html::feature_collection(result, &members),
     };
-    response
-        .headers
-        .push((COMPLETE_HEADER, result.complete.to_string()));
-    response
-        .headers
-        .push(("Content-Crs", format!("<{}>", request.params.crs)));
-    response.headers.push(("ETag", tag));
+    response.add_header(COMPLETE_HEADER, result.complete.to_string());
+    response.add_header("Content-Crs", format!("<{}>", request.params.crs));
+    response.add_header("ETag", tag);
     response
 }
 
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -19,9 +19,8 @@
 pub(in crate::front::ogc) fn error_response(error: &ApiError) -> Response {
     let mut response = problem(error.status(), &error.to_string());
     if let ApiError::Overloaded { retry_after } = error {
-        response
-            .headers
-            .push(("Retry-After", retry_after_seconds(*retry_after).to_string()));
+        let seconds = retry_after_seconds(*retry_after);
+        response.add_header("Retry-After", seconds.to_string());
     }
     response
 }
--- a/src/front/platform/response.rs
+++ b/src/front/platform/response.rs
@@ -44,9 +44,9 @@
         }
         Answer::Rejected { retry_after, .. } => {
             let mut response = Response::new(503, TEXT, "refused: ask again\n");
-            response
-                .headers
-                .extend(retry_after.map(|time| ("Retry-After", seconds(time))));
+            if let Some(time) = retry_after {
+                response.add_header("Retry-After", seconds(time));
+            }
             response
         }
         Answer::UnknownClass => Response::new(400, TEXT, "X-Qos names no class\n"),
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{Answer, Request, ServedPart, Token};
 use crate::front::{Front, Reaction};
 use crate::interface::ShardId;
-use crate::proto::http::{HttpRequest, Response, ServerConnection};
+use crate::proto::http::{HttpRequest, Response, ResponseHeader, ServerConnection};
 use crate::time::Micros;
 use std::sync::{Arc, Mutex};
 
@@ -226,5 +226,9 @@
         (rejected.status, rejected.body.to_vec()),
         (503, b"refused: ask again\n".to_vec())
     );
-    assert_eq!(rejected.headers, [("Retry-After", "1.250".to_owned())]);
+    let retry_after = ResponseHeader {
+        name: "Retry-After",
+        value: "1.250".to_owned(),
+    };
+    assert_eq!(rejected.headers, [retry_after]);
 }
--- a/src/proto/http/mod.rs
+++ b/src/proto/http/mod.rs
@@ -12,7 +12,7 @@
 pub use error::HttpError;
 pub use headers::Headers;
 pub use request::HttpRequest;
-pub use response::Response;
+pub use response::{Response, ResponseHeader};
 pub use response_reader::{ResponseHead, ResponseReader};
 
 /// The maximum length of a head in bytes; usual ones have a few hundred.
--- a/src/proto/http/response.rs
+++ b/src/proto/http/response.rs
@@ -6,6 +6,15 @@
 /// Room for a usual head, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
+/// A header of a response.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ResponseHeader {
+    /// The name.
+    pub name: &'static str,
+    /// The value.
+    pub value: String,
+}
+
 /// A response to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
@@ -13,8 +22,8 @@
     pub status: u16,
     /// The media type of the body; empty for none.
     pub content_type: &'static str,
-    /// Further headers, as name and value.
-    pub headers: Vec<(&'static str, String)>,
+    /// The headers other than those of the body and the connection.
+    pub headers: Vec<ResponseHeader>,
     /// The body.
     pub body: Body,
 }
@@ -31,6 +40,21 @@
         }
     }
 
+    /// Appends a header.
+    pub fn add_header(&mut self, name: &'static str, value: impl Into<String>) {
+        self.headers.push(ResponseHeader {
+            name,
+            value: value.into(),
+        });
+    }
+
+    /// Returns the value of the first of these headers with this name.
+    #[must_use]
+    pub fn header(&self, name: &str) -> Option<&str> {
+        let header = self.headers.iter().find(|header| header.name == name);
+        header.map(|header| header.value.as_str())
+    }
+
     /// The head as it is written; `close` announces that the connection closes after the response.
     pub(super) fn encode_head(&self, close: bool) -> String {
         let mut head = String::with_capacity(HEAD_CAPACITY);
@@ -43,7 +67,7 @@
         if !self.content_type.is_empty() {
             let _ = write!(head, "Content-Type: {}\r\n", self.content_type);
         }
-        for (name, value) in &self.headers {
+        for ResponseHeader { name, value } in &self.headers {
             let _ = write!(head, "{name}: {value}\r\n");
         }
         if close {
