--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -38,6 +38,7 @@
 /// The reservations of an admitted query.
 pub(super) struct AdmittedQuery {
     _pages: PageReservation,
+    /// The reservation of the response's memory, which the response holds until it is written.
     pub memory: Arc<MemoryReservation>,
 }
 
@@ -96,6 +97,7 @@
     }
 }
 
+/// Returns the estimated cost of a query.
 fn cost(state: &FrontState, request: &ItemsRequest, shards: usize) -> QueryCost {
     let edge = &state.edge;
     let params = &request.params;
--- a/src/front/ogc/client_request.rs
+++ b/src/front/ogc/client_request.rs
@@ -89,11 +89,14 @@
 pub(super) struct ItemsRequest {
     /// The scheme and host of the links.
     pub base_url: String,
+    /// The identifier of the collection.
     pub collection: String,
     /// The query string as received; empty for a search.
     pub query_string: String,
-    /// The body of a search.
+    /// The body of a search; `None` for a query in the query string.
     pub search_body: Option<serde_json::Value>,
+    /// The parameters of the query.
     pub params: Params,
+    /// The format of the response.
     pub format: Format,
 }
--- a/src/front/ogc/discovery.rs
+++ b/src/front/ogc/discovery.rs
@@ -23,7 +23,9 @@
 struct Discovery {
     shard: ShardId,
     key: ReplicaKey,
+    /// The request for the server's conformance classes.
     conformance: Arc<PageRequest>,
+    /// The request for the shard's queryables.
     queryables: Arc<PageRequest>,
 }
 
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Returns the requests of the discovery.
     fn requests(&self) -> [ShardRequest; 2] {
         let part = |request: &Arc<PageRequest>| ShardRequest {
             shard: self.shard,
@@ -107,6 +110,8 @@
     )
 }
 
+/// Returns the discoveries to run before a query, at most [`MAX_DISCOVERIES`], and marks them in
+/// the cache as running.
 fn due_discoveries(state: &FrontState, shards: &[ShardSource], now: Micros) -> Vec<Discovery> {
     let mut discoveries = Vec::new();
     for replica in replicas(state, shards).into_iter().flatten() {
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -26,9 +26,13 @@
 
 /// A received request and the state to handle it with.
 pub(super) struct IncomingRequest<'a> {
+    /// The state of the front.
     pub state: &'a Arc<FrontState>,
+    /// The request as received.
     pub http: &'a HttpRequest,
+    /// The token that identifies the client's connection.
     pub token: Token,
+    /// The estimated time at which the client sent the request.
     pub sent_at: Micros,
     /// Whether the program is ready to serve.
     pub ready: bool,
@@ -45,6 +49,10 @@
 
 impl IncomingRequest<'_> {
     /// Handles the request.
+    ///
+    /// # Errors
+    ///
+    /// If the request is invalid or cannot be served; the error has the response's status.
     pub fn handle(&self) -> Result<Reaction, ApiError> {
         let (path, query_string) = self
             .http
@@ -62,6 +70,7 @@
         self.resource_request(path, query_string)?.route(&segments)
     }
 
+    /// Parses the query string and negotiates the format of the response.
     fn resource_request<'a>(
         &'a self,
         path: &str,
@@ -111,6 +120,7 @@
 }
 
 impl ResourceRequest<'_> {
+    /// Calls the handler of the resource with these path segments.
     fn route(&self, segments: &[&str]) -> Result<Reaction, ApiError> {
         match *segments {
             ["up"] => documents::readiness(self),
--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -47,12 +47,16 @@
 #[derive(Debug)]
 pub struct ConcatMerge {
     limits: PagingLimits,
+    /// The start of the response.
     start: ResumePosition,
+    /// The position of the next feature to use.
     position: ResumePosition,
+    /// The state of each shard, by its index.
     shards: Vec<ShardState>,
     features: ResponseFeatures,
     current_shard: CurrentShard,
     usage: FetchUsage,
+    /// The number of shards of unknown size to fetch ahead of the current one.
     lookahead: usize,
     /// The shard that was restarted. A response restarts at most one.
     interrupted: Option<InterruptedShard>,
@@ -115,6 +119,8 @@
         self.use_page(&requested.page, feature_id)
     }
 
+    /// Restarts the missing shard at the current position, moves past it, or ends the response.
+    /// Returns `None` if there may be a further page to use.
     fn pass_missing_shard(&mut self) -> Option<MergeProgress> {
         if self.restart_shard() {
             return Some(MergeProgress::NeedsPages);
@@ -157,6 +163,8 @@
         too_small.then(|| self.progress_without_page())
     }
 
+    /// Appends the features of the page at the current position and moves past it. Returns `None`
+    /// if there may be a further page to use.
     fn use_page(
         &mut self,
         page: &Arc<FeaturePage>,
@@ -248,6 +256,7 @@
         true
     }
 
+    /// Moves to the start of the next shard.
     fn advance_shard(&mut self) {
         self.position = ResumePosition::shard_start(self.position.shard + 1);
         self.current_shard.advance(self.features.checkpoint());
@@ -267,10 +276,12 @@
         }
     }
 
+    /// Returns whether the response has passed all shards.
     fn is_exhausted(&self) -> bool {
         self.position.shard >= self.shards.len()
     }
 
+    /// Returns the number of features until the limit.
     fn remaining(&self) -> usize {
         self.limits.limit - self.features.count()
     }
--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -6,7 +6,9 @@
 /// A page that has arrived, and the number of features requested.
 #[derive(Debug)]
 pub(super) struct RequestedPage {
+    /// The page.
     pub page: Arc<FeaturePage>,
+    /// The number of features requested.
     pub page_size: usize,
 }
 
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -34,13 +34,16 @@
     pub after_values: Option<Vec<Json>>,
 }
 
+/// The state of a shard while a response is built.
 #[derive(Debug)]
 struct ShardState {
     /// The next page; `None` after the last.
     location: Option<PageLocation>,
     /// Whether the server has returned the shard's features in order so far.
     sorted: bool,
+    /// The values of the feature that the server returned last.
     last_seen: Option<SortValues>,
+    /// Whether the shard's pages could not be fetched, or did not end.
     missing: bool,
 }
 
@@ -79,12 +82,16 @@
 #[derive(Debug)]
 pub struct SortedMerge {
     keys: Vec<SortKey>,
+    /// For each key, whether the largest value comes first.
     descending: Arc<[bool]>,
     limit: usize,
     page_size: usize,
+    /// The number of pages that may still be fetched.
     pages_left: usize,
     min_shard_share: f64,
+    /// The position after which the response starts; `None` in the first response.
     after: Option<SortValues>,
+    /// The state of each shard, by its index.
     shards: Vec<ShardState>,
     /// The first features in the order so far, at most `limit`.
     selected: BTreeMap<SortValues, Arc<[u8]>>,
@@ -136,6 +143,7 @@
             .collect()
     }
 
+    /// Returns the fetch of a shard's next page; `None` after its last.
     fn next_fetch(&self, shard: usize, state: &ShardState) -> Option<PageFetch> {
         let location = state.location.clone()?;
         let page_size = match &location {
@@ -186,6 +194,7 @@
         }
     }
 
+    /// Selects features from a page, and moves its shard to the next one.
     fn accept_page(&mut self, shard: usize, page: &FeaturePage) {
         for feature in &page.features {
             self.insert(shard, &page.body[feature.clone()]);
@@ -193,6 +202,7 @@
         self.shards[shard].move_to(page.next_location());
     }
 
+    /// Returns whether less than the minimum share of the shards is left.
     fn has_too_few_shards(&self) -> bool {
         let missing = self.shards.iter().filter(|state| state.missing).count();
         let total = self.shards.len().max(1);
--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -16,17 +16,23 @@
 
 /// The merge of a query's pages.
 pub(super) enum Merge {
+    /// A merge without a sort order.
     Concat(Box<ConcatMerge>),
+    /// A merge with a sort order.
     Sorted(SortedMerge),
 }
 
 /// The result of a merge.
 pub(super) struct MergedItems {
+    /// The features of the response, in order.
     pub slices: Vec<PageSlice>,
+    /// The number of features in the response.
     pub number_returned: usize,
+    /// Whether the response has the features of all shards that it passed.
     pub complete: bool,
     /// The indexes of the missing shards.
     pub missing_shards: Vec<usize>,
+    /// The number of matching features in all shards, if it is known.
     pub number_matched: Option<u64>,
 }
 
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -34,10 +34,12 @@
     shards: Vec<ShardSource>,
     /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
+    /// The response so far.
     merge: Merge,
     /// The page fetches of the current round.
     in_flight: Vec<InFlightFetch>,
     resume_point: ResumePoint,
+    /// The reservations of the query.
     admitted: AdmittedQuery,
 }
 
@@ -203,8 +205,8 @@
         }
     }
 
-    /// Ends the query with the features so far if they are a valid response, otherwise with
-    /// `error`.
+    /// Ends the query with the features so far; after an error, only if they are a valid response,
+    /// and otherwise with the error.
     fn end(self, error: Option<ApiError>) -> Reaction {
         if let Some(error) = error.filter(|_| !self.merge.is_valid_when_cut()) {
             return self.finish(error_response(&error));
@@ -216,11 +218,13 @@
         self.finish(response)
     }
 
+    /// Counts the end of the query and responds.
     fn finish(self, response: Response) -> Reaction {
         count_response(&self.state.class_metrics(self.client.class), &response);
         Reaction::Respond(response)
     }
 
+    /// Returns the result that the response is written from.
     fn result(&self, next_cursor: Option<String>) -> ItemsResult<'_> {
         let merged = self.merge.result();
         let name = |shard: usize| self.shards[shard].name.as_str();
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -89,6 +89,7 @@
         Ok(Some(self.state.cursor_key.seal(&cursor)))
     }
 
+    /// Sets the shard, the page and the number of features to skip of a cursor.
     fn set_position(&self, cursor: &mut Cursor, position: &ResumePosition) {
         cursor.shard = self.shards[position.shard].name.clone();
         cursor.skip = position.skip;
@@ -125,6 +126,10 @@
 }
 
 /// Returns the position of a cursor in the present inventory.
+///
+/// # Errors
+///
+/// [`ApiError::ShardRemoved`], or the error of [`link_location`].
 fn position(
     state: &FrontState,
     collection: &str,
@@ -144,6 +149,12 @@
     })
 }
 
+/// Returns the location of a cursor's link at the present address of its server.
+///
+/// # Errors
+///
+/// [`ApiError::ServerRemoved`] if the server no longer serves the shard and another one may have
+/// the features in another order.
 fn link_location(
     state: &FrontState,
     collection: &str,
--- a/src/front/ogc/round.rs
+++ b/src/front/ogc/round.rs
@@ -17,6 +17,7 @@
 pub(super) struct ShardRequest {
     /// The identifier of the shard, or of the shard at one server.
     pub shard: ShardId,
+    /// The request, and the pages that arrive for it.
     pub request: Arc<PageRequest>,
 }
 
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -11,6 +11,7 @@
 /// A shard of a collection.
 #[derive(Debug, Clone)]
 pub(super) struct ShardSource {
+    /// The identifier of the shard at any of its servers.
     pub shard: ShardId,
     /// The servers' name for the shard.
     pub name: String,
@@ -20,6 +21,7 @@
 pub(super) struct ShardReplica {
     /// The identifier of the shard at this server alone.
     pub sticky_shard: ShardId,
+    /// The key of the replica's cached capabilities.
     pub key: ReplicaKey,
 }
 
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -34,8 +34,11 @@
 
 /// The state that all queries of the front share.
 pub(super) struct FrontState {
+    /// The settings of the edge file.
     pub edge: EdgeConfig,
+    /// The catalog, shared with the driver.
     pub catalog: SharedCatalog,
+    /// The key that authenticates cursors.
     pub cursor_key: CursorKey,
     /// The pages per second that the servers together can return, by which queries are admitted.
     pub server_capacity: Arc<ServerCapacity>,
