--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -1,4 +1,5 @@
-//! The admission of queries, by what they cost, and the reservations of those that are admitted.
+//! The admission of queries by their estimated cost, and the reservations of admitted queries. The
+//! estimate and the admission control itself are in [`crate::limits`].
 
 use super::client_request::{ClientContext, ItemsRequest};
 use super::cql2::Filter;
@@ -9,7 +10,8 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// What an admitted query has in flight; released when the query ends, however it does.
+/// The reservation of the pages that an admitted query has in flight, released when the query ends
+/// or is dropped.
 pub(super) struct PageReservation {
     state: Arc<FrontState>,
     cost: QueryCost,
@@ -36,6 +38,7 @@
 /// The reservations of an admitted query.
 pub(super) struct AdmittedQuery {
     _pages: PageReservation,
+    /// The reservation of the response's memory, which the response holds until it is written.
     pub memory: Arc<MemoryReservation>,
 }
 
@@ -53,7 +56,13 @@
         }
     }
 
-    /// Admits a query over a number of shards, or rejects it with the time after which to retry.
+    /// Admits a query over `shards` shards and reserves its cost. Without admission control,
+    /// nothing is reserved.
+    ///
+    /// # Errors
+    ///
+    /// [`ApiError::Overloaded`], with the time after which to retry, if the servers or the memory
+    /// have no capacity for the query.
     pub fn admit(
         state: &Arc<FrontState>,
         client: &ClientContext,
@@ -88,8 +97,10 @@
     }
 }
 
+/// Returns the estimated cost of a query.
 fn cost(state: &FrontState, request: &ItemsRequest, shards: usize) -> QueryCost {
-    let (edge, params) = (&state.edge, &request.params);
+    let edge = &state.edge;
+    let params = &request.params;
     QueryCost::estimate(&QueryShape {
         limit: params.limit,
         page_size: edge.page_size,
--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -1,4 +1,5 @@
-//! Documents about the service.
+//! The handlers of the documents about the service. Writing the documents is left to
+//! [`response`](crate::front::ogc::response).
 
 use super::ResourceRequest;
 use crate::front::ogc::cql2::{QueryableType, Queryables};
@@ -6,18 +7,20 @@
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::response::{documents, openapi};
 use crate::front::ogc::shards::shards_of;
+use crate::front::ogc::state::FrontState;
 use crate::front::Reaction;
 use crate::proto::http::Response;
 use crate::sync::lock;
+use std::sync::Arc;
 
 /// The schemas of a collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SchemaKind {
-    /// What can be filtered by.
+    /// The properties to filter by.
     Queryables,
-    /// What can be sorted by.
+    /// The properties to sort by.
     Sortables,
-    /// What is returned.
+    /// The properties returned.
     Schema,
 }
 
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Leaves out the properties that do not belong in this schema.
+    /// Removes the properties that are not in this schema.
     fn restrict(self, queryables: &mut Queryables) {
         if self == SchemaKind::Sortables {
             queryables.named.retain(|_, queryable_type| {
@@ -43,13 +46,13 @@
     }
 }
 
-/// Responds, unless the request has parameters: documents have none.
+/// Returns a response, or an error if the request has parameters: documents have none.
 fn respond(request: &ResourceRequest<'_>, response: Response) -> Result<Reaction, ApiError> {
     request.allow_parameters(&[])?;
     Ok(Reaction::Respond(response))
 }
 
-/// Whether the program is ready to serve.
+/// Responds with whether the program is ready to serve.
 pub(super) fn readiness(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
     let response = match request.incoming.ready {
         true => Response::new(200, "text/plain", "ready\n"),
@@ -94,7 +97,7 @@
     )
 }
 
-/// A schema of a collection, after the discovery of what its servers can do.
+/// Responds with a schema of a collection, after capability discovery.
 pub(super) fn schema(
     request: &ResourceRequest<'_>,
     id: &str,
@@ -104,16 +107,15 @@
     let incoming = request.incoming;
     let shards = shards_of(incoming.state, id)?;
     let client = incoming.client()?;
-    let (id, document, discovered) = (id.to_owned(), request.document.clone(), shards.clone());
-    Ok(discover_then(
-        incoming.state.clone(),
-        &client,
-        &discovered,
-        move |state| {
-            let mut queryables = queryables(&state, &id, &shards);
-            kind.restrict(&mut queryables);
-            let title = format!("{} of {id}", kind.name());
-            Reaction::Respond(documents::schema(&document, &title, &queryables))
-        },
-    ))
+    let id = id.to_owned();
+    let document = request.document.clone();
+    let collection_shards = shards.clone();
+    let respond = move |state: Arc<FrontState>| {
+        let mut queryables = queryables(&state, &id, &collection_shards);
+        kind.restrict(&mut queryables);
+        let title = format!("{} of {id}", kind.name());
+        Reaction::Respond(documents::schema(&document, &title, &queryables))
+    };
+    let state = incoming.state.clone();
+    Ok(discover_then(state, &client, &shards, respond))
 }
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -1,4 +1,4 @@
-//! The features of a collection: `GET /collections/{collectionId}/items`.
+//! The handler of the features of a collection: `GET /collections/{collectionId}/items`.
 
 use super::ResourceRequest;
 use crate::front::ogc::client_request::ItemsRequest;
@@ -12,7 +12,7 @@
 use crate::front::Reaction;
 use std::sync::Arc;
 
-/// Parameters that mean the same whatever the capabilities of the servers are.
+/// The parameters whose meaning does not depend on the capabilities of the servers.
 const CAPABILITY_INDEPENDENT: [&str; 8] = [
     "limit",
     "bbox",
@@ -32,10 +32,12 @@
     let parameters = request.parameters.clone();
     let needs_discovery = !parameters
         .iter()
-        .all(|(name, _)| CAPABILITY_INDEPENDENT.contains(&name.as_str()));
+        .all(|parameter| CAPABILITY_INDEPENDENT.contains(&parameter.name.as_str()));
     let document = request.document.clone();
-    let (collection, query_string) = (collection.to_owned(), request.query_string.to_owned());
-    let (query_client, query_shards) = (client.clone(), shards.clone());
+    let collection = collection.to_owned();
+    let query_string = request.query_string.to_owned();
+    let query_client = client.clone();
+    let query_shards = shards.clone();
     let start = move |state: Arc<FrontState>| {
         let queryables = match needs_discovery {
             true => queryables(&state, &collection, &query_shards),
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! The resources of the front: which handler a request goes to, and the handlers.
+//! The resources of the front: the routing of requests to handlers, and the handlers.
 
 mod documents;
 mod feature;
@@ -8,7 +8,7 @@
 use super::client_request::{base_url, ClientContext};
 use super::discovery::discover_then;
 use super::error::ApiError;
-use super::params::{decode_query, negotiate_format};
+use super::params::{decode_query, negotiate_format, QueryParameter};
 use super::response::documents::DocumentContext;
 use super::response::problem::error_response;
 use super::shards::ShardSource;
@@ -24,13 +24,17 @@
 /// The parameter that all resources have: the format of the response.
 const FORMAT_PARAMETER: &str = "f";
 
-/// A request that was received, and what it is handled with.
+/// A received request and the state to handle it with.
 pub(super) struct IncomingRequest<'a> {
+    /// The state of the front.
     pub state: &'a Arc<FrontState>,
+    /// The request as received.
     pub http: &'a HttpRequest,
+    /// The token that identifies the client's connection.
     pub token: Token,
+    /// The estimated time at which the client sent the request.
     pub sent_at: Micros,
-    /// The program is ready to serve.
+    /// Whether the program is ready to serve.
     pub ready: bool,
 }
 
@@ -39,12 +43,16 @@
     incoming: &'a IncomingRequest<'a>,
     document: DocumentContext,
     query_string: &'a str,
-    /// The decoded names and values of the query string.
-    parameters: Vec<(String, String)>,
+    /// The decoded parameters of the query string.
+    parameters: Vec<QueryParameter>,
 }
 
 impl IncomingRequest<'_> {
     /// Handles the request.
+    ///
+    /// # Errors
+    ///
+    /// If the request is invalid or cannot be served; the error has the response's status.
     pub fn handle(&self) -> Result<Reaction, ApiError> {
         let (path, query_string) = self
             .http
@@ -62,14 +70,14 @@
         self.resource_request(path, query_string)?.route(&segments)
     }
 
+    /// Parses the query string and negotiates the format of the response.
     fn resource_request<'a>(
         &'a self,
         path: &str,
         query_string: &'a str,
     ) -> Result<ResourceRequest<'a>, ApiError> {
         let parameters = decode_query(query_string);
-        let requested = parameters.iter().find(|(name, _)| name == FORMAT_PARAMETER);
-        let requested = requested.map(|(_, value)| value.as_str());
+        let requested = parameter_value(&parameters, FORMAT_PARAMETER);
         let format = negotiate_format(requested, self.http.headers.get("Accept"))?;
         let path = path.trim_end_matches('/');
         let path = if path.is_empty() { "/" } else { path };
@@ -94,7 +102,8 @@
         ClientContext::of(self.http, &self.state.edge, self.token, self.sent_at)
     }
 
-    /// Starts a query after capability discovery: whether a name is a queryable must not depend on earlier requests.
+    /// Starts a query after capability discovery, so that whether a name is a queryable does not
+    /// depend on earlier requests.
     fn start_after_discovery(
         &self,
         client: &ClientContext,
@@ -111,6 +120,7 @@
 }
 
 impl ResourceRequest<'_> {
+    /// Calls the handler of the resource with these path segments.
     fn route(&self, segments: &[&str]) -> Result<Reaction, ApiError> {
         match *segments {
             ["up"] => documents::readiness(self),
@@ -130,17 +140,24 @@
         }
     }
 
-    /// Rejects parameters other than these and the format.
+    /// Returns an error if the request has a parameter other than `allowed` and the format.
     fn allow_parameters(&self, allowed: &[&str]) -> Result<(), ApiError> {
         let is_allowed = |name: &str| name == FORMAT_PARAMETER || allowed.contains(&name);
-        match self.parameters.iter().find(|(name, _)| !is_allowed(name)) {
-            Some((name, _)) => Err(ApiError::UnknownParameter(name.clone())),
+        let mut names = self.parameters.iter().map(|parameter| &parameter.name);
+        match names.find(|name| !is_allowed(name)) {
+            Some(name) => Err(ApiError::UnknownParameter(name.clone())),
             None => Ok(()),
         }
     }
 }
 
-/// The segments of a path, decoded; empty ones are left out.
+/// Returns the value of the first parameter with this name.
+fn parameter_value<'a>(parameters: &'a [QueryParameter], name: &str) -> Option<&'a str> {
+    let parameter = parameters.iter().find(|parameter| parameter.name == name);
+    parameter.map(|parameter| parameter.value.as_str())
+}
+
+/// Returns the decoded segments of a path, without the empty ones.
 fn decode_segments(path: &str) -> Result<Vec<String>, ApiError> {
     let decode = |segment: &str| {
         let decoded = percent_encoding::percent_decode_str(segment).decode_utf8();
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -1,28 +1,13 @@
-//! Responses built from the pages of modelled servers.
+//! Tests of responses built from the pages of modelled servers.
+
+mod model;
 
 use super::*;
-use crate::front::ogc::paging::PageFetch;
+use model::{id, model, Model};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::HashSet;
 
-/// Servers of shards with these numbers of features each. The text of a feature is its number in eight digits.
-struct Model {
-    shards: Vec<usize>,
-    reports_count: bool,
-    /// The most features that a server returns, whatever is requested.
-    max_page_size: usize,
-    requests: usize,
-}
-
-fn id(bytes: &[u8]) -> u64 {
-    std::str::from_utf8(bytes)
-        .expect("text")
-        .parse::<u64>()
-        .expect("a number")
-        + 1
-}
-
 fn fetched(shard: usize, page_size: usize, page: Option<Arc<FeaturePage>>) -> FetchedPage {
     FetchedPage {
         shard,
@@ -31,72 +16,6 @@
     }
 }
 
-impl Model {
-    fn page(&mut self, fetch: &PageFetch) -> Arc<FeaturePage> {
-        self.requests += 1;
-        let (from, size) = match &fetch.location {
-            PageLocation::ShardStart => (0, fetch.page_size.min(self.max_page_size)),
-            PageLocation::NextLink { target, .. } => {
-                let (from, size) = target.split_once(' ').expect("a link");
-                (
-                    from.parse().expect("a number"),
-                    size.parse().expect("a number"),
-                )
-            }
-        };
-        let all = self.shards[fetch.shard];
-        let to = (from + size).min(all);
-        let text: String = (from..to)
-            .map(|n| format!("{:08}", fetch.shard * 1_000_000 + n))
-            .collect();
-        let features: Vec<_> = (0..to.saturating_sub(from))
-            .map(|n| n * 8..n * 8 + 8)
-            .collect();
-        Arc::new(FeaturePage {
-            server: format!("s{}", fetch.shard).into(),
-            body: text.into_bytes(),
-            returned_count: features.len(),
-            features,
-            next_target: (to < all).then(|| format!("{to} {size}")),
-            number_matched: self.reports_count.then_some(all as u64),
-        })
-    }
-
-    fn response(&mut self, limits: PagingLimits, from: ResumePosition) -> ConcatMerge {
-        let mut merge = ConcatMerge::new(limits, from, self.shards.len());
-        for _ in 0..10_000 {
-            let fetches = merge.next_fetches();
-            let pages = fetches
-                .iter()
-                .map(|fetch| fetch.fetched(Some(self.page(fetch))))
-                .collect();
-            if merge.accept(pages, id) == MergeProgress::Complete {
-                return merge;
-            }
-        }
-        panic!("a response without end");
-    }
-
-    /// All features over all responses, and the number of responses.
-    fn all(&mut self, limits: PagingLimits) -> (Vec<u64>, usize) {
-        let (mut features, mut responses, mut at) = (Vec::new(), 0, Some(ResumePosition::START));
-        while let Some(from) = at {
-            let merge = self.response(limits, from);
-            assert!(merge.count() <= limits.limit && merge.is_complete());
-            for slice in merge.slices() {
-                features.extend(slice.texts().map(|text| id(text) - 1));
-            }
-            responses += 1;
-            at = merge.resume_position().cloned();
-            assert!(
-                at.is_none() || merge.count() > 0,
-                "an empty response that continues"
-            );
-        }
-        (features, responses)
-    }
-}
-
 fn limits(limit: usize) -> PagingLimits {
     PagingLimits {
         limit,
@@ -110,15 +29,6 @@
     }
 }
 
-fn model(shards: &[usize]) -> Model {
-    Model {
-        shards: shards.to_vec(),
-        reports_count: true,
-        max_page_size: 10_000,
-        requests: 0,
-    }
-}
-
 fn expected(shards: &[usize]) -> Vec<u64> {
     shards
         .iter()
@@ -160,15 +70,11 @@
     let shards = [3, 0, 7, 40, 1];
     let mut servers = model(&shards);
     let merge = servers.response(limits(100), ResumePosition::START);
-    assert_eq!(
-        (
-            merge.count(),
-            merge.resume_position(),
-            merge.number_matched()
-        ),
-        (51, None, Some(51))
-    );
+    assert_eq!(merge.count(), 51);
+    assert_eq!(merge.resume_position(), None);
+    assert_eq!(merge.number_matched(), Some(51));
     assert!(servers.requests <= 6, "{}", servers.requests);
+
     let many = [5; 100];
     let mut servers = Model {
         reports_count: false,
@@ -196,66 +102,52 @@
         assert!(
             fetches
                 .iter()
-                .all(|a| requested.insert(format!("{} {:?}", a.shard, a.location))),
+                .all(|fetch| requested.insert(format!("{} {:?}", fetch.shard, fetch.location))),
             "{fetches:?}"
         );
-        let pages = fetches
-            .iter()
-            .map(|fetch| fetch.fetched(Some(servers.page(fetch))))
-            .collect();
-        if merge.accept(pages, id) == MergeProgress::Complete {
+        if servers.round(&mut merge, |_| true) == MergeProgress::Complete {
             break;
         }
     }
     assert!(merge.count() > 40 && merge.is_complete());
 }
 
+/// Builds a response from three shards of ten features, of which one is missing.
+fn response_without(missing: usize, min_shard_share: f64) -> (MergeProgress, ConcatMerge) {
+    let mut servers = model(&[10, 10, 10]);
+    let limits = PagingLimits {
+        min_shard_share,
+        ..limits(100)
+    };
+    let mut merge = ConcatMerge::new(limits, ResumePosition::START, 3);
+    loop {
+        match servers.round(&mut merge, |fetch| fetch.shard != missing) {
+            MergeProgress::NeedsPages => {}
+            progress => return (progress, merge),
+        }
+    }
+}
+
 #[test]
 fn a_missing_shard_is_reported_and_skipped_only_above_the_minimum_share() {
-    let run = |min_shard_share: f64, missing: usize| {
-        let mut servers = model(&[10, 10, 10]);
-        let mut merge = ConcatMerge::new(
-            PagingLimits {
-                min_shard_share,
-                ..limits(100)
-            },
-            ResumePosition::START,
-            3,
-        );
-        loop {
-            let fetches = merge.next_fetches();
-            let pages = fetches
-                .iter()
-                .map(|a| a.fetched((a.shard != missing).then(|| servers.page(a))))
-                .collect();
-            match merge.accept(pages, id) {
-                MergeProgress::NeedsPages => {}
-                progress => return (progress, merge),
-            }
-        }
-    };
-    let (progress, merge) = run(0.5, 1);
-    assert_eq!(
-        (
-            progress,
-            merge.count(),
-            merge.missing_shards(),
-            merge.is_complete()
-        ),
-        (MergeProgress::Complete, 20, vec![1], false)
-    );
-    assert!(
-        merge.has_enough_shards()
-            && merge.number_matched().is_none()
-            && merge.resume_position().is_none()
-    );
-    assert_eq!(run(1.0, 0).0, MergeProgress::Failed);
-    // The features before the missing shard are a complete response, which continues at that shard.
-    let (progress, merge) = run(1.0, 1);
-    assert_eq!(
-        (progress, merge.count(), merge.is_complete()),
-        (MergeProgress::Complete, 10, true)
-    );
+    let (progress, merge) = response_without(1, 0.5);
+    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(merge.count(), 20);
+    assert_eq!(merge.missing_shards(), [1]);
+    assert!(!merge.is_complete());
+    assert!(merge.has_enough_shards());
+    assert_eq!(merge.number_matched(), None);
+    assert_eq!(merge.resume_position(), None);
+
+    let (progress, _) = response_without(0, 1.0);
+    assert_eq!(progress, MergeProgress::Failed);
+
+    // The features before the missing shard are a complete response, which continues at that
+    // shard.
+    let (progress, merge) = response_without(1, 1.0);
+    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(merge.count(), 10);
+    assert!(merge.is_complete());
     assert_eq!(merge.resume_position().map(|p| p.shard), Some(1));
 }
 
@@ -351,46 +243,46 @@
 }
 
 #[test]
-fn an_interrupted_shard_is_restarted_once_and_only_if_idempotent() {
-    for (idempotent, expected) in [
-        (true, [MergeProgress::NeedsPages, MergeProgress::Complete]),
-        (false, [MergeProgress::Complete, MergeProgress::Complete]),
-    ] {
-        let mut servers = model(&[700]);
-        let mut merge = ConcatMerge::new(
-            PagingLimits {
-                idempotent,
-                ..limits(1_000)
-            },
-            ResumePosition::START,
-            1,
-        );
-        let mut round = |merge: &mut ConcatMerge, served: bool| {
-            let fetches = merge.next_fetches();
-            let pages = fetches
-                .iter()
-                .map(|fetch| fetch.fetched(served.then(|| servers.page(fetch))))
-                .collect();
-            merge.accept(pages, id)
-        };
-        assert_eq!(round(&mut merge, true), MergeProgress::NeedsPages);
-        assert_eq!(
-            round(&mut merge, false),
-            expected[0],
-            "the shard was interrupted"
-        );
-        assert_eq!(merge.count(), if idempotent { 0 } else { 500 });
-        if idempotent {
-            assert_eq!(merge.next_fetches()[0].location, PageLocation::ShardStart);
-            assert_eq!(round(&mut merge, true), MergeProgress::NeedsPages);
-            assert_eq!(round(&mut merge, false), expected[1], "only once");
-            assert_eq!(merge.count(), 500);
-        }
-    }
+fn an_interrupted_shard_is_restarted_once_if_idempotent() {
+    let mut servers = model(&[700]);
+    let mut merge = ConcatMerge::new(limits(1_000), ResumePosition::START, 1);
+
+    let progress = servers.round(&mut merge, |_| true);
+    assert_eq!(progress, MergeProgress::NeedsPages);
+    let progress = servers.round(&mut merge, |_| false);
+    assert_eq!(progress, MergeProgress::NeedsPages, "it was interrupted");
+    assert_eq!(merge.count(), 0);
+    assert_eq!(merge.next_fetches()[0].location, PageLocation::ShardStart);
+
+    let progress = servers.round(&mut merge, |_| true);
+    assert_eq!(progress, MergeProgress::NeedsPages);
+    let progress = servers.round(&mut merge, |_| false);
+    assert_eq!(progress, MergeProgress::Complete, "only once");
+    assert_eq!(merge.count(), 500);
+}
+
+#[test]
+fn an_interrupted_shard_is_not_restarted_unless_idempotent() {
+    let mut servers = model(&[700]);
+    let limits = PagingLimits {
+        idempotent: false,
+        ..limits(1_000)
+    };
+    let mut merge = ConcatMerge::new(limits, ResumePosition::START, 1);
+
+    let progress = servers.round(&mut merge, |_| true);
+    assert_eq!(progress, MergeProgress::NeedsPages);
+    let progress = servers.round(&mut merge, |_| false);
+    assert_eq!(progress, MergeProgress::Complete, "it was interrupted");
+    assert_eq!(merge.count(), 500);
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::with_cases(300) })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(3),
+        failure_persistence: None,
+        ..ProptestConfig::with_cases(300)
+    })]
 
     /// Whatever the sizes, requests stay in proportion to the pages.
     #[test]
@@ -403,11 +295,17 @@
         max_page_size in prop_oneof![Just(10_000_usize), 1_usize..50],
     ) {
         let mut servers = Model { reports_count, max_page_size, ..model(&shards) };
-        let limits = PagingLimits { page_size: page, max_initial_shards: at_once, max_pages: 10_000, ..limits(limit) };
+        let limits = PagingLimits {
+            page_size: page,
+            max_initial_shards: at_once,
+            max_pages: 10_000,
+            ..limits(limit)
+        };
         let (features, responses) = servers.all(limits);
         prop_assert_eq!(features, expected(&shards));
         let least = limit.min(page).min(max_page_size);
         let pages: usize = shards.iter().map(|n| n.div_ceil(least).max(1)).sum();
-        prop_assert!(servers.requests <= 3 * pages + shards.len() + 2 * responses, "{} of {}", servers.requests, pages);
+        let max_requests = 3 * pages + shards.len() + 2 * responses;
+        prop_assert!(servers.requests <= max_requests, "{} of {pages}", servers.requests);
     }
 }
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -1,4 +1,4 @@
-//! Sorted merges over modelled shards, some of which return their features in order.
+//! Tests of sorted merges over modelled shards, some of which return their features in order.
 
 use super::*;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Features without a key come last in either direction.
+    /// Returns the position in the order. Features without a key come last in either direction.
     fn sort_key(&self, descending: bool) -> (bool, Option<i64>, usize) {
         (
             self.key.is_none(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// All features over all responses, and how many features the servers returned.
+/// The features of all responses, and the number of features that the servers returned.
 struct Run {
     ids: Vec<usize>,
     features_read: usize,
@@ -69,7 +69,8 @@
     page
 }
 
-/// A modelled server's page; the target of its `next` link is the index of the feature that follows.
+/// Returns a modelled server's page. The target of its `next` link is the index of the feature that
+/// follows.
 fn serve(features: &[ModelFeature], fetch: &PageFetch) -> FeaturePage {
     let start = match &fetch.location {
         PageLocation::ShardStart => 0,
@@ -94,6 +95,29 @@
     page.features.iter().map(id).collect()
 }
 
+/// Serves the rounds of a response until it is complete. Returns the number of features that the
+/// servers returned.
+fn complete(merge: &mut SortedMerge, shards: &[Vec<ModelFeature>], limit: usize) -> usize {
+    let serve_fetch = |fetch: &PageFetch| {
+        let page = serve(&shards[fetch.shard], fetch);
+        fetch.fetched(Some(Arc::new(page)))
+    };
+    let mut features_read = 0;
+    loop {
+        let pages: Vec<_> = merge.next_fetches().iter().map(serve_fetch).collect();
+        let arrived = pages.iter().flat_map(|fetched| &fetched.page);
+        features_read += arrived.map(|page| page.returned_count).sum::<usize>();
+        assert!(merge.selected_count() <= limit);
+        match merge.accept(pages) {
+            MergeProgress::NeedsPages => {}
+            progress => {
+                assert_eq!(progress, MergeProgress::Complete);
+                return features_read;
+            }
+        }
+    }
+}
+
 /// Follows the responses to the end.
 fn run(shards: &[Vec<ModelFeature>], sorted: &[bool], query: &SortedQuery) -> Run {
     let mut run = Run {
@@ -102,35 +126,15 @@
     };
     let mut after_values = None;
     loop {
-        let mut merge = SortedMerge::new(
-            SortedQuery {
-                after_values,
-                ..query.clone()
-            },
-            sorted,
-        );
-        loop {
-            let serve_fetch = |fetch: &PageFetch| {
-                let page = serve(&shards[fetch.shard], fetch);
-                fetch.fetched(Some(Arc::new(page)))
-            };
-            let pages: Vec<_> = merge.next_fetches().iter().map(serve_fetch).collect();
-            run.features_read += pages
-                .iter()
-                .flat_map(|f| f.page.as_ref())
-                .map(|p| p.returned_count)
-                .sum::<usize>();
-            assert!(merge.selected_count() <= query.limit);
-            match merge.accept(pages) {
-                MergeProgress::NeedsPages => {}
-                progress => {
-                    assert_eq!(progress, MergeProgress::Complete);
-                    break;
-                }
-            }
-        }
+        let query = SortedQuery {
+            after_values,
+            ..query.clone()
+        };
+        let limit = query.limit;
+        let mut merge = SortedMerge::new(query, sorted);
+        run.features_read += complete(&mut merge, shards, limit);
         let page = merge.to_page();
-        assert!(page.returned_count <= query.limit);
+        assert!(page.returned_count <= limit);
         run.ids.extend(ids(&page));
         after_values = merge.resume_after();
         if after_values.is_none() {
@@ -145,13 +149,17 @@
     all.into_iter().map(|feature| feature.id).collect()
 }
 
-/// Keys of a shard's features; some features have none.
+/// Returns a strategy for the keys of a shard's features; some features have none.
 fn shard_keys() -> impl Strategy<Value = Vec<Option<i64>>> {
     proptest::collection::vec(proptest::option::weighted(0.9, -5_i64..5), 0..40)
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::with_cases(200) })]
+    #![proptest_config(ProptestConfig {
+        rng_seed: RngSeed::Fixed(9),
+        failure_persistence: None,
+        ..ProptestConfig::with_cases(200)
+    })]
 
     #[test]
     fn all_features_are_returned_once_and_in_order(
@@ -200,7 +208,7 @@
     assert_eq!((run.ids.len(), run.features_read), (4_000, 4_000));
 }
 
-/// A page of features with these keys, which are their identifiers too.
+/// Returns a page of features with these keys, which are their identifiers too.
 fn page(next: Option<&str>, keys: &[i64]) -> Option<Arc<FeaturePage>> {
     let texts = keys
         .iter()
@@ -235,7 +243,8 @@
         merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]),
         MergeProgress::TooManyPages
     );
-    // The server is said to return features in order and does not: its shard is read on.
+    // The server declares that it returns features in order and does not: its shard is read to its
+    // end.
     let mut merge = SortedMerge::new(query(2, 10, 9, 1.0), &[true]);
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]),
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -1,4 +1,5 @@
-//! A query for the features of a collection: rounds of page requests until its response is complete.
+//! A query for the features of a collection: rounds of page requests until its response is
+//! complete. The choice of the pages is left to [`paging`](super::paging).
 
 mod merge;
 mod resume;
@@ -15,7 +16,7 @@
 use super::shard_plan::ShardPlan;
 use super::shards::ShardSource;
 use super::state::FrontState;
-use crate::coordinator::Answer;
+use crate::coordinator::{Answer, ServedPart};
 use crate::front::{Reaction, Render};
 use crate::interface::ShardId;
 use crate::proto::http::Response;
@@ -31,16 +32,18 @@
     request: ItemsRequest,
     /// The shards of the collection, in order.
     shards: Vec<ShardSource>,
-    /// How each of the shards is asked.
+    /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
+    /// The response so far.
     merge: Merge,
-    /// The fetches of the current round.
+    /// The page fetches of the current round.
     in_flight: Vec<InFlightFetch>,
     resume_point: ResumePoint,
+    /// The reservations of the query.
     admitted: AdmittedQuery,
 }
 
-/// A page that the current round fetches.
+/// A page fetch of the current round.
 struct InFlightFetch {
     fetch: PageFetch,
     request: ShardRequest,
@@ -48,6 +51,10 @@
 
 impl ItemsQuery {
     /// Starts a query, at its cursor if it has one.
+    ///
+    /// # Errors
+    ///
+    /// If the cursor cannot be used.
     pub fn start(
         state: Arc<FrontState>,
         client: ClientContext,
@@ -100,14 +107,20 @@
         Reaction::Submit(request, render)
     }
 
-    /// The request for a page. `None`: the only server that can return it has left.
+    /// Returns the request for a page; `None` if the only server that can return the page was
+    /// removed.
     fn shard_request(&self, fetch: &PageFetch) -> Option<ShardRequest> {
         let plan = &self.plans[fetch.shard];
-        let (shard, target) = match &fetch.location {
-            PageLocation::ShardStart => self.first_page(fetch),
-            PageLocation::NextLink { server, target, .. } => {
-                (self.shard_of_link(fetch.shard, server)?, target.to_string())
+        let shard = match &fetch.location {
+            PageLocation::ShardStart => self.shard_to_start(fetch.shard),
+            PageLocation::NextLink { server, .. } => self.shard_of_link(fetch.shard, server)?,
+        };
+        let target = match &fetch.location {
+            PageLocation::ShardStart => {
+                let name = &self.shards[fetch.shard].name;
+                plan.target(name, &self.request.params, fetch.page_size)
             }
+            PageLocation::NextLink { target, .. } => target.to_string(),
         };
         let mut request = PageRequest::new(RequestKind::Items, target);
         request.predicate = plan.predicate.clone();
@@ -117,20 +130,19 @@
         })
     }
 
-    /// The shard for the first page, and the target of the request. A shard that was interrupted at a server is started
-    /// again at another one.
-    fn first_page(&self, fetch: &PageFetch) -> (ShardId, String) {
-        let source = &self.shards[fetch.shard];
-        let interrupted_server = self.merge.interrupted_server(fetch.shard);
+    /// Returns the shard to request the first page from. An interrupted shard is restarted at
+    /// another server, if there is one.
+    fn shard_to_start(&self, index: usize) -> ShardId {
+        let shard = self.shards[index].shard;
+        let interrupted_server = self.merge.interrupted_server(index);
         let elsewhere = interrupted_server
-            .and_then(|server| lock(&self.state.catalog).excluding_server(source.shard, server));
-        let target =
-            self.plans[fetch.shard].target(&source.name, &self.request.params, fetch.page_size);
-        (elsewhere.unwrap_or(source.shard), target)
+            .and_then(|server| lock(&self.state.catalog).excluding_server(shard, server));
+        elsewhere.unwrap_or(shard)
     }
 
-    /// The shard in which a link is followed: anywhere if all servers have the same order, otherwise at the server that gave
-    /// the link, since others may have the features in another order.
+    /// Returns the shard to follow a link in: at any server if all servers have the same order,
+    /// otherwise at the server that gave the link, since others may have the features in another
+    /// order.
     fn shard_of_link(&self, index: usize, server: &str) -> Option<ShardId> {
         let shard = self.shards[index].shard;
         if self.state.has_same_order(&self.request.collection) {
@@ -139,48 +151,46 @@
         lock(&self.state.catalog).sticky_shard(shard, server)
     }
 
-    /// Takes in the core's answer to a round. `unavailable`: fetches of the round that could not be sent.
+    /// Handles the core's answer to a round. `unavailable` are the fetches of the round that could
+    /// not be sent.
     fn accept_answer(mut self, answer: Answer, unavailable: Vec<FetchedPage>) -> Reaction {
         let in_flight = std::mem::take(&mut self.in_flight);
         let error = ApiError::from_answer(&answer);
+        let attempted = in_flight
+            .iter()
+            .any(|fetch| fetch.request.request.attempted());
         let mut fetched = unavailable;
         match answer {
             Answer::Served { parts, .. } => {
-                for InFlightFetch { fetch, request } in in_flight {
-                    let part = parts.iter().find(|part| part.shard == request.shard);
-                    let page = part.and_then(|part| request.request.page(&part.value));
-                    if let Some(page) = &page {
-                        let mut admission = self.state.admission();
-                        admission.record_page(
-                            page.body.len(),
-                            page.returned_count,
-                            fetch.page_size,
-                        );
-                    }
-                    fetched.push(fetch.fetched(page));
-                }
+                let pages = in_flight.into_iter();
+                fetched.extend(pages.map(|fetch| self.fetched_page(fetch, &parts)));
             }
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
-            // Rejected for load: no shard is missing, there was just no capacity to ask.
-            Answer::Rejected { late: false, .. }
-                if !in_flight
-                    .iter()
-                    .any(|fetch| fetch.request.request.attempted()) =>
-            {
-                return self.end(error);
-            }
+            // Rejected for load: the servers were not asked, so no shard counts as missing.
+            Answer::Rejected { late: false, .. } if !attempted => return self.end(error),
             Answer::Rejected { .. } | Answer::Failed { .. } => {
-                fetched.extend(
-                    in_flight
-                        .into_iter()
-                        .map(|in_flight| in_flight.fetch.fetched(None)),
-                );
+                let failed = in_flight.into_iter();
+                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched(None)));
             }
         }
         self.accept(fetched, error)
     }
 
-    /// Takes in the pages of a round. `error`: why the round failed.
+    /// Returns the result of a fetch from the served parts of its round, and records the size of
+    /// its page for the admission of further queries.
+    fn fetched_page(&self, in_flight: InFlightFetch, parts: &[ServedPart]) -> FetchedPage {
+        let InFlightFetch { fetch, request } = in_flight;
+        let part = parts.iter().find(|part| part.shard == request.shard);
+        let page = part.and_then(|part| request.request.page(&part.value));
+        if let Some(page) = &page {
+            let mut admission = self.state.admission();
+            admission.record_page(page.body.len(), page.returned_count, fetch.page_size);
+        }
+        fetch.fetched(page)
+    }
+
+    /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
+    /// reason why the round failed.
     fn accept(mut self, fetched: Vec<FetchedPage>, error: Option<ApiError>) -> Reaction {
         let timed_out = matches!(error, Some(ApiError::Timeout));
         match self.merge.accept(fetched) {
@@ -195,7 +205,8 @@
         }
     }
 
-    /// Ends the query with its result. After an error that is what there is so far, if it is a valid response of its own.
+    /// Ends the query with the features so far; after an error, only if they are a valid response,
+    /// and otherwise with the error.
     fn end(self, error: Option<ApiError>) -> Reaction {
         if let Some(error) = error.filter(|_| !self.merge.is_valid_when_cut()) {
             return self.finish(error_response(&error));
@@ -207,11 +218,13 @@
         self.finish(response)
     }
 
+    /// Counts the end of the query and responds.
     fn finish(self, response: Response) -> Reaction {
         count_response(&self.state.class_metrics(self.client.class), &response);
         Reaction::Respond(response)
     }
 
+    /// Returns the result that the response is written from.
     fn result(&self, next_cursor: Option<String>) -> ItemsResult<'_> {
         let merged = self.merge.result();
         let name = |shard: usize| self.shards[shard].name.as_str();
@@ -228,8 +241,8 @@
     }
 }
 
-/// How the shards are asked. The capabilities of their servers matter, and were discovered, only if there is a filter or a
-/// sort order.
+/// Returns the plan for each shard. Only queries with a filter or a sort order depend on the
+/// capabilities of the servers, and only for those were they discovered.
 fn plans(
     state: &FrontState,
     request: &ItemsRequest,
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -8,23 +8,24 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Creates a problem document.
+/// A problem document.
 pub(in crate::front::ogc) fn problem(status: u16, detail: &str) -> Response {
     let body =
         json!({"type": "about:blank", "title": title(status), "status": status, "detail": detail});
     json_response(status, PROBLEM, &body)
 }
 
-/// Creates the response to a request that failed.
+/// The response to a request that failed.
 pub(in crate::front::ogc) fn error_response(error: &ApiError) -> Response {
     let mut response = problem(error.status(), &error.to_string());
     if let ApiError::Overloaded { retry_after } = error {
-        response.add_header("Retry-After", retry_after_seconds(*retry_after).to_string());
+        let seconds = retry_after_seconds(*retry_after);
+        response.add_header("Retry-After", seconds.to_string());
     }
     response
 }
 
-/// Returns whole seconds (RFC 9110, 10.2.3), at least 1: with 0 all clients would retry at once.
+/// Whole seconds (RFC 9110, 10.2.3), and never 0: that would invite all clients to retry at once.
 fn retry_after_seconds(retry_after: Option<Micros>) -> u64 {
     retry_after
         .unwrap_or(Micros::ZERO)
