--- a/src/front/ogc/crs/tests.rs
+++ b/src/front/ogc/crs/tests.rs
@@ -32,66 +32,66 @@
     }
 }
 
+/// Returns the coordinates of a longitude and latitude in a system.
+fn projected(crs: Crs, longitude: f64, latitude: f64) -> (f64, f64) {
+    Transform::of(crs)
+        .expect("a system")
+        .from_crs84(longitude, latitude)
+        .expect("defined")
+}
+
+#[track_caller]
+fn assert_near(actual: (f64, f64), expected: (f64, f64), tolerance: f64) {
+    assert!(
+        (actual.0 - expected.0).abs() < tolerance && (actual.1 - expected.1).abs() < tolerance,
+        "{actual:?} instead of {expected:?}"
+    );
+}
+
 #[test]
 fn coordinates_have_the_systems_own_axes_and_values() {
-    let at = |crs: Crs, x: f64, y: f64| {
-        Transform::of(crs)
-            .expect("a system")
-            .from_crs84(x, y)
-            .expect("defined")
+    let north = Crs::Utm {
+        zone: 33,
+        north: true,
     };
-    assert_eq!(at(Crs::Wgs84, -120.0, 38.0), (38.0, -120.0));
-    let near = |a: (f64, f64), b: (f64, f64)| {
-        assert!(
-            (a.0 - b.0).abs() < 0.01 && (a.1 - b.1).abs() < 0.01,
-            "{a:?}"
-        )
+    let south = Crs::Utm {
+        zone: 33,
+        north: false,
     };
+    assert_eq!(projected(Crs::Wgs84, -120.0, 38.0), (38.0, -120.0));
     // Expected by definition: a degree of longitude on the equator, a zone's central meridian.
-    near(at(Crs::Mercator, 180.0, 0.0), (20_037_508.342_789, 0.0));
-    near(
-        at(
-            Crs::Utm {
-                zone: 33,
-                north: true,
-            },
-            15.0,
-            0.0,
-        ),
-        (500_000.0, 0.0),
+    let tolerance = 0.01;
+    assert_near(
+        projected(Crs::Mercator, 180.0, 0.0),
+        (20_037_508.342_789, 0.0),
+        tolerance,
     );
-    near(
-        at(
-            Crs::Utm {
-                zone: 33,
-                north: false,
-            },
-            15.0,
-            0.0,
-        ),
+    assert_near(projected(north, 15.0, 0.0), (500_000.0, 0.0), tolerance);
+    assert_near(
+        projected(south, 15.0, 0.0),
         (500_000.0, 10_000_000.0),
+        tolerance,
     );
-    for crs in [
-        Crs::Mercator,
-        Crs::Utm {
-            zone: 10,
-            north: true,
-        },
-        Crs::Wgs84,
-        Crs::Crs84,
-    ] {
+}
+
+#[test]
+fn transformed_coordinates_are_transformed_back() {
+    let utm = Crs::Utm {
+        zone: 10,
+        north: true,
+    };
+    for crs in [Crs::Mercator, utm, Crs::Wgs84, Crs::Crs84] {
+        let (first, second) = projected(crs, -121.5, 38.25);
         let transform = Transform::of(crs).expect("a system");
-        let (a, b) = transform.from_crs84(-121.5, 38.25).expect("defined");
-        let (x, y) = transform.to_crs84(a, b).expect("defined");
-        assert!(
-            (x + 121.5).abs() < 1e-8 && (y - 38.25).abs() < 1e-8,
-            "{crs}: {x} {y}"
-        );
+        let position = transform.to_crs84(first, second).expect("defined");
+        assert_near(position, (-121.5, 38.25), 1e-8);
     }
-    assert_eq!(
-        Transform::of(Crs::Mercator).and_then(|t| t.from_crs84(0.0, 90.0)),
-        None
-    );
+}
+
+#[test]
+fn the_pole_is_undefined_in_web_mercator() {
+    let transform = Transform::of(Crs::Mercator).expect("a system");
+    assert_eq!(transform.from_crs84(0.0, 90.0), None);
 }
 
 #[test]
@@ -118,7 +118,9 @@
         Some([-120.0, 38.0, -119.0, 39.0])
     );
     let mut geometry = json!({"type": "GeometryCollection", "geometries": [
-        {"type": "Point", "coordinates": [1, 2]}, {"type": "LineString", "coordinates": [[1, 2, 9], [3, 4]]}]});
+        {"type": "Point", "coordinates": [1, 2]},
+        {"type": "LineString", "coordinates": [[1, 2, 9], [3, 4]]},
+    ]});
     assert!(wgs.geojson_from_crs84(&mut geometry));
     assert_eq!(
         geometry["geometries"][1]["coordinates"],
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -2,11 +2,12 @@
 //! responses to all others.
 
 use super::request::parse;
+use super::response::render;
 use super::{Platform, PlatformCatalog, RequestError};
 use crate::coordinator::{Answer, Request, ServedPart, Token};
 use crate::front::{Front, Reaction};
 use crate::interface::ShardId;
-use crate::proto::http::{HttpRequest, Response, ServerConnection};
+use crate::proto::http::{HttpRequest, ServerConnection};
 use crate::time::Micros;
 use std::sync::{Arc, Mutex};
 
@@ -15,7 +16,13 @@
     ("X-Qos", "web"),
     ("X-Expires-In", "1.5"),
 ];
-const BODY: &str = r#"{"tablets":[{"tablet":0,"fraction":0.25,"guess":900.5},{"tablet":2,"fraction":0.75}],"statement":"s"}"#;
+const BODY: &str = r#"{
+    "tablets": [
+        {"tablet": 0, "fraction": 0.25, "guess": 900.5},
+        {"tablet": 2, "fraction": 0.75}
+    ],
+    "statement": "s"
+}"#;
 
 fn catalog() -> PlatformCatalog {
     PlatformCatalog {
@@ -186,23 +193,24 @@
 }
 
 #[test]
-fn each_answer_has_its_status_and_body() {
-    let rendered = |answer: Answer| -> Response { super::response::render(answer) };
-    let served = rendered(Answer::Served {
+fn a_served_answer_has_its_parts_in_the_body() {
+    let response = render(Answer::Served {
         complete: true,
         parts: vec![ServedPart {
             shard: ShardId(2),
             value: b"v".as_slice().into(),
         }],
     });
+    assert_eq!(response.status, 200);
+    assert_eq!(response.content_type, "application/json");
     assert_eq!(
-        (served.status, served.content_type),
-        (200, "application/json")
-    );
-    assert_eq!(
-        served.body.to_vec(),
+        response.body.to_vec(),
         br#"{"full":true,"pieces":[{"tablet":2,"cell":"v"}]}"#
     );
+}
+
+#[test]
+fn each_answer_has_its_status_and_body() {
     for (answer, status, body) in [
         (Answer::UnknownClass, 400, "X-Qos names no class\n"),
         (
@@ -213,19 +221,19 @@
         (Answer::Failed { late: true }, 504, "out of time\n"),
         (Answer::Failed { late: false }, 502, "failed\n"),
     ] {
-        let response = rendered(answer);
-        assert_eq!(
-            (response.status, response.body.to_vec()),
-            (status, body.as_bytes().to_vec())
-        );
+        let response = render(answer);
+        assert_eq!(response.status, status, "{body}");
+        assert_eq!(response.body.to_vec(), body.as_bytes());
     }
-    let rejected = rendered(Answer::Rejected {
+}
+
+#[test]
+fn a_rejected_answer_tells_when_to_retry() {
+    let response = render(Answer::Rejected {
         retry_after: Some(Micros(1_250_400)),
         late: false,
     });
-    assert_eq!(
-        (rejected.status, rejected.body.to_vec()),
-        (503, b"refused: ask again\n".to_vec())
-    );
-    assert_eq!(rejected.headers, [("Retry-After", "1.250".to_owned())]);
+    assert_eq!(response.status, 503);
+    assert_eq!(response.body.to_vec(), b"refused: ask again\n");
+    assert_eq!(response.headers, [("Retry-After", "1.250".to_owned())]);
 }
