--- a/src/front/ogc/params/tests.rs
+++ b/src/front/ogc/params/tests.rs
@@ -22,65 +22,74 @@
 }
 
 fn closed() -> Queryables {
-    let schema = serde_json::json!({"properties": {"name": {"type": "string"}, "volts": {"type": "number"},
-        "live": {"type": "boolean"}, "geometry": {"format": "geometry-point"}}});
+    let schema = serde_json::json!({"properties": {
+        "name": {"type": "string"},
+        "volts": {"type": "number"},
+        "live": {"type": "boolean"},
+        "geometry": {"format": "geometry-point"},
+    }});
     Queryables::from_schema(&schema).expect("a schema")
 }
 
+/// Query strings that are malformed whatever the queryables.
+const MALFORMED_QUERIES: &[&str] = &[
+    "limit=0",
+    "limit=x",
+    "limit=-1",
+    "bbox=1,2,3",
+    "bbox=0,5,1,-5",
+    "bbox=0,0,0,NaN",
+    "bbox=0,0,200,1",
+    "datetime=soon",
+    "datetime=../..",
+    "datetime=2026-02-01/2026-01-01",
+    "shape=round",
+    "limit=1&limit=2",
+    "filter=x%20=",
+    "filter-lang=cql2-text",
+    "filter=a=1&filter-lang=sql",
+    "bbox-crs=EPSG:1",
+    "crs=x",
+    "sortby=",
+    "sortby=a,a",
+    "properties=",
+    "filter=S_INTERSECTS(geometry,POINT(200%200))",
+];
+
 #[test]
-fn well_formed_parameters_are_parsed_and_others_rejected() {
-    let open = Queryables::unknown();
-    let good = parsed(
-        "bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json",
-        &open,
-    );
-    let good = good.expect("good");
-    assert_eq!(good.limit, 50, "more than the maximum is cut, not rejected");
-    assert_eq!(good.bbox_text().as_deref(), Some("-10,-5.5,10,5"));
-    assert_eq!(good.datetime.as_deref(), Some("2026-01-01T00:00:00Z/.."));
-    assert!(
-        parsed("bbox=170,-5,-170,5", &open).is_ok(),
-        "over the antimeridian"
-    );
-    let turned = parsed(
-        "bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326",
-        &open,
-    );
+fn well_formed_parameters_are_parsed() {
+    let query = "bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json";
+    let params = parsed(query, &Queryables::unknown()).expect("well formed");
     assert_eq!(
-        turned.expect("good").bbox,
-        Some(vec![-120.0, 38.0, -119.0, 39.0])
+        params.limit, 50,
+        "more than the maximum is cut, not rejected"
     );
-    let filter = "filter=S_INTERSECTS(geometry,POINT(38%20-120))&filter-crs=EPSG:4326";
-    let turned = parsed(filter, &open)
-        .expect("good")
-        .filter
-        .expect("a filter")
-        .to_string();
-    assert_eq!(turned, "S_INTERSECTS(\"geometry\",POINT(-120 38))");
-    for bad in [
-        "limit=0",
-        "limit=x",
-        "limit=-1",
-        "bbox=1,2,3",
-        "bbox=0,5,1,-5",
-        "bbox=0,0,0,NaN",
-        "bbox=0,0,200,1",
-        "datetime=soon",
-        "datetime=../..",
-        "datetime=2026-02-01/2026-01-01",
-        "shape=round",
-        "limit=1&limit=2",
-        "filter=x%20=",
-        "filter-lang=cql2-text",
-        "filter=a=1&filter-lang=sql",
-        "bbox-crs=EPSG:1",
-        "crs=x",
-        "sortby=",
-        "sortby=a,a",
-        "properties=",
-        "filter=S_INTERSECTS(geometry,POINT(200%200))",
-    ] {
-        assert!(parsed(bad, &open).is_err(), "{bad}");
+    assert_eq!(params.bbox_text().as_deref(), Some("-10,-5.5,10,5"));
+    assert_eq!(params.datetime.as_deref(), Some("2026-01-01T00:00:00Z/.."));
+}
+
+#[test]
+fn a_box_may_span_the_antimeridian() {
+    assert!(parsed("bbox=170,-5,-170,5", &Queryables::unknown()).is_ok());
+}
+
+#[test]
+fn coordinates_of_other_systems_are_transformed() {
+    let open = Queryables::unknown();
+    let query = "bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326";
+    let params = parsed(query, &open).expect("well formed");
+    assert_eq!(params.bbox, Some(vec![-120.0, 38.0, -119.0, 39.0]));
+
+    let query = "filter=S_INTERSECTS(geometry,POINT(38%20-120))&filter-crs=EPSG:4326";
+    let params = parsed(query, &open).expect("well formed");
+    let filter = params.filter.expect("a filter").to_string();
+    assert_eq!(filter, "S_INTERSECTS(\"geometry\",POINT(-120 38))");
+}
+
+#[test]
+fn malformed_parameters_are_rejected() {
+    for query in MALFORMED_QUERIES {
+        assert!(parsed(query, &Queryables::unknown()).is_err(), "{query}");
     }
 }
 
@@ -120,7 +129,8 @@
     let known = |name: &str| (name == "devices").then(closed);
     let search = |body: &str| parse_search(&parse_search_body(body.as_bytes())?, known, LIMITS);
     let body = r#"{"collections":["devices"],"limit":5,"bbox":[0,0,9,9],"filter-lang":"cql2-json",
-        "filter":{"op":">","args":[{"property":"volts"},1]},"sortby":[{"field":"properties.volts","direction":"desc"}]}"#;
+        "filter":{"op":">","args":[{"property":"volts"},1]},
+        "sortby":[{"field":"properties.volts","direction":"desc"}]}"#;
     let found = search(body).expect("good");
     let same = parsed(
         "limit=5&bbox=0,0,9,9&filter=volts%3E1&sortby=-volts",
@@ -169,62 +179,114 @@
     );
 }
 
+/// A malformed query string and its message.
+struct Malformed {
+    query: &'static str,
+    message: &'static str,
+}
+
+const MALFORMED: &[Malformed] = &[
+    Malformed {
+        query: "limit=1&limit=2",
+        message: "limit is given twice",
+    },
+    Malformed {
+        query: "watts=1",
+        message: "unknown parameter \"watts\"",
+    },
+    Malformed {
+        query: "volts=x",
+        message: "volts: \"x\" is of another kind",
+    },
+    Malformed {
+        query: "geometry=x",
+        message: "geometry: \"x\" is of another kind",
+    },
+    Malformed {
+        query: "limit=0",
+        message: "limit is no number from 1 on",
+    },
+    Malformed {
+        query: "crs=x",
+        message: "crs: \"x\" is not served",
+    },
+    Malformed {
+        query: "bbox-crs=x",
+        message: "bbox-crs: \"x\" is not served",
+    },
+    Malformed {
+        query: "bbox=a,b",
+        message: "bbox: numbers are needed",
+    },
+    Malformed {
+        query: "bbox=1,2,3",
+        message: "bbox: four or six numbers are needed",
+    },
+    Malformed {
+        query: "bbox=0,5,1,-5",
+        message: "bbox: its corners are no box on the globe",
+    },
+    Malformed {
+        query: "bbox=1e30,0,1e30,1&bbox-crs=EPSG:32633",
+        message: "bbox: it lies where bbox-crs is not defined",
+    },
+    Malformed {
+        query: "datetime=soon",
+        message: "datetime: \"soon\" is no RFC 3339 time",
+    },
+    Malformed {
+        query: "datetime=../..",
+        message: "datetime: an interval needs an end",
+    },
+    Malformed {
+        query: "datetime=2026-02-01/2026-01-01",
+        message: "datetime: the interval ends before it begins",
+    },
+    Malformed {
+        query: "filter-lang=cql2-text",
+        message: "filter-lang without filter",
+    },
+    Malformed {
+        query: "filter=a=1&filter-lang=sql",
+        message: "filter-lang \"sql\" is not served",
+    },
+    Malformed {
+        query: "filter=watts=1",
+        message: "filter: there is no queryable \"watts\"",
+    },
+    Malformed {
+        query: "filter=S_INTERSECTS(geometry,POINT(200%20200))",
+        message: "filter: a point lies outside longitude and latitude",
+    },
+    Malformed {
+        query: "filter=S_INTERSECTS(geometry,POINT(1e30%201))&filter-crs=EPSG:32633",
+        message: "filter: a point lies where filter-crs is not defined",
+    },
+    Malformed {
+        query: "properties=",
+        message: "properties: names apart by commas are needed",
+    },
+    Malformed {
+        query: "sortby=a,b,c,d,e,f,g,h,i",
+        message: "sortby: 1 to 8 properties are needed",
+    },
+    Malformed {
+        query: "sortby=watts",
+        message: "sortby: \"watts\" is no sortable",
+    },
+    Malformed {
+        query: "sortby=name,-name",
+        message: "sortby: \"name\" is there twice",
+    },
+];
+
 #[test]
 fn each_malformed_parameter_has_its_text() {
-    let closed = closed();
-    let utm = "bbox-crs=EPSG:32633";
-    for (query, text) in [
-        ("limit=1&limit=2", "limit is given twice"),
-        ("watts=1", "unknown parameter \"watts\""),
-        ("volts=x", "volts: \"x\" is of another kind"),
-        ("geometry=x", "geometry: \"x\" is of another kind"),
-        ("limit=0", "limit is no number from 1 on"),
-        ("crs=x", "crs: \"x\" is not served"),
-        ("bbox-crs=x", "bbox-crs: \"x\" is not served"),
-        ("bbox=a,b", "bbox: numbers are needed"),
-        ("bbox=1,2,3", "bbox: four or six numbers are needed"),
-        ("bbox=0,5,1,-5", "bbox: its corners are no box on the globe"),
-        (
-            &format!("bbox=1e30,0,1e30,1&{utm}"),
-            "bbox: it lies where bbox-crs is not defined",
-        ),
-        ("datetime=soon", "datetime: \"soon\" is no RFC 3339 time"),
-        ("datetime=../..", "datetime: an interval needs an end"),
-        (
-            "datetime=2026-02-01/2026-01-01",
-            "datetime: the interval ends before it begins",
-        ),
-        ("filter-lang=cql2-text", "filter-lang without filter"),
-        (
-            "filter=a=1&filter-lang=sql",
-            "filter-lang \"sql\" is not served",
-        ),
-        ("filter=watts=1", "filter: there is no queryable \"watts\""),
-        (
-            "filter=S_INTERSECTS(geometry,POINT(200%20200))",
-            "filter: a point lies outside longitude and latitude",
-        ),
-        (
-            "filter=S_INTERSECTS(geometry,POINT(1e30%201))&filter-crs=EPSG:32633",
-            "filter: a point lies where filter-crs is not defined",
-        ),
-        (
-            "properties=",
-            "properties: names apart by commas are needed",
-        ),
-        (
-            "sortby=a,b,c,d,e,f,g,h,i",
-            "sortby: 1 to 8 properties are needed",
-        ),
-        ("sortby=watts", "sortby: \"watts\" is no sortable"),
-        ("sortby=name,-name", "sortby: \"name\" is there twice"),
-    ] {
-        let error = parsed(query, &closed).expect_err(query);
-        assert_eq!(
-            (error.to_string().as_str(), error.status()),
-            (text, 400),
-            "{query}"
-        );
+    let queryables = closed();
+    for case in MALFORMED {
+        let error = parsed(case.query, &queryables).expect_err(case.query);
+        assert_eq!(error.to_string(), case.message, "{}", case.query);
+        assert_eq!(error.status(), 400, "{}", case.query);
     }
 }
 
@@ -285,12 +347,13 @@
 
 #[test]
 fn the_binding_of_cursors_stays_as_in_earlier_versions() {
-    let query = "bbox=-10,-5.5,10,5&datetime=2026-01-01&filter=volts%3E1&crs=EPSG:32633&sortby=-volts&properties=name";
+    let query = "bbox=-10,-5.5,10,5&datetime=2026-01-01&filter=volts%3E1&crs=EPSG:32633\
+        &sortby=-volts&properties=name";
     let params = parsed(query, &closed()).expect("good");
     assert_eq!(
         params.cursor_binding(),
-        "Some([-10.0, -5.5, 10.0, 5.0]) Some(\"2026-01-01\") Some(\"\\\"volts\\\" > 1\") Utm(33, true) \
-        [By { name: \"volts\", descending: true }] Some([\"name\"])"
+        "Some([-10.0, -5.5, 10.0, 5.0]) Some(\"2026-01-01\") Some(\"\\\"volts\\\" > 1\") \
+        Utm(33, true) [By { name: \"volts\", descending: true }] Some([\"name\"])"
     );
     for (crs, name) in [
         ("OGC:CRS84", "Crs84"),
