--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -4,7 +4,7 @@
 
 use super::config::{CollectionConfig, EdgeConfig};
 use super::inventory::{read_file_with_all_errors, CollectionShard, InventoryError, Server};
-use recovery::{line_with, parse_with_recovery, LineFault};
+use recovery::{line_with, parse_with_recovery, LineFault, RecoveredEdge};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -72,7 +72,7 @@
 /// Checks the text of the edge file at `path` and the inventory that it names; `file` is the edge
 /// file's name in faults.
 fn check_text(path: &Path, file: &str, text: &str) -> Report {
-    let (edge, faults) = parse_with_recovery(text);
+    let RecoveredEdge { edge, faults } = parse_with_recovery(text);
     let in_file = |fault: LineFault| Fault {
         file: file.to_owned(),
         line: fault.line,
--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -17,8 +17,16 @@
     pub(super) message: String,
 }
 
-/// Returns the configuration in `text` if it has no fault, and its faults by line.
-pub(super) fn parse_with_recovery(text: &str) -> (Option<EdgeConfig>, Vec<LineFault>) {
+/// Result of parsing an edge file with recovery.
+pub(super) struct RecoveredEdge {
+    /// Configuration, if the file has no fault.
+    pub(super) edge: Option<EdgeConfig>,
+    /// Faults by line.
+    pub(super) faults: Vec<LineFault>,
+}
+
+/// Parses an edge file and collects its faults.
+pub(super) fn parse_with_recovery(text: &str) -> RecoveredEdge {
     let mut repaired = text.to_owned();
     let mut faults: Vec<LineFault> = Vec::new();
     while faults.len() < MAX_FAULTS {
@@ -26,7 +34,8 @@
             Ok(edge) => {
                 add_value_faults(text, &edge, &mut faults);
                 faults.sort();
-                return (faults.is_empty().then_some(edge), faults);
+                let edge = faults.is_empty().then_some(edge);
+                return RecoveredEdge { edge, faults };
             }
             Err(error) => error,
         };
@@ -41,7 +50,7 @@
         }
     }
     faults.sort();
-    (None, faults)
+    RecoveredEdge { edge: None, faults }
 }
 
 /// Adds the values of `edge` that are out of range, except in lines with a fault, whose values are
--- a/src/front/ogc/check/tests.rs
+++ b/src/front/ogc/check/tests.rs
@@ -28,9 +28,9 @@
 
 /// Returns the lines of the faults of an edge file that has some.
 fn faulty_lines(text: &str) -> Vec<usize> {
-    let (edge, faults) = parse_with_recovery(text);
-    assert!(edge.is_none());
-    faults.iter().map(|fault| fault.line).collect()
+    let recovered = parse_with_recovery(text);
+    assert!(recovered.edge.is_none());
+    recovered.faults.iter().map(|fault| fault.line).collect()
 }
 
 #[test]
