--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -159,43 +159,47 @@
         Some(Transform { crs, projection })
     }
 
-    /// Transforms a longitude and latitude in degrees to coordinates of the system, its first axis
-    /// first. Returns `None` if the point lies outside the area for which the system is defined.
+    /// Transforms a longitude `x` and latitude `y` in degrees to coordinates of the system, its
+    /// first axis as `x`. Returns `None` if the point lies outside the area for which the system is
+    /// defined.
     #[must_use]
-    pub fn from_crs84(&self, longitude: f64, latitude: f64) -> Option<(f64, f64)> {
+    pub fn from_crs84(&self, position: Coord<f64>) -> Option<Coord<f64>> {
         match (&self.projection, self.crs) {
-            (None, Crs::Wgs84) => Some((latitude, longitude)),
-            (None, _) => Some((longitude, latitude)),
+            (None, Crs::Wgs84) => Some(swap_axes(position)),
+            (None, _) => Some(position),
             (Some(projection), _) => {
-                let mut at = (longitude.to_radians(), latitude.to_radians(), 0.0);
+                let mut at = (position.x.to_radians(), position.y.to_radians(), 0.0);
                 proj4rs::transform::transform(
                     &projection.geographic,
                     &projection.projected,
                     &mut at,
                 )
                 .ok()?;
-                (at.0.is_finite() && at.1.is_finite()).then_some((at.0, at.1))
+                finite(Coord { x: at.0, y: at.1 })
             }
         }
     }
 
-    /// Transforms coordinates of the system to a longitude and latitude in degrees.
+    /// Transforms coordinates of the system, its first axis as `x`, to a longitude `x` and latitude
+    /// `y` in degrees. Returns `None` if the point lies outside the area for which the system is
+    /// defined.
     #[must_use]
-    pub fn to_crs84(&self, first: f64, second: f64) -> Option<(f64, f64)> {
+    pub fn to_crs84(&self, position: Coord<f64>) -> Option<Coord<f64>> {
         match (&self.projection, self.crs) {
-            (None, Crs::Wgs84) => Some((second, first)),
-            (None, _) => Some((first, second)),
+            (None, Crs::Wgs84) => Some(swap_axes(position)),
+            (None, _) => Some(position),
             (Some(projection), _) => {
-                let mut at = (first, second, 0.0);
+                let mut at = (position.x, position.y, 0.0);
                 proj4rs::transform::transform(
                     &projection.projected,
                     &projection.geographic,
                     &mut at,
                 )
                 .ok()?;
-                let longitude = at.0.to_degrees();
-                let latitude = at.1.to_degrees();
-                (longitude.is_finite() && latitude.is_finite()).then_some((longitude, latitude))
+                finite(Coord {
+                    x: at.0.to_degrees(),
+                    y: at.1.to_degrees(),
+                })
             }
         }
     }
@@ -205,9 +209,9 @@
     pub fn box_to_crs84(&self, numbers: [f64; 4]) -> Option<[f64; 4]> {
         let [min_x, min_y, max_x, max_y] = numbers;
         if self.projection.is_none() {
-            let (west, south) = self.to_crs84(min_x, min_y)?;
-            let (east, north) = self.to_crs84(max_x, max_y)?;
-            return Some([west, south, east, north]);
+            let min = self.to_crs84(Coord { x: min_x, y: min_y })?;
+            let max = self.to_crs84(Coord { x: max_x, y: max_y })?;
+            return Some([min.x, min.y, max.x, max.y]);
         }
         let mut bounds = [
             f64::INFINITY,
@@ -220,12 +224,12 @@
             let x = min_x + (max_x - min_x) * share;
             let y = min_y + (max_y - min_y) * share;
             for (x, y) in [(x, min_y), (x, max_y), (min_x, y), (max_x, y)] {
-                let (x, y) = self.to_crs84(x, y)?;
+                let position = self.to_crs84(Coord { x, y })?;
                 bounds = [
-                    bounds[0].min(x),
-                    bounds[1].min(y),
-                    bounds[2].max(x),
-                    bounds[3].max(y),
+                    bounds[0].min(position.x),
+                    bounds[1].min(position.y),
+                    bounds[2].max(position.x),
+                    bounds[3].max(position.y),
                 ];
             }
         }
@@ -252,11 +256,7 @@
     /// the system is defined.
     #[must_use]
     pub fn geometry_to_crs84(&self, geometry: &Geometry<f64>) -> Option<Geometry<f64>> {
-        let transformed = |at: Coord<f64>| {
-            self.to_crs84(at.x, at.y)
-                .map(|(x, y)| Coord { x, y })
-                .ok_or(())
-        };
+        let transformed = |position| self.to_crs84(position).ok_or(());
         geometry.try_map_coords(transformed).ok()
     }
 
@@ -285,11 +285,11 @@
             let (Some(x), Some(y)) = (x.as_f64(), y.as_f64()) else {
                 return false;
             };
-            let Some((first, second)) = self.from_crs84(x, y) else {
+            let Some(position) = self.from_crs84(Coord { x, y }) else {
                 return false;
             };
-            list[0] = json!(first);
-            list[1] = json!(second);
+            list[0] = json!(position.x);
+            list[1] = json!(position.y);
             return true;
         }
         list.iter_mut()
@@ -297,6 +297,18 @@
     }
 }
 
+fn swap_axes(position: Coord<f64>) -> Coord<f64> {
+    Coord {
+        x: position.y,
+        y: position.x,
+    }
+}
+
+/// Returns a position if both coordinates are finite.
+fn finite(position: Coord<f64>) -> Option<Coord<f64>> {
+    (position.x.is_finite() && position.y.is_finite()).then_some(position)
+}
+
 /// Transforms the geometries and boxes of a filter to CRS84. Returns `None` if a point lies outside
 /// the area for which the system is defined.
 pub fn filter_to_crs84(filter: &mut Filter, transform: &Transform) -> Option<()> {
--- a/src/front/ogc/crs/tests.rs
+++ b/src/front/ogc/crs/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of coordinate reference systems.
 
 use super::{Crs, Transform};
+use geo::Coord;
 use serde_json::json;
 
 #[test]
@@ -33,17 +34,20 @@
 }
 
 /// Returns the coordinates of a longitude and latitude in a system.
-fn projected(crs: Crs, longitude: f64, latitude: f64) -> (f64, f64) {
+fn projected(crs: Crs, longitude: f64, latitude: f64) -> Coord<f64> {
     Transform::of(crs)
         .expect("a system")
-        .from_crs84(longitude, latitude)
+        .from_crs84(Coord {
+            x: longitude,
+            y: latitude,
+        })
         .expect("defined")
 }
 
 #[track_caller]
-fn assert_near(actual: (f64, f64), expected: (f64, f64), tolerance: f64) {
+fn assert_near(actual: Coord<f64>, expected: Coord<f64>, tolerance: f64) {
     assert!(
-        (actual.0 - expected.0).abs() < tolerance && (actual.1 - expected.1).abs() < tolerance,
+        (actual.x - expected.x).abs() < tolerance && (actual.y - expected.y).abs() < tolerance,
         "{actual:?} instead of {expected:?}"
     );
 }
@@ -58,18 +62,32 @@
         zone: 33,
         north: false,
     };
-    assert_eq!(projected(Crs::Wgs84, -120.0, 38.0), (38.0, -120.0));
+    let swapped = Coord { x: 38.0, y: -120.0 };
+    assert_eq!(projected(Crs::Wgs84, -120.0, 38.0), swapped);
     // Expected by definition: a degree of longitude on the equator, a zone's central meridian.
     let tolerance = 0.01;
     assert_near(
         projected(Crs::Mercator, 180.0, 0.0),
-        (20_037_508.342_789, 0.0),
+        Coord {
+            x: 20_037_508.342_789,
+            y: 0.0,
+        },
+        tolerance,
+    );
+    assert_near(
+        projected(north, 15.0, 0.0),
+        Coord {
+            x: 500_000.0,
+            y: 0.0,
+        },
         tolerance,
     );
-    assert_near(projected(north, 15.0, 0.0), (500_000.0, 0.0), tolerance);
     assert_near(
         projected(south, 15.0, 0.0),
-        (500_000.0, 10_000_000.0),
+        Coord {
+            x: 500_000.0,
+            y: 10_000_000.0,
+        },
         tolerance,
     );
 }
@@ -81,17 +99,24 @@
         north: true,
     };
     for crs in [Crs::Mercator, utm, Crs::Wgs84, Crs::Crs84] {
-        let (first, second) = projected(crs, -121.5, 38.25);
+        let position = projected(crs, -121.5, 38.25);
         let transform = Transform::of(crs).expect("a system");
-        let position = transform.to_crs84(first, second).expect("defined");
-        assert_near(position, (-121.5, 38.25), 1e-8);
+        let position = transform.to_crs84(position).expect("defined");
+        assert_near(
+            position,
+            Coord {
+                x: -121.5,
+                y: 38.25,
+            },
+            1e-8,
+        );
     }
 }
 
 #[test]
 fn the_pole_is_undefined_in_web_mercator() {
     let transform = Transform::of(Crs::Mercator).expect("a system");
-    assert_eq!(transform.from_crs84(0.0, 90.0), None);
+    assert_eq!(transform.from_crs84(Coord { x: 0.0, y: 90.0 }), None);
 }
 
 #[test]
@@ -109,7 +134,7 @@
         (550_000.0, 4_300_000.0),
         (600_000.0, 4_250_000.0),
     ] {
-        let (x, y) = transform.to_crs84(x, y).expect("defined");
+        let Coord { x, y } = transform.to_crs84(Coord { x, y }).expect("defined");
         assert!(west <= x + 1e-9 && x <= east + 1e-9 && south <= y + 1e-9 && y <= north + 1e-9);
     }
     let wgs = Transform::of(Crs::Wgs84).expect("a system");
