--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -36,29 +36,36 @@
 /// Capabilities and the time of their discovery.
 #[derive(Debug, Clone)]
 struct Discovered {
+    /// Filters and sort orders that the server can evaluate.
     capabilities: Arc<Capabilities>,
+    /// Time of the discovery.
     at: Micros,
 }
 
 /// Cache entry of a shard at a server.
 #[derive(Debug, Default)]
 struct Entry {
+    /// Latest capabilities, kept while a newer discovery fails.
     discovered: Option<Discovered>,
     /// Start of the discovery in flight, if there is one.
     in_flight_since: Option<Micros>,
+    /// Failed discoveries since the last successful one.
     consecutive_failures: u32,
     /// End of the backoff.
     retry_at: Micros,
+    /// Time of the last lookup.
     last_used: Micros,
 }
 
 impl Entry {
+    /// Returns whether the capabilities are younger than `max_age`.
     fn is_fresh(&self, now: Micros, max_age: Micros) -> bool {
         self.discovered
             .as_ref()
             .is_some_and(|discovered| now.since(discovered.at) < max_age)
     }
 
+    /// Returns whether a discovery is in flight that has not timed out.
     fn in_flight(&self, now: Micros) -> bool {
         self.in_flight_since
             .is_some_and(|since| now.since(since) < DISCOVERY_TIMEOUT)
@@ -91,6 +98,7 @@
 #[derive(Debug, Default)]
 pub struct CapabilityCache {
     entries: HashMap<ReplicaKey, Entry>,
+    /// Largest age of an entry that is fresh.
     max_age: Micros,
 }
 
--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -13,7 +13,9 @@
 /// A fault and its line, from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LineFault {
+    /// Line number, from 1.
     pub(super) line: usize,
+    /// Description of the fault.
     pub(super) message: String,
 }
 
--- a/src/front/ogc/config/settings.rs
+++ b/src/front/ogc/config/settings.rs
@@ -77,6 +77,7 @@
 }
 
 impl ClassConfig {
+    /// Returns the policy module's settings of the class.
     fn settings(&self, max_attempts: u32) -> Class {
         Class {
             name: self.name.clone(),
@@ -100,6 +101,7 @@
 }
 
 impl SlowStartConfig {
+    /// Returns the policy module's rule of the slow start.
     fn rule(&self) -> SlowStartRule {
         SlowStartRule {
             overload_factor: self.overload_factor,
--- a/src/front/ogc/config/validation.rs
+++ b/src/front/ogc/config/validation.rs
@@ -93,6 +93,7 @@
 }
 
 impl CollectionConfig {
+    /// Returns the queryables of unknown types.
     fn validate(&self) -> impl Iterator<Item = ValueIssue> + '_ {
         let unknown = self
             .queryables
@@ -109,6 +110,7 @@
 }
 
 impl LimitsConfig {
+    /// Returns the limits that are out of range.
     fn validate(&self) -> Vec<ValueIssue> {
         let mut issues = Vec::new();
         if !matches!(self.mode.as_str(), "adaptive" | "fixed") {
--- a/src/front/ogc/cql2/conformance.rs
+++ b/src/front/ogc/cql2/conformance.rs
@@ -17,6 +17,7 @@
     classes
 }
 
+/// Adds the classes of a filter and of its parts.
 fn add_classes(filter: &Filter, classes: &mut Classes) {
     classes.insert("basic-cql2");
     for part in filter.parts() {
@@ -62,6 +63,7 @@
     }
 }
 
+/// Returns the class of a spatial relation with these operands.
 fn spatial_class(relation: SpatialRelation, left: &Value, right: &Value) -> &'static str {
     let is_simple = matches!(right, Value::Geometry(Geometry::Point(_)) | Value::Bbox(_));
     match relation {
--- a/src/front/ogc/cql2/eval/operand.rs
+++ b/src/front/ogc/cql2/eval/operand.rs
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Converts a value of a feature.
     fn from_json(value: &'a Json) -> Self {
         match value {
             Json::String(text) => Operand::Text(text.as_str().into()),
@@ -92,6 +93,7 @@
     }
 }
 
+/// Returns whether every item of `a` equals one of `b`.
 fn is_subset(a: &[Operand<'_>], b: &[Operand<'_>]) -> bool {
     a.iter().all(|item| has(b, item))
 }
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -61,6 +61,7 @@
     pieces[piece..].iter().all(|piece| *piece == Piece::AnyText)
 }
 
+/// Parses a pattern into its elements.
 fn parse(pattern: &str) -> Vec<Piece> {
     let mut pieces = Vec::new();
     let mut characters = pattern.chars();
--- a/src/front/ogc/cql2/geometry.rs
+++ b/src/front/ogc/cql2/geometry.rs
@@ -59,6 +59,7 @@
     Ok(LineString(points))
 }
 
+/// Parses a position; its height, if any, is discarded.
 fn position(json: &Json) -> Result<Coord<f64>, FilterError> {
     let numbers: Option<Vec<f64>> = json
         .as_array()
@@ -70,6 +71,7 @@
     }
 }
 
+/// Parses the items of a JSON array by `read`.
 fn list<T>(
     json: &Json,
     read: impl Fn(&Json) -> Result<T, FilterError>,
@@ -80,6 +82,7 @@
     }
 }
 
+/// Parses a polygon from the array of its rings.
 fn rings(json: &Json) -> Result<Polygon<f64>, FilterError> {
     polygon(list(json, |r| ring(list(r, position)?))?)
 }
@@ -93,6 +96,7 @@
     nested(json, 0)
 }
 
+/// Parses a geometry at a depth of nested collections, counted from 0.
 fn nested(json: &Json, depth: usize) -> Result<Geometry<f64>, FilterError> {
     if depth > MAX_COLLECTION_DEPTH {
         return fault("geometry collections are nested too deep");
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -81,8 +81,10 @@
 
 /// An operator and its arguments.
 struct Call<'a> {
+    /// Name of the operator.
     op: &'a str,
     args: &'a [Json],
+    /// Depth of nesting, counted from 1.
     depth: usize,
 }
 
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -43,6 +43,7 @@
 
 impl std::error::Error for FilterError {}
 
+/// Returns an error with a message.
 fn fault<T>(why: impl Into<String>) -> Result<T, FilterError> {
     Err(FilterError(why.into()))
 }
--- a/src/front/ogc/cql2/text/lexer.rs
+++ b/src/front/ogc/cql2/text/lexer.rs
@@ -21,7 +21,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Depth(pub(super) usize);
 
+/// Input of the parsers: text with the position and the depth of nesting.
 pub(super) type Input<'a> = Stateful<LocatingSlice<&'a str>, Depth>;
+/// Result of a parser.
 pub(super) type Parsed<T> = ModalResult<T>;
 
 /// Creates an error that ends parsing without trying alternatives; `label` names what is expected.
--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -9,7 +9,9 @@
 /// Text of a field and the number of its line.
 #[derive(Debug, Clone)]
 pub(super) struct Field {
+    /// Text of the field.
     pub(super) text: String,
+    /// Line number, from 1.
     pub(super) line: usize,
 }
 
@@ -19,16 +21,21 @@
 /// Unchecked entry of a server.
 #[derive(Debug, Default)]
 pub(super) struct Entry {
+    /// Name of the server; empty if it is missing.
     pub(super) name: String,
+    /// Line number of the entry, from 1.
     pub(super) line: usize,
+    /// Fields other than the name.
     pub(super) fields: Fields,
 }
 
 impl Entry {
+    /// Returns the text of a field.
     fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field).map(|field| field.text.as_str())
     }
 
+    /// Returns the line of a field, or of the entry if it lacks the field.
     fn line(&self, field: &str) -> usize {
         self.fields.get(field).map_or(self.line, |field| field.line)
     }
@@ -37,6 +44,7 @@
 /// Creator of errors for a file.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Locator<'a> {
+    /// Name of the file.
     pub(super) file: &'a str,
 }
 
@@ -107,6 +115,7 @@
         Ok(server)
     }
 
+    /// Returns the server of an entry.
     fn server(&self, entry: &Entry) -> Result<Server, InventoryError> {
         if entry.name.is_empty() {
             return Err(self.error(entry.line, "name", InventoryErrorKind::EmptyField));
--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -149,6 +149,7 @@
         Ok(())
     }
 
+    /// Reads the hosts of a group whose vars are `vars`.
     fn hosts(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(hosts) = self.mapping(node, "hosts")? else {
             return Ok(());
@@ -166,6 +167,7 @@
         Ok(())
     }
 
+    /// Reads the groups in a group whose vars are `vars`.
     fn children(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(children) = self.mapping(node, "children")? else {
             return Ok(());
--- a/src/front/ogc/params/bbox.rs
+++ b/src/front/ogc/params/bbox.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// Returns whether all longitudes and latitudes are within their ranges, in degrees.
 fn in_range(longitudes: &[f64], latitudes: &[f64]) -> bool {
     longitudes
         .iter()
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -17,14 +17,20 @@
 /// Rank of a media range that matches a format; the more specific range takes precedence.
 type Specificity = u8;
 
+/// Rank of `*/*`.
 const ANY: Specificity = 0;
+/// Rank of a range of all subtypes, such as `text/*`.
 const ANY_SUBTYPE: Specificity = 1;
+/// Rank of a media type.
 const EXACT: Specificity = 2;
 
 /// Media range of an `Accept` header.
 struct MediaRange {
+    /// Weight from 0 to 1.
     weight: f32,
+    /// Rank of the range if JSON matches it.
     json: Option<Specificity>,
+    /// Rank of the range if HTML matches it.
     html: Option<Specificity>,
 }
 
@@ -34,12 +40,14 @@
     best: Option<MatchedRange>,
 }
 
+/// Media range that matches a format.
 struct MatchedRange {
     weight: f32,
     specificity: Specificity,
 }
 
 impl Preference {
+    /// Takes a media range into account, whose rank is `None` if the format doesn't match it.
     fn consider(&mut self, weight: f32, specificity: Option<Specificity>) {
         let Some(specificity) = specificity else {
             return;
--- a/src/front/ogc/params/sorting.rs
+++ b/src/front/ogc/params/sorting.rs
@@ -17,6 +17,7 @@
     check_sort_keys(value.split(',').map(parse_key).collect(), queryables)
 }
 
+/// Parses a name with an optional sign.
 fn parse_key(text: &str) -> SortKey {
     let text = text.trim();
     let (property, descending) = match text.strip_prefix('-') {
@@ -41,6 +42,7 @@
     check_sort_keys(keys.ok_or(RequestError::SortList)?, queryables)
 }
 
+/// Parses an object with `field` and `direction`.
 fn parse_json_key(key: &Json) -> Option<SortKey> {
     let descending = match key["direction"].as_str() {
         None | Some("asc") => false,
--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -11,8 +11,11 @@
 use crate::proto::http::Response;
 use serde_json::{json, Value as Json};
 
+/// Relation of links to queryables.
 const QUERYABLES_REL: &str = "http://www.opengis.net/def/rel/ogc/1.0/queryables";
+/// Relation of links to sortables.
 const SORTABLES_REL: &str = "http://www.opengis.net/def/rel/ogc/1.0/sortables";
+/// Dialect of the schemas.
 const JSON_SCHEMA_DIALECT: &str = "https://json-schema.org/draft/2020-12/schema";
 
 /// Conformance classes that are served.
@@ -48,13 +51,16 @@
 /// Location and format of a document.
 #[derive(Debug, Clone)]
 pub(in crate::front::ogc) struct DocumentContext {
+    /// Address of the service, without a trailing slash.
     pub base_url: String,
     /// Path of the document, without a query.
     pub path: String,
+    /// Format of the document.
     pub format: Format,
 }
 
 impl DocumentContext {
+    /// Returns the address of the document, without a query.
     fn url(&self) -> String {
         format!("{}{}", self.base_url, self.path)
     }
@@ -128,6 +134,7 @@
     context.respond(&title, JSON, &json)
 }
 
+/// Returns the description of a collection.
 fn collection_json(base_url: &str, id: &str, edge: &EdgeConfig) -> Json {
     let config = edge.collections.iter().find(|c| c.id == id);
     let mut collection = json!({
@@ -147,6 +154,7 @@
     collection
 }
 
+/// Returns the links of the collection at an address.
 fn collection_links(url: &str) -> [Json; 6] {
     [
         link(url.to_owned(), "self", JSON),
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -18,10 +18,15 @@
 
 /// Request for one feature, which may be in any shard of its collection.
 pub(in crate::front::ogc) struct FeatureRequest {
+    /// Address of the service, without a trailing slash.
     pub base_url: String,
+    /// Name of the collection.
     pub collection: String,
+    /// Coordinate reference system of the response.
     pub crs: Crs,
+    /// Format of the response.
     pub format: Format,
+    /// Requests to the shards that may have the feature.
     pub shard_requests: Vec<ShardRequest>,
 }
 
@@ -57,6 +62,7 @@
     })
 }
 
+/// Renders the text of a feature.
 fn render(request: &FeatureRequest, text: &[u8]) -> Result<Response, ApiError> {
     let Ok(mut feature @ Json::Object(_)) = serde_json::from_slice::<Json>(text) else {
         COUNTERS.bad_frames.increment();
@@ -74,6 +80,7 @@
     Ok(response)
 }
 
+/// Returns the links of a feature.
 fn links(request: &FeatureRequest, id: &Json) -> Json {
     let id = match id {
         Json::String(id) => id.clone(),
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -83,6 +83,7 @@
     members
 }
 
+/// Returns the links of a response to a query or a search.
 fn links(result: &ItemsResult<'_>) -> Vec<Json> {
     let request = result.request;
     let mut links = match &request.search_body {
@@ -94,6 +95,7 @@
     links
 }
 
+/// Returns the links of a query's response.
 fn items_links(request: &ItemsRequest, next_cursor: Option<&str>) -> Vec<Json> {
     let path = format!(
         "{}/collections/{}/items",
@@ -162,6 +164,7 @@
 }
 
 impl Separator {
+    /// Writes a comma unless this is the first element.
     fn push_to(&mut self, body: &mut Body) {
         if std::mem::replace(&mut self.started, true) {
             body.push(b",");
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -90,6 +90,7 @@
     text + "</p>"
 }
 
+/// Returns a table with a row for each feature.
 fn feature_table(features: &[Json]) -> String {
     let columns = columns(features);
     let mut text = String::from("<table><tr><th>id</th>");
@@ -136,6 +137,7 @@
     text + "</table>"
 }
 
+/// Returns a value as the content of a table cell.
 fn cell(value: &Json) -> String {
     match value {
         Json::String(text) if text.starts_with("http://") || text.starts_with("https://") => {
@@ -166,6 +168,7 @@
     text + "</ul>"
 }
 
+/// Returns a page with a title and a body of HTML.
 fn page(title: &str, main: &str) -> Response {
     let title = escape(title);
     let text = format!(
--- a/src/front/ogc/response/items_result.rs
+++ b/src/front/ogc/response/items_result.rs
@@ -7,11 +7,13 @@
 
 /// Result of a query for features.
 pub(in crate::front::ogc) struct ItemsResult<'a> {
+    /// Request of the client.
     pub request: &'a ItemsRequest,
     /// Memory that is reserved until the response is written.
     pub memory: Arc<MemoryReservation>,
     /// Features, in the order of the response.
     pub slices: Vec<PageSlice>,
+    /// Number of features in the response.
     pub number_returned: usize,
     /// Whether no shard is missing.
     pub complete: bool,
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -35,6 +35,7 @@
         .max(1)
 }
 
+/// Returns the title of a problem with a status.
 fn title(status: u16) -> &'static str {
     match status {
         400 => "Bad request",
--- a/src/front/ogc/response/projection.rs
+++ b/src/front/ogc/response/projection.rs
@@ -8,7 +8,9 @@
 
 /// Changes to features that a query requests.
 pub(super) struct FeatureProjection<'a> {
+    /// Transformation; `None` if geometries stay in CRS84.
     transform: Option<Transform>,
+    /// Names of the properties that are kept; `None` for all.
     properties: Option<&'a [String]>,
 }
 
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -5,8 +5,9 @@
 
 /// Most points that are drawn of one line or ring.
 const MAX_POINTS: usize = 2_000;
-/// Size of the map, in pixels.
+/// Width of the map, in pixels.
 const WIDTH: f64 = 800.0;
+/// Height of the map, in pixels.
 const HEIGHT: f64 = 500.0;
 /// Margin around the features, both sides together, in pixels.
 const MARGIN: f64 = 40.0;
@@ -66,6 +67,7 @@
     }
 }
 
+/// Returns the elements of a JSON array; none if it is another value.
 fn elements(json: &Json) -> &[Json] {
     json.as_array().map_or(&[], Vec::as_slice)
 }
@@ -113,6 +115,7 @@
         }
     }
 
+    /// Draws a geometry of GeoJSON.
     fn draw(&self, geometry: &Json, text: &mut String) {
         let coordinates = &geometry["coordinates"];
         match geometry["type"].as_str() {
--- a/src/front/platform/mod.rs
+++ b/src/front/platform/mod.rs
@@ -21,7 +21,9 @@
 /// Classes and shards that a request may refer to; a reload of the settings replaces them.
 #[derive(Debug)]
 pub struct PlatformCatalog {
+    /// Names of the classes.
     classes: Vec<Arc<str>>,
+    /// Number of shards, which are numbered from 0.
     shards: u32,
 }
 
@@ -58,6 +60,7 @@
         Platform { catalog }
     }
 
+    /// Submits a query, or responds with an error.
     fn query(&self, request: &HttpRequest, token: Token, sent_at: Micros) -> Reaction {
         let catalog = self
             .catalog
--- a/src/front/platform/request.rs
+++ b/src/front/platform/request.rs
@@ -19,15 +19,20 @@
 /// Body of a request. Errors of the JSON reader name this type and its fields.
 #[derive(Deserialize)]
 struct Query {
+    /// Parts of the query, by shard.
     tablets: Vec<Tablet>,
+    /// Statement that the nodes run.
     statement: String,
 }
 
 /// Part of a query in the body.
 #[derive(Deserialize)]
 struct Tablet {
+    /// Number of the shard.
     tablet: u32,
+    /// Share of the answer that the part stands for; all shares add up to 1.
     fraction: f64,
+    /// Expected work of the part, in microseconds.
     guess: Option<f64>,
 }
 
@@ -61,6 +66,7 @@
     })
 }
 
+/// Returns the value of a header that the protocol requires.
 fn header<'a>(request: &'a HttpRequest, name: &'static str) -> Result<&'a str, RequestError> {
     request
         .headers
@@ -68,6 +74,7 @@
         .ok_or(RequestError::MissingHeader(name))
 }
 
+/// Returns the request's identifier.
 fn request_id(request: &HttpRequest) -> Result<&str, RequestError> {
     let id = header(request, "X-Trace-Id")?;
     if id.is_empty() || id.len() > MAX_REQUEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic())
@@ -77,12 +84,14 @@
     Ok(id)
 }
 
+/// Returns the class that the request names.
 fn class(catalog: &PlatformCatalog, request: &HttpRequest) -> Result<Arc<str>, RequestError> {
     let name = header(request, "X-Qos")?;
     let class = catalog.classes.iter().find(|class| &***class == name);
     class.cloned().ok_or(RequestError::UnknownClass)
 }
 
+/// Returns the client's time-out.
 fn timeout(request: &HttpRequest) -> Result<Micros, RequestError> {
     let seconds = header(request, "X-Expires-In")?.parse::<f64>().ok();
     let seconds = seconds
--- a/src/front/platform/response.rs
+++ b/src/front/platform/response.rs
@@ -12,13 +12,16 @@
 struct Served<'a> {
     /// Whether the answer is complete.
     full: bool,
+    /// Parts of the answer.
     pieces: Vec<Piece<'a>>,
 }
 
 /// Part of an answer.
 #[derive(Serialize)]
 struct Piece<'a> {
+    /// Number of the shard.
     tablet: u32,
+    /// Value of the part, as UTF-8.
     cell: Cow<'a, str>,
 }
 
