--- a/src/front/ogc/config/mod.rs
+++ b/src/front/ogc/config/mod.rs
@@ -19,9 +19,9 @@
 use std::path::{Path, PathBuf};
 
 /// Smallest accepted length of a cursor key, in bytes.
-const MIN_CURSOR_KEY: usize = 16;
+const MIN_CURSOR_KEY_BYTES: usize = 16;
 /// Length of a cursor key that is generated at the start, in bytes.
-const DRAWN_CURSOR_KEY: usize = 32;
+const GENERATED_CURSOR_KEY_BYTES: usize = 32;
 
 /// Contents of an edge file.
 ///
@@ -241,13 +241,13 @@
     /// bytes.
     pub fn cursor_key(&self) -> Result<Vec<u8>, CursorKeyError> {
         let Some(text) = &self.cursor_key else {
-            let mut key = vec![0; DRAWN_CURSOR_KEY];
+            let mut key = vec![0; GENERATED_CURSOR_KEY_BYTES];
             getrandom::fill(&mut key).map_err(CursorKeyError::Random)?;
             return Ok(key);
         };
         let byte = |start: usize| u8::from_str_radix(text.get(start..start + 2)?, 16).ok();
         let key: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
-        key.filter(|key| key.len() >= MIN_CURSOR_KEY)
+        key.filter(|key| key.len() >= MIN_CURSOR_KEY_BYTES)
             .ok_or(CursorKeyError::Malformed)
     }
 }
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -2,7 +2,7 @@
 
 /// Element of a pattern.
 #[derive(PartialEq)]
-enum Piece {
+enum PatternElement {
     /// `%`: any text, including the empty one.
     AnyText,
     /// `_`: exactly one character.
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy)]
 struct Backtrack {
     /// Index of the `%` among the elements.
-    piece: usize,
+    element: usize,
     /// Index of the first character after those that the `%` takes.
     character: usize,
 }
@@ -26,52 +26,54 @@
 /// The match is greedy and backtracks to the last `%` only, so the number of steps is at most the
 /// product of the two lengths.
 pub(super) fn matches(text: &str, pattern: &str) -> bool {
-    let pieces = parse(pattern);
+    let elements = parse(pattern);
     let text: Vec<char> = text.chars().collect();
     let mut character = 0;
-    let mut piece = 0;
+    let mut element = 0;
     let mut backtrack: Option<Backtrack> = None;
     while character < text.len() {
-        match pieces.get(piece) {
-            Some(Piece::AnyText) => {
-                backtrack = Some(Backtrack { piece, character });
-                piece += 1;
+        match elements.get(element) {
+            Some(PatternElement::AnyText) => {
+                backtrack = Some(Backtrack { element, character });
+                element += 1;
                 continue;
             }
-            Some(Piece::AnyCharacter) => {
+            Some(PatternElement::AnyCharacter) => {
                 character += 1;
-                piece += 1;
+                element += 1;
                 continue;
             }
-            Some(Piece::Character(expected)) if *expected == text[character] => {
+            Some(PatternElement::Character(expected)) if *expected == text[character] => {
                 character += 1;
-                piece += 1;
+                element += 1;
                 continue;
             }
             _ => {}
         }
         let Some(last) = backtrack else { return false };
         character = last.character + 1;
-        piece = last.piece + 1;
+        element = last.element + 1;
         backtrack = Some(Backtrack {
-            piece: last.piece,
+            element: last.element,
             character,
         });
     }
-    pieces[piece..].iter().all(|piece| *piece == Piece::AnyText)
+    elements[element..]
+        .iter()
+        .all(|element| *element == PatternElement::AnyText)
 }
 
 /// Parses a pattern into its elements.
-fn parse(pattern: &str) -> Vec<Piece> {
-    let mut pieces = Vec::new();
+fn parse(pattern: &str) -> Vec<PatternElement> {
+    let mut elements = Vec::new();
     let mut characters = pattern.chars();
     while let Some(character) = characters.next() {
-        pieces.push(match character {
-            '%' => Piece::AnyText,
-            '_' => Piece::AnyCharacter,
-            '\\' => Piece::Character(characters.next().unwrap_or('\\')),
-            other => Piece::Character(other),
+        elements.push(match character {
+            '%' => PatternElement::AnyText,
+            '_' => PatternElement::AnyCharacter,
+            '\\' => PatternElement::Character(characters.next().unwrap_or('\\')),
+            other => PatternElement::Character(other),
         });
     }
-    pieces
+    elements
 }
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -11,14 +11,15 @@
 /// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
-type Read<T> = Result<T, FilterError>;
+/// Result of parsing a part of a filter.
+type Parsed<T> = Result<T, FilterError>;
 
 /// Parses a filter.
 ///
 /// # Errors
 ///
 /// Fails if the text is not JSON, not a filter, or a filter beyond the limits.
-pub fn parse_json(text: &str) -> Read<Filter> {
+pub fn parse_json(text: &str) -> Parsed<Filter> {
     let json: Json = serde_json::from_str(text).map_err(|e| FilterError(e.to_string()))?;
     from_json(&json)
 }
@@ -28,12 +29,12 @@
 /// # Errors
 ///
 /// Fails if the JSON is not a filter, or a filter beyond the limits.
-pub fn from_json(json: &Json) -> Read<Filter> {
+pub fn from_json(json: &Json) -> Parsed<Filter> {
     condition(json, 1)?.bounded()
 }
 
 /// Checks a depth of nesting against the limit.
-fn check_depth(depth: usize) -> Read<()> {
+fn check_depth(depth: usize) -> Parsed<()> {
     if depth > MAX_DEPTH {
         return fault(format!("it is nested more than {MAX_DEPTH} deep"));
     }
@@ -41,7 +42,7 @@
 }
 
 /// Parses a condition at a depth of nesting, counted from 1.
-fn condition(json: &Json, depth: usize) -> Read<Filter> {
+fn condition(json: &Json, depth: usize) -> Parsed<Filter> {
     check_depth(depth)?;
     if let Some(constant) = json.as_bool() {
         return Ok(Filter::Constant(constant));
@@ -90,31 +91,31 @@
 
 impl<'a> Call<'a> {
     /// Returns the arguments if there are exactly `N`.
-    fn exactly<const N: usize>(&self) -> Read<&'a [Json; N]> {
+    fn exactly<const N: usize>(&self) -> Parsed<&'a [Json; N]> {
         self.args
             .try_into()
             .or_else(|_| fault(format!("{} needs {N} args", self.op)))
     }
 
     /// Parses the arguments as exactly `N` values.
-    fn values<const N: usize>(&self) -> Read<[Value; N]> {
+    fn values<const N: usize>(&self) -> Parsed<[Value; N]> {
         let values = self
             .exactly::<N>()?
             .iter()
             .map(|arg| value(arg, self.depth + 1));
-        let values = values.collect::<Read<Vec<_>>>()?;
+        let values = values.collect::<Parsed<Vec<_>>>()?;
         values
             .try_into()
             .or_else(|_| fault(format!("{} needs {N} args", self.op)))
     }
 
-    fn two_values(&self) -> Read<(Value, Value)> {
+    fn two_values(&self) -> Parsed<(Value, Value)> {
         let [left, right] = self.values::<2>()?;
         Ok((left, right))
     }
 
     /// Parses the arguments as two conditions or more.
-    fn conditions(&self) -> Read<Vec<Filter>> {
+    fn conditions(&self) -> Parsed<Vec<Filter>> {
         if self.args.len() < 2 {
             return fault(format!("{} needs two args or more", self.op));
         }
@@ -124,7 +125,7 @@
             .collect()
     }
 
-    fn in_list(&self) -> Read<Filter> {
+    fn in_list(&self) -> Parsed<Filter> {
         let [operand, list] = self.exactly::<2>()?;
         let Some(list) = list.as_array().filter(|list| !list.is_empty()) else {
             return fault("in needs a list that is not empty");
@@ -132,12 +133,12 @@
         let list = list
             .iter()
             .map(|item| value(item, self.depth + 1))
-            .collect::<Read<_>>()?;
+            .collect::<Parsed<_>>()?;
         Ok(Filter::In(value(operand, self.depth + 1)?, list))
     }
 
     /// Parses a comparison, or a spatial, temporal or array relation.
-    fn relation(&self) -> Read<Filter> {
+    fn relation(&self) -> Parsed<Filter> {
         if let Some(operator) = ComparisonOperator::ALL
             .iter()
             .find(|known| known.json() == self.op)
@@ -175,7 +176,7 @@
 }
 
 /// Parses a value at a depth of nesting.
-fn value(json: &Json, depth: usize) -> Read<Value> {
+fn value(json: &Json, depth: usize) -> Parsed<Value> {
     check_depth(depth)?;
     match json {
         Json::String(text) => Ok(Value::Text(text.clone())),
@@ -186,7 +187,7 @@
         },
         Json::Array(items) => {
             let items = items.iter().map(|item| value(item, depth + 1));
-            items.collect::<Read<_>>().map(Value::Array)
+            items.collect::<Parsed<_>>().map(Value::Array)
         }
         Json::Null => fault("null is no value"),
         Json::Object(object) => object_value(json, object, depth),
@@ -194,7 +195,7 @@
 }
 
 /// Parses a value that is an object, distinguished by its members.
-fn object_value(json: &Json, object: &Map<String, Json>, depth: usize) -> Read<Value> {
+fn object_value(json: &Json, object: &Map<String, Json>, depth: usize) -> Parsed<Value> {
     let text = |key: &str| object.get(key).and_then(Json::as_str).map(str::to_owned);
     if let Some(name) = text("property") {
         return property(name);
@@ -217,14 +218,14 @@
     operation(json, depth)
 }
 
-fn property(name: String) -> Read<Value> {
+fn property(name: String) -> Parsed<Value> {
     if name.is_empty() || name.contains('"') {
         return fault("a property's name is empty or has a quotation mark");
     }
     Ok(Value::Property(name))
 }
 
-fn interval(ends: &Json, depth: usize) -> Read<Value> {
+fn interval(ends: &Json, depth: usize) -> Parsed<Value> {
     match ends.as_array().map(Vec::as_slice) {
         Some([from, to]) => Ok(Value::Interval(
             interval_end(from, depth)?,
@@ -234,7 +235,7 @@
     }
 }
 
-fn bbox(numbers: &Json) -> Read<Value> {
+fn bbox(numbers: &Json) -> Parsed<Value> {
     let numbers = numbers
         .as_array()
         .and_then(|list| list.iter().map(Json::as_f64).collect::<Option<Vec<_>>>());
@@ -245,7 +246,7 @@
 }
 
 /// Parses an operator or a function that results in a value.
-fn operation(json: &Json, depth: usize) -> Read<Value> {
+fn operation(json: &Json, depth: usize) -> Parsed<Value> {
     let (Some(op), Some(args)) = (json["op"].as_str(), json["args"].as_array()) else {
         return fault("a value is none that is known");
     };
@@ -271,7 +272,7 @@
 }
 
 /// Parses an end of an interval; `None` is open.
-fn interval_end(json: &Json, depth: usize) -> Read<Option<Box<Value>>> {
+fn interval_end(json: &Json, depth: usize) -> Parsed<Option<Box<Value>>> {
     let end = match json.as_str() {
         Some(".." | "") => return Ok(None),
         Some(text) if text.len() == DATE_LENGTH => Value::Date(text.to_owned()),
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 /// Characters that a condition takes besides its own text, such as those of ` AND `.
-const JOINT_LENGTH: usize = 7;
+const JUNCTION_LENGTH: usize = 7;
 
 /// A box: west, south, east, north.
 type Envelope = [f64; 4];
@@ -76,7 +76,7 @@
         .partition(|condition| capabilities.can_filter(condition));
     let mut lengths: Vec<usize> = pushed_down
         .iter()
-        .map(|condition| condition.to_string().len() + JOINT_LENGTH)
+        .map(|condition| condition.to_string().len() + JUNCTION_LENGTH)
         .collect();
     // The longest conditions become residual if the head of the request would grow too long.
     while lengths.iter().sum::<usize>() > capabilities.max_filter_text {
--- a/src/front/ogc/inventory/error.rs
+++ b/src/front/ogc/inventory/error.rs
@@ -70,10 +70,10 @@
     MissingColumn,
     /// A node of the YAML is not a mapping.
     #[error("a mapping is needed")]
-    NoMapping,
+    NotMapping,
     /// An item of a list in the YAML is not a scalar.
     #[error("a list of plain words is needed")]
-    NoWordList,
+    NotScalar,
     /// A key of a group in the YAML is unknown.
     #[error("only hosts, vars and children are known here")]
     UnknownGroupKey,
--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -83,7 +83,7 @@
             Node::Scalar(scalar) if matches!(scalar.as_str(), "" | "~" | "null") => Ok(None),
             _ => Err(self
                 .locator
-                .error(line_of(node), field, InventoryErrorKind::NoMapping)),
+                .error(line_of(node), field, InventoryErrorKind::NotMapping)),
         }
     }
 
@@ -103,7 +103,7 @@
                         self.locator.error(
                             line_of(value),
                             key.as_str(),
-                            InventoryErrorKind::NoWordList,
+                            InventoryErrorKind::NotScalar,
                         )
                     })?;
                     words.join(";")
