--- a/src/front/ogc/cql2/eval/time_span.rs
+++ b/src/front/ogc/cql2/eval/time_span.rs
@@ -1,13 +1,11 @@
 //! Time spans and the temporal relations between them.
 
-use crate::front::ogc::cql2::TemporalRelation;
+use crate::front::ogc::cql2::{TemporalRelation, DATE_LENGTH};
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
 /// Length of a day in nanoseconds.
 const DAY: i128 = 86_400_000_000_000;
-/// Length of a date such as `2026-12-01`, in characters.
-const DATE_LENGTH: usize = 10;
 
 /// Time span in Unix nanoseconds, both ends included; the two ends of an instant are equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -4,13 +4,10 @@
 use super::text::{flatten, Junction};
 use super::{
     fault, ArithmeticOperator, ArrayRelation, ComparisonOperator, Filter, FilterError,
-    SpatialRelation, TemporalRelation, Value, MAX_DEPTH,
+    SpatialRelation, TemporalRelation, Value, DATE_LENGTH, MAX_DEPTH,
 };
 use serde_json::{json, Map, Value as Json};
 
-/// Length of a date such as `2026-12-01`, in characters.
-const DATE_LENGTH: usize = 10;
-
 /// Result of parsing a part of a filter.
 type Parsed<T> = Result<T, FilterError>;
 
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -30,6 +30,8 @@
 pub const MAX_NODES: usize = 2_000;
 /// Most points of all geometries of a filter.
 pub const MAX_POINTS: usize = 20_000;
+/// Length of a date such as `2026-12-01`, in characters.
+const DATE_LENGTH: usize = 10;
 
 /// Message to the client that wrote a malformed filter.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -1,6 +1,6 @@
 //! Parsers of operands: scalars with arithmetic, times and arrays.
 
-use super::super::{ArithmeticOperator, Value, MAX_DEPTH};
+use super::super::{ArithmeticOperator, Value, DATE_LENGTH, MAX_DEPTH};
 use super::lexer::{
     boolean, fatal, keyword, nested, number, property, required_sign, sign, text_literal, Input,
     Parsed, DEPTH_CONTEXT,
@@ -9,9 +9,6 @@
 use winnow::error::{ContextError, ErrMode, StrContext};
 use winnow::prelude::*;
 
-/// Length of a date such as `2026-12-01`, in characters.
-const DATE_LENGTH: usize = 10;
-
 /// Parses a value that can be compared: sums of products of powers of atoms.
 pub(super) fn scalar(input: &mut Input<'_>) -> Parsed<Value> {
     const SUM: [ArithmeticOperator; 2] = [ArithmeticOperator::Add, ArithmeticOperator::Subtract];
