--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -83,7 +83,7 @@
             Node::Scalar(scalar) if matches!(scalar.as_str(), "" | "~" | "null") => Ok(None),
             _ => Err(self
                 .locator
-                .error(line_of(node), field, InventoryErrorKind::NoMapping)),
+                .error(line_of(node), field, InventoryErrorKind::NotMapping)),
         }
     }
 
@@ -103,7 +103,7 @@
                         self.locator.error(
                             line_of(value),
                             key.as_str(),
-                            InventoryErrorKind::NoWordList,
+                            InventoryErrorKind::NotScalar,
                         )
                     })?;
                     words.join(";")
@@ -149,6 +149,7 @@
         Ok(())
     }
 
+    /// Reads the hosts of a group whose vars are `vars`.
     fn hosts(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(hosts) = self.mapping(node, "hosts")? else {
             return Ok(());
@@ -166,6 +167,7 @@
         Ok(())
     }
 
+    /// Reads the groups in a group whose vars are `vars`.
     fn children(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(children) = self.mapping(node, "children")? else {
             return Ok(());
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -90,6 +90,7 @@
     text + "</p>"
 }
 
+/// Returns a table with a row for each feature.
 fn feature_table(features: &[Json]) -> String {
     let columns = columns(features);
     let mut text = String::from("<table><tr><th>id</th>");
@@ -136,6 +137,7 @@
     text + "</table>"
 }
 
+/// Returns a value as the content of a table cell.
 fn cell(value: &Json) -> String {
     match value {
         Json::String(text) if text.starts_with("http://") || text.starts_with("https://") => {
@@ -166,13 +168,17 @@
     text + "</ul>"
 }
 
+/// Returns a page with a title and a body of HTML.
 fn page(title: &str, main: &str) -> Response {
     let title = escape(title);
     let text = format!(
-        "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>{title}</title><style>\
-         body{{font-family:sans-serif;margin:1.5em;max-width:70em}}table{{border-collapse:collapse}}\
+        "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
+         <title>{title}</title><style>\
+         body{{font-family:sans-serif;margin:1.5em;max-width:70em}}\
+         table{{border-collapse:collapse}}\
          td,th{{border:1px solid #ccc;padding:.2em .5em;text-align:left;vertical-align:top}}\
-         svg{{background:#eef3f7;border:1px solid #ccc}}</style></head>\n<body><h1>{title}</h1>\n{main}\n</body></html>\n"
+         svg{{background:#eef3f7;border:1px solid #ccc}}</style></head>\n\
+         <body><h1>{title}</h1>\n{main}\n</body></html>\n"
     );
     Response::new(200, HTML_UTF8, text)
 }
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -5,8 +5,9 @@
 
 /// Most points that are drawn of one line or ring.
 const MAX_POINTS: usize = 2_000;
-/// Size of the map, in pixels.
+/// Width of the map, in pixels.
 const WIDTH: f64 = 800.0;
+/// Height of the map, in pixels.
 const HEIGHT: f64 = 500.0;
 /// Margin around the features, both sides together, in pixels.
 const MARGIN: f64 = 40.0;
@@ -23,7 +24,8 @@
         return String::new();
     };
     let mut text = format!(
-        "<svg role=\"img\" width=\"{WIDTH}\" height=\"{HEIGHT}\" viewBox=\"0 0 {WIDTH} {HEIGHT}\"><title>Map of {} features</title>",
+        "<svg role=\"img\" width=\"{WIDTH}\" height=\"{HEIGHT}\" \
+            viewBox=\"0 0 {WIDTH} {HEIGHT}\"><title>Map of {} features</title>",
         features.len()
     );
     features
@@ -65,6 +67,7 @@
     }
 }
 
+/// Returns the elements of a JSON array; none if it is another value.
 fn elements(json: &Json) -> &[Json] {
     json.as_array().map_or(&[], Vec::as_slice)
 }
@@ -112,6 +115,7 @@
         }
     }
 
+    /// Draws a geometry of GeoJSON.
     fn draw(&self, geometry: &Json, text: &mut String) {
         let coordinates = &geometry["coordinates"];
         match geometry["type"].as_str() {
@@ -140,7 +144,8 @@
             .collect();
         let _ = write!(
             text,
-            "<path d=\"{path}\" fill=\"#27a\" fill-opacity=\".3\" fill-rule=\"evenodd\" stroke=\"#27a\"/>"
+            "<path d=\"{path}\" fill=\"#27a\" fill-opacity=\".3\" fill-rule=\"evenodd\" \
+                stroke=\"#27a\"/>"
         );
     }
 
