--- a/tests/fleet/recovery.rs
+++ b/tests/fleet/recovery.rs
@@ -1,8 +1,24 @@
 //! Recovery of nodes after an outage.
 
 use crate::common::*;
-use crate::support::{site, Fate, Fleet, Outage, LOOKUP, REPORT, SEND};
+use crate::support::{site, Fleet, Outage, LOOKUP, REPORT, SEND};
 use quinceflow::*;
+use std::ops::Range;
+
+/// The length of the windows in which [`most_parts_sent`] counts.
+const WINDOW: Nanos = 100 * MS;
+
+/// Returns the most parts that a node was sent in any window of the period.
+fn most_parts_sent(fleet: &Fleet, node: u8, period: Range<Nanos>) -> usize {
+    let to_node = fleet.sent.iter().filter(|part| part.node == node);
+    let times: Vec<Nanos> = to_node.map(|part| part.at).collect();
+    let count_from = |start: Nanos| {
+        let window = start..start + WINDOW;
+        times.iter().filter(|at| window.contains(at)).count()
+    };
+    let starts = period.step_by(WINDOW as usize);
+    starts.map(count_from).max().unwrap_or(0)
+}
 
 #[test]
 fn all_instances_return_to_recovered_nodes_gradually() {
@@ -17,14 +33,7 @@
         until: back,
     };
     fleet.run(end);
-    let open = |f: &Fate| f.final_answers == 0 && f.at + S >= end;
-    assert!(
-        fleet
-            .fates
-            .values()
-            .all(|f| f.final_answers == 1 || open(f)),
-        "one final answer each"
-    );
+    fleet.assert_one_final_answer_each(end);
     for class in [SEND, LOOKUP, REPORT] {
         assert!(
             fleet.served(class, START, from - S) > 0.99,
@@ -37,27 +46,8 @@
         fleet.served(REPORT, from, back) > 0.9,
         "reports may lack two of twenty parts: they are served meanwhile"
     );
-    let most = |from: Nanos, to: Nanos| {
-        let parts: Vec<Nanos> = fleet
-            .sent
-            .iter()
-            .filter(|s| s.node == 0)
-            .map(|s| s.at)
-            .collect();
-        let within = |at: Nanos| {
-            parts
-                .iter()
-                .filter(|p| (at..at + 100 * MS).contains(p))
-                .count()
-        };
-        (from..to)
-            .step_by(100 * MS as usize)
-            .map(within)
-            .max()
-            .unwrap_or(0)
-    };
-    let usual = most(START, from);
-    let returning = most(back, back + 5 * S);
+    let usual = most_parts_sent(&fleet, 0, START..from);
+    let returning = most_parts_sent(&fleet, 0, back..back + 5 * S);
     assert!(
         returning <= 2 * usual,
         "{returning} parts in 100 ms, {usual} before"
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: the load of nodes that have just started.
 
 use crate::common::*;
-use crate::support::{site, Due, Fate, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
+use crate::support::{site, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
 use quinceflow::*;
 
 /// Checks that what all instances together send a starting node in any second stays within its
@@ -72,14 +72,7 @@
         sent.iter().all(|n| *n > 100),
         "{sent:?} parts in their warm-up"
     );
-    let open = |f: &Fate| f.final_answers == 0 && f.at + S >= started + 20 * S;
-    assert!(
-        fleet
-            .fates
-            .values()
-            .all(|f| f.final_answers == 1 || open(f)),
-        "one final answer each"
-    );
+    fleet.assert_one_final_answer_each(started + 20 * S);
     // Reports may lack a part of twenty: they are served meanwhile.
     assert!(fleet.served(REPORT, started, started + 18 * S) > 0.9);
 }
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -183,44 +183,45 @@
         self.schedule(PAUSE, instance, Due::Query);
         self.order += 100;
         let id = self.order;
-        let dice = self.rng.usize(..10);
-        let class = if dice >= self.wide {
-            SEND
-        } else {
-            [LOOKUP, REPORT][dice % 2]
+        let class = self.draw_class();
+        let shards = self.draw_shards(class);
+        let fate = Fate {
+            at: self.now,
+            class,
+            final_answers: 0,
+            served: false,
         };
-        let shards: Vec<u32> = match class {
-            SEND => vec![self.rng.u32(..u32::from(NODES) / 5)],
-            LOOKUP => (0..5).map(|_| self.rng.u32(..u32::from(NODES))).collect(),
-            _ => (0..5 * u32::from(NODES))
-                .map(|n| n % u32::from(NODES))
-                .collect(),
+        self.fates.insert((instance, QueryId(id)), fate);
+        let weight = 1.0 / shards.len() as f64;
+        let part = |(shard, part): (&u32, u64)| Event::Part {
+            part: PartId(part),
+            group: GroupId(id as u32),
+            shard: ShardId(*shard),
+            weight,
         };
-        self.fates.insert(
-            (instance, QueryId(id)),
-            Fate {
-                at: self.now,
-                class,
-                final_answers: 0,
-                served: false,
-            },
-        );
         let mut events = vec![query_event(id, class, 0, 800 * MS)];
-        let weight = 1.0 / shards.len() as f64;
-        events.extend(
-            shards
-                .iter()
-                .zip(id + 1..)
-                .map(|(shard, part)| Event::Part {
-                    part: PartId(part),
-                    group: GroupId(id as u32),
-                    shard: ShardId(*shard),
-                    weight,
-                }),
-        );
+        events.extend(shards.iter().zip(id + 1..).map(part));
         self.report(instance, events);
     }
 
+    fn draw_class(&mut self) -> u16 {
+        let number = self.rng.usize(..10);
+        if number >= self.wide {
+            SEND
+        } else {
+            [LOOKUP, REPORT][number % 2]
+        }
+    }
+
+    fn draw_shards(&mut self, class: u16) -> Vec<u32> {
+        let shards = u32::from(NODES);
+        match class {
+            SEND => vec![self.rng.u32(..shards / 5)],
+            LOOKUP => (0..5).map(|_| self.rng.u32(..shards)).collect(),
+            _ => (0..5 * shards).map(|part| part % shards).collect(),
+        }
+    }
+
     pub fn complete(
         &mut self,
         instance: usize,
@@ -318,4 +319,15 @@
             .collect();
         asked.iter().filter(|f| f.served).count() as f64 / asked.len() as f64
     }
+
+    /// Asserts that each query has one final answer; those that were submitted in the second before
+    /// `end` may have none yet.
+    pub fn assert_one_final_answer_each(&self, end: Nanos) {
+        let is_open = |fate: &Fate| fate.final_answers == 0 && fate.at + S >= end;
+        let mut fates = self.fates.values();
+        assert!(
+            fates.all(|fate| fate.final_answers == 1 || is_open(fate)),
+            "one final answer each"
+        );
+    }
 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -102,33 +102,61 @@
     assert_eq!(sent_attempts(&actions)[0].1, replica(1));
 }
 
-#[test]
-fn a_warming_replica_gets_no_more_than_this_instances_share() {
-    let mut settings = settings(class(Effect::Idempotent));
-    settings.slow_start = Some(SlowStartRule {
-        overload_factor: 2.0,
+/// Returns the rule of a warm-up of 20 s from a fifth of the capacity, with this overload factor.
+fn slow_start(overload_factor: f64) -> SlowStartRule {
+    SlowStartRule {
+        overload_factor,
         overload_window: S,
         initial_capacity: 0.2,
         warm_up: 20 * S,
+    }
+}
+
+/// Reports that replica 0 started at this time.
+fn report_start(harness: &mut Harness, started_at: Nanos) {
+    harness.report(vec![Event::Endpoints {
+        kind: EndpointListKind::Delta,
+        endpoints: vec![endpoint(0, EndpointState::Ready, started_at)],
+    }]);
+}
+
+/// Returns the number of attempts sent to a replica.
+fn attempts_at(actions: &[Action], replica: ReplicaId) -> usize {
+    let sent = sent_attempts(actions);
+    sent.iter().filter(|attempt| attempt.1 == replica).count()
+}
+
+/// Asserts that at each time at which a replica that started at [`START`] was sent a part, the work
+/// sent in the last second is within three times its capacity.
+fn assert_within_capacity(sent: &[Nanos]) {
+    for (n, at) in sent.iter().enumerate() {
+        let age = (at - START) as f64 / (20 * S) as f64;
+        let recent = sent[..=n].iter().filter(|time| **time + S > *at);
+        let work = recent.count() as f64 * 0.1;
+        assert!(
+            work <= 3.0 * (0.2 + 0.8 * age),
+            "{work} s of work at {age:.2} of the warm-up"
+        );
+    }
+}
+
+#[test]
+fn a_warming_replica_gets_no_more_than_this_instances_share() {
+    let mut harness = Harness::new(Settings {
+        slow_start: Some(slow_start(2.0)),
+        ..settings(class(Effect::Idempotent))
     });
-    let mut harness = Harness::new(settings);
     // Parts take 100 ms on the warm ones.
     for _ in 0..20 {
         let (_, parts, _) = harness.submit(&[1]);
         harness.answer(parts[0]);
     }
-    let fresh = endpoint(0, EndpointState::Ready, harness.now);
-    harness.report(vec![Event::Endpoints {
-        kind: EndpointListKind::Delta,
-        endpoints: vec![fresh],
-    }]);
+    let started = harness.now;
+    report_start(&mut harness, started);
     let mut to_warming = 0;
     for _ in 0..50 {
         let (_, parts, actions) = harness.submit(&[0]);
-        to_warming += sent_attempts(&actions)
-            .iter()
-            .filter(|s| s.1 == replica(0))
-            .count();
+        to_warming += attempts_at(&actions, replica(0));
         harness.now += 5 * MS;
         harness.complete(parts[0], 0, Outcome::Ok, 100 * MS);
     }
@@ -141,10 +169,7 @@
     let mut warm = 0;
     for _ in 0..10 {
         let (_, parts, actions) = harness.submit(&[0]);
-        warm += sent_attempts(&actions)
-            .iter()
-            .filter(|s| s.1 == replica(0))
-            .count();
+        warm += attempts_at(&actions, replica(0));
         harness.answer(parts[0]);
     }
     assert!(warm > 0, "a warm replica is used again");
@@ -154,50 +179,29 @@
 fn many_instances_together_do_not_overload_a_warming_replica_and_still_use_it() {
     // An even share of the allowance is less than one part: some instances send one all the same.
     let count = 60;
-    let rule = SlowStartRule {
-        overload_factor: 3.0,
-        overload_window: S,
-        initial_capacity: 0.2,
-        warm_up: 20 * S,
-    };
     let settings = Settings {
         coordinators: count,
-        slow_start: Some(rule),
+        slow_start: Some(slow_start(3.0)),
         ..settings(class(Effect::Idempotent))
     };
     let mut harnesses: Vec<Harness> = (0..count)
         .map(|n| Harness::with_seed(settings.clone(), u64::from(n)))
         .collect();
-    let fresh = endpoint(0, EndpointState::Ready, START);
     let mut sent: Vec<Nanos> = Vec::new();
     for harness in &mut harnesses {
-        harness.report(vec![Event::Endpoints {
-            kind: EndpointListKind::Delta,
-            endpoints: vec![fresh],
-        }]);
+        report_start(harness, START);
     }
     for round in 0..60 {
         for (n, harness) in harnesses.iter_mut().enumerate() {
             harness.now = START + round * 300 * MS + n as Nanos * 5 * MS;
             let (_, parts, actions) = harness.submit(&[0]);
-            sent.extend(
-                sent_attempts(&actions)
-                    .iter()
-                    .filter(|s| s.1 == replica(0))
-                    .map(|_| harness.now),
-            );
+            let count = attempts_at(&actions, replica(0));
+            sent.extend(std::iter::repeat_n(harness.now, count));
             harness.complete(parts[0], 0, Outcome::Ok, 100 * MS);
         }
     }
     sent.sort();
-    for (n, at) in sent.iter().enumerate() {
-        let age = (at - START) as f64 / (20 * S) as f64;
-        let work = sent[..=n].iter().filter(|t| **t + S > *at).count() as f64 * 0.1;
-        assert!(
-            work <= 3.0 * (0.2 + 0.8 * age),
-            "{work} s of work at {age:.2} of the warm-up"
-        );
-    }
+    assert_within_capacity(&sent);
     assert!(sent.len() > 20, "{} parts in its warm-up", sent.len());
 }
 
--- a/tests/ordinary_path/dispatch.rs
+++ b/tests/ordinary_path/dispatch.rs
@@ -46,37 +46,46 @@
     assert_eq!(sent_attempts(&actions).len(), 64);
 }
 
-#[test]
-fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
-    // Parts of wide queries at slow nodes would be late, and would take the room of queries that
-    // need their parts there.
-    let mut settings = settings(Class {
-        min_share: 0.6,
-        ..class(Effect::Idempotent)
+/// Returns a harness of ten cells with a shard each, for a class that needs six tenths of its parts.
+fn harness_of_ten_cells() -> Harness {
+    let mut harness = Harness::new(Settings {
+        cells: 10,
+        shards: 10,
+        cells_per_shard: 1,
+        ..settings(Class {
+            min_share: 0.6,
+            ..class(Effect::Idempotent)
+        })
     });
-    settings.cells = 10;
-    settings.shards = 10;
-    settings.cells_per_shard = 1;
-    let mut harness = Harness::new(settings);
-    let members = (0..10)
-        .map(|n| endpoint(n, EndpointState::Ready, 0))
-        .collect();
+    let ready = |n| endpoint(n, EndpointState::Ready, 0);
     harness.report(vec![Event::Endpoints {
         kind: EndpointListKind::Full,
-        endpoints: members,
+        endpoints: (0..10).map(ready).collect(),
     }]);
+    harness
+}
+
+/// Lets time pass, then answers the first attempts at these parts, which took `elapsed`.
+fn answer_all(harness: &mut Harness, parts: &[PartId], wait: Nanos, elapsed: Nanos) {
+    harness.now += wait;
+    for part in parts {
+        harness.complete(*part, 0, Outcome::Ok, elapsed);
+    }
+}
+
+#[test]
+fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
+    // Parts of wide queries at slow nodes would be late, and would take the room of queries that
+    // need their parts there.
+    let mut harness = harness_of_ten_cells();
     let all: Vec<u32> = (0..10).collect();
     for _ in 0..4 {
         let (_, parts, _) = harness.submit(&all);
-        harness.now += 40 * MS;
-        parts[4..]
-            .iter()
-            .for_each(|p| drop(harness.complete(*p, 0, Outcome::Ok, 40 * MS)));
-        harness.now += 910 * MS;
-        parts[..4]
-            .iter()
-            .for_each(|p| drop(harness.complete(*p, 0, Outcome::Ok, 950 * MS)));
+        let (slow, fast) = parts.split_at(4);
+        answer_all(&mut harness, fast, 40 * MS, 40 * MS);
+        answer_all(&mut harness, slow, 910 * MS, 950 * MS);
     }
+
     let requested = sent_attempts(&harness.submit(&all).2);
     assert_eq!(
         requested.len(),
@@ -87,10 +96,9 @@
         (4..10).all(|n| requested.iter().any(|s| s.1 == replica(n))),
         "of the slow ones only"
     );
-    harness.now += 40 * MS;
-    requested
-        .iter()
-        .for_each(|s| drop(harness.complete(s.0, 0, Outcome::Ok, 40 * MS)));
+
+    let parts: Vec<PartId> = requested.iter().map(|attempt| attempt.0).collect();
+    answer_all(&mut harness, &parts, 40 * MS, 40 * MS);
     harness.run_for(60 * S);
     assert_eq!(
         sent_attempts(&harness.submit(&all).2).len(),
