--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -5,7 +5,7 @@
     answer, cancelled, coordinator, coordinator_with, dispatched, failed, fleet, served, settings,
     submit, IDEMPOTENT, NON_IDEMPOTENT, PARTIAL, START,
 };
-use quinceflow::coordinator::{Answer, AttemptKey, Command, Input, Token};
+use quinceflow::coordinator::{Answer, AttemptKey, Input, Token};
 use quinceflow::time::Micros;
 use quinceflow::{Effect, Outcome, Settings};
 
@@ -83,53 +83,71 @@
     }
 }
 
-#[test]
-fn unwritten_attempts_are_cancelled_once_the_client_has_left_or_has_its_answer() {
-    // Where the settings allow no cancellation at the servers, parts that wait for a connection are
-    // taken back all the same.
-    for (client_leaves, write_started) in
-        [(true, false), (true, true), (false, false), (false, true)]
-    {
+/// A query with two attempts in flight, whose client leaves or gets its answer.
+#[derive(Debug, Clone, Copy)]
+struct QueryEnd {
+    /// Whether the client leaves; otherwise the first attempt is served, and half is enough.
+    client_leaves: bool,
+    /// Whether the write of the second attempt has started before.
+    write_started: bool,
+}
+
+impl QueryEnd {
+    fn check(self) {
         let mut core = coordinator_with(Settings {
             cancellation: false,
             ..settings()
         });
         let mut commands = Vec::new();
-        core.turn(
-            START,
-            [fleet(), submit(1, PARTIAL, 2, START)],
-            &mut commands,
-        );
-        let keys: Vec<AttemptKey> = commands
-            .drain(..)
-            .filter_map(|command| dispatched(&command))
-            .collect();
+        let inputs = [fleet(), submit(1, PARTIAL, 2, START)];
+        core.turn(START, inputs, &mut commands);
+        let dispatches = commands.drain(..);
+        let keys: Vec<AttemptKey> = dispatches.filter_map(|c| dispatched(&c)).collect();
         assert_eq!(keys.len(), 2);
-        let write = write_started.then_some(Input::WriteStarted(keys[1]));
-        let end = if client_leaves {
-            Input::ClientLeft(Token(1))
-        } else {
-            served(keys[0])
-        };
+
         let mut now = START + Micros::from_millis(1);
-        core.turn(now, write.into_iter().chain([end]), &mut commands);
+        core.turn(now, self.inputs(&keys), &mut commands);
         while core.pending_queries() > 0 {
             now = now + Micros::from_millis(1);
             core.turn(now, [], &mut commands);
         }
-        let replies = commands
-            .iter()
-            .filter(|command| matches!(command, Command::Reply { .. }))
-            .count();
-        assert_eq!(replies, usize::from(!client_leaves), "half of it is enough");
-        let first = client_leaves.then_some(keys[0]);
-        let second = (!write_started).then_some(keys[1]);
-        let expected: Vec<AttemptKey> = first.into_iter().chain(second).collect();
+
+        let replies = commands.iter().filter_map(answer).count();
+        assert_eq!(replies, usize::from(!self.client_leaves), "{self:?}");
         let cancelled: Vec<AttemptKey> = commands.iter().filter_map(cancelled).collect();
-        assert_eq!(
-            cancelled, expected,
-            "client leaves: {client_leaves}, write started: {write_started}"
-        );
-        assert_eq!(core.attempts_in_flight(), usize::from(write_started));
+        assert_eq!(cancelled, self.expected_cancels(&keys), "{self:?}");
+        assert_eq!(core.attempts_in_flight(), usize::from(self.write_started));
+    }
+
+    fn inputs(self, keys: &[AttemptKey]) -> Vec<Input> {
+        let write = self.write_started.then_some(Input::WriteStarted(keys[1]));
+        let end = if self.client_leaves {
+            Input::ClientLeft(Token(1))
+        } else {
+            served(keys[0])
+        };
+        write.into_iter().chain([end]).collect()
+    }
+
+    /// Returns the attempts that are in flight and whose write has not started.
+    fn expected_cancels(self, keys: &[AttemptKey]) -> Vec<AttemptKey> {
+        let first = self.client_leaves.then_some(keys[0]);
+        let second = (!self.write_started).then_some(keys[1]);
+        first.into_iter().chain(second).collect()
+    }
+}
+
+#[test]
+fn unwritten_attempts_are_cancelled_once_the_client_has_left_or_has_its_answer() {
+    // Where the settings allow no cancellation at the servers, parts that wait for a connection are
+    // taken back all the same.
+    for (client_leaves, write_started) in
+        [(true, false), (true, true), (false, false), (false, true)]
+    {
+        let end = QueryEnd {
+            client_leaves,
+            write_started,
+        };
+        end.check();
     }
 }
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -16,6 +16,17 @@
     commands.iter().filter(to_node).count()
 }
 
+/// Returns how often a request is rejected.
+fn rejections_of(commands: &[Command], request: Token) -> usize {
+    let is_rejection = |command: &&Command| match command {
+        Command::Reply { token, answer } => {
+            *token == request && matches!(answer, Answer::Rejected { .. })
+        }
+        _ => false,
+    };
+    commands.iter().filter(is_rejection).count()
+}
+
 #[test]
 fn removed_servers_are_forgotten_and_their_ids_not_reused() {
     // Names, addresses and connections of servers that have left are not kept.
@@ -68,35 +79,23 @@
         node(2, EndpointState::Ready),
     ];
     core.turn(START, [full(duplicate)], &mut commands);
-    (0..4).for_each(|token| core.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands));
-    assert_eq!(
-        dispatches_to(&commands, 0),
-        0,
-        "its last line says that it drains"
-    );
-    assert_eq!(dispatches_to(&commands, 1) + dispatches_to(&commands, 2), 8);
+    for token in 0..4 {
+        core.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands);
+    }
+    let dispatches = [0, 1, 2].map(|number| dispatches_to(&commands, number));
+    assert_eq!(dispatches[0], 0, "its last line says that it drains");
+    assert_eq!(dispatches[1] + dispatches[2], 8);
+
     commands.clear();
     let later = START + Micros::from_secs(1);
-    core.turn(
-        later,
-        [full(Vec::new()), submit(9, IDEMPOTENT, 2, later)],
-        &mut commands,
-    );
+    let inputs = [full(Vec::new()), submit(9, IDEMPOTENT, 2, later)];
+    core.turn(later, inputs, &mut commands);
     for ms in (0..1_000).step_by(10) {
         core.turn(later + Micros::from_millis(ms), [], &mut commands);
     }
     let dispatches: usize = (0..3).map(|number| dispatches_to(&commands, number)).sum();
     assert_eq!(dispatches, 0, "no server is listed");
-    let is_rejection = |command: &&Command| {
-        matches!(
-            command,
-            Command::Reply {
-                token: Token(9),
-                answer: Answer::Rejected { .. }
-            }
-        )
-    };
-    assert_eq!(commands.iter().filter(is_rejection).count(), 1);
+    assert_eq!(rejections_of(&commands, Token(9)), 1);
 }
 
 /// A change of a server's readiness: its number, and whether it is ready.
@@ -128,70 +127,66 @@
     changes.collect()
 }
 
-#[test]
-fn stale_list_reverts_no_drain_and_removes_no_server() {
-    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain,
-    // and does not know newer ones: the first get no parts again, the second keep their work.
-    let mut core = coordinator();
-    let list = |version, kind, nodes: Vec<NodeEndpoint>| endpoint_list(kind, Some(version), nodes);
-    let started = |number, state, seconds: u64| NodeEndpoint {
+/// Returns a list of this version.
+fn list(version: u64, kind: EndpointListKind, nodes: Vec<NodeEndpoint>) -> Input {
+    endpoint_list(kind, Some(version), nodes)
+}
+
+/// Returns a server that started at this time.
+fn started(number: u16, state: EndpointState, seconds: u64) -> NodeEndpoint {
+    NodeEndpoint {
         started_at: Some(Micros::from_secs(seconds)),
         ..node(number, state)
-    };
-    let fleet_with = |first| {
-        vec![
-            first,
-            started(1, EndpointState::Ready, 50),
-            node(2, EndpointState::Ready),
-        ]
-    };
+    }
+}
+
+/// Returns three servers, of which the last two are ready.
+fn fleet_with(first: NodeEndpoint) -> Vec<NodeEndpoint> {
+    vec![
+        first,
+        started(1, EndpointState::Ready, 50),
+        node(2, EndpointState::Ready),
+    ]
+}
+
+/// Returns a coordinator whose list has version 8: of three servers, the first drains.
+fn coordinator_with_drain() -> Coordinator {
+    let mut core = coordinator();
     let first = fleet_with(started(0, EndpointState::Ready, 50));
-    assert_eq!(
-        apply(&mut core, list(7, EndpointListKind::Full, first)),
-        [ready(0), ready(1), ready(2)]
-    );
+    let changes = apply(&mut core, list(7, EndpointListKind::Full, first));
+    assert_eq!(changes, [ready(0), ready(1), ready(2)]);
     let drain = vec![started(0, EndpointState::Draining, 50)];
-    assert_eq!(
-        apply(&mut core, list(8, EndpointListKind::Delta, drain)),
-        [not_ready(0)]
-    );
+    let changes = apply(&mut core, list(8, EndpointListKind::Delta, drain));
+    assert_eq!(changes, [not_ready(0)]);
+    core
+}
+
+#[test]
+fn stale_list_reverts_no_drain_and_removes_no_server() {
+    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain,
+    // and does not know newer ones: the first get no parts again, the second keep their work.
+    let mut core = coordinator_with_drain();
 
     let before_the_drain = vec![started(0, EndpointState::Ready, 50)];
     let changes = apply(&mut core, list(6, EndpointListKind::Full, before_the_drain));
-    assert_eq!(
-        changes,
-        [],
-        "the drain stands, and so do the servers that the list lacks"
-    );
+    assert_eq!(changes, [], "the drain stands, and so do unlisted servers");
     let mut commands = Vec::new();
     core.turn(START, [submit(1, IDEMPOTENT, 2, START)], &mut commands);
-    assert_eq!(
-        dispatches_to(&commands, 0),
-        0,
-        "nothing is sent to the draining server"
-    );
+    let to_draining = dispatches_to(&commands, 0);
+    assert_eq!(to_draining, 0, "nothing is sent to the draining server");
 
     let restarted = fleet_with(started(0, EndpointState::Ready, 90));
-    assert_eq!(
-        apply(&mut core, list(6, EndpointListKind::Full, restarted)),
-        [ready(0)],
-        "it has restarted since"
-    );
+    let changes = apply(&mut core, list(6, EndpointListKind::Full, restarted));
+    assert_eq!(changes, [ready(0)], "it has restarted since");
     let earlier_drain = vec![started(0, EndpointState::Draining, 50)];
     let changes = apply(&mut core, list(5, EndpointListKind::Delta, earlier_drain));
     assert_eq!(changes, [], "that drain was of the earlier incarnation");
+
     let drain = vec![started(1, EndpointState::Draining, 50)];
     let changes = apply(&mut core, list(5, EndpointListKind::Delta, drain));
-    assert_eq!(
-        changes,
-        [not_ready(1)],
-        "a drain is believed however old its list is"
-    );
+    assert_eq!(changes, [not_ready(1)], "an old list's drain is believed");
     let current = fleet_with(started(0, EndpointState::Draining, 90));
     let changes = apply(&mut core, list(8, EndpointListKind::Full, current));
-    assert_eq!(
-        changes,
-        [not_ready(0), ready(1)],
-        "a list as new as the newest is applied as it is"
-    );
+    let expected = [not_ready(0), ready(1)];
+    assert_eq!(changes, expected, "the newest list is applied as it is");
 }
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -2,8 +2,8 @@
 
 use crate::common::MS;
 use crate::support::{
-    coordinator, coordinator_with, dispatched, fleet, served, settings, submit, submit_with_id,
-    IDEMPOTENT, PARTIAL, START,
+    answer, coordinator, coordinator_with, dispatched, fleet, served, settings, submit,
+    submit_with_id, IDEMPOTENT, PARTIAL, START,
 };
 use quinceflow::coordinator::{Answer, Command, Input, Token, COUNTERS};
 use quinceflow::time::Micros;
@@ -59,6 +59,16 @@
     assert_eq!(COUNTERS.broken_invariants.get(), 0);
 }
 
+fn is_partial_answer(command: &Command) -> bool {
+    matches!(
+        answer(command),
+        Some(Answer::Served {
+            complete: false,
+            ..
+        })
+    )
+}
+
 #[test]
 fn partial_answer_is_given_10_ms_before_the_objective() {
     // The policy keeps three ticks for turn, rendering and network. With a tick of 1 ms that is too
@@ -79,28 +89,16 @@
         [Input::FullyWritten(first), served(first)],
         &mut commands,
     );
-    let is_partial = |command: &Command| {
-        matches!(
-            command,
-            Command::Reply {
-                answer: Answer::Served {
-                    complete: false,
-                    ..
-                },
-                ..
-            }
-        )
-    };
     for ms in 1..=291 {
         now = START + Micros::from_millis(ms);
         core.turn(now, [], &mut commands);
         assert!(
-            ms > 200 || !commands.iter().any(is_partial),
+            ms > 200 || !commands.iter().any(is_partial_answer),
             "it waits for the rest: {ms}"
         );
     }
     assert!(
-        commands.iter().any(is_partial),
+        commands.iter().any(is_partial_answer),
         "10 ms are left for the response"
     );
 }
--- a/tests/coordinator/settings.rs
+++ b/tests/coordinator/settings.rs
@@ -8,13 +8,9 @@
 use quinceflow::{Class, Effect, Outcome};
 use std::collections::BTreeMap;
 
-#[test]
-fn pending_query_keeps_its_class_over_a_reload_and_a_new_one_has_the_reloaded_class() {
-    // Attempts and effects belong to the class by its name, not by its place in the file.
-    let mut now = START;
-    let mut core = coordinator();
-    let mut commands = Vec::new();
-    core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
+/// Returns settings in which the idempotent class is in another place, not idempotent, and has one
+/// attempt.
+fn reload_with_swapped_classes() -> Input {
     let mut reloaded = settings();
     let class = &mut reloaded.classes[usize::from(IDEMPOTENT)];
     *class = Class {
@@ -25,46 +21,69 @@
     reloaded
         .classes
         .swap(usize::from(IDEMPOTENT), usize::from(PARTIAL));
-    let reload = Input::Settings {
+    Input::Settings {
         settings: Box::new(reloaded),
         max_in_flight: MAX_IN_FLIGHT,
-    };
-    core.turn(now, [reload, submit(2, IDEMPOTENT, 1, now)], &mut commands);
-    let mut attempts_by_request = BTreeMap::new();
-    let mut answers = BTreeMap::new();
-    while answers.len() < 2 {
+    }
+}
+
+/// The attempts and answers that a coordinator's commands gave.
+#[derive(Default)]
+struct Outcomes {
+    attempts_by_request: BTreeMap<String, usize>,
+    answers: BTreeMap<Token, Answer>,
+}
+
+impl Outcomes {
+    /// Records commands and returns inputs by which each attempt is written and reset.
+    fn record_and_fail_attempts(&mut self, commands: impl Iterator<Item = Command>) -> Vec<Input> {
         let mut inputs = Vec::new();
-        for command in commands.drain(..) {
+        for command in commands {
             match command {
                 Command::Dispatch { attempts, .. } => {
                     let attempt = &attempts[0];
-                    *attempts_by_request
-                        .entry(attempt.request_id.to_string())
-                        .or_insert(0) += 1;
-                    inputs.extend([
-                        Input::FullyWritten(attempt.key),
-                        failed(attempt.key, Outcome::Reset),
-                    ]);
+                    let id = attempt.request_id.to_string();
+                    *self.attempts_by_request.entry(id).or_default() += 1;
+                    inputs.push(Input::FullyWritten(attempt.key));
+                    inputs.push(failed(attempt.key, Outcome::Reset));
                 }
                 Command::Reply { token, answer } => {
-                    answers.insert(token, answer);
+                    self.answers.insert(token, answer);
                 }
                 _ => {}
             }
         }
+        inputs
+    }
+}
+
+#[test]
+fn pending_query_keeps_its_class_over_a_reload_and_a_new_one_has_the_reloaded_class() {
+    // Attempts and effects belong to the class by its name, not by its place in the file.
+    let mut now = START;
+    let mut core = coordinator();
+    let mut commands = Vec::new();
+    core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
+    let reload = reload_with_swapped_classes();
+    core.turn(now, [reload, submit(2, IDEMPOTENT, 1, now)], &mut commands);
+
+    let mut seen = Outcomes::default();
+    while seen.answers.len() < 2 {
+        let inputs = seen.record_and_fail_attempts(commands.drain(..));
         now = now + Micros::from_millis(5);
         core.turn(now, inputs, &mut commands);
     }
+
     assert_eq!(
-        attempts_by_request,
+        seen.attempts_by_request,
         BTreeMap::from([("q1".to_owned(), 3), ("q2".to_owned(), 1)])
     );
     assert!(
-        matches!(answers[&Token(1)], Answer::Rejected { .. }),
+        matches!(seen.answers[&Token(1)], Answer::Rejected { .. }),
         "idempotent when it came"
     );
     assert!(
-        matches!(answers[&Token(2)], Answer::Failed { .. }),
+        matches!(seen.answers[&Token(2)], Answer::Failed { .. }),
         "not idempotent by now"
     );
 }
