--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -15,6 +15,9 @@
 use standin::process::Process;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
+use std::ops::Range;
+use std::os::unix::net::UnixListener;
+use std::path::PathBuf;
 
 /// The time in seconds that clients wait for an answer: less than the latency objective of the
 /// classes.
@@ -24,22 +27,27 @@
     query_with_timeout(process, id, class, shards, QUERY_TIMEOUT_SECONDS)
 }
 
+/// Asserts that queries of class `lookup` with these numbers are answered.
+fn assert_lookups_are_served(process: &Process, numbers: Range<usize>) {
+    for number in numbers {
+        let response = query(process, &format!("q{number}"), "lookup", &[0, 1]);
+        assert_eq!(response.status, 200);
+    }
+}
+
+/// Waits until the process has applied exactly so many endpoint updates.
+fn wait_for_endpoint_updates(process: &Process, count: usize) {
+    let counter = format!(" endpoint_updates={count} ");
+    while !process.log_counters().contains(&counter) {}
+}
+
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoint_list() {
     // A reload moves the watch of discovery too: a drain that the new address sends is received.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, first) = Deployment::BASIC.start("moved", &nodes);
     edge.wait_until_ready();
-    let wait_for_lists = |n: usize| loop {
-        edge.signal("USR1");
-        if edge
-            .wait_for_log("counters")
-            .contains(&format!(" endpoint_updates={n} "))
-        {
-            break;
-        }
-    };
-    wait_for_lists(2);
+    wait_for_endpoint_updates(&edge, 2);
     edge.write_configuration("{\"discovery\":\"nowhere\"}");
     edge.signal("HUP");
     edge.wait_for_log("configuration reload rejected error=");
@@ -52,42 +60,33 @@
     );
     edge.signal("HUP");
     edge.wait_for_log("configuration reloaded discovery=");
-    wait_for_lists(3);
+    wait_for_endpoint_updates(&edge, 3);
     assert!(
         new_discovery.requests()[0].contains("since=1"),
         "it resumes from the last version"
     );
     let before = nodes[0].received_parts().len();
-    for n in 1..10 {
-        assert_eq!(
-            query(&edge, &format!("q{n}"), "lookup", &[0, 1]).status,
-            200
-        );
-    }
+    assert_lookups_are_served(&edge, 1..10);
     assert_eq!(nodes[0].received_parts().len(), before);
     drop(first);
 }
 
 #[test]
 fn admin_calls_are_answered_despite_callers_that_send_none() {
-    let nodes = [
-        DataNode::serving(),
-        DataNode::start(|n| {
-            if n == 1 {
-                NodeBehaviour::Fail
-            } else {
-                NodeBehaviour::Serve
-            }
-        }),
-    ];
+    let fails_once = DataNode::start(|part| match part {
+        1 => NodeBehaviour::Fail,
+        _ => NodeBehaviour::Serve,
+    });
+    let nodes = [DataNode::serving(), fails_once];
     let (edge, _changes) = Deployment::BASIC.start("mgmt", &nodes);
     let address = edge.management_address();
     // More callers than the endpoint has places for, each with half a call.
     let mut idle: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(address).expect("accepted"))
         .collect();
-    idle.iter_mut()
-        .for_each(|s| s.write_all(b"HEAL").expect("taken"));
+    for caller in &mut idle {
+        caller.write_all(b"HEAL").expect("taken");
+    }
     while !management_call(address, "HEALTH\n").starts_with("YES") {}
     assert!(management_call(address, "health me\r\n").starts_with("NO "));
     assert!(
@@ -95,37 +94,23 @@
         "a line without an end is no call"
     );
     // One part fails once and is retried; one query names an unknown class.
-    for n in 0..5 {
-        assert_eq!(
-            query(&edge, &format!("q{n}"), "lookup", &[0, 1]).status,
-            200
-        );
-    }
+    assert_lookups_are_served(&edge, 0..5);
     assert_eq!(query(&edge, "q5", "none", &[0]).status, 400);
     let dump = management_call(address, "DUMP\r\n");
-    assert!(
-        dump.starts_with("YES\n") && dump.ends_with("\nEND\n"),
-        "{dump}"
-    );
-    let of = |name: &str| dump_value(&dump, &format!("node.{name}"));
-    assert_eq!(
-        (
-            of("responses.lookup.ok"),
-            of("responses.lookup.shed"),
-            of("responses.lookup.errors")
-        ),
-        (5, 0, 0)
-    );
-    assert_eq!(of("responses.lookup.tries"), 11);
-    assert_eq!(
-        (
-            of("responses.send.ok"),
-            of("active"),
-            of("pool_size"),
-            of("pool_ejected")
-        ),
-        (0, 0, 2, 0)
-    );
+    assert!(dump.starts_with("YES\n"), "{dump}");
+    assert!(dump.ends_with("\nEND\n"), "{dump}");
+    for (name, value) in [
+        ("responses.lookup.ok", 5),
+        ("responses.lookup.shed", 0),
+        ("responses.lookup.errors", 0),
+        ("responses.lookup.tries", 11),
+        ("responses.send.ok", 0),
+        ("active", 0),
+        ("pool_size", 2),
+        ("pool_ejected", 0),
+    ] {
+        assert_eq!(dump_value(&dump, &format!("node.{name}")), value, "{name}");
+    }
 }
 
 #[test]
@@ -259,6 +244,35 @@
         .join("\n")
 }
 
+/// Whether a response announces the close of its connection.
+#[derive(Debug, PartialEq)]
+enum Connection {
+    StaysOpen,
+    Closes,
+}
+
+/// Asserts that a query on a persistent connection is served, and whether the connection closes.
+fn assert_served_on(persistent: &mut TcpStream, id: &str, expected: Connection) {
+    let head = query_on(persistent, id);
+    assert!(head.starts_with("HTTP/1.1 200 "), "{head}");
+    let connection = if head.contains("Connection: close") {
+        Connection::Closes
+    } else {
+        Connection::StaysOpen
+    };
+    assert_eq!(connection, expected, "{head}");
+}
+
+/// Creates a folder for hand-overs, with the stale socket of a process that was killed.
+fn create_folder_with_stale_socket() -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("quinceflow-upgrade-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    drop(UnixListener::bind(
+        folder.join("quinceflow-127.0.0.1-0.sock"),
+    ));
+    folder
+}
+
 #[test]
 fn a_successor_takes_over_the_listening_socket_and_its_backlog() {
     // Both processes use one listening socket, so that no backlog is lost with a listener.
@@ -266,17 +280,9 @@
     let addresses = addresses_of(&nodes);
     let address = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
     let first = Deployment::BASIC.start_with_discovery("upgrade", address, &addresses);
-    let temporary = std::env::temp_dir().join(format!("quinceflow-upgrade-{}", std::process::id()));
-    std::fs::create_dir_all(&temporary).expect("a folder");
-    // The stale socket of a process that was killed.
-    drop(std::os::unix::net::UnixListener::bind(
-        temporary.join("quinceflow-127.0.0.1-0.sock"),
-    ));
+    let temporary = create_folder_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
-    assert_ne!(
-        predecessor.address, first.address,
-        "there was no predecessor"
-    );
+    assert_ne!(predecessor.address, first.address, "no predecessor");
     let predecessor_admin = predecessor.management_address();
     let mut persistent = TcpStream::connect(predecessor.address).expect("it listens");
     predecessor.wait_until_ready();
@@ -285,40 +291,18 @@
     let successor_admin = successor.management_address();
     while management_call(successor_admin, "HEALTH\n") != "YES\n" {}
     assert_eq!(management_call(predecessor_admin, "HEALTH\n"), "YES\n");
-    let answer = query_on(&mut persistent, "q1");
-    assert!(
-        answer.starts_with("HTTP/1.1 200 ") && !answer.contains("Connection: close"),
-        "{answer}"
-    );
+    assert_served_on(&mut persistent, "q1", Connection::StaysOpen);
+
     predecessor.signal("TERM");
     while management_call(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
-    for n in 2..12 {
-        assert_eq!(
-            query(&successor, &format!("q{n}"), "lookup", &[0, 1]).status,
-            200
-        );
-    }
-    let ok = |address| {
-        dump_value(
-            &management_call(address, "DUMP\n"),
-            "node.responses.lookup.ok",
-        )
-    };
-    assert_eq!(
-        ok(successor_admin),
-        10,
-        "new connections reach the successor"
-    );
-    let answer = query_on(&mut persistent, "q12");
-    assert!(
-        answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close"),
-        "{answer}"
-    );
+    assert_lookups_are_served(&successor, 2..12);
+    let dump = management_call(successor_admin, "DUMP\n");
+    let served = dump_value(&dump, "node.responses.lookup.ok");
+    assert_eq!(served, 10, "new connections reach the successor");
+    assert_served_on(&mut persistent, "q12", Connection::Closes);
     drop(persistent);
-    assert!(
-        predecessor.wait_for_exit(),
-        "it exits once no connection is open"
-    );
+    let exited = predecessor.wait_for_exit();
+    assert!(exited, "the process exits once no connection is open");
     assert_eq!(query(&successor, "q13", "lookup", &[0, 1]).status, 200);
     let _ = std::fs::remove_dir_all(&temporary);
 }
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -130,13 +130,9 @@
         down[0].store(response == 3, Relaxed);
         down[1].store(response == 7, Relaxed);
         if response == 5 {
-            edge.write_inventory(
-                &(rows.clone()
-                    + &inventory_row("d", &b, "more")
-                        .replace(&b.address.to_string(), "127.0.0.1:9")),
-            );
-            edge.signal("HUP");
-            edge.wait_for_log("inventory reloaded");
+            let unreachable =
+                inventory_row("d", &b, "more").replace(&b.address.to_string(), "127.0.0.1:9");
+            edge.reload_inventory(&(rows.clone() + &unreachable));
         }
     });
     each_once(ids, 3_000);
@@ -148,6 +144,15 @@
     );
 }
 
+/// Asserts that a target gets a problem document of this status, whose detail contains these words.
+fn assert_problem(edge: &Process, target: &str, status: u16, words: &str) {
+    let response = edge.get(target);
+    let problem = response.json();
+    let detail = problem["detail"].as_str().unwrap_or_default();
+    assert_eq!(response.status, status, "{target}: {detail}");
+    assert!(detail.contains(words), "{target}: {detail}");
+}
+
 #[test]
 fn forged_expired_and_foreign_cursors_are_rejected() {
     let north = server(0..50);
@@ -159,41 +164,17 @@
         .link("next")
         .expect("a next link");
     assert_eq!(edge.get(&next).status, 200);
-    let expect_problem = |target: &str, status: u16, words: &str| {
-        let response = edge.get(target);
-        let detail = response.json()["detail"]
-            .as_str()
-            .unwrap_or_default()
-            .to_owned();
-        assert_eq!(
-            (response.status, detail.contains(words)),
-            (status, true),
-            "{target}: {detail}"
-        );
-    };
-    expect_problem(
-        &next.replace("bbox=0%2C0%2C9%2C9", "bbox=0%2C0%2C9%2C8"),
-        400,
-        "another query",
-    );
-    expect_problem(
-        &format!("{ITEMS}?cursor=AAAA"),
-        400,
-        "not made by this service",
-    );
-    assert_eq!(
-        edge.get(&next.replace("limit=10", "limit=20")).status,
-        200,
-        "the limit may change"
-    );
+    let foreign = next.replace("bbox=0%2C0%2C9%2C9", "bbox=0%2C0%2C9%2C8");
+    assert_problem(&edge, &foreign, 400, "another query");
+    let forged = format!("{ITEMS}?cursor=AAAA");
+    assert_problem(&edge, &forged, 400, "not made by this service");
+    let longer = next.replace("limit=10", "limit=20");
+    assert_eq!(edge.get(&longer).status, 200, "the limit may change");
     // The server that knows how its pages continue has been removed.
-    edge.write_inventory(
-        &(inventory_row("e", &server(0..50), "devices/n")
-            + &inventory_row("b", &south, "devices/s")),
-    );
-    edge.signal("HUP");
-    edge.wait_for_log("inventory reloaded");
-    expect_problem(&next, 410, "begin anew");
+    let replaced =
+        inventory_row("e", &server(0..50), "devices/n") + &inventory_row("b", &south, "devices/s");
+    edge.reload_inventory(&replaced);
+    assert_problem(&edge, &next, 410, "begin anew");
 }
 
 #[test]
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -2,6 +2,7 @@
 
 use crate::standin::data_node::{DataNode, NodeBehaviour};
 use crate::standin::deployment::Deployment;
+use crate::standin::process::Process;
 use crate::support::query;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -23,39 +24,62 @@
     assert_eq!(query(&edge, "q3", "lookup", &[9]).status, 400);
     assert_eq!(query(&edge, "q4", "lookup", &[]).status, 400);
     assert_eq!(query(&edge, "q5", "lookup", &[1, 1]).status, 400);
-    // Fractions add up to 1, and a query has a timeout and a statement: others reach no node.
-    let asked = |shares: &str, time: &str, text: &str| {
-        let body = format!("{{\"tablets\":[{shares}]{text}}}");
-        let head = format!(
-            "POST /api HTTP/1.1\r\nX-Trace-Id: q6\r\nX-Qos: brief\r\n{time}Connection: close\r\n"
-        );
-        edge.send_request(&format!(
-            "{head}Content-Length: {}\r\n\r\n{body}",
-            body.len()
-        ))
-        .status
+    assert_invalid_requests_are_rejected(&edge);
+}
+
+/// The parts of the text of a request that a test makes invalid.
+#[derive(Clone, Copy)]
+struct RequestText<'a> {
+    tablets: &'a str,
+    timeout_header: &'a str,
+    statement: &'a str,
+}
+
+impl RequestText<'_> {
+    /// A request that is valid, and times out after 0.2 s.
+    const VALID: RequestText<'static> = RequestText {
+        tablets: "{\"tablet\":0,\"fraction\":1}",
+        timeout_header: "X-Expires-In: 0.2\r\n",
+        statement: ",\"statement\":\"c\"",
     };
-    let whole = "{\"tablet\":0,\"fraction\":1}";
-    let time = "X-Expires-In: 0.2\r\n";
-    let text = ",\"statement\":\"c\"";
-    assert_eq!(
-        asked(whole, time, text),
-        503,
-        "a valid one reaches the nodes, which do not answer"
-    );
-    assert_eq!(asked(whole, "", text), 400);
-    assert_eq!(asked(whole, "X-Expires-In: soon\r\n", text), 400);
-    assert_eq!(asked(whole, time, ""), 400);
-    for shares in ["0.5", "1.5", "-1", "1e308"] {
-        assert_eq!(
-            asked(
-                &format!("{{\"tablet\":0,\"fraction\":{shares}}}"),
-                time,
-                text
-            ),
-            400,
-            "{shares}"
+
+    /// Sends the request and returns the status of its response.
+    fn send(&self, process: &Process) -> u16 {
+        let body = format!("{{\"tablets\":[{}]{}}}", self.tablets, self.statement);
+        let request = format!(
+            "POST /api HTTP/1.1\r\nX-Trace-Id: q6\r\nX-Qos: brief\r\n{}Connection: close\r\n\
+             Content-Length: {}\r\n\r\n{body}",
+            self.timeout_header,
+            body.len()
         );
+        process.send_request(&request).status
+    }
+}
+
+/// Asserts that a valid request reaches the nodes, which do not answer, and that others reach none:
+/// fractions add up to 1, and a query has a timeout and a statement.
+fn assert_invalid_requests_are_rejected(process: &Process) {
+    let valid = RequestText::VALID;
+    assert_eq!(valid.send(process), 503);
+    for timeout_header in ["", "X-Expires-In: soon\r\n"] {
+        let request = RequestText {
+            timeout_header,
+            ..valid
+        };
+        assert_eq!(request.send(process), 400, "{timeout_header:?}");
+    }
+    let without_statement = RequestText {
+        statement: "",
+        ..valid
+    };
+    assert_eq!(without_statement.send(process), 400);
+    for fraction in ["0.5", "1.5", "-1", "1e308"] {
+        let tablets = format!("{{\"tablet\":0,\"fraction\":{fraction}}}");
+        let request = RequestText {
+            tablets: &tablets,
+            ..valid
+        };
+        assert_eq!(request.send(process), 400, "{fraction}");
     }
 }
 
