--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use quinceflow::proto::admin::{AdminCommand, AdminConnection};
-use quinceflow::proto::http::{HttpError, Response, ServerConnection};
+use quinceflow::proto::http::{Response, ServerConnection};
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -156,60 +156,61 @@
     }
 }
 
+/// Returns the status of the error that a request gets, if any. An error is reported once, and not
+/// again for the same bytes.
+fn error_status(text: &str) -> Option<u16> {
+    let mut server = ServerConnection::default();
+    server.input().extend(text.as_bytes());
+    let first = server.next_request();
+    server.end_of_input();
+    let error = first
+        .or_else(|| server.next_request())
+        .and_then(Result::err)?;
+    assert!(server.next_request().is_none());
+    server.respond(Response::new(error.status(), "", ""), true);
+    assert!(server.next_request().is_none());
+    Some(error.status())
+}
+
+/// Requests whose heads or bodies are malformed, too long, or in an unknown coding, and the status
+/// of their error.
+const MALFORMED_REQUESTS: [(&str, u16); 9] = [
+    ("\0\0\0", 400),
+    (
+        "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+        400,
+    ),
+    (
+        "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        400,
+    ),
+    ("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400),
+    ("GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
+    (
+        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n",
+        413,
+    ),
+    ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 501),
+    ("GET / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc", 400),
+    ("GET / HT", 400),
+];
+
 #[test]
 fn what_is_malformed_gets_a_fitting_status() {
-    let status = |text: &str| {
-        let mut server = ServerConnection::default();
-        server.input().extend(text.as_bytes());
-        let first = server.next_request();
-        server.end_of_input();
-        let error = first
-            .or_else(|| server.next_request())
-            .and_then(Result::err);
-        if let Some(e) = error {
-            // An error is reported once, and not again for the same bytes.
-            assert!(server.next_request().is_none());
-            server.respond(Response::new(e.status(), "", ""), true);
-            assert!(server.next_request().is_none());
-        }
-        error.map(HttpError::status)
-    };
-    let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(20_000));
-    let headers = format!("GET / HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(100));
-    let chunks = format!(
-        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{}",
-        "ff\r\n".to_owned() + &"x".repeat(300)
-    );
-    let cases = [
-        ("\0\0\0", Some(400)),
-        (
-            "GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-            Some(400),
-        ),
-        (
-            "GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-            Some(400),
-        ),
-        ("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Some(400)),
-        ("GET / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", Some(413)),
-        (
-            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n",
-            Some(413),
-        ),
-        (
-            "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
-            Some(501),
-        ),
-        ("GET / HTTP/1.1\r\nContent-Length: 5\r\n\r\nabc", Some(400)),
-        ("GET / HT", Some(400)),
-        (&long, Some(431)),
-        (&headers, Some(431)),
-        (&chunks, Some(400)),
-        ("", None),
-    ];
-    for (text, expected) in cases {
-        assert_eq!(status(text), expected, "{:?}", &text[..text.len().min(80)]);
+    for (text, status) in MALFORMED_REQUESTS {
+        assert_eq!(error_status(text), Some(status), "{text:?}");
     }
+    assert_eq!(error_status(""), None);
+
+    let long_header = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(20_000));
+    assert_eq!(error_status(&long_header), Some(431));
+    let many_headers = format!("GET / HTTP/1.1\r\n{}\r\n", "X: y\r\n".repeat(100));
+    assert_eq!(error_status(&many_headers), Some(431));
+    let unended_chunk = format!(
+        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n{}",
+        "x".repeat(300)
+    );
+    assert_eq!(error_status(&unended_chunk), Some(400));
 }
 
 #[test]
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -29,23 +29,19 @@
         site.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
     let mut persistent = send_request(&edge, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
+
     // Stopped: the kernel has all this, and the signal, when the process continues.
     edge.signal("STOP");
+    let last_request = QueryRequest::new("kept", "look", &[0]).close_connection();
     persistent
-        .write_all(
-            QueryRequest::new("kept", "look", &[0])
-                .close_connection()
-                .to_http()
-                .as_bytes(),
-        )
+        .write_all(last_request.to_http().as_bytes())
         .expect("written");
-    let queued: Vec<_> = (0..5)
-        .map(|number| {
-            let id = format!("q{number}");
-            let request = QueryRequest::new(&id, "once", &[0, 1]).close_connection();
-            send_request(&edge, &request.to_http())
-        })
-        .collect();
+    let send_query = |number| {
+        let id = format!("q{number}");
+        let request = QueryRequest::new(&id, "once", &[0, 1]).close_connection();
+        send_request(&edge, &request.to_http())
+    };
+    let queued: Vec<_> = (0..5).map(send_query).collect();
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
     edge.signal("TERM");
     edge.signal("CONT");
@@ -53,10 +49,8 @@
     half_request
         .write_all(b"st: x\r\nConnection: close\r\n\r\n")
         .expect("written");
-    assert!(
-        read_until_close(half_request).starts_with("HTTP/1.1 503"),
-        "the readiness check fails"
-    );
+    let readiness = read_until_close(half_request);
+    assert!(readiness.starts_with("HTTP/1.1 503"), "{readiness}");
     for client in queued.into_iter().chain([persistent]) {
         assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     }
@@ -148,6 +142,14 @@
     );
 }
 
+/// Sends SIGHUP with settings in which the first class has a deadline of 8 s.
+fn reload_with_longer_deadline(process: &Process) {
+    let deadline = json!(8_000_000_000_u64);
+    let settings = process.configuration_with("/settings/classes/0/deadline", deadline);
+    process.write_configuration(&settings);
+    process.signal("HUP");
+}
+
 #[test]
 fn an_answered_client_that_never_closes_does_not_delay_the_exit_until_the_kill() {
     let hanging = DataNode::hanging();
@@ -159,35 +161,23 @@
     };
     let (mut edge, _watch) =
         site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
-    let mut client = BufReader::new(send_request(
-        &edge,
-        &QueryRequest::new("q", "once", &[0]).to_http(),
-    ));
+    let request = QueryRequest::new("q", "once", &[0]).to_http();
+    let mut client = BufReader::new(send_request(&edge, &request));
     edge.wait_for_counter("queries_accepted", 1);
     // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
     // here.
     edge.signal("TERM");
     edge.wait_for_log("graceful shutdown started");
-    let longer_deadline =
-        edge.configuration_with("/settings/classes/0/deadline", json!(8_000_000_000_u64));
-    edge.write_configuration(&longer_deadline);
-    edge.signal("HUP");
-    assert_eq!(
-        read_response(&mut client),
-        Some(ResponseHead {
-            status: 504,
-            closes: false
-        })
-    );
-    assert_eq!(
-        client.read(&mut [0]).expect("closed in good order"),
-        0,
-        "shortly before the last answer"
-    );
-    let mut last = BufReader::new(send_request(
-        &edge,
-        &QueryRequest::new("last", "once", &[1]).to_http(),
-    ));
+    reload_with_longer_deadline(&edge);
+    let timed_out = ResponseHead {
+        status: 504,
+        closes: false,
+    };
+    assert_eq!(read_response(&mut client), Some(timed_out));
+    let read = client.read(&mut [0]).expect("closed in good order");
+    assert_eq!(read, 0, "shortly before the last answer");
+    let last_request = QueryRequest::new("last", "once", &[1]).to_http();
+    let mut last = BufReader::new(send_request(&edge, &last_request));
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -41,6 +41,15 @@
     closed_connections: Mutex<usize>,
 }
 
+impl NodeLog {
+    /// Records a part and returns its number, from 1.
+    fn record_part(&self, id: &str) -> usize {
+        let mut received = self.received_parts.lock().expect("log");
+        received.push(id.to_owned());
+        received.len()
+    }
+}
+
 /// A data node that accepts connections and reads calls of one part each.
 pub struct DataNode {
     /// The address at which the node listens.
@@ -94,6 +103,27 @@
     }
 }
 
+/// A part of a call.
+struct ReceivedPart<'a> {
+    id: &'a str,
+    shard: &'a str,
+}
+
+impl ReceivedPart<'_> {
+    /// Parses a call of one part with the payload that tests send.
+    fn parse(call: &str) -> ReceivedPart<'_> {
+        let (line, payload) = call.split_once('\n').expect("a line");
+        let words: Vec<&str> = line.split(' ').collect();
+        assert_eq!(words.len(), 4);
+        assert!(words[2].starts_with("d="), "{line}");
+        assert_eq!(payload, PAYLOAD);
+        ReceivedPart {
+            id: words[0],
+            shard: words[1],
+        }
+    }
+}
+
 fn serve(
     mut stream: TcpStream,
     log: &NodeLog,
@@ -102,19 +132,8 @@
     let mut responding = true;
     loop {
         let call = read_call(&mut stream)?;
-        let (line, payload) = call.split_once('\n').expect("a line");
-        let words: Vec<&str> = line.split(' ').collect();
-        assert_eq!(
-            (words.len(), words[2].starts_with("d="), payload),
-            (4, true, PAYLOAD)
-        );
-        let id = words[0];
-        let shard = words[1];
-        let number = {
-            let mut received = log.received_parts.lock().expect("log");
-            received.push(id.to_owned());
-            received.len()
-        };
+        let ReceivedPart { id, shard } = ReceivedPart::parse(&call);
+        let number = log.record_part(id);
         if !responding {
             continue;
         }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -150,73 +150,90 @@
     batch(7, 1_000, &records)
 }
 
-/// Malformed inputs, each with words that its error line contains.
-fn malformed_inputs() -> Vec<(&'static str, Vec<u8>)> {
+/// An input with an error, and words that its error line contains.
+struct MalformedInput {
+    error: &'static str,
+    bytes: Vec<u8>,
+}
+
+/// Returns an input with a malformed record after those of a start.
+fn malformed_record(error: &'static str, record: Vec<u8>) -> MalformedInput {
+    MalformedInput {
+        error,
+        bytes: batch_with(record),
+    }
+}
+
+/// Returns a first batch of malformed records.
+fn malformed_start(error: &'static str, records: &[Vec<u8>]) -> MalformedInput {
+    MalformedInput {
+        error,
+        bytes: batch(7, 0, records),
+    }
+}
+
+/// Returns a record of a probe with this outcome that announces so many values and brings `values`.
+fn probe_record(outcome: u8, announced: u8, values: &[u8]) -> Vec<u8> {
+    let head = [10, 0, 0, 1, 0, 80, outcome];
+    record(8, &[&head[..], &[0; 8], &[announced], values].concat())
+}
+
+/// Returns the record of an outcome that does not exist.
+fn unknown_outcome_record() -> Vec<u8> {
+    let mut bytes = outcome_record(41);
+    bytes[5 + 16] = 77;
+    bytes
+}
+
+/// Returns inputs whose records are malformed or out of order.
+fn malformed_records() -> Vec<MalformedInput> {
+    let settings = SETTINGS.replace("read_like", "whimsical");
     vec![
-        ("unknown event code 99", batch_with(record(99, &[]))),
-        ("VERDICT", batch_with(record(5, &[1, 2, 3]))),
-        // A probe's report that announces two values and brings one.
-        (
-            "PROBED",
-            batch_with(record(
-                8,
-                &[&[10, 0, 0, 1, 0, 80, 0][..], &[0; 8], &[2], &[0; 4]].concat(),
-            )),
-        ),
-        (
-            "unknown outcome",
-            batch_with(record(
-                8,
-                &[&[10, 0, 0, 1, 0, 80, 99][..], &[0; 8], &[0]].concat(),
-            )),
-        ),
-        (
-            "unknown outcome",
-            batch_with({
-                let mut bytes = outcome_record(41);
-                bytes[5 + 16] = 77;
-                bytes
-            }),
-        ),
-        ("boot-info", batch(7, 0, &start_records("{\"balancers\": "))),
-        (
-            "effect",
-            batch(
-                7,
-                0,
-                &start_records(&SETTINGS.replace("read_like", "whimsical")),
-            ),
-        ),
-        (
+        malformed_record("unknown event code 99", record(99, &[])),
+        malformed_record("VERDICT", record(5, &[1, 2, 3])),
+        malformed_record("PROBED", probe_record(0, 2, &[0; 4])),
+        malformed_record("unknown outcome", probe_record(99, 0, &[])),
+        malformed_record("unknown outcome", unknown_outcome_record()),
+        malformed_start("boot-info", &start_records("{\"balancers\": ")),
+        malformed_start("effect", &start_records(&settings)),
+        malformed_start(
             "POOL",
-            batch(
-                7,
-                0,
-                &[record(12, &[0, 0]), record(2, &[1, 0, 0, 0, 0, 9, 0])],
-            ),
-        ),
-        ("before any ON", batch(7, 0, &[record(10, &[])])),
-        (
-            "frame",
-            batch(7, 0, &start_records(SETTINGS))[..50].to_vec(),
+            &[record(12, &[0, 0]), record(2, &[1, 0, 0, 0, 0, 9, 0])],
         ),
-        ("frame header", vec![1, 0, 0]),
-        (
-            "under 12",
-            [0u32.to_le_bytes(), 3u32.to_le_bytes()].concat(),
-        ),
-        ("bytes left", {
-            let mut bytes = batch(7, 0, &start_records(SETTINGS));
-            bytes[0] = 2;
-            bytes
-        }),
+        malformed_start("before any ON", &[record(10, &[])]),
+    ]
+}
+
+/// Returns inputs whose frames are cut off or of a wrong length.
+fn malformed_frames() -> Vec<MalformedInput> {
+    let start = batch(7, 0, &start_records(SETTINGS));
+    let mut short_length = start.clone();
+    short_length[0] = 2;
+    vec![
+        MalformedInput {
+            error: "frame",
+            bytes: start[..50].to_vec(),
+        },
+        MalformedInput {
+            error: "frame header",
+            bytes: vec![1, 0, 0],
+        },
+        MalformedInput {
+            error: "under 12",
+            bytes: [0u32.to_le_bytes(), 3u32.to_le_bytes()].concat(),
+        },
+        MalformedInput {
+            error: "bytes left",
+            bytes: short_length,
+        },
     ]
 }
 
 #[test]
 fn malformed_input_gets_one_error_line_and_no_reply() {
-    for (word, input) in malformed_inputs() {
-        let output = run(&input);
+    for input in malformed_records().into_iter().chain(malformed_frames()) {
+        let word = input.error;
+        let output = run(&input.bytes);
         let error_line = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{word}: {error_line}");
         assert!(error_line.contains(word), "{word}: {error_line}");
