--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -237,4 +237,24 @@
         per_page.retain(|starts| *starts > 0);
         per_page
     }
+
+    /// Prints the responses, the queries by class and kind, and the requests that must not be.
+    pub fn print_findings(&self, minutes: f64) {
+        let tally = self.tally.lock().expect("tally");
+        let responses = tally.responses;
+        let slowest_ms = tally.slowest_ms;
+        println!("{minutes} minutes; {responses} responses, slowest {slowest_ms} ms");
+        println!("queries by class and kind:");
+        for ((class, kind), count) in &tally.walks {
+            println!("  {class:6} {kind:19} {count}");
+        }
+        let drained_requests = self.drained_requests.lock().expect("drains");
+        println!("requests to servers that drained, from 300 ms on: {drained_requests:?}");
+        let starts = self.non_idempotent_starts_per_page();
+        let started = starts.len();
+        let repeated = starts.iter().filter(|count| **count > 1).count();
+        println!("non-idempotent parts: started {started}, more than once {repeated}");
+        let continued = self.starts_before_pages.lock().expect("starts").len();
+        println!("non-idempotent queries that went on to further pages: {continued}");
+    }
 }
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -6,8 +6,8 @@
 use crate::standin::discovery::{endpoint_list, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_frame, read_part_ids, write_answer, Frame, CALL};
 use crate::standin::http::bind_loopback;
-use std::net::TcpStream;
-use std::sync::mpsc::channel;
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender};
 
 /// A frame that one of two data nodes received, and the connection that it arrived on.
 struct ReceivedFrame {
@@ -16,6 +16,31 @@
     stream: TcpStream,
 }
 
+/// Accepts all connections at each listener and passes on every frame, unanswered.
+fn record_frames(listeners: [TcpListener; 2]) -> Receiver<ReceivedFrame> {
+    let (sender, frames) = channel();
+    for (node, listener) in listeners.into_iter().enumerate() {
+        let sender = sender.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let sender = sender.clone();
+                std::thread::spawn(move || pass_on_frames(node, stream, &sender));
+            }
+        });
+    }
+    frames
+}
+
+/// Passes on the frames of a connection until it ends, or until the test has ended.
+fn pass_on_frames(node: usize, mut stream: TcpStream, frames: &Sender<ReceivedFrame>) {
+    while let Ok(Frame { kind, .. }) = read_frame(&mut stream) {
+        let stream = stream.try_clone().expect("a handle");
+        if frames.send(ReceivedFrame { node, kind, stream }).is_err() {
+            return;
+        }
+    }
+}
+
 #[test]
 fn a_late_answer_during_the_second_attempt_causes_no_third() {
     let nodes = [0, 1].map(|_| bind_loopback());
@@ -26,36 +51,13 @@
         ..Deployment::ALL_EFFECTS
     }
     .start_controlled("late", &agent, &addresses);
-    let client = send_request(
-        &edge,
-        &QueryRequest::new("late", "look", &[0])
-            .close_connection()
-            .to_http(),
-    );
-    let (sender, attempts) = channel();
-    for (node, listener) in nodes.into_iter().enumerate() {
-        let sender = sender.clone();
-        std::thread::spawn(move || {
-            for mut stream in listener.incoming().flatten() {
-                let sender = sender.clone();
-                std::thread::spawn(move || {
-                    while let Ok(Frame { kind, .. }) = read_frame(&mut stream) {
-                        let stream = stream.try_clone().expect("a handle");
-                        if sender.send(ReceivedFrame { node, kind, stream }).is_err() {
-                            return;
-                        }
-                    }
-                });
-            }
-        });
-    }
-    let mut first = attempts.recv().expect("the first attempt");
+    let request = QueryRequest::new("late", "look", &[0]).close_connection();
+    let client = send_request(&edge, &request.to_http());
+    let frames = record_frames(nodes);
+    let mut first = frames.recv().expect("the first attempt");
     assert_eq!(first.kind, CALL);
-    // It is cancelled and sent to the other node, in either order as seen here.
-    let both = [
-        attempts.recv().expect("a frame"),
-        attempts.recv().expect("a frame"),
-    ];
+    // The part is cancelled and sent to the other node, in either order as seen here.
+    let both = [0, 1].map(|_| frames.recv().expect("a frame"));
     let mut other = both
         .into_iter()
         .find(|frame| frame.kind == CALL)
@@ -66,13 +68,21 @@
     write_answer(&mut other.stream, "late.0 served 1 -\ncell").expect("written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     drop(edge);
-    drop(sender);
     assert!(
-        attempts.try_iter().all(|frame| frame.kind != CALL),
+        frames.try_iter().all(|frame| frame.kind != CALL),
         "two attempts, no third"
     );
 }
 
+/// Reads the ids of two parts, in one call or in two.
+fn read_two_part_ids(stream: &mut TcpStream) -> Vec<String> {
+    let mut ids = read_part_ids(stream).expect("a part");
+    if ids.len() < 2 {
+        ids.extend(read_part_ids(stream).expect("the other"));
+    }
+    ids
+}
+
 #[test]
 fn an_answer_after_its_query_completed_is_dropped_and_its_part_not_retried() {
     let agent = ControlledDiscovery::new();
@@ -88,35 +98,21 @@
     .start_controlled("after", &agent, &addresses);
     watch.send(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
     edge.wait_for_counter("endpoint_updates", 3);
-    let client = send_request(
-        &edge,
-        &QueryRequest::new("q", "some", &[0, 1])
-            .close_connection()
-            .to_http(),
-    );
+    let request = QueryRequest::new("q", "some", &[0, 1]).close_connection();
+    let client = send_request(&edge, &request.to_http());
     let (mut stream, _) = listener.accept().expect("a connection");
-    let mut ids = read_part_ids(&mut stream).expect("a part");
-    if ids.len() < 2 {
-        ids.extend(read_part_ids(&mut stream).expect("the other"));
-    }
+    let ids = read_two_part_ids(&mut stream);
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[0])).expect("written");
     let text = read_until_close(client);
-    assert!(
-        text.starts_with("HTTP/1.1 200") && text.contains("\"full\":false"),
-        "{text}"
-    );
+    assert!(text.starts_with("HTTP/1.1 200"), "{text}");
+    assert!(text.contains("\"full\":false"), "{text}");
+
     // The late answer, then a query on the same connection.
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[1])).expect("written");
-    let next = send_request(
-        &edge,
-        &QueryRequest::new("next", "look", &[1])
-            .close_connection()
-            .to_http(),
-    );
-    assert_eq!(
-        read_part_ids(&mut stream).expect("on the connection that is open"),
-        ["next.1"]
-    );
+    let request = QueryRequest::new("next", "look", &[1]).close_connection();
+    let next = send_request(&edge, &request.to_http());
+    let next_ids = read_part_ids(&mut stream).expect("on the connection that is open");
+    assert_eq!(next_ids, ["next.1"]);
     write_answer(&mut stream, "next.1 served 1 -\ncell").expect("written");
     assert!(read_until_close(next).starts_with("HTTP/1.1 200"));
     edge.wait_for_counter("attempts_dispatched", 3);
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -184,18 +184,11 @@
 
     // The node that receives the part answers once no node accepts parts, so that its retry waits.
     let mut rejected = recorder.wait_for_call();
-    let draining: Vec<_> = addresses
-        .iter()
-        .enumerate()
-        .map(|(index, address)| terminating(index, *address))
-        .collect();
+    let draining = [0, 1].map(|index| terminating(index, addresses[index]));
     watch.send(&endpoint_list(2, false, &draining));
     edge.wait_for_counter("endpoint_updates", 3);
-    write_answer(
-        &mut rejected.stream,
-        &format!("{} skipped 0 -\n", rejected.part_ids[0]),
-    )
-    .expect("written");
+    let rejection = format!("{} skipped 0 -\n", rejected.part_ids[0]);
+    write_answer(&mut rejected.stream, &rejection).expect("written");
     edge.wait_for_counter("attempts_rejected", 1);
     drop(client);
     edge.wait_for_counter("queries_abandoned", 1);
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -81,6 +81,15 @@
     }
 }
 
+/// Returns the ids of the parts of the queries that were answered with 200, sorted.
+fn served_parts(answers: &[String]) -> Vec<String> {
+    let is_served = |number: &usize| answers[*number].starts_with("HTTP/1.1 200");
+    let served = (0..QUERIES).filter(is_served);
+    let mut ids: Vec<String> = served.map(|number| format!("q{number}.0")).collect();
+    ids.sort();
+    ids
+}
+
 #[test]
 fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
     // At its reset by the node one frame is partly written and others wait behind it. These cannot
@@ -108,18 +117,10 @@
 
     let mut retried = recording.wait_until_closed();
     retried.sort();
-    let is_served = |number: &usize| answers[*number].starts_with("HTTP/1.1 200");
-    let mut served: Vec<String> = (0..QUERIES)
-        .filter(is_served)
-        .map(|number| format!("q{number}.0"))
-        .collect();
-    served.sort();
+    let served = served_parts(&answers);
     assert_eq!(retried, served, "each once");
-    assert!(
-        (1..QUERIES).contains(&served.len()),
-        "{} of {QUERIES}",
-        served.len()
-    );
+    let count = served.len();
+    assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
     assert!(answers.iter().all(|answer| {
         answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 502")
     }));
