--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 pub const MS: Nanos = 1_000_000;
 /// A second.
 pub const S: Nanos = 1_000 * MS;
-/// When the tests begin.
+/// The time at which the tests begin.
 pub const START: Nanos = 1_000 * S;
 
 /// Returns a class that needs all parts within a second.
@@ -82,7 +82,7 @@
     }
 }
 
-/// A policy, and the time of its next batch.
+/// A policy with the time of its next batch.
 pub struct Harness {
     pub policy: DecisionPolicy,
     pub now: Nanos,
@@ -113,7 +113,7 @@
         harness
     }
 
-    /// Reports events at the present time; the actions but for timers.
+    /// Reports events at the present time and returns the actions other than timers.
     pub fn report(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, &events, &mut actions);
@@ -121,13 +121,13 @@
         actions
     }
 
-    /// Lets time pass up to a timer; the actions.
+    /// Lets time pass up to a timer and returns the actions.
     pub fn advance(&mut self, time: Nanos) -> Vec<Action> {
         self.now += time;
         self.report(vec![Event::TimerFired])
     }
 
-    /// Lets time pass in steps, as timers would; all actions.
+    /// Lets time pass in steps, as timers would, and returns all actions.
     pub fn run_for(&mut self, time: Nanos) -> Vec<Action> {
         let end = self.now + time;
         let mut all = Vec::new();
@@ -138,7 +138,8 @@
         all
     }
 
-    /// Submits a query of class 0 with one part for each shard; ids count up from the query's.
+    /// Submits a query of class 0 with one part for each shard and returns the ids, which count up
+    /// from the query's, and the actions.
     pub fn submit(&mut self, shards: &[u32]) -> (QueryId, Vec<PartId>, Vec<Action>) {
         self.submit_as(0, 0, shards)
     }
@@ -169,7 +170,7 @@
         (query, parts, actions)
     }
 
-    /// Reports how an attempt ended.
+    /// Reports the end of an attempt and returns the actions.
     pub fn complete(
         &mut self,
         part: PartId,
@@ -186,14 +187,14 @@
         }])
     }
 
-    /// Answers the first attempt at a part after 100 ms.
+    /// Answers the first attempt at a part after 100 ms and returns the actions.
     pub fn answer(&mut self, part: PartId) -> Vec<Action> {
         self.now += 100 * MS;
         self.complete(part, 0, Outcome::Ok, 100 * MS)
     }
 }
 
-/// Returns the attempts sent: part and replica.
+/// Returns the attempts that the actions send: part and replica.
 pub fn sent_attempts(actions: &[Action]) -> Vec<(PartId, ReplicaId)> {
     let send = |a: &Action| match a {
         Action::Send { part, replica, .. } => Some((*part, *replica)),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// The text of requests with these bodies, each in chunks of 7 bytes if its flag is set.
+/// Returns the text of requests with these bodies, each in chunks of 7 bytes if its flag is set.
 fn requests_text(bodies: &[(Vec<u8>, bool)]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (body, chunked) in bodies {
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -93,6 +93,7 @@
 }
 
 impl QueryEnd {
+    /// Checks the replies and the cancelled attempts.
     fn check(self) {
         let mut core = coordinator_with(Settings {
             cancellation: false,
@@ -119,6 +120,7 @@
         assert_eq!(core.attempts_in_flight(), usize::from(self.write_started));
     }
 
+    /// Returns the inputs of the end.
     fn inputs(self, keys: &[AttemptKey]) -> Vec<Input> {
         let write = self.write_started.then_some(Input::WriteStarted(keys[1]));
         let end = if self.client_leaves {
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -8,6 +8,7 @@
 use quinceflow::{EndpointListKind, EndpointState, ReplicaId};
 use std::collections::BTreeSet;
 
+/// Returns the number of dispatches to a server.
 fn dispatches_to(commands: &[Command], number: u8) -> usize {
     let to_node = |command: &&Command| match command {
         Command::Dispatch { replica, .. } => node_number(*replica) == number,
@@ -16,7 +17,7 @@
     commands.iter().filter(to_node).count()
 }
 
-/// Returns how often a request is rejected.
+/// Returns the number of rejections of a request.
 fn rejections_of(commands: &[Command], request: Token) -> usize {
     let is_rejection = |command: &&Command| match command {
         Command::Reply { token, answer } => {
@@ -105,10 +106,12 @@
     ready: bool,
 }
 
+/// Returns the change of a server that becomes ready.
 fn ready(node: u8) -> Readiness {
     Readiness { node, ready: true }
 }
 
+/// Returns the change of a server that is ready no more.
 fn not_ready(node: u8) -> Readiness {
     Readiness { node, ready: false }
 }
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -135,6 +135,7 @@
         }
     }
 
+    /// Checks that an attempt is allowed, and records that the part may run.
     fn check_attempt(&mut self, attempt: &AttemptRequest) {
         let token: u64 = attempt.request_id[1..].parse().expect("its token");
         assert!(
@@ -167,6 +168,7 @@
         );
     }
 
+    /// Checks that an answer is the only one, and partial only where the class allows it.
     fn check_answer(&mut self, token: Token, answer: &Answer) {
         assert!(self.answered.insert(token.0), "one answer to a request");
         if let Answer::Served { complete, parts } = answer {
@@ -178,6 +180,7 @@
         }
     }
 
+    /// Records that the parts of a request have not run.
     fn never_ran(&mut self, token: u64) {
         self.may_have_run.retain(|part| part.token != token);
     }
@@ -213,6 +216,7 @@
         }
     }
 
+    /// Adds the inputs of a step.
     fn apply(&mut self, step: &Step) {
         match *step {
             Step::Submit { class, parts } => {
@@ -276,7 +280,7 @@
         self.inputs.push(Input::FullyWritten(key));
     }
 
-    /// Turns until nothing is due any more.
+    /// Turns until nothing is due.
     fn settle(&mut self) {
         loop {
             let mut commands = Vec::new();
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -12,16 +12,20 @@
 };
 use std::sync::Arc;
 
+/// The most queries in flight.
 pub const MAX_IN_FLIGHT: usize = 12;
 /// The time of the first turn.
 pub const START: Micros = Micros::from_secs(100);
 
-/// The numbers of the classes in [`settings`].
+/// The number of the idempotent class in [`settings`].
 pub const IDEMPOTENT: u16 = 0;
+/// The number of the class whose parts must not run twice.
 pub const NON_IDEMPOTENT: u16 = 1;
-/// Idempotent, and answered from half of the parts at the objective.
+/// The number of the class that is idempotent, and answered from half of the parts at the
+/// objective.
 pub const PARTIAL: u16 = 2;
 
+/// Returns the settings of the three classes.
 pub fn settings() -> Settings {
     let class = |number: u16, effect, min_share| Class {
         name: format!("c{number}"),
@@ -41,10 +45,12 @@
     settings
 }
 
+/// Returns a coordinator with [`settings`].
 pub fn coordinator() -> Coordinator {
     coordinator_with(settings())
 }
 
+/// Returns a coordinator with other settings.
 pub fn coordinator_with(settings: Settings) -> Coordinator {
     Coordinator::new(settings, MAX_IN_FLIGHT, 7, START, Arc::default())
 }
@@ -67,6 +73,7 @@
     replica.0[3]
 }
 
+/// Returns an update of the endpoint list.
 pub fn endpoint_list(
     kind: EndpointListKind,
     version: Option<u64>,
@@ -90,6 +97,7 @@
     submit_with_id(&format!("q{token}"), token, class, parts, sent_at)
 }
 
+/// Returns a request as [`submit`] does, with another id.
 pub fn submit_with_id(
     request_id: &str,
     token: u64,
@@ -116,6 +124,7 @@
     })
 }
 
+/// Returns the input that an attempt was served.
 pub fn served(key: AttemptKey) -> Input {
     Input::AttemptEnded {
         key,
@@ -123,6 +132,7 @@
     }
 }
 
+/// Returns the input that an attempt failed with this outcome.
 pub fn failed(key: AttemptKey, outcome: Outcome) -> Input {
     Input::AttemptEnded {
         key,
@@ -138,6 +148,7 @@
     }
 }
 
+/// Returns the attempt that a command cancels.
 pub fn cancelled(command: &Command) -> Option<AttemptKey> {
     match command {
         Command::CancelAttempt { key, .. } => Some(*key),
@@ -145,6 +156,7 @@
     }
 }
 
+/// Returns the answer that a command gives.
 pub fn answer(command: &Command) -> Option<&Answer> {
     match command {
         Command::Reply { answer, .. } => Some(answer),
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -4,8 +4,8 @@
 use crate::support::{site, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
 use quinceflow::*;
 
-/// Checks that what all instances together send a starting node in any second stays within its
-/// capacity; returns how many parts it was sent.
+/// Asserts that the parts that all instances together send a starting node in any second stay
+/// within its capacity, and returns their number.
 fn parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
     let sent: Vec<_> = fleet
         .sent
@@ -28,7 +28,7 @@
     sent.len()
 }
 
-/// A fleet in which these nodes start at one time, which all instances learn at once.
+/// Returns a fleet in which these nodes start at one time, which all instances learn at once.
 fn fleet_with_starting(nodes: &[u8], started: Nanos) -> Fleet {
     let rule = SlowStartRule {
         overload_factor: 3.0,
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -5,16 +5,21 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
+/// The number of policy instances.
 pub const INSTANCES: usize = 300;
+/// The number of nodes, each in a cell of its own.
 pub const NODES: u8 = 20;
-/// Between two queries of an instance.
+/// The time between two queries of an instance.
 pub const PAUSE: Nanos = 2 * S;
+/// The class of sends.
 pub const SEND: u16 = 0;
+/// The class of lookups.
 pub const LOOKUP: u16 = 1;
+/// The class of reports.
 pub const REPORT: u16 = 2;
 
-/// Three classes: sends, which are not idempotent; lookups, which need all parts; reports, from
-/// four fifths of them.
+/// Returns settings of three classes: sends, which are not idempotent; lookups, which need all
+/// parts; reports, which need four fifths of them.
 pub fn site() -> Settings {
     let of = |name: &str, effect| Class {
         name: name.to_owned(),
@@ -47,16 +52,17 @@
     Query,
     Timer,
     AttemptEnd(PartId, AttemptNo, Outcome, Nanos),
-    /// The endpoint list reports a node that has just started, or one that drains.
+    /// The endpoint list reports a node that has just started.
     Started(u8),
+    /// The endpoint list reports a node that drains.
     Draining(u8),
 }
 
-/// Something that is scheduled, in the order in which it happens.
+/// A scheduled occurrence; the order is that of time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Scheduled {
     pub at: Nanos,
-    /// Orders what is due at the same time.
+    /// The order of occurrences at the same time.
     pub order: u64,
     pub instance: usize,
     pub due: Due,
@@ -70,14 +76,14 @@
     pub served: bool,
 }
 
-/// A part that a node was sent, and the work it is.
+/// A part that a node was sent.
 pub struct SentPart {
     pub at: Nanos,
     pub node: u8,
     pub work: Nanos,
 }
 
-/// Nodes below `nodes` answer nothing from one time to another.
+/// An outage: nodes below `nodes` answer nothing from one time to another.
 #[derive(Default)]
 pub struct Outage {
     pub nodes: u8,
@@ -85,23 +91,25 @@
     pub until: Nanos,
 }
 
+/// The instances, and the occurrences that are due at them.
 pub struct Fleet {
     pub policies: Vec<DecisionPolicy>,
     pub scheduled: BinaryHeap<Reverse<Scheduled>>,
     pub order: u64,
     pub now: Nanos,
     pub rng: fastrand::Rng,
-    /// Attempts at each part so far.
+    /// The number of attempts at each part so far.
     pub attempts: BTreeMap<(usize, PartId), u16>,
     pub in_flight: BTreeMap<(usize, PartId, AttemptNo), Nanos>,
     pub fates: BTreeMap<(usize, QueryId), Fate>,
     pub sent: Vec<SentPart>,
-    /// How many queries of ten are not sends.
+    /// The number of queries in ten that are not sends.
     pub wide: usize,
     pub outage: Outage,
 }
 
 impl Fleet {
+    /// Returns a fleet in which each instance has a first query scheduled.
     pub fn new(set: &Settings) -> Self {
         let mut fleet = Fleet {
             policies: (0..INSTANCES)
@@ -135,6 +143,7 @@
         fleet
     }
 
+    /// Schedules an occurrence at an instance after some time.
     pub fn schedule(&mut self, wait: Nanos, instance: usize, due: Due) {
         self.order += 1;
         let scheduled = Scheduled {
@@ -146,6 +155,7 @@
         self.scheduled.push(Reverse(scheduled));
     }
 
+    /// Lets the occurrences before a time happen.
     pub fn run(&mut self, until: Nanos) {
         while self.scheduled.peek().is_some_and(|next| next.0.at < until) {
             let Some(Reverse(Scheduled {
@@ -169,6 +179,7 @@
         }
     }
 
+    /// Reports a change of the endpoint list to an instance.
     pub fn list(&mut self, instance: usize, member: Endpoint) {
         self.report(
             instance,
@@ -179,6 +190,7 @@
         );
     }
 
+    /// Submits a random query to an instance and schedules the next one.
     pub fn submit(&mut self, instance: usize) {
         self.schedule(PAUSE, instance, Due::Query);
         self.order += 100;
@@ -204,6 +216,7 @@
         self.report(instance, events);
     }
 
+    /// Returns the class of a random query.
     fn draw_class(&mut self) -> u16 {
         let number = self.rng.usize(..10);
         if number >= self.wide {
@@ -213,6 +226,7 @@
         }
     }
 
+    /// Returns the shards of the parts of a random query.
     fn draw_shards(&mut self, class: u16) -> Vec<u32> {
         let shards = u32::from(NODES);
         match class {
@@ -222,6 +236,7 @@
         }
     }
 
+    /// Reports the end of an attempt, unless that has been reported.
     pub fn complete(
         &mut self,
         instance: usize,
@@ -243,6 +258,7 @@
         }
     }
 
+    /// Reports events to an instance and carries out its actions.
     pub fn report(&mut self, instance: usize, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.policies[instance].handle(self.now, &events, &mut actions);
@@ -276,6 +292,7 @@
         }
     }
 
+    /// Sends an attempt to a node and schedules its end.
     pub fn send(&mut self, instance: usize, part: PartId, node: u8, timeout: Nanos) {
         let attempts = self.attempts.entry((instance, part)).or_default();
         let attempt = AttemptNo(*attempts);
@@ -301,6 +318,7 @@
         );
     }
 
+    /// Records the final answer to a query.
     pub fn answered(&mut self, instance: usize, query: QueryId, served: bool) {
         let fate = self
             .fates
@@ -310,7 +328,7 @@
         fate.served = served;
     }
 
-    /// The share of a class's queries served, of those submitted from one time to another.
+    /// Returns the share of a class's queries served, of those submitted from one time to another.
     pub fn served(&self, class: u16, from: Nanos, to: Nanos) -> f64 {
         let asked: Vec<&Fate> = self
             .fates
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -39,7 +39,8 @@
     assert_counters(&edge.wait_for("counters"));
 }
 
-/// Asserts that each field is a number, and the values after one reload that was applied and one that was rejected.
+/// Asserts that each field is a number, and the values after one reload that was applied and one
+/// that was rejected.
 fn assert_counters(counters: &LogEvent) {
     assert_eq!(counters.level, "INFO");
     let fields = counters.fields.as_object().expect("fields");
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -38,7 +38,8 @@
     let path = temporary.join("quinceflow-127.0.0.1-0.sock");
     let other_program = UnixListener::bind(&path).expect("bound");
     std::thread::spawn(move || {
-        // Kept open: closing one with unread input would reset it, and the process might read no version.
+        // Kept open: closing one with unread input would reset it, and the process might read no
+        // version.
         let mut open = Vec::new();
         for mut connection in other_program.incoming().flatten() {
             let _ = connection.write_all(b"another version\n");
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -10,10 +10,10 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// How long a process may take to log an event that a test waits for.
+/// The time in which a process must log an event that a test waits for.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that logs JSON; it is killed, and its folder removed, when this is dropped.
+/// A process that logs JSON. Dropping it kills the process and removes its folder.
 pub struct LoggingProcess {
     pub child: Child,
     pub events: Receiver<Value>,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The next event with this message.
+    /// Waits for the next event with this message and returns it.
     pub fn wait_for(&self, message: &str) -> LogEvent {
         loop {
             let event = self.events.recv_timeout(EVENT_TIMEOUT);
@@ -146,12 +146,14 @@
     }
 }
 
+/// Returns a command that starts the program with a log of JSON lines.
 pub fn json_logging_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
     command.args(["--log", "json"]);
     command
 }
 
+/// Returns a command that starts the platform's front, and writes its configuration.
 pub fn platform_command(folder: &Path, configuration: &Value) -> Command {
     let file = folder.join("config.json");
     std::fs::write(&file, configuration.to_string()).expect("a configuration");
@@ -163,6 +165,7 @@
     command
 }
 
+/// Creates a folder for a test.
 pub fn create_folder(test: &str) -> PathBuf {
     let name = format!("log-events-{test}-{}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -170,24 +173,26 @@
     folder
 }
 
-/// A folder with a short path: the path of a Unix socket may have 107 bytes.
+/// Creates a folder with a short path, since the path of a Unix socket may have 107 bytes.
 pub fn create_short_folder(test: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
+/// Writes the settings of the front for feature queries.
 pub fn write_edge_file(folder: &Path, settings: &str) {
     let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
     std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
 }
 
+/// Writes an inventory with these rows.
 pub fn write_inventory(folder: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
     std::fs::write(folder.join("i.csv"), text).expect("an inventory");
 }
 
-/// A command that runs another one with so many file descriptors at most.
+/// Returns a command that runs another one with so many file descriptors at most.
 pub fn with_descriptors(descriptors: usize, command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell
@@ -203,7 +208,7 @@
     shell
 }
 
-/// An address at which nothing listens.
+/// Returns an address at which nothing listens.
 pub fn refusing_address() -> SocketAddr {
     bind_loopback().local_addr().expect("bound")
 }
--- a/tests/node_connections/cases.rs
+++ b/tests/node_connections/cases.rs
@@ -22,7 +22,7 @@
     ("9b1f.0 skipped 1 -\n", true),
 ];
 
-/// A connection with these attempts in flight, each frame fully written.
+/// Returns a connection with these attempts in flight, each frame fully written.
 fn connection_with_written(queries: &[&[AttemptRequest]]) -> MultiplexedConnection {
     let mut connection = MultiplexedConnection::default();
     for requests in queries {
@@ -81,35 +81,37 @@
     assert_eq!(result, Ok(3));
     assert_eq!(events.len(), 1, "{events:?}");
     assert!(!connection.has_partial_frame());
-    // Its length is wrong: nothing may come after it that would be taken for its end.
+    // The length of this frame is wrong: nothing may come after it that would be taken for its end.
     let (result, _) = receive(&mut connection, &answer(0)[..9]);
     assert_eq!(result, Ok(0));
     assert!(connection.has_partial_frame());
 }
 
-/// When some of three attempts in one frame are cancelled.
+/// The cancellation of some of three attempts in one frame.
 #[derive(Debug, Clone, Copy)]
 struct CancelCase {
     /// The cancelled attempts, a bit for each.
     cancelled: usize,
-    /// Some bytes of the frame are written before.
+    /// Whether some bytes of the frame are written before.
     write_started: bool,
-    /// The connection ends after, and the rest is sent on another one.
+    /// Whether the connection ends after, and the rest is sent on another one.
     restarted: bool,
 }
 
 impl CancelCase {
     const ALL_CANCELLED: usize = 0b111;
 
+    /// Whether attempt `n` is cancelled.
     fn is_cancelled(self, n: usize) -> bool {
         self.cancelled & (1 << n) > 0
     }
 
+    /// Returns the attempts that are cancelled, or those that are not.
     fn attempts(self, cancelled: bool) -> impl Iterator<Item = usize> {
         (0..3).filter(move |n| self.is_cancelled(*n) == cancelled)
     }
 
-    /// The frames that the node must receive on the last connection.
+    /// Returns the frames that the node must receive on the last connection.
     fn expected_frames(self) -> Vec<(char, String)> {
         let mut expected = Vec::new();
         if self.write_started && !self.restarted {
--- a/tests/node_connections/model.rs
+++ b/tests/node_connections/model.rs
@@ -51,14 +51,14 @@
 /// The state of an attempt in the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum AttemptState {
-    /// Some of its frame is still to be written.
+    /// The attempt has bytes of its frame still to be written.
     Queued,
     FullyWritten,
     /// Cancelled, or ended otherwise.
     Ended,
 }
 
-/// A frame that is not fully written.
+/// A frame with bytes that are not written.
 struct QueuedFrame {
     /// The attempt that it carries; none in one that cancels an attempt.
     attempt: Option<usize>,
@@ -107,6 +107,7 @@
 }
 
 impl Model {
+    /// Applies a step to the connection and to the model.
     fn apply(&mut self, step: Step) -> Result<StepResult, TestCaseError> {
         match step {
             Step::Enqueue => self.enqueue(),
@@ -158,7 +159,7 @@
         }
     }
 
-    /// The attempt, unless it has ended.
+    /// Returns the attempt, unless the model has recorded its end.
     fn unless_ended(&self, attempt: Option<usize>) -> Option<usize> {
         attempt.filter(|n| self.attempts[*n] != AttemptState::Ended)
     }
@@ -185,7 +186,8 @@
         Ok(StepResult::default())
     }
 
-    /// The front of the queue is fully written; the attempt that it carried, unless that has ended.
+    /// Removes the front of the queue, which is fully written, and returns the attempt that it
+    /// carried, unless that has ended.
     fn front_fully_written(&mut self) -> Option<AttemptKey> {
         let attempt = self.queue.remove(0).attempt;
         self.received.extend(attempt);
@@ -293,6 +295,7 @@
     }
 }
 
+/// Returns the ends of attempts among events, and the attempts fully written.
 fn ends(events: &[AttemptEvent]) -> Ends {
     let end = |event: &AttemptEvent| match event {
         AttemptEvent::Ended(key, AttemptEnd::Served(value)) => {
--- a/tests/node_connections/wire.rs
+++ b/tests/node_connections/wire.rs
@@ -5,6 +5,7 @@
 use quinceflow::{AttemptNo, PartId, ShardId};
 use std::sync::Arc;
 
+/// Returns the key of attempt `n`.
 pub fn key(n: usize) -> AttemptKey {
     AttemptKey {
         part: PartId(n as u64),
@@ -12,6 +13,7 @@
     }
 }
 
+/// Returns the request of attempt `n`.
 pub fn request(n: usize) -> AttemptRequest {
     let payload: &[u8] = b"c41e77d0";
     AttemptRequest {
@@ -25,11 +27,12 @@
     }
 }
 
-/// The payload of a query frame with one attempt.
+/// Returns the payload of a query frame with one attempt.
 pub fn query_payload(n: usize) -> String {
     format!("9b1f.{n} {n} d=240 8\nc41e77d0")
 }
 
+/// Returns a frame of this letter and payload.
 pub fn frame(letter: char, payload: &str) -> Vec<u8> {
     let length = (payload.len() as u32 + 1).to_be_bytes();
     [
@@ -40,7 +43,7 @@
     .concat()
 }
 
-/// The complete frames in what a data node has received, as letter and payload.
+/// Returns the complete frames in the bytes that a data node has received, as letter and payload.
 pub fn frames(mut bytes: &[u8]) -> Vec<(char, String)> {
     let mut frames = Vec::new();
     while let Some(length) = bytes.first_chunk::<4>() {
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -10,16 +10,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// The number of clients.
 pub const CLIENTS: usize = 16;
 /// Clients that send requests all the time; the others do during bursts only.
 pub const STEADY_CLIENTS: usize = 5;
+/// The time for which a server has a fault.
 pub const FAULT_DURATION: Duration = Duration::from_secs(4);
 /// Time after a reload until a draining server must get no further requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// Clients wait 1.5 s; a response that arrives after this is too late.
+/// The time after which a response is too late; clients wait 1.5 s.
 pub const MAX_RESPONSE_MS: u128 = 1_700;
 /// Pause of a client after each response.
 pub const CLIENT_PAUSE: Duration = Duration::from_millis(20);
+/// The settings of the program beside the classes of all tests.
 pub const SETTINGS: &str = r#"
 most_held = 60
 [[class]]
@@ -37,11 +40,13 @@
 }
 
 impl Tally {
+    /// Counts a response that took so long.
     pub fn record_response(&mut self, elapsed_ms: u128) {
         self.responses += 1;
         self.slowest_ms = self.slowest_ms.max(elapsed_ms);
     }
 
+    /// Counts the responses to a query by class and kind.
     pub fn record_walk(&mut self, walk: &Walk) {
         *self
             .walks
@@ -53,7 +58,7 @@
 /// The number of times that a query was started at each shard, by the shard's path.
 pub type Starts = BTreeMap<String, usize>;
 
-/// The program under test, its feature servers, and what was seen.
+/// The program under test with its feature servers, and the records of the run.
 pub struct Run {
     pub edge: Process,
     pub servers: Vec<FeatureServer>,
@@ -70,6 +75,7 @@
 }
 
 impl Run {
+    /// Starts the program and its feature servers, all healthy.
     pub fn start() -> Self {
         let faults: Vec<Arc<AtomicUsize>> = (0..SERVERS).map(|_| Arc::default()).collect();
         let servers: Vec<FeatureServer> = faults
@@ -151,6 +157,7 @@
         response
     }
 
+    /// Records the starts of a query before it requests a further page.
     pub fn record_starts_before_page(&self, query: QueryId) {
         let starts = self
             .starts(|started| started == query)
@@ -180,6 +187,7 @@
         self.over.store(true, Relaxed);
     }
 
+    /// Drains a server for [`FAULT_DURATION`] and records the requests that it gets.
     pub fn drain(&self, server: usize) {
         self.reload_inventory(Some(server));
         std::thread::sleep(DRAIN_GRACE);
@@ -193,6 +201,7 @@
         self.reload_inventory(None);
     }
 
+    /// Reloads the inventory, in which this server drains.
     pub fn reload_inventory(&self, draining: Option<usize>) {
         self.edge
             .write_inventory(&inventory(&self.servers, draining));
@@ -200,7 +209,7 @@
         self.edge.wait_for_log("inventory reloaded");
     }
 
-    /// The starts so far of the queries that `matches` selects, over all servers.
+    /// Returns the starts so far of the queries that `matches` selects, over all servers.
     pub fn starts(&self, matches: impl Fn(QueryId) -> bool) -> BTreeMap<QueryId, Starts> {
         let mut starts: BTreeMap<QueryId, Starts> = BTreeMap::new();
         for target in self.servers.iter().flat_map(FeatureServer::requests) {
@@ -213,7 +222,7 @@
         starts
     }
 
-    /// The number of starts at a shard for each page request of the non-idempotent class: a
+    /// Returns the number of starts at a shard for each page request of the non-idempotent class: a
     /// client's request may start each shard once, and so may its request for a further page.
     pub fn non_idempotent_starts_per_page(&self) -> Vec<usize> {
         let mut recorded = self.starts_before_pages.lock().expect("starts").clone();
--- a/tests/ogc_run/servers.rs
+++ b/tests/ogc_run/servers.rs
@@ -6,22 +6,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// The names of the shards.
 pub const SHARDS: [&str; 3] = ["east", "north", "south"];
+/// The faults in the order in which servers get them.
 pub const FAULTS: [&str; 7] = [
     "healthy", "errors", "hang", "truncate", "slow", "drain", "burst",
 ];
+/// The number of feature servers.
 pub const SERVERS: usize = 6;
 
+/// Returns the numbers of the features of a shard.
 pub fn ids(shard: usize) -> Range<usize> {
     shard * 1000..shard * 1000 + 40 + shard
 }
 
-/// The shards of a server: each shard is at four servers.
+/// Returns the shards of a server; each shard is at four servers.
 pub fn shards_of(server: usize) -> [usize; 2] {
     [server % 3, (server + 1) % 3]
 }
 
-/// A server of two shards whose fault is set from outside.
+/// Starts a server of two shards whose fault is set from outside.
 pub fn server(shards: [usize; 2], fault: Arc<AtomicUsize>) -> FeatureServer {
     let mut seed = 7usize;
     FeatureServer::start(move |target| {
@@ -48,6 +52,7 @@
     })
 }
 
+/// Returns the inventory of the servers, of which one may drain.
 pub fn inventory(servers: &[FeatureServer], draining: Option<usize>) -> String {
     let row = |(n, server): (usize, &FeatureServer)| {
         let [first, second] = shards_of(n).map(|shard| SHARDS[shard]);
--- a/tests/ogc_run/walk.rs
+++ b/tests/ogc_run/walk.rs
@@ -5,13 +5,14 @@
 use crate::standin::feature_server::query_parameter;
 use std::collections::BTreeSet;
 
+/// The names of the classes.
 pub const CLASSES: [&str; 3] = ["exact", "part", "once"];
 /// The class whose parts must not run twice.
 pub const NON_IDEMPOTENT: &str = "once";
 /// The last coordinate of a query's `bbox` is the query's number over this.
 pub const BBOX_SCALE: f64 = 1e5;
 
-/// A query, as its `bbox` tells it: the servers see no other mark of it.
+/// A query, by the numbers in its `bbox`: servers see no other mark.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryId {
     pub client: usize,
@@ -19,10 +20,12 @@
 }
 
 impl QueryId {
+    /// Returns the class of the query.
     pub fn class(self) -> &'static str {
         CLASSES[(self.client + self.query) % CLASSES.len()]
     }
 
+    /// Returns the target of the first page.
     pub fn first_target(self) -> String {
         let QueryId { client, query } = self;
         format!(
@@ -31,7 +34,7 @@
         )
     }
 
-    /// The query that a request starts at a shard; `None` for the further pages of a shard.
+    /// Returns the query that a request starts at a shard; `None` for the further pages of a shard.
     pub fn started_by(target: &str) -> Option<QueryId> {
         if query_parameter(target, "offset").is_some() {
             return None;
@@ -51,8 +54,8 @@
     }
 }
 
-/// The responses to a query, in order: each but the first answers the `next` link of the one before
-/// it.
+/// The responses to a query, in order: each but the first answers the `next` link of the one
+/// before.
 pub struct Walk {
     pub query: QueryId,
     /// The responses with status 200.
@@ -62,7 +65,7 @@
 }
 
 impl Walk {
-    /// The kind of a walk: whether all of its pages are right, and how it ended.
+    /// Returns the kind of a walk: whether all of its pages are right, and how it ended.
     pub fn kind(&self) -> String {
         let complete = self
             .pages
@@ -111,7 +114,7 @@
     }
 }
 
-/// The indexes of the shards that a page calls missing.
+/// Returns the indexes of the shards that a page calls missing.
 pub fn missing_shards(page: &Response) -> BTreeSet<usize> {
     let json = page.json();
     let names = json["missing"].as_array().into_iter().flatten();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -136,7 +136,7 @@
     while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
 }
 
-/// The configuration without one of its keys.
+/// Returns the configuration without one of its keys.
 fn without_key(configuration: &str, pointer: &str, key: &str) -> String {
     let mut json: serde_json::Value = serde_json::from_str(configuration).expect("a configuration");
     let object = json
@@ -148,7 +148,7 @@
     json.to_string()
 }
 
-/// Configurations that are cut off, lack a key or have an invalid value.
+/// Returns configurations that are cut off, lack a key or have an invalid value.
 fn invalid_configurations(edge: &Process, complete: &str) -> Vec<String> {
     vec![
         String::new(),
@@ -173,8 +173,8 @@
     ]
 }
 
-/// The configuration with fewer attempts for all classes, one class new, one removed, and one no
-/// longer idempotent.
+/// Returns the configuration with fewer attempts for all classes, one class new, one removed, and
+/// one not idempotent.
 fn changed_configuration(complete: &str) -> String {
     let mut json: serde_json::Value = serde_json::from_str(complete).expect("a configuration");
     json["settings"]["limits"]["max-attempts"] = json!(2);
--- a/tests/ordinary_path/admission.rs
+++ b/tests/ordinary_path/admission.rs
@@ -126,7 +126,7 @@
 #[test]
 fn a_class_is_not_rejected_for_a_guess_at_its_work() {
     // With a long objective the guess at the work of a query exceeds its client's short time-out.
-    // It must not be rejected for that: only answers correct the guess.
+    // The class must not be rejected for that: only answers correct the guess.
     let mut harness = Harness::new(settings(Class {
         latency_objective: 20 * S,
         deadline: 30 * S,
--- a/tests/ordinary_path/dispatch.rs
+++ b/tests/ordinary_path/dispatch.rs
@@ -46,7 +46,8 @@
     assert_eq!(sent_attempts(&actions).len(), 64);
 }
 
-/// Returns a harness of ten cells with a shard each, for a class that needs six tenths of its parts.
+/// Returns a harness of ten cells with a shard each, for a class that needs six tenths of its
+/// parts.
 fn harness_of_ten_cells() -> Harness {
     let mut harness = Harness::new(Settings {
         cells: 10,
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -10,7 +10,7 @@
 
 const ITEMS: &str = "/collections/devices/items";
 
-/// A page by `limit` and `offset`, as most servers do; `order` is where each server has a feature.
+/// Returns a page by `limit` and `offset`; `order` gives the feature at each place of the server.
 fn page(target: &str, ids: &std::ops::Range<usize>, order: &dyn Fn(usize) -> usize) -> Reply {
     let size = query_parameter(target, "limit").unwrap_or(10).min(500);
     let from = query_parameter(target, "offset").unwrap_or(0);
@@ -27,7 +27,7 @@
     ))
 }
 
-/// One of two replicas, which responds with errors while it is down.
+/// Starts one of two replicas, which responds with errors while it is down.
 fn replica(
     down: &Arc<AtomicBool>,
     ids: std::ops::Range<usize>,
@@ -40,11 +40,13 @@
     })
 }
 
+/// Starts a server of these features in their order.
 fn server(ids: std::ops::Range<usize>) -> FeatureServer {
     FeatureServer::start(move |target| page(target, &ids, &|n| n))
 }
 
-/// All identifiers over the next links; `between` is called before each response with its number.
+/// Returns all identifiers over the `next` links and the number of responses; `between` is called
+/// before each response with its number.
 fn follow(edge: &Process, first: &str, mut between: impl FnMut(usize)) -> (Vec<String>, usize) {
     let mut ids = Vec::new();
     let mut next = Some(first.to_owned());
@@ -70,6 +72,7 @@
     (ids, responses)
 }
 
+/// Asserts that each of so many features is returned exactly once.
 fn each_once(mut ids: Vec<String>, all: usize) {
     let returned = ids.len();
     ids.sort();
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -67,7 +67,8 @@
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
     edge.wait_for_counter("endpoint_updates", 4);
-    // It may have run; within its window it may be retried, on the node that accepts no connection.
+    // The part may have run; within its window it may be retried, on the node that accepts no
+    // connection.
     drop(first);
     edge.wait_for_counter("attempts_dispatched", 2);
     edge.wait_for_counter("attempts_connect_failed", 1);
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -5,7 +5,7 @@
 use crate::standin::process::Process;
 use std::net::{SocketAddr, TcpStream};
 
-/// Two data nodes that answer every part, and their addresses.
+/// Starts two data nodes that answer every part and returns them with their addresses.
 pub fn two_serving_nodes() -> ([DataNode; 2], [SocketAddr; 2]) {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|node| node.address);
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -4,7 +4,8 @@
 use common::*;
 use quinceflow::*;
 
-/// With how many of 20 seeds a low-priority query is sent after so long without any traffic.
+/// Returns the number of seeds in 20 with which a low-priority query is sent after so long without
+/// any traffic.
 fn admitted_after(rest: Nanos, prepare: impl Fn(&mut Harness)) -> usize {
     let mut sent = 0;
     for seed in 0..20 {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -143,7 +143,7 @@
     assert_eq!(replies(&output.stdout).len(), 1);
 }
 
-/// The records of a start and one more, as a batch.
+/// Returns the records of a start and one more, as a batch.
 fn batch_with(extra: Vec<u8>) -> Vec<u8> {
     let mut records = start_records(SETTINGS);
     records.push(extra);
