--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -17,7 +17,7 @@
 use crate::feature_server::ALL_FAULTS;
 use crate::process::{Configuration, EdgeProcess, CLASSES};
 use crate::sync::into_inner;
-use client::ScenarioClient;
+use client::{ScenarioClient, SharedState};
 use fleet::Fleet;
 use observer::{observe, Drain};
 use query::QueryLog;
@@ -110,10 +110,15 @@
 ) -> T {
     let stopped = AtomicBool::new(false);
     let next_mark = AtomicU64::new(options.seed * MARKS_PER_SEED + 1);
+    let shared = SharedState {
+        next_mark: &next_mark,
+        queries,
+        report,
+    };
     std::thread::scope(|scope| {
         for number in 0..CLIENTS {
             let seed = options.seed ^ ((number as u64) << 32);
-            let mut client = ScenarioClient::new(address, seed, &next_mark, queries, report);
+            let mut client = ScenarioClient::new(address, seed, shared);
             let stopped = &stopped;
             scope.spawn(move || {
                 while !stopped.load(Relaxed) {
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -26,13 +26,22 @@
 /// Tolerance of the comparison of shares.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
+/// State that the clients of a scenario share.
+#[derive(Clone, Copy)]
+pub(super) struct SharedState<'a> {
+    /// Mark of the next query.
+    pub(super) next_mark: &'a AtomicU64,
+    /// Record of all queries.
+    pub(super) queries: &'a QueryLog,
+    /// Report of answers and violations.
+    pub(super) report: &'a Mutex<Report>,
+}
+
 /// Client that sends one query after another.
 pub(super) struct ScenarioClient<'a> {
     client: Client,
     rng: fastrand::Rng,
-    next_mark: &'a AtomicU64,
-    queries: &'a QueryLog,
-    report: &'a Mutex<Report>,
+    shared: SharedState<'a>,
 }
 
 /// Result of a request for a page.
@@ -54,21 +63,13 @@
 
 impl<'a> ScenarioClient<'a> {
     /// Creates a client that announces [`TIMEOUT_SECONDS`] and waits a few margins longer.
-    pub(super) fn new(
-        address: SocketAddr,
-        seed: u64,
-        next_mark: &'a AtomicU64,
-        queries: &'a QueryLog,
-        report: &'a Mutex<Report>,
-    ) -> Self {
+    pub(super) fn new(address: SocketAddr, seed: u64, shared: SharedState<'a>) -> Self {
         let mut client = Client::new(address);
         client.timeout = Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN * MARGINS_WAITED;
         ScenarioClient {
             client,
             rng: fastrand::Rng::with_seed(seed),
-            next_mark,
-            queries,
-            report,
+            shared,
         }
     }
 
@@ -76,11 +77,11 @@
     pub(super) fn run_query(&mut self) {
         let query = Query {
             class: Class::ALL[self.rng.usize(..Class::ALL.len())],
-            mark: self.next_mark.fetch_add(1, Relaxed),
+            mark: self.shared.next_mark.fetch_add(1, Relaxed),
             follows_links: self.rng.u8(..QUERIES_PER_FOLLOWED) == 0,
             limit: LIMITS[self.rng.usize(..LIMITS.len())],
         };
-        self.queries.record_query(&query);
+        self.shared.queries.record_query(&query);
         let answers = self.request_pages(&query);
         let mark = query.mark;
         let class = query.class.name();
@@ -90,7 +91,7 @@
             class,
             violation,
         });
-        lock(self.report).violations.extend(violations);
+        lock(self.shared.report).violations.extend(violations);
     }
 
     fn request_pages(&mut self, query: &Query) -> Answers {
@@ -133,7 +134,7 @@
     /// Requests one page and records its latency and kind.
     fn request_page(&mut self, query: &Query, target: &str, answers: &mut Answers) -> PageAnswer {
         let started = Instant::now();
-        self.queries.record_page(query.mark, started);
+        self.shared.queries.record_page(query.mark, started);
         let timeout = TIMEOUT_SECONDS.to_string();
         let headers = [
             Header::new("X-Qos", query.class.name()),
@@ -142,7 +143,7 @@
         let response = self.client.get_with(target, &headers).ok();
         let latency = started.elapsed();
         let kind = response.as_ref().map_or(AnswerKind::Lost, kind_of);
-        lock(self.report).record_answer(query.class.name(), kind, latency);
+        lock(self.shared.report).record_answer(query.class.name(), kind, latency);
         if latency > Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN {
             answers.violations.push(AnswerViolation::Late(latency));
         }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -146,7 +146,13 @@
         }
         let process = bed.start_version(&version.program)?;
         for limit in [500, 5_000] {
-            measure_all_pages(version, &process, limit, bed, text)?;
+            let traversal = Traversal {
+                version,
+                process: &process,
+                bed,
+                limit,
+            };
+            traversal.measure()?.write(text);
         }
     }
     text.push_str(
@@ -183,40 +189,44 @@
     Ok(())
 }
 
-/// Measures the traversal of `next` links from a first page of `limit` features.
-fn measure_all_pages(
-    version: &Version,
-    process: &EdgeProcess,
+/// Traversal of `next` links to the last page.
+struct Traversal<'a> {
+    version: &'a Version,
+    process: &'a EdgeProcess,
+    bed: &'a TestBed,
+    /// Limit of the first page.
     limit: usize,
-    bed: &TestBed,
-    text: &mut String,
-) -> Result<(), RunError> {
-    let mut client = Client::new(process.address);
-    client.timeout = FOLLOW_TIMEOUT;
-    let work_before = bed.work();
-    let started = Instant::now();
-    let mut next = Some(format!("/collections/devices/items?limit={limit}"));
-    let mut features = 0;
-    let mut pages = 0;
-    while let Some(target) = next {
-        let response = client.get(&target)?;
-        features += response.ids().len();
-        pages += 1;
-        let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
-        next = response.link("next").filter(|_| goes_on);
+}
+
+impl<'a> Traversal<'a> {
+    /// Follows the links and returns the row of the table.
+    fn measure(&self) -> Result<AnswerRow<'a>, RunError> {
+        let limit = self.limit;
+        let mut client = Client::new(self.process.address);
+        client.timeout = FOLLOW_TIMEOUT;
+        let work_before = self.bed.work();
+        let started = Instant::now();
+        let mut next = Some(format!("/collections/devices/items?limit={limit}"));
+        let mut features = 0;
+        let mut pages = 0;
+        while let Some(target) = next {
+            let response = client.get(&target)?;
+            features += response.ids().len();
+            pages += 1;
+            let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
+            next = response.link("next").filter(|_| goes_on);
+        }
+        let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
+        Ok(AnswerRow {
+            version: &self.version.name,
+            query: format!("all pages by next, limit={limit} ({pages} answers)"),
+            status: 200,
+            features,
+            work: self.bed.work().since(work_before),
+            memory_kib: memory_kib(self.process, PEAK_MEMORY),
+            elapsed: format!("{elapsed_ms:.0}"),
+        })
     }
-    let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
-    let row = AnswerRow {
-        version: &version.name,
-        query: format!("all pages by next, limit={limit} ({pages} answers)"),
-        status: 200,
-        features,
-        work: bed.work().since(work_before),
-        memory_kib: memory_kib(process, PEAK_MEMORY),
-        elapsed: format!("{elapsed_ms:.0}"),
-    };
-    row.write(text);
-    Ok(())
 }
 
 fn memory_kib(process: &EdgeProcess, name: &str) -> u64 {
