--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -31,8 +31,8 @@
 
 fn area(points: usize) -> String {
     let ring: Vec<String> = (0..=points)
-        .map(|n| {
-            let angle = (n % points) as f64 / points as f64 * std::f64::consts::TAU;
+        .map(|point| {
+            let angle = (point % points) as f64 / points as f64 * std::f64::consts::TAU;
             format!("{} {}", -120.0 + angle.cos(), 38.0 + angle.sin())
         })
         .collect();
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -205,8 +205,8 @@
         })?;
         let filter = format!("({name} - {median}) / 2 >= 1 AND {name} div 10 > 1");
         require_matches(suite, &filter, |feature| {
-            number_is(feature, &name, |n| {
-                (n - median) / 2.0 >= 1.0 && (n / 10.0).trunc() > 1.0
+            number_is(feature, &name, |number| {
+                (number - median) / 2.0 >= 1.0 && (number / 10.0).trunc() > 1.0
             })
         })
     }),
@@ -222,8 +222,8 @@
     let bbox = suite.middle_box()?;
     let name = suite.geometry()?;
     let polygon = bbox.to_polygon();
-    require_matches(suite, &format!("S_WITHIN({name},{polygon})"), |f| {
-        bbox.contains_strictly(f)
+    require_matches(suite, &format!("S_WITHIN({name},{polygon})"), |feature| {
+        bbox.contains_strictly(feature)
     })?;
     require_matches(suite, &format!("S_DISJOINT({name},{polygon})"), |feature| {
         point_of(feature).is_some() && !bbox.contains(feature)
@@ -231,8 +231,8 @@
     require_matches(suite, &format!("S_TOUCHES({name},{polygon})"), |feature| {
         bbox.contains(feature) && !bbox.contains_strictly(feature)
     })?;
-    require_matches(suite, &format!("S_CONTAINS({polygon},{name})"), |f| {
-        bbox.contains_strictly(f)
+    require_matches(suite, &format!("S_CONTAINS({polygon},{name})"), |feature| {
+        bbox.contains_strictly(feature)
     })?;
     let Some(point) = suite.first_point() else {
         return Ok(());
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -17,28 +17,27 @@
         NodeBehaviour::PartialResponse,
     ] {
         let nodes = [(); 2].map(|()| {
-            DataNode::start(move |n| {
-                if n == 100 {
-                    fault
-                } else {
-                    NodeBehaviour::Serve
-                }
+            DataNode::start(move |part| match part {
+                100 => fault,
+                _ => NodeBehaviour::Serve,
             })
         });
         let (edge, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
         edge.wait_until_ready();
-        let seen = |n: &DataNode| n.received_parts().len();
+        let seen = |node: &DataNode| node.received_parts().len();
         for n in 0..1_000 {
             assert_eq!(
                 query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
                 200,
                 "query {n}"
             );
-            if nodes.iter().all(|n| seen(n) > 120) {
+            if nodes.iter().all(|node| seen(node) > 120) {
                 break;
             }
         }
-        let met = nodes.each_ref().map(|n| (seen(n), n.connections()));
+        let met = nodes
+            .each_ref()
+            .map(|node| (seen(node), node.connections()));
         assert!(
             met.iter().all(|(parts, links)| *parts > 120 && *links > 1),
             "parts and connections: {met:?}"
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -14,12 +14,12 @@
 
 /// Sends four queries whose parts must not run twice, each on a connection of its own.
 pub fn send_non_idempotent_queries(process: &Process) -> Vec<TcpStream> {
-    let query = |n| {
-        QueryRequest::new(&format!("q{n}"), Class("once"), Shards(&[0, 1, 2, 3]))
-            .close_connection()
-            .to_http()
+    let send = |number| {
+        let id = format!("q{number}");
+        let request = QueryRequest::new(&id, Class("once"), Shards(&[0, 1, 2, 3]));
+        send_request(process, &request.close_connection().to_http())
     };
-    (0..4).map(|n| send_request(process, &query(n))).collect()
+    (0..4).map(send).collect()
 }
 
 /// Asserts that queries of these shards are answered, and that a node has received no part beyond
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -166,11 +166,9 @@
         let started = Instant::now();
         loop {
             let line = self.log_counters();
-            let current = line.split(' ').find_map(|w| {
-                w.strip_prefix(counter)?
-                    .strip_prefix('=')?
-                    .parse::<u64>()
-                    .ok()
+            let current = line.split(' ').find_map(|word| {
+                let value = word.strip_prefix(counter)?.strip_prefix('=')?;
+                value.parse::<u64>().ok()
             });
             if current.expect("such a counter") >= value {
                 return;
