--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 };
 use standin::data_node::{DataNode, UnreachableNode};
 use standin::deployment::Deployment;
-use standin::discovery::{all_in_service, endpoint_list, serve_constant_list, ControlledDiscovery};
+use standin::discovery::{all_in_service, complete_list, serve_constant_list, ControlledDiscovery};
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
 use standin::management::management_call;
@@ -251,7 +251,7 @@
     // exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
-    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let first = Deployment::ALL_EFFECTS.start_with_discovery("broken-off", discovery, &addresses);
     let temporary = std::env::temp_dir().join(format!("quinceflow-off-{}", std::process::id()));
     std::fs::create_dir_all(&temporary).expect("a folder");
--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{Class, QueryRequest, Shards};
 use crate::standin::data_node::{addresses_of, DataNode, NodeBehaviour};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{all_in_service, endpoint_list, serve_constant_list};
+use crate::standin::discovery::{all_in_service, complete_list, serve_constant_list};
 use crate::standin::http::accept_on_thread;
 use crate::support::{
     create_folder, platform_command, refusing_address, with_descriptors, LoggingProcess,
@@ -34,7 +34,7 @@
         ),
     ] {
         let nodes = [node];
-        let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&nodes)));
+        let discovery = serve_constant_list(complete_list(1, &all_in_service(&nodes)));
         let configuration = Deployment::BASIC.configuration(discovery, &nodes);
         let process = LoggingProcess::start_platform(test, &configuration);
         let mut listening = process.wait_for("listening for client connections");
--- a/tests/log_events/discovery.rs
+++ b/tests/log_events/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::standin::data_node::{addresses_of, DataNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{all_in_service, endpoint_list, ControlledDiscovery};
+use crate::standin::discovery::{all_in_service, complete_list, ControlledDiscovery};
 use crate::support::{refusing_address, LoggingProcess};
 use serde_json::json;
 use std::net::Shutdown;
@@ -47,8 +47,8 @@
     let discovery = ControlledDiscovery::new();
     let configuration = Deployment::BASIC.configuration(discovery.address(), &addresses);
     let process = LoggingProcess::start_platform("stale", &configuration);
-    let mut watch = discovery.answer_watch(&endpoint_list(7, true, &all_in_service(&addresses)));
-    watch.send(&endpoint_list(6, true, &all_in_service(&addresses)));
+    let mut watch = discovery.answer_watch(&complete_list(7, &all_in_service(&addresses)));
+    watch.send(&complete_list(6, &all_in_service(&addresses)));
     process
         .wait_for("stale endpoint list: only its drains, removals and restarts are applied")
         .assert("WARN", json!({"version": 6, "current_version": 7}));
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -2,7 +2,7 @@
 
 use crate::standin::data_node::{addresses_of, DataNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{all_in_service, endpoint_list, serve_constant_list};
+use crate::standin::discovery::{all_in_service, complete_list, serve_constant_list};
 use crate::standin::http::bind_loopback;
 use crate::support::{create_short_folder, refusing_address, LoggingProcess};
 use serde_json::json;
@@ -13,7 +13,7 @@
 fn both_processes_of_a_hand_over_log_it() {
     let nodes = [DataNode::serving()];
     let addresses = addresses_of(&nodes);
-    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
     let temporary = create_short_folder("both");
     let predecessor =
@@ -32,7 +32,7 @@
 fn failed_hand_overs_are_logged_by_both_sides() {
     let nodes = [DataNode::serving()];
     let addresses = addresses_of(&nodes);
-    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
     let temporary = create_short_folder("failed");
     let path = temporary.join("quinceflow-127.0.0.1-0.sock");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -8,7 +8,7 @@
 use standin::data_node::{addresses_of, DataNode, NodeBehaviour};
 use standin::deployment::Deployment;
 use standin::discovery::{
-    all_in_service, endpoint_list, serve_constant_list, terminating, Discovery,
+    all_in_service, changed_endpoints, complete_list, serve_constant_list, terminating, Discovery,
 };
 use standin::http::{bind_loopback, write_chunked_head, write_line_chunk};
 use standin::management::{dump_value, management_call};
@@ -63,8 +63,7 @@
         200
     );
     // The new address sends a drain as a change to the version that the old one sent last.
-    let new_discovery =
-        Discovery::start(endpoint_list(2, false, &[terminating(0, nodes[0].address)]));
+    let new_discovery = Discovery::start(changed_endpoints(2, &[terminating(0, nodes[0].address)]));
     edge.write_configuration(
         &edge.configuration_with("/discovery", json!(new_discovery.address.to_string())),
     );
@@ -140,7 +139,7 @@
         "NO the servers are not known yet\n"
     );
     let (mut watch, _) = silent_discovery.accept().expect("a watch");
-    let first_list = endpoint_list(1, true, &all_in_service(&addresses));
+    let first_list = complete_list(1, &all_in_service(&addresses));
     write_chunked_head(&mut watch).expect("it listens");
     write_line_chunk(&mut watch, &first_list).expect("it listens");
     while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
@@ -286,7 +285,7 @@
     // Both processes use one listening socket, so that no backlog is lost with a listener.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
-    let address = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let address = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let first = Deployment::BASIC.start_with_discovery("upgrade", address, &addresses);
     let temporary = create_folder_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{Class, Shards};
 use crate::standin::data_node::{DataNode, NodeBehaviour};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, terminating};
+use crate::standin::discovery::{changed_endpoints, terminating};
 use crate::standin::management::{dump_value, management_call};
 use crate::support::query;
 use serde_json::json;
@@ -86,11 +86,7 @@
         query(&edge, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
-    changes.send(&endpoint_list(
-        2,
-        false,
-        &[terminating(0, nodes[0].address)],
-    ));
+    changes.send(&changed_endpoints(2, &[terminating(0, nodes[0].address)]));
     // Until the process has counted three lists: the cached one, discovery's first, and this one.
     loop {
         edge.signal("USR1");
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{read_until_close, send_request, Class, QueryRequest, Shards};
 use crate::standin::data_node::DataNode;
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, terminating, ControlledDiscovery};
+use crate::standin::discovery::{changed_endpoints, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_frame, read_part_ids, write_answer, Frame, CALL};
 use crate::standin::http::bind_loopback;
 use std::net::{TcpListener, TcpStream};
@@ -96,7 +96,7 @@
         ..Deployment::ALL_EFFECTS
     }
     .start_controlled("after", &agent, &addresses);
-    watch.send(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
+    watch.send(&changed_endpoints(2, &[terminating(0, addresses[0])]));
     edge.wait_for_counter("endpoint_updates", 3);
     let request = QueryRequest::new("q", Class("some"), Shards(&[0, 1])).close_connection();
     let client = send_request(&edge, &request.to_http());
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -3,7 +3,9 @@
 use crate::standin::client::{query, read_until_close, send_request, Class, QueryRequest, Shards};
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{all_in_service, endpoint_list, terminating, ControlledDiscovery};
+use crate::standin::discovery::{
+    all_in_service, changed_endpoints, terminating, ControlledDiscovery,
+};
 use crate::standin::frames::{read_part_ids, write_answer};
 use crate::standin::http::bind_loopback;
 use crate::standin::process::Process;
@@ -182,14 +184,14 @@
     // The node that receives the part answers once no node accepts parts, so that its retry waits.
     let mut rejected = recorder.wait_for_call();
     let draining = [0, 1].map(|index| terminating(index, addresses[index]));
-    watch.send(&endpoint_list(2, false, &draining));
+    watch.send(&changed_endpoints(2, &draining));
     edge.wait_for_counter("endpoint_updates", 3);
     let rejection = format!("{} skipped 0 -\n", rejected.part_ids[0]);
     write_answer(&mut rejected.stream, &rejection).expect("written");
     edge.wait_for_counter("attempts_rejected", 1);
     drop(client);
     edge.wait_for_counter("queries_abandoned", 1);
-    watch.send(&endpoint_list(3, false, &all_in_service(&addresses)));
+    watch.send(&changed_endpoints(3, &all_in_service(&addresses)));
     edge.wait_for_counter("endpoint_updates", 4);
 
     // The nodes accept parts again: only that of another client is sent.
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{query, read_until_close, send_request, Class, QueryRequest, Shards};
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
+use crate::standin::discovery::{changed_endpoints, in_service, terminating, ControlledDiscovery};
 use crate::standin::frames::read_part_ids;
 use crate::standin::http::bind_loopback;
 use crate::support::{send_non_idempotent_queries, two_serving_nodes};
@@ -48,7 +48,7 @@
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
-    watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
+    watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
         &edge,
@@ -61,9 +61,8 @@
         read_part_ids(&mut first).expect("the first attempt"),
         ["key.0"]
     );
-    watch.send(&endpoint_list(
+    watch.send(&changed_endpoints(
         3,
-        false,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
     edge.wait_for_counter("endpoint_updates", 4);
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -4,7 +4,8 @@
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{
-    all_in_service, endpoint_list, endpoint_list_json, in_service, terminating, ControlledDiscovery,
+    all_in_service, changed_endpoints, complete_list, endpoint_list_json, in_service, terminating,
+    ControlledDiscovery, ListKind,
 };
 use crate::support::{assert_draining, send_non_idempotent_queries, two_serving_nodes};
 use serde_json::json;
@@ -24,7 +25,7 @@
         let clients = send_non_idempotent_queries(&edge);
         edge.wait_for_counter("dials", 2);
         edge.wait_for_counter("queries_accepted", 4);
-        watch.send(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
+        watch.send(&changed_endpoints(2, &[terminating(0, addresses[0])]));
         edge.wait_for_counter("endpoint_updates", 3);
         edge.wait_for_counter("attempts_not_sent", 1);
         let recordings = nodes.map(RecordingNode::start);
@@ -64,7 +65,7 @@
         // The change is made while no watch is open; the next one sends it, as indented JSON.
         let event = serde_json::to_string_pretty(&endpoint_list_json(
             2,
-            false,
+            ListKind::Change,
             &[terminating(0, addresses[0])],
         ))
         .expect("a list");
@@ -94,9 +95,8 @@
         started_at.elapsed().as_millis() < 2_500,
         "an event after its recovery applies at once"
     );
-    let _back = agent.answer_watch(&endpoint_list(
+    let _back = agent.answer_watch(&complete_list(
         5,
-        true,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
     edge.wait_for_counter("endpoint_updates", 2);
@@ -109,8 +109,8 @@
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("back", &agent, &addresses);
-    watch.send(&endpoint_list(7, false, &[terminating(0, addresses[0])]));
-    watch.send(&endpoint_list(6, true, &all_in_service(&addresses)));
+    watch.send(&changed_endpoints(7, &[terminating(0, addresses[0])]));
+    watch.send(&complete_list(6, &all_in_service(&addresses)));
     edge.wait_for_log(
         "stale endpoint list: only its drains, removals and restarts are applied \
          version=6 current_version=7",
@@ -142,7 +142,7 @@
         &edge.configuration_with("/discovery", json!(new.address().to_string())),
     );
     edge.signal("HUP");
-    let _watch = new.answer_watch(&endpoint_list(2, false, &[terminating(0, addresses[0])]));
+    let _watch = new.answer_watch(&changed_endpoints(2, &[terminating(0, addresses[0])]));
     old.listener.set_nonblocking(true).expect("set");
     assert!(
         old.listener.accept().is_err(),
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{read_until_close, send_request};
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
+use crate::standin::discovery::{changed_endpoints, in_service, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_frame, CALL, CANCEL};
 use crate::standin::http::bind_loopback;
 use crate::standin::process::Process;
@@ -102,12 +102,12 @@
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
-    watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
+    watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
     let clients = send_long_queries(&edge);
     edge.wait_for_counter("attempts_dispatched", QUERIES as u64);
     edge.wait_for_counter("attempts_fully_written", 1);
-    watch.send(&endpoint_list(3, false, &[in_service(1, addresses[1])]));
+    watch.send(&changed_endpoints(3, &[in_service(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 4);
 
     let recording = RecordingNode::start(healthy);
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -2,7 +2,8 @@
 
 use super::data_node::{addresses_of, DataNode};
 use super::discovery::{
-    all_in_service, endpoint_list, endpoint_list_json, ControlledDiscovery, Discovery, Watch,
+    all_in_service, complete_list, endpoint_list_json, ControlledDiscovery, Discovery, ListKind,
+    Watch,
 };
 use super::process::Process;
 use serde_json::{json, Value};
@@ -108,7 +109,7 @@
     /// Starts the process over these nodes, with discovery that knows them in service.
     pub fn start(&self, test: &str, nodes: &[DataNode]) -> (Process, Discovery) {
         let addresses = addresses_of(nodes);
-        let discovery = Discovery::start(endpoint_list(1, true, &all_in_service(&addresses)));
+        let discovery = Discovery::start(complete_list(1, &all_in_service(&addresses)));
         (
             self.start_with_discovery(test, discovery.address, &addresses),
             discovery,
@@ -138,7 +139,7 @@
         nodes: &[SocketAddr],
     ) -> (Process, Watch) {
         let process = self.start_with_discovery(test, discovery.address(), nodes);
-        let watch = discovery.answer_watch(&endpoint_list(1, true, &all_in_service(nodes)));
+        let watch = discovery.answer_watch(&complete_list(1, &all_in_service(nodes)));
         process.wait_until_ready();
         (process, watch)
     }
@@ -149,7 +150,7 @@
             "mgmt": "127.0.0.1:0",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.descriptors},
             "settings": self.settings(nodes.len()),
-            "known": endpoint_list_json(0, true, &all_in_service(nodes))})
+            "known": endpoint_list_json(0, ListKind::Complete, &all_in_service(nodes))})
     }
 
     fn settings(&self, nodes: usize) -> Value {
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -50,14 +50,28 @@
         .collect()
 }
 
-/// Returns a list of endpoints as discovery sends it: a revision, and whether it is complete or a
-/// change.
-pub fn endpoint_list(revision: u64, complete: bool, endpoints: &[ListedEndpoint]) -> String {
-    endpoint_list_json(revision, complete, endpoints).to_string()
+/// The extent of a list of endpoints.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ListKind {
+    /// The list has all endpoints.
+    Complete,
+    /// The list has the endpoints that have changed.
+    Change,
 }
 
-/// Returns the JSON of an [`endpoint_list`].
-pub fn endpoint_list_json(revision: u64, complete: bool, endpoints: &[ListedEndpoint]) -> Value {
+/// Returns the list of all endpoints at this revision, as discovery sends it.
+pub fn complete_list(revision: u64, endpoints: &[ListedEndpoint]) -> String {
+    endpoint_list_json(revision, ListKind::Complete, endpoints).to_string()
+}
+
+/// Returns the list of the endpoints that changed with this revision, as discovery sends it.
+pub fn changed_endpoints(revision: u64, endpoints: &[ListedEndpoint]) -> String {
+    endpoint_list_json(revision, ListKind::Change, endpoints).to_string()
+}
+
+/// Returns a list of endpoints as JSON.
+pub fn endpoint_list_json(revision: u64, kind: ListKind, endpoints: &[ListedEndpoint]) -> Value {
+    let complete = kind == ListKind::Complete;
     let target = |endpoint: &ListedEndpoint| {
         let ListedEndpoint {
             index,
