--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -147,8 +147,8 @@
 
 #[test]
 fn queryables_are_known_to_the_first_request() {
-    // Regression: until a request had a filter, a queryable was an unknown parameter and any name
-    // was accepted.
+    // The first request of a process knows the queryables without a filter before it: a queryable
+    // is a parameter, and another name is rejected.
     let first_response = |query: &str| -> Response {
         let deployment = Deployment::start();
         Client::new(deployment.process.address)
@@ -170,8 +170,8 @@
 
 #[test]
 fn capabilities_are_discovered_for_a_class_with_a_long_latency_objective() {
-    // Regression: the discovery request was predicted to be late and rejected, so every filter was
-    // evaluated by the program.
+    // A discovery request must not be predicted to be late and rejected: the program would evaluate
+    // every filter by itself.
     let features = devices(0..FEATURES_PER_SHARD);
     let server =
         FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -29,7 +29,8 @@
 }
 
 impl<'a> QueryRequest<'a> {
-    /// Returns a query with this trace id and class over these shards, on a connection that is kept open.
+    /// Returns a query with this trace id and class over these shards, on a connection that is kept
+    /// open.
     pub fn new(id: &'a str, class: Class<'a>, shards: Shards<'a>) -> QueryRequest<'a> {
         let timeout_seconds = QUERY_TIMEOUT_SECONDS;
         QueryRequest {
