--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -1,11 +1,11 @@
 //! Slow start: the load of nodes that have just started.
 
 use crate::common::*;
-use crate::support::{site, Due, Fate, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
+use crate::support::{site, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
 use quinceflow::*;
 
-/// Checks that what all instances together send a starting node in any second stays within its
-/// capacity; returns how many parts it was sent.
+/// Asserts that the parts that all instances together send a starting node in any second stay
+/// within its capacity, and returns their number.
 fn parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
     let sent: Vec<_> = fleet
         .sent
@@ -28,7 +28,7 @@
     sent.len()
 }
 
-/// A fleet in which these nodes start at one time, which all instances learn at once.
+/// Returns a fleet in which these nodes start at one time, which all instances learn at once.
 fn fleet_with_starting(nodes: &[u8], started: Nanos) -> Fleet {
     let rule = SlowStartRule {
         overload_factor: 3.0,
@@ -72,14 +72,7 @@
         sent.iter().all(|n| *n > 100),
         "{sent:?} parts in their warm-up"
     );
-    let open = |f: &Fate| f.final_answers == 0 && f.at + S >= started + 20 * S;
-    assert!(
-        fleet
-            .fates
-            .values()
-            .all(|f| f.final_answers == 1 || open(f)),
-        "one final answer each"
-    );
+    fleet.assert_one_final_answer_each(started + 20 * S);
     // Reports may lack a part of twenty: they are served meanwhile.
     assert!(fleet.served(REPORT, started, started + 18 * S) > 0.9);
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -4,11 +4,11 @@
 
 use serde_json::json;
 use standin::client::{
-    query, read_response, read_until_close, send_request, QueryRequest, ResponseHead,
+    query, read_response, read_until_close, send_request, Class, QueryRequest, ResponseHead, Shards,
 };
 use standin::data_node::{DataNode, UnreachableNode};
 use standin::deployment::Deployment;
-use standin::discovery::{all_in_service, endpoint_list, serve_constant_list, ControlledDiscovery};
+use standin::discovery::{all_in_service, complete_list, serve_constant_list, ControlledDiscovery};
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
 use standin::management::management_call;
@@ -29,23 +29,19 @@
         site.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
     let mut persistent = send_request(&edge, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
+
     // Stopped: the kernel has all this, and the signal, when the process continues.
     edge.signal("STOP");
+    let last_request = QueryRequest::new("kept", Class("look"), Shards(&[0])).close_connection();
     persistent
-        .write_all(
-            QueryRequest::new("kept", "look", &[0])
-                .close_connection()
-                .to_http()
-                .as_bytes(),
-        )
+        .write_all(last_request.to_http().as_bytes())
         .expect("written");
-    let queued: Vec<_> = (0..5)
-        .map(|number| {
-            let id = format!("q{number}");
-            let request = QueryRequest::new(&id, "once", &[0, 1]).close_connection();
-            send_request(&edge, &request.to_http())
-        })
-        .collect();
+    let send_query = |number| {
+        let id = format!("q{number}");
+        let request = QueryRequest::new(&id, Class("once"), Shards(&[0, 1])).close_connection();
+        send_request(&edge, &request.to_http())
+    };
+    let queued: Vec<_> = (0..5).map(send_query).collect();
     let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
     edge.signal("TERM");
     edge.signal("CONT");
@@ -53,10 +49,8 @@
     half_request
         .write_all(b"st: x\r\nConnection: close\r\n\r\n")
         .expect("written");
-    assert!(
-        read_until_close(half_request).starts_with("HTTP/1.1 503"),
-        "the readiness check fails"
-    );
+    let readiness = read_until_close(half_request);
+    assert!(readiness.starts_with("HTTP/1.1 503"), "{readiness}");
     for client in queued.into_iter().chain([persistent]) {
         assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     }
@@ -69,7 +63,8 @@
     for class in ["look", "once", "some"] {
         for number in 0..4 {
             let id = format!("{class}{number}");
-            let request = QueryRequest::new(&id, class, &[0, 1, 2, 3]).close_connection();
+            let request =
+                QueryRequest::new(&id, Class(class), Shards(&[0, 1, 2, 3])).close_connection();
             clients.push(send_request(edge, &request.to_http()));
         }
     }
@@ -91,7 +86,7 @@
         loop {
             queries += 1;
             let id = format!("n{queries}");
-            let next = QueryRequest::new(&id, "once", &[4])
+            let next = QueryRequest::new(&id, Class("once"), Shards(&[4]))
                 .timeout_seconds(0.05)
                 .to_http();
             if client.get_mut().write_all(next.as_bytes()).is_err() {
@@ -148,6 +143,14 @@
     );
 }
 
+/// Sends SIGHUP with settings in which the first class has a deadline of 8 s.
+fn reload_with_longer_deadline(process: &Process) {
+    let deadline = json!(8_000_000_000_u64);
+    let settings = process.configuration_with("/settings/classes/0/deadline", deadline);
+    process.write_configuration(&settings);
+    process.signal("HUP");
+}
+
 #[test]
 fn an_answered_client_that_never_closes_does_not_delay_the_exit_until_the_kill() {
     let hanging = DataNode::hanging();
@@ -159,35 +162,23 @@
     };
     let (mut edge, _watch) =
         site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
-    let mut client = BufReader::new(send_request(
-        &edge,
-        &QueryRequest::new("q", "once", &[0]).to_http(),
-    ));
+    let request = QueryRequest::new("q", Class("once"), Shards(&[0])).to_http();
+    let mut client = BufReader::new(send_request(&edge, &request));
     edge.wait_for_counter("queries_accepted", 1);
     // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
     // here.
     edge.signal("TERM");
     edge.wait_for_log("graceful shutdown started");
-    let longer_deadline =
-        edge.configuration_with("/settings/classes/0/deadline", json!(8_000_000_000_u64));
-    edge.write_configuration(&longer_deadline);
-    edge.signal("HUP");
-    assert_eq!(
-        read_response(&mut client),
-        Some(ResponseHead {
-            status: 504,
-            closes: false
-        })
-    );
-    assert_eq!(
-        client.read(&mut [0]).expect("closed in good order"),
-        0,
-        "shortly before the last answer"
-    );
-    let mut last = BufReader::new(send_request(
-        &edge,
-        &QueryRequest::new("last", "once", &[1]).to_http(),
-    ));
+    reload_with_longer_deadline(&edge);
+    let timed_out = ResponseHead {
+        status: 504,
+        closes: false,
+    };
+    assert_eq!(read_response(&mut client), Some(timed_out));
+    let read = client.read(&mut [0]).expect("closed in good order");
+    assert_eq!(read, 0, "shortly before the last answer");
+    let last_request = QueryRequest::new("last", Class("once"), Shards(&[1])).to_http();
+    let mut last = BufReader::new(send_request(&edge, &last_request));
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
@@ -207,7 +198,10 @@
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let (mut edge, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("retry-end", &agent, &addresses);
-    let client = send_request(&edge, &QueryRequest::new("q", "once", &[0]).to_http());
+    let client = send_request(
+        &edge,
+        &QueryRequest::new("q", Class("once"), Shards(&[0])).to_http(),
+    );
     let (sender, attempts) = channel();
     for listener in nodes {
         let sender = sender.clone();
@@ -238,7 +232,7 @@
     );
     let mut client = send_request(
         &edge,
-        &QueryRequest::new("q", "look", &[0])
+        &QueryRequest::new("q", Class("look"), Shards(&[0]))
             .close_connection()
             .to_http(),
     );
@@ -257,7 +251,7 @@
     // exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
-    let discovery = serve_constant_list(endpoint_list(1, true, &all_in_service(&addresses)));
+    let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let first = Deployment::ALL_EFFECTS.start_with_discovery("broken-off", discovery, &addresses);
     let temporary = std::env::temp_dir().join(format!("quinceflow-off-{}", std::process::id()));
     std::fs::create_dir_all(&temporary).expect("a folder");
@@ -274,7 +268,13 @@
     drop(successor);
     for n in 0..5 {
         assert_eq!(
-            query(&predecessor, &format!("q{n}"), "look", &[0, 1]).status,
+            query(
+                &predecessor,
+                &format!("q{n}"),
+                Class("look"),
+                Shards(&[0, 1])
+            )
+            .status,
             200
         );
     }
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -1,9 +1,9 @@
 //! Connections that are established late, or closed when idle.
 
-use crate::standin::client::{query, read_until_close, send_request, QueryRequest};
+use crate::standin::client::{query, read_until_close, send_request, Class, QueryRequest, Shards};
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
+use crate::standin::discovery::{changed_endpoints, in_service, terminating, ControlledDiscovery};
 use crate::standin::frames::read_part_ids;
 use crate::standin::http::bind_loopback;
 use crate::support::{send_non_idempotent_queries, two_serving_nodes};
@@ -48,11 +48,11 @@
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
-    watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
+    watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
         &edge,
-        &QueryRequest::new("key", "key", &[0])
+        &QueryRequest::new("key", Class("key"), Shards(&[0]))
             .close_connection()
             .to_http(),
     );
@@ -61,13 +61,13 @@
         read_part_ids(&mut first).expect("the first attempt"),
         ["key.0"]
     );
-    watch.send(&endpoint_list(
+    watch.send(&changed_endpoints(
         3,
-        false,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
     edge.wait_for_counter("endpoint_updates", 4);
-    // It may have run; within its window it may be retried, on the node that accepts no connection.
+    // The part may have run; within its window it may be retried, on the node that accepts no
+    // connection.
     drop(first);
     edge.wait_for_counter("attempts_dispatched", 2);
     edge.wait_for_counter("attempts_connect_failed", 1);
@@ -87,9 +87,9 @@
         ..Deployment::ALL_EFFECTS
     };
     let (edge, _watch) = site.start_controlled("idle", &agent, &addresses);
-    assert_eq!(query(&edge, "q0", "once", &[0]).status, 200);
+    assert_eq!(query(&edge, "q0", Class("once"), Shards(&[0])).status, 200);
     edge.wait_for_counter("server_connections_idle_closed", 1);
-    assert_eq!(query(&edge, "q1", "once", &[0]).status, 200);
+    assert_eq!(query(&edge, "q1", Class("once"), Shards(&[0])).status, 200);
     let open: usize = nodes.iter().map(DataNode::connections).sum();
     assert_eq!(
         (
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -3,7 +3,7 @@
 use crate::standin::client::{read_until_close, send_request};
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
-use crate::standin::discovery::{endpoint_list, in_service, terminating, ControlledDiscovery};
+use crate::standin::discovery::{changed_endpoints, in_service, terminating, ControlledDiscovery};
 use crate::standin::frames::{read_frame, CALL, CANCEL};
 use crate::standin::http::bind_loopback;
 use crate::standin::process::Process;
@@ -81,6 +81,15 @@
     }
 }
 
+/// Returns the ids of the parts of the queries that were answered with 200, sorted.
+fn served_parts(answers: &[String]) -> Vec<String> {
+    let is_served = |number: &usize| answers[*number].starts_with("HTTP/1.1 200");
+    let served = (0..QUERIES).filter(is_served);
+    let mut ids: Vec<String> = served.map(|number| format!("q{number}.0")).collect();
+    ids.sort();
+    ids
+}
+
 #[test]
 fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
     // At its reset by the node one frame is partly written and others wait behind it. These cannot
@@ -93,12 +102,12 @@
     let agent = ControlledDiscovery::new();
     let (edge, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
-    watch.send(&endpoint_list(2, false, &[terminating(1, addresses[1])]));
+    watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 3);
     let clients = send_long_queries(&edge);
     edge.wait_for_counter("attempts_dispatched", QUERIES as u64);
     edge.wait_for_counter("attempts_fully_written", 1);
-    watch.send(&endpoint_list(3, false, &[in_service(1, addresses[1])]));
+    watch.send(&changed_endpoints(3, &[in_service(1, addresses[1])]));
     edge.wait_for_counter("endpoint_updates", 4);
 
     let recording = RecordingNode::start(healthy);
@@ -108,18 +117,10 @@
 
     let mut retried = recording.wait_until_closed();
     retried.sort();
-    let is_served = |number: &usize| answers[*number].starts_with("HTTP/1.1 200");
-    let mut served: Vec<String> = (0..QUERIES)
-        .filter(is_served)
-        .map(|number| format!("q{number}.0"))
-        .collect();
-    served.sort();
+    let served = served_parts(&answers);
     assert_eq!(retried, served, "each once");
-    assert!(
-        (1..QUERIES).contains(&served.len()),
-        "{} of {QUERIES}",
-        served.len()
-    );
+    let count = served.len();
+    assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
     assert!(answers.iter().all(|answer| {
         answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 502")
     }));
