--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -144,7 +144,8 @@
         self.queries.expire_attempts(&mut turn);
         self.fire_policy_timer(&mut turn);
         self.run_policy(&mut turn);
-        // The policy runs first: in a late turn it still ends the queries whose deadline has passed.
+        // The policy runs first: in a late turn it still ends the queries whose deadline has
+        // passed.
         self.queries.expire_queries(&mut turn);
         self.deferred_events = turn.deferred_events;
         batch_dispatches(commands, self.settings.max_batch());
--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -98,9 +98,9 @@
             let Some(attempt) = self.stop_attempt(key, turn) else {
                 continue;
             };
-            // An attempt whose write has not started is withdrawn: it never ran, so a part that must
-            // not be repeated may be sent again. An attempt whose write has started is written to
-            // its last byte, and may run.
+            // An attempt whose write has not started is withdrawn: it never ran, so a part that
+            // must not be repeated may be sent again. An attempt whose write has started is written
+            // to its last byte, and may run.
             let outcome = if attempt.write_started {
                 Outcome::TimedOut
             } else {
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -13,8 +13,8 @@
     DegradationController::new(DegradationTable::built_in(), jitter, secs(1))
 }
 
-/// Evaluates the signals for this number of seconds, with the readings that `record` adds each time.
-/// Returns the number of transitions.
+/// Evaluates the signals for this number of seconds, with the readings that `record` adds each
+/// time. Returns the number of transitions.
 fn run(
     controller: &mut DegradationController,
     from: u64,
--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Adds the entity tag to a successful response, then empties it if the client has this version,
-    /// or compresses it if the client accepts that.
+    /// Adds the entity tag to a successful response, then empties it if the client has this
+    /// version, or compresses it if the client accepts that.
     fn deliver(&self, mut response: Response) -> Response {
         if response.status != 200 || response.body.is_empty() {
             return response;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,8 @@
 //! The modules, from the decisions outwards:
 //!
 //! * [`interface`]: settings, events and actions; [`policy`]: the decisions;
-//! * [`queries`], [`membership`], [`stats`]: the policy's query table, endpoint list and statistics;
+//! * [`queries`], [`membership`], [`stats`]: the policy's query table, endpoint list and
+//!   statistics;
 //! * [`coordinator`]: the queries and attempts in progress, and the events and actions on their
 //!   behalf;
 //! * [`front`]: the requests of clients, translated to queries and back;
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -68,8 +68,8 @@
     pub fn estimate(query: &QueryShape) -> Self {
         let buffered_pages = query.limit.div_ceil(query.page_size.max(1)) as f64;
         let pages = match query.max_sorted_pages {
-            // The number of pages is unknown: the geometric mean of one page and the maximum, but at
-            // least the buffered pages of each shard.
+            // The number of pages is unknown: the geometric mean of one page and the maximum, but
+            // at least the buffered pages of each shard.
             Some(max_pages) => {
                 (query.shards as f64 * buffered_pages).max((max_pages as f64).sqrt())
             }
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -124,17 +124,9 @@
     lifecycle.advance_startup(StartupPhase::EndpointsReceived);
     let capacity = Arc::new(ServerCapacity::default());
     let key = CursorKey::new(&edge.cursor_key()?);
-    // Two edges that start at the same time must not choose the same servers at the same time.
-    let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
     let upstream = FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone());
     let parts = CoordinatorParts::new(
-        Coordinator::new(
-            edge.settings(),
-            edge.max_in_flight,
-            seed,
-            clock.now(),
-            metrics.clone(),
-        ),
+        feature_coordinator(&edge, clock, metrics),
         Box::new(upstream),
         arrivals,
         Box::new(reload),
@@ -156,3 +148,16 @@
         parts,
     ))
 }
+
+/// Creates the coordinator of the service for feature queries.
+fn feature_coordinator(edge: &EdgeConfig, clock: Clock, metrics: &Arc<Metrics>) -> Coordinator {
+    // Two edges that start at the same time must not choose the same servers at the same time.
+    let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
+    Coordinator::new(
+        edge.settings(),
+        edge.max_in_flight,
+        seed,
+        clock.now(),
+        metrics.clone(),
+    )
+}
