--- a/src/front/ogc/paging/concat_merge/result.rs
+++ b/src/front/ogc/paging/concat_merge/result.rs
@@ -2,7 +2,7 @@
 //! the next response.
 
 use super::super::page::{PageSlice, ResumePosition};
-use super::super::progress::has_min_share;
+use super::super::progress::{has_min_share, missing_indexes};
 use super::{ConcatMerge, InterruptedShard};
 
 impl ConcatMerge {
@@ -35,9 +35,7 @@
     /// passed or requested.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
-        (0..self.shards.len())
-            .filter(|shard| self.shards[*shard].missing)
-            .collect()
+        missing_indexes(self.shards.iter().map(|state| state.missing))
     }
 
     /// Returns whether the response has the minimum share of the shards. Missing shards that the
--- a/src/front/ogc/paging/progress.rs
+++ b/src/front/ogc/paging/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of a merge and the share of shards that it needs, with or without a sort order.
+//! The progress of a merge, and the shards that it needs or misses, with or without a sort order.
 
 /// The tolerance in the comparison of the share of shards with its minimum.
 const SHARE_TOLERANCE: f64 = 1e-6;
@@ -22,3 +22,11 @@
     let share = available as f64 / total.max(1) as f64;
     share + SHARE_TOLERANCE >= min_share
 }
+
+/// Returns the indexes of the shards that are missing, given whether each is.
+pub(super) fn missing_indexes(is_missing: impl Iterator<Item = bool>) -> Vec<usize> {
+    is_missing
+        .enumerate()
+        .filter_map(|(shard, missing)| missing.then_some(shard))
+        .collect()
+}
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -7,7 +7,7 @@
 //! first are dropped at once.
 
 use super::page::{FeaturePage, FetchedPage, PageFetch, PageLocation};
-use super::progress::{has_min_share, MergeProgress};
+use super::progress::{has_min_share, missing_indexes, MergeProgress};
 use super::sort_key::{SortKey, SortValues};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -259,9 +259,7 @@
     /// Returns the indexes of the shards that could not be fetched.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
-        (0..self.shards.len())
-            .filter(|shard| self.shards[*shard].missing)
-            .collect()
+        missing_indexes(self.shards.iter().map(|state| state.missing))
     }
 
     /// Returns the number of features selected so far, at most the limit.
