--- a/src/policy/admission/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -18,7 +18,7 @@
 /// reject everything.
 const MAX_ERROR: f64 = 3.0;
 /// Share of the wanted samples from which a reading counts in full.
-const TRUSTED_SAMPLE_SHARE: f64 = 0.25;
+const FULL_CONFIDENCE_SAMPLE_SHARE: f64 = 0.25;
 
 /// PID controller of the admitted share.
 #[derive(Debug)]
@@ -43,10 +43,10 @@
 
     /// Adjusts the admitted share by the reading of one period.
     pub fn update(&mut self, reading: &QualityReading, period: Nanos) {
-        let trusted_samples = TARGET_SAMPLES * TRUSTED_SAMPLE_SHARE;
-        let trust = (reading.samples / trusted_samples).min(1.0);
+        let full_confidence_samples = TARGET_SAMPLES * FULL_CONFIDENCE_SAMPLE_SHARE;
+        let confidence = (reading.samples / full_confidence_samples).min(1.0);
         let distance = (reading.quality - QUALITY_TARGET) / (1.0 - QUALITY_TARGET);
-        let error = trust * distance.max(-MAX_ERROR);
+        let error = confidence * distance.max(-MAX_ERROR);
         let change = self.pid.step(GAINS, error, MAX_ERROR, period);
         // Clamping the output prevents integral windup.
         self.admitted_share = (self.admitted_share + change).clamp(0.0, 1.0);
--- a/src/policy/admission/wait_estimate.rs
+++ b/src/policy/admission/wait_estimate.rs
@@ -64,9 +64,9 @@
         }
     };
     let longest = longest_needed_wait(waits, class);
-    let is_observed = longest > latency.mean() || latency.any_observed();
+    let is_observed = longest > latency.mean() || latency.is_any_observed();
     let wait = bounded(longest, is_observed);
-    let work = bounded(latency.work(query.class), latency.observed(query.class));
+    let work = bounded(latency.work(query.class), latency.is_observed(query.class));
     wait.max(work) / time_left.max(1.0)
 }
 
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -104,10 +104,10 @@
     settings: &'a Settings,
 ) -> impl Iterator<Item = Action> + 'a {
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
-    let runs_on = move |part: &Part| is_measured && !part.follow_up && !part.is_answered();
+    let is_left_running = move |part: &Part| is_measured && !part.follow_up && !part.is_answered();
     query
         .parts
         .iter()
-        .filter(move |part| settings.cancellation && !runs_on(part))
+        .filter(move |part| settings.cancellation && !is_left_running(part))
         .flat_map(Part::cancellations)
 }
--- a/src/policy/answers/resolution.rs
+++ b/src/policy/answers/resolution.rs
@@ -18,7 +18,7 @@
     let class = settings.class(query.class);
     if is_answer_due(query, class, settings, now) {
         Some(Resolution::Answer)
-    } else if is_hopeless(query, class, now) {
+    } else if is_give_up_due(query, class, now) {
         Some(Resolution::GiveUp)
     } else {
         None
@@ -49,7 +49,7 @@
 }
 
 /// Returns whether no answer of any value is possible any more.
-fn is_hopeless(query: &Query, class: &Class, now: Nanos) -> bool {
+fn is_give_up_due(query: &Query, class: &Class, now: Nanos) -> bool {
     let is_past_deadline = now >= query.deadline;
     let is_worthless = class.late_weight <= 0.0 && now >= query.respond_by;
     is_past_deadline || is_worthless || is_unanswerable(query, class)
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -145,14 +145,14 @@
         is_wanted
             && in_time
             && may_attempt_again(part, class)
-            && is_within_hedging(part, settings)
+            && allows_concurrent_attempt(part, settings)
             && (!is_retry || self.retries.allows(settings, now))
             && replicas.accepts(target, planned.replica, settings, now)
     }
 }
 
 /// Returns whether the settings allow one more attempt at a part to be in flight.
-fn is_within_hedging(part: &Part, settings: &Settings) -> bool {
+fn allows_concurrent_attempt(part: &Part, settings: &Settings) -> bool {
     let max_in_flight = if settings.hedging {
         MAX_HEDGED_ATTEMPTS
     } else {
--- a/src/policy/attempts/next_step.rs
+++ b/src/policy/attempts/next_step.rs
@@ -50,7 +50,7 @@
     now: Nanos,
 ) -> NextStep {
     let class = settings.class(query.class);
-    if let Some(reason) = nothing_to_do(query, part, class) {
+    if let Some(reason) = no_attempt_reason(query, part, class) {
         return NextStep::Wait(reason);
     }
     let target = Target {
@@ -64,7 +64,7 @@
         };
     }
     let in_flight = part.in_flight().next();
-    if let Some(reason) = retry_is_not_due(part, in_flight, replicas, retries, settings, now) {
+    if let Some(reason) = retry_wait_reason(part, in_flight, replicas, retries, settings, now) {
         return NextStep::Wait(reason);
     }
     let Some(candidate) = retry_candidate(part, in_flight, target, replicas, settings, now) else {
@@ -77,7 +77,7 @@
 }
 
 /// Returns why a part needs no attempt at all, if it does not.
-fn nothing_to_do(query: &Query, part: &Part, class: &Class) -> Option<WaitReason> {
+fn no_attempt_reason(query: &Query, part: &Part, class: &Class) -> Option<WaitReason> {
     if !query.is_in_step(part) {
         Some(WaitReason::OtherStep)
     } else if !part.requested {
@@ -92,7 +92,7 @@
 }
 
 /// Returns why a part that was attempted is not retried yet, if it is not.
-fn retry_is_not_due(
+fn retry_wait_reason(
     part: &Part,
     in_flight: Option<&Attempt>,
     replicas: &ReplicaTable,
--- a/src/policy/attempts/rules.rs
+++ b/src/policy/attempts/rules.rs
@@ -7,9 +7,9 @@
 /// Returns whether another attempt at a part may be allowed, now or later: the rule "no part
 /// repeated beyond its class's effect", and the class's maximum number of attempts.
 pub fn may_attempt_again(part: &Part, class: &Class) -> bool {
-    let harmless = class.effect != Effect::NonIdempotent || !part.may_have_run();
+    let is_repeat_safe = class.effect != Effect::NonIdempotent || !part.may_have_run();
     let attempts = part.attempts.len() as u32;
-    harmless && attempts < class.max_attempts.max(1)
+    is_repeat_safe && attempts < class.max_attempts.max(1)
 }
 
 /// Returns the time after which writing another attempt at a part must not start: the rule "no part
--- a/src/policy/fleet/latency.rs
+++ b/src/policy/fleet/latency.rs
@@ -122,13 +122,13 @@
 
     /// Returns whether answers of a class were observed.
     #[must_use]
-    pub fn observed(&self, class: ClassId) -> bool {
+    pub fn is_observed(&self, class: ClassId) -> bool {
         self.work[usize::from(class.0)].observed
     }
 
     /// Returns whether answers of any class were observed.
     #[must_use]
-    pub fn any_observed(&self) -> bool {
+    pub fn is_any_observed(&self) -> bool {
         self.work.iter().any(|work| work.observed)
     }
 }
--- a/src/policy/fleet/tests.rs
+++ b/src/policy/fleet/tests.rs
@@ -31,10 +31,12 @@
         (latency.work(ClassId(0)), latency.work(ClassId(1))),
         (100.0, 200.0)
     );
-    assert!(!latency.any_observed());
+    assert!(!latency.is_any_observed());
     latency.record(ClassId(1), 100, 2.0);
     assert!(
-        latency.any_observed() && latency.observed(ClassId(1)) && !latency.observed(ClassId(0))
+        latency.is_any_observed()
+            && latency.is_observed(ClassId(1))
+            && !latency.is_observed(ClassId(0))
     );
     assert_eq!(
         latency.work(ClassId(1)),
@@ -68,7 +70,7 @@
         [200.0, 80.0, 200.0]
     );
     assert_eq!(
-        [0, 1, 2].map(|class| latency.observed(ClassId(class))),
+        [0, 1, 2].map(|class| latency.is_observed(ClassId(class))),
         [false, true, false]
     );
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -32,8 +32,8 @@
 use answers::{due_resolution, resolve, Resolution};
 use attempts::{attempt_timeout, AttemptSender};
 use margins::{DEADLINE_MARGIN_TICKS, OBJECTIVE_MARGIN_TICKS};
-use polling::EndpointPoll;
-use quality::{measure_quality, take_sample, QUALITY_WINDOW};
+use polling::PollSchedule;
+use quality::{measure_quality, should_sample, QUALITY_WINDOW};
 use replicas::ReplicaTable;
 
 /// Period of the admission controller, in ticks.
@@ -41,7 +41,7 @@
 /// Longest time between two checks of open queries, in ticks.
 const CHECK_PERIOD_TICKS: u64 = 5;
 /// Quality windows after which a replica that is not ready is removed.
-const REMOVAL_WINDOWS: u64 = 3;
+const REMOVAL_DELAY_WINDOWS: u64 = 3;
 
 /// Decision policy of one coordinator.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     replicas: ReplicaTable,
     admission: Admission,
     attempts: AttemptSender,
-    poll: EndpointPoll,
+    polls: PollSchedule,
     next_control_at: Nanos,
     /// Time of the timer that is set; 0 if none is.
     timer_at: Nanos,
@@ -70,7 +70,7 @@
             replicas: ReplicaTable::new(&settings, &mut rng),
             admission: Admission::new(&settings, now),
             attempts: AttemptSender::default(),
-            poll: EndpointPoll::new(settings.max_poll_interval, now),
+            polls: PollSchedule::new(settings.max_poll_interval, now),
             next_control_at: now,
             timer_at: 0,
             settings,
@@ -87,7 +87,7 @@
             self.apply(event, actions);
         }
         if self
-            .poll
+            .polls
             .take_due(self.settings.max_poll_interval, self.now)
         {
             actions.push(Action::Subscribe);
@@ -171,9 +171,9 @@
         let rng = &mut self.rng;
         if kind == EndpointListKind::Failed {
             let max_interval = self.settings.max_poll_interval;
-            self.poll.poll_failed(max_interval, now, rng);
+            self.polls.record_failure(max_interval, now, rng);
         } else {
-            self.poll.list_received(kind);
+            self.polls.record_list(kind);
             self.replicas
                 .apply_list(kind, endpoints, &self.settings, rng, now);
         }
@@ -225,7 +225,7 @@
         }
         if query.priority >= settings.max_priority_weight() {
             let samples = self.queries.samples().count();
-            query.sampled = take_sample(samples, &mut self.rng);
+            query.sampled = should_sample(samples, &mut self.rng);
         }
         query.admission_draw = self.rng.f64();
         self.attempts.record_received(self.now);
@@ -298,8 +298,8 @@
         self.next_control_at = now + period;
         let window_start = now.saturating_sub(QUALITY_WINDOW);
         self.queries.remove_closed(window_start);
-        let removal_time = now.saturating_sub(REMOVAL_WINDOWS * QUALITY_WINDOW);
-        self.replicas.remove_unlisted(removal_time);
+        let removal_horizon = now.saturating_sub(REMOVAL_DELAY_WINDOWS * QUALITY_WINDOW);
+        self.replicas.remove_unlisted(removal_horizon);
         self.attempts.expire(&self.settings, now);
         self.replicas.balance(&self.settings, now);
         let answered_since = |attempt: &_| self.replicas.has_answered_since(attempt);
@@ -317,7 +317,7 @@
             .queries
             .due_after(now)
             .chain(has_open_queries.then_some(next_check))
-            .chain(self.poll.due_at())
+            .chain(self.polls.due_at())
             .fold(next_control, Nanos::min);
         let is_set = self.timer_at > now;
         if !is_set || next < self.timer_at {
--- a/src/policy/polling/tests.rs
+++ b/src/policy/polling/tests.rs
@@ -1,18 +1,18 @@
 //! Polls for the endpoint list.
 
-use super::EndpointPoll;
+use super::PollSchedule;
 use crate::interface::EndpointListKind;
 
 const INTERVAL: u64 = 8_000;
 
 #[test]
 fn a_poll_is_due_at_once_and_then_twice_in_the_longest_interval() {
-    let mut poll = EndpointPoll::new(Some(INTERVAL), 100);
+    let mut poll = PollSchedule::new(Some(INTERVAL), 100);
     assert!(poll.take_due(Some(INTERVAL), 100));
     assert!(!poll.take_due(Some(INTERVAL), 100 + INTERVAL / 2 - 1));
     assert!(poll.take_due(Some(INTERVAL), 100 + INTERVAL / 2));
     assert!(
-        !EndpointPoll::new(None, 100).take_due(None, 100),
+        !PollSchedule::new(None, 100).take_due(None, 100),
         "the list comes on its own"
     );
 }
@@ -24,8 +24,8 @@
         (EndpointListKind::Full, false),
         (EndpointListKind::Delta, false),
     ] {
-        let mut poll = EndpointPoll::new(Some(INTERVAL), 100);
-        poll.list_received(kind);
+        let mut poll = PollSchedule::new(Some(INTERVAL), 100);
+        poll.record_list(kind);
         assert_eq!(poll.due_at().is_some(), due, "{kind:?}");
     }
 }
@@ -34,8 +34,8 @@
 fn a_failed_poll_is_made_again_within_a_fraction_of_the_interval() {
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..100 {
-        let mut poll = EndpointPoll::new(Some(INTERVAL), 0);
-        poll.poll_failed(Some(INTERVAL), 100, &mut rng);
+        let mut poll = PollSchedule::new(Some(INTERVAL), 0);
+        poll.record_failure(Some(INTERVAL), 100, &mut rng);
         let wait = poll.due_at().expect("a poll") - 100;
         assert!((INTERVAL / 32..=INTERVAL / 8).contains(&wait), "{wait}");
     }
--- a/src/policy/quality/mod.rs
+++ b/src/policy/quality/mod.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use sampling::{take_sample, TARGET_SAMPLES};
+pub use sampling::{should_sample, TARGET_SAMPLES};
 
 use crate::interface::{Nanos, Outcome};
 use crate::queries::{Attempt, Part, Query};
--- a/src/policy/quality/sampling.rs
+++ b/src/policy/quality/sampling.rs
@@ -10,7 +10,7 @@
 /// Decides whether to sample the next query of the highest priority, given the number of samples
 /// in the query table.
 #[must_use]
-pub fn take_sample(samples: usize, rng: &mut fastrand::Rng) -> bool {
+pub fn should_sample(samples: usize, rng: &mut fastrand::Rng) -> bool {
     let samples = samples as f64;
     samples < TARGET_SAMPLES || (samples < MAX_SAMPLES && rng.f64() < SAMPLED_SHARE)
 }
--- a/src/policy/quality/tests.rs
+++ b/src/policy/quality/tests.rs
@@ -1,6 +1,6 @@
 //! Sampling and the reading of answer quality.
 
-use super::{measure_quality, take_sample, QUALITY_WINDOW};
+use super::{measure_quality, should_sample, QUALITY_WINDOW};
 use crate::interface::{ClassId, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, ShardId};
 use crate::queries::{Attempt, FirstAnswer, Part, Query};
 
@@ -74,7 +74,7 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut count_sampled = |samples| {
         (0..1_000)
-            .filter(|_| take_sample(samples, &mut rng))
+            .filter(|_| should_sample(samples, &mut rng))
             .count()
     };
     assert_eq!(count_sampled(19), 1_000);
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -33,7 +33,7 @@
     /// The replica's queue is full.
     FullQueue,
     /// The response time is at least that of the attempt.
-    SlowerThan,
+    LowerBound,
     /// The replica answered nothing since the attempt was sent.
     Silence,
     /// None.
@@ -93,7 +93,7 @@
             }
             // A rejection is fast, but a full queue means a long wait.
             Evidence::FullQueue => self.response_time.raise_to(now, objective as f64),
-            Evidence::SlowerThan => {
+            Evidence::LowerBound => {
                 self.response_time
                     .record_lower_bound(now, ended.elapsed as f64, LATENCY_GAIN);
             }
@@ -118,8 +118,9 @@
         fleet: &FleetStatistics,
         now: Nanos,
     ) -> Evidence {
-        let answered_lately = now - self.last_success_at < objective;
-        let brief = (ended.elapsed as f64) < fleet.latency.overdue_after() && answered_lately;
+        let answered_recently = now - self.last_success_at < objective;
+        let is_inconclusive =
+            (ended.elapsed as f64) < fleet.latency.overdue_after() && answered_recently;
         let lost_on_idle_connection =
             ended.attempt.idle_connection && ended.silent && fleet.connections.idle_are_dropped();
         match ended.outcome {
@@ -127,10 +128,12 @@
             Outcome::Rejected => Evidence::FullQueue,
             Outcome::NotSent => Evidence::None,
             _ if lost_on_idle_connection => Evidence::None,
-            Outcome::Cancelled | Outcome::Reset | Outcome::Error if brief => Evidence::None,
+            Outcome::Cancelled | Outcome::Reset | Outcome::Error if is_inconclusive => {
+                Evidence::None
+            }
             Outcome::ConnectFailed => Evidence::Silence,
             _ if ended.silent => Evidence::Silence,
-            _ => Evidence::SlowerThan,
+            _ => Evidence::LowerBound,
         }
     }
 
--- a/src/policy/replicas/replica.rs
+++ b/src/policy/replicas/replica.rs
@@ -1,7 +1,7 @@
 //! One replica: its health, its warm-up, the attempts in flight there and its connections.
 
 use super::outlier::OutlierDetector;
-use super::slow_start::SlowStartGuard;
+use super::slow_start::SlowStartLimiter;
 use crate::interface::{Class, Nanos, ReplicaId, Settings};
 use crate::policy::fleet::FleetStatistics;
 use crate::queries::AttemptsByAge;
@@ -10,7 +10,7 @@
 /// it.
 const MIN_CAPACITY_SHARE: f64 = 0.1;
 /// Fraction of the shortest latency objective after which an unused connection counts as idle.
-const IDLE_FRACTION: u64 = 4;
+const IDLE_DIVISOR: u64 = 4;
 /// Share of sends that still use idle connections while these are dropped, to detect when that
 /// ends.
 const IDLE_SAMPLE_SHARE: f64 = 0.2;
@@ -21,7 +21,7 @@
     /// Health, by the answers of the replica.
     pub health: OutlierDetector,
     /// Guard of the load after a start.
-    pub slow_start: SlowStartGuard,
+    pub slow_start: SlowStartLimiter,
     /// Attempts in flight at the replica.
     pub in_flight: AttemptsByAge,
     /// Time at which a connection to the replica was last used; 0 if none was.
@@ -45,7 +45,7 @@
     pub fn new(fleet: &FleetStatistics, drawn_gap: f64, now: Nanos) -> Self {
         Replica {
             health: OutlierDetector::new(fleet.latency.mean(), now),
-            slow_start: SlowStartGuard::new(drawn_gap),
+            slow_start: SlowStartLimiter::new(drawn_gap),
             ..Replica::default()
         }
     }
@@ -88,7 +88,7 @@
         if self.last_used_at >= now || !self.in_flight.is_empty() {
             return false;
         }
-        let idle_since = now.saturating_sub(min_objective / IDLE_FRACTION);
+        let idle_since = now.saturating_sub(min_objective / IDLE_DIVISOR);
         let idle = (1..idle_since).contains(&self.last_used_at);
         let close = idle && fleet.connections.idle_are_dropped() && rng.f64() > IDLE_SAMPLE_SHARE;
         self.was_idle = idle && !close;
--- a/src/policy/replicas/slow_start.rs
+++ b/src/policy/replicas/slow_start.rs
@@ -10,7 +10,7 @@
 
 /// Start of one replica, and the work it was sent lately.
 #[derive(Debug, Default)]
-pub struct SlowStartGuard {
+pub struct SlowStartLimiter {
     /// Time of the last start; `None` if it is long past.
     started_at: Option<Nanos>,
     /// Work sent, in ns.
@@ -19,12 +19,12 @@
     drawn_gap: f64,
 }
 
-impl SlowStartGuard {
-    /// Creates the guard of a replica of unknown start; `drawn_gap` in mean gaps between parts.
+impl SlowStartLimiter {
+    /// Creates the limiter of a replica of unknown start; `drawn_gap` in mean gaps between parts.
     pub fn new(drawn_gap: f64) -> Self {
-        SlowStartGuard {
+        SlowStartLimiter {
             drawn_gap,
-            ..SlowStartGuard::default()
+            ..SlowStartLimiter::default()
         }
     }
 
--- a/src/policy/replicas/slow_start/tests.rs
+++ b/src/policy/replicas/slow_start/tests.rs
@@ -14,12 +14,12 @@
         warm_up: 30 * SECOND,
     };
     for (rule, most) in [(None, 0), (Some(rule), 11)] {
-        let mut guard = SlowStartGuard::new(1.0);
+        let mut limiter = SlowStartLimiter::new(1.0);
         let mut rng = fastrand::Rng::with_seed(1);
         for attempt in 0..1_000 {
-            guard.record_send(1.0, rule, &mut rng, attempt * SECOND / 10);
+            limiter.record_send(1.0, rule, &mut rng, attempt * SECOND / 10);
         }
-        let recorded = guard.sent_work.count(u64::MAX / 2, u64::MAX / 2);
+        let recorded = limiter.sent_work.count(u64::MAX / 2, u64::MAX / 2);
         assert!(recorded <= most, "{recorded}");
     }
 }
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -20,7 +20,7 @@
 
 /// Position of a part in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PartKey {
+pub struct PartPosition {
     /// Query of the part.
     pub query: QueryNo,
     /// Index of the part in [`Query::parts`].
@@ -31,15 +31,15 @@
 #[derive(Debug, Default)]
 pub struct QueryTable {
     queries: BTreeMap<QueryNo, Query>,
-    parts: BTreeMap<PartId, PartKey>,
-    next: QueryNo,
+    parts: BTreeMap<PartId, PartPosition>,
+    next_number: QueryNo,
 }
 
 impl QueryTable {
     /// Adds a query that was received.
     pub fn insert(&mut self, query: Query) {
-        self.queries.insert(self.next, query);
-        self.next.0 += 1;
+        self.queries.insert(self.next_number, query);
+        self.next_number.0 += 1;
     }
 
     /// Adds a part to the latest open query of its group; drops the part if there is none.
@@ -54,7 +54,7 @@
         };
         self.parts.insert(
             part.id,
-            PartKey {
+            PartPosition {
                 query: *number,
                 index: query.parts.len(),
             },
@@ -99,15 +99,15 @@
 
     /// Returns a part by its position.
     #[must_use]
-    pub fn part(&self, key: PartKey) -> Option<&Part> {
-        self.get(key.query)
-            .and_then(|query| query.parts.get(key.index))
+    pub fn part(&self, position: PartPosition) -> Option<&Part> {
+        self.get(position.query)
+            .and_then(|query| query.parts.get(position.index))
     }
 
     /// Returns a part by its position, mutably.
-    pub fn part_mut(&mut self, key: PartKey) -> Option<&mut Part> {
-        self.get_mut(key.query)
-            .and_then(|query| query.parts.get_mut(key.index))
+    pub fn part_mut(&mut self, position: PartPosition) -> Option<&mut Part> {
+        self.get_mut(position.query)
+            .and_then(|query| query.parts.get_mut(position.index))
     }
 
     /// Returns the numbers of all queries, in order of arrival.
@@ -140,10 +140,10 @@
         outcome: Outcome,
         now: Nanos,
     ) {
-        let Some(key) = self.parts.get(&part).copied() else {
+        let Some(position) = self.parts.get(&part).copied() else {
             return;
         };
-        if let Some(part) = self.part_mut(key) {
+        if let Some(part) = self.part_mut(position) {
             part.complete_attempt(attempt, outcome, now);
         }
     }
@@ -156,7 +156,7 @@
         for (index, part) in query.parts.iter().enumerate() {
             self.parts.insert(
                 part.id,
-                PartKey {
+                PartPosition {
                     query: number,
                     index,
                 },
@@ -169,6 +169,6 @@
         self.queries
             .retain(|_, query| query.is_open() || (query.sampled && query.received_at >= horizon));
         self.parts
-            .retain(|_, key| self.queries.contains_key(&key.query));
+            .retain(|_, position| self.queries.contains_key(&position.query));
     }
 }
--- a/src/queries/query.rs
+++ b/src/queries/query.rs
@@ -231,17 +231,17 @@
     /// Returns whether the present step has parts and all of them are answered.
     #[must_use]
     pub fn all_answered(&self) -> bool {
-        answered(self.step_parts())
+        are_all_answered(self.step_parts())
     }
 
     /// Returns whether the present step has requested parts and all of those are answered.
     #[must_use]
     pub fn all_requested_answered(&self) -> bool {
-        answered(self.step_parts().filter(|part| part.requested))
+        are_all_answered(self.step_parts().filter(|part| part.requested))
     }
 }
 
-fn answered<'a>(parts: impl Iterator<Item = &'a Part>) -> bool {
+fn are_all_answered<'a>(parts: impl Iterator<Item = &'a Part>) -> bool {
     let mut parts = parts.peekable();
     parts.peek().is_some() && parts.all(Part::is_answered)
 }
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -1,6 +1,8 @@
 //! The query table and its records.
 
-use super::{Attempt, AttemptKey, AttemptsByAge, Part, PartKey, Query, QueryNo, QueryTable, Stage};
+use super::{
+    Attempt, AttemptKey, AttemptsByAge, Part, PartPosition, Query, QueryNo, QueryTable, Stage,
+};
 use crate::interface::{
     Action, AttemptNo, ClassId, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, ShardId,
 };
@@ -104,16 +106,16 @@
     let mut table = QueryTable::default();
     table.insert(query(1, 7, 0));
     table.add_part(GroupId(7), part(10, 1.0));
-    let key = PartKey {
+    let position = PartPosition {
         query: number(&table, 1),
         index: 0,
     };
-    table.part_mut(key).expect("kept").attempts = vec![attempt(None), attempt(None)];
+    table.part_mut(position).expect("kept").attempts = vec![attempt(None), attempt(None)];
     table.complete_attempt(PartId(10), AttemptNo(1), Outcome::Ok, 50);
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 60);
     table.complete_attempt(PartId(10), AttemptNo(9), Outcome::Error, 70);
     table.complete_attempt(PartId(99), AttemptNo(0), Outcome::Ok, 80);
-    let part = table.part(key).expect("kept");
+    let part = table.part(position).expect("kept");
     assert_eq!(part.answered_at, Some(50));
     assert_eq!(
         part.attempts,
@@ -169,7 +171,7 @@
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 5);
     let answered = |index| {
         table
-            .part(PartKey {
+            .part(PartPosition {
                 query: number,
                 index,
             })
