--- a/src/policy/admission/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -2,7 +2,7 @@
 //! answers.
 
 use crate::interface::Nanos;
-use crate::policy::quality::{QualityReading, TARGET_SAMPLES};
+use crate::policy::quality::{QualityMeasurement, TARGET_SAMPLES};
 use crate::stats::{PidGains, VelocityPid};
 
 /// Target of the answer quality.
@@ -14,10 +14,10 @@
     integral: 0.1,
     derivative: 0.05,
 };
-/// Bound of the error, in units of the range above the target, so that one bad reading does not
+/// Bound of the error, in units of the range above the target, so that one bad measurement does not
 /// reject everything.
 const MAX_ERROR: f64 = 3.0;
-/// Share of the wanted samples from which a reading counts in full.
+/// Share of the wanted samples from which a measurement counts in full.
 const FULL_CONFIDENCE_SAMPLE_SHARE: f64 = 0.25;
 
 /// PID controller of the admitted share.
@@ -41,11 +41,11 @@
         self.admitted_share
     }
 
-    /// Adjusts the admitted share by the reading of one period.
-    pub fn update(&mut self, reading: &QualityReading, period: Nanos) {
+    /// Adjusts the admitted share by the measurement of one period.
+    pub fn update(&mut self, measurement: &QualityMeasurement, period: Nanos) {
         let full_confidence_samples = TARGET_SAMPLES * FULL_CONFIDENCE_SAMPLE_SHARE;
-        let confidence = (reading.samples / full_confidence_samples).min(1.0);
-        let distance = (reading.quality - QUALITY_TARGET) / (1.0 - QUALITY_TARGET);
+        let confidence = (measurement.samples / full_confidence_samples).min(1.0);
+        let distance = (measurement.quality - QUALITY_TARGET) / (1.0 - QUALITY_TARGET);
         let error = confidence * distance.max(-MAX_ERROR);
         let change = self.pid.step(GAINS, error, MAX_ERROR, period);
         // Clamping the output prevents integral windup.
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -7,7 +7,7 @@
 mod ramps;
 mod wait_estimate;
 
-use super::quality::QualityReading;
+use super::quality::QualityMeasurement;
 use super::replicas::ReplicaTable;
 use crate::interface::{Nanos, Settings, TenantId};
 use crate::queries::Query;
@@ -50,8 +50,8 @@
     }
 
     /// Adjusts the share of low-priority queries to admit by the answer quality of one period.
-    pub fn update(&mut self, reading: &QualityReading, period: Nanos) {
-        self.controller.update(reading, period);
+    pub fn update(&mut self, measurement: &QualityMeasurement, period: Nanos) {
+        self.controller.update(measurement, period);
     }
 
     /// Returns whether the controller rejects a share of the low-priority queries.
--- a/src/policy/answers/completeness.rs
+++ b/src/policy/answers/completeness.rs
@@ -1,5 +1,5 @@
-//! The rule "honest completeness": from how much a query may be answered, and what the answer is
-//! called.
+//! The rule "honest completeness": the share of its weight from which a query may be answered, and
+//! whether the answer is complete or partial.
 
 use crate::interface::Class;
 use crate::queries::{Query, Stage, WEIGHT_TOLERANCE};
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns whether the present step may be answered although parts are missing.
+/// Returns whether the current step may be answered although parts are missing.
 fn may_lack_parts(query: &Query, class: &Class) -> bool {
     let weight = query.answered_weight() + WEIGHT_TOLERANCE;
     if query.stage == Stage::FollowUp {
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns whether the answer to the present step is complete by itself. With all parts answered it
-/// is, even if rounding left the sum of their weights below 1.
+/// Returns whether the answer from the current step is complete, regardless of earlier steps. If
+/// all parts are answered it is complete, even if the sum of their weights is rounded to below 1.
 fn has_required_weight(query: &Query, class: &Class) -> bool {
     let weight = query.answered_weight() + WEIGHT_TOLERANCE;
     let is_first_step = query.stage != Stage::FollowUp;
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers: when a query is resolved, from how much it is answered, and its final answer.
+//! Answers: decides when a query is answered or given up, and whether its answer is complete.
 
 mod completeness;
 mod resolution;
@@ -15,9 +15,10 @@
 /// Share of the longest `Retry-After` over which the waits of rejected clients are spread.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// Answers a query or gives it up, and returns the actions that do so: the only place where queries
-/// are answered, rejected or failed, and so where the rule "one final answer" is enforced. An
-/// answer that is not allowed yet does nothing.
+/// Answers a query or gives it up, and returns the actions that do so. Returns no actions if the
+/// query is closed, or if an answer is not allowed yet.
+///
+/// Queries are answered, rejected and failed only here, which enforces the rule "one final answer".
 pub fn resolve(
     query: &mut Query,
     resolution: Resolution,
@@ -34,8 +35,8 @@
     }
 }
 
-/// Answers a query, if that is allowed; the answer from the first step may begin the follow-up
-/// step.
+/// Answers a query, if that is allowed. After the answer from the first step, the query continues
+/// with the follow-up step if its class has one, and is closed otherwise.
 fn answer(query: &mut Query, settings: &Settings, now: Nanos) -> Vec<Action> {
     let Some(completeness) = completeness(query, settings.class(query.class)) else {
         return Vec::new();
@@ -71,25 +72,25 @@
     actions
 }
 
-/// Closes a query that has its final answer, and returns the cancellations of what it leaves.
+/// Closes a query, and returns the cancellations of its attempts in flight.
 fn close(query: &mut Query, settings: &Settings) -> Vec<Action> {
     query.stage = Stage::Closed;
     cancellations(query, settings).collect()
 }
 
-/// Returns whether the answer that is given now begins the follow-up step.
+/// Returns whether the follow-up step begins once the query is answered now.
 fn begins_follow_up(query: &Query, settings: &Settings) -> bool {
     let has_follow_up = settings.class(query.class).follow_up_parts > 0;
     query.first_answer.is_none() && has_follow_up
 }
 
-/// Returns whether a retry by the client might repeat an effect.
+/// Returns whether a retry by the client might repeat an effect of the query.
 fn may_have_had_effect(query: &Query, settings: &Settings) -> bool {
     let has_effect = settings.class(query.class).effect != Effect::Idempotent;
     has_effect && query.parts.iter().any(Part::may_have_run)
 }
 
-/// Draws the `Retry-After` of a rejected client, where clients get one.
+/// Draws the `Retry-After` for a rejected client; `None` if the settings give clients none.
 fn draw_retry_after(settings: &Settings, rng: &mut fastrand::Rng) -> Option<Nanos> {
     let factor = settings.reduction.retry_after_factor.max(1.0);
     let shortened_by = RETRY_AFTER_JITTER * rng.f64() / factor;
@@ -97,8 +98,9 @@
     Some((longest * (1.0 - shortened_by)) as Nanos)
 }
 
-/// Returns the cancellations of a query's attempts in flight. Late parts of a sample run on, so
-/// that the quality of its answer can be measured.
+/// Returns the cancellations of a query's attempts in flight. In a sampled query, attempts at
+/// unanswered parts of the first step are not cancelled, so that the quality of its answer can be
+/// measured.
 fn cancellations<'a>(
     query: &'a Query,
     settings: &'a Settings,
--- a/src/policy/answers/resolution.rs
+++ b/src/policy/answers/resolution.rs
@@ -1,4 +1,4 @@
-//! Whether it is time to answer a query or to give it up.
+//! Decides whether it is time to answer a query or to give it up.
 
 use crate::interface::{Class, Nanos, Settings};
 use crate::policy::attempts::may_attempt_again;
@@ -13,7 +13,7 @@
     GiveUp,
 }
 
-/// Returns the way in which a query is to end now, if it is.
+/// Returns how a query is resolved now; `None` if neither an answer nor giving up is due.
 pub fn due_resolution(query: &Query, settings: &Settings, now: Nanos) -> Option<Resolution> {
     let class = settings.class(query.class);
     if is_answer_due(query, class, settings, now) {
@@ -25,8 +25,9 @@
     }
 }
 
-/// Returns whether an answer is due: when all requested parts are answered, when the first step has
-/// its required share or, where parts may be missing, when it is time to answer from what there is.
+/// Returns whether an answer is due. This is the case when all requested parts are answered, when
+/// the first step has its required share, or when it is time for a partial answer, if the class
+/// allows one and its minimum share is answered.
 fn is_answer_due(query: &Query, class: &Class, settings: &Settings, now: Nanos) -> bool {
     let weight = query.answered_weight();
     let has_minimum = weight > 0.0 && weight >= class.min_share;
@@ -36,26 +37,28 @@
         || (partial_is_due && has_minimum)
 }
 
-/// Returns whether the first step is complete although parts are missing.
+/// Returns whether the first step has its required share of the weight, where that is less than all
+/// of it.
 fn has_required_share(query: &Query, class: &Class, weight: f64) -> bool {
     let is_first_step = query.stage == Stage::FirstStep;
     is_first_step && class.required_share < 1.0 && weight >= class.required_share
 }
 
-/// Returns the time from which a query is answered although parts are missing.
+/// Returns the time from which a partial answer is given.
 fn partial_answer_time(query: &Query, settings: &Settings) -> Nanos {
     let time = query.respond_by.saturating_sub(query.received_at) as f64;
     query.received_at + (settings.reduction.answer_after * time) as Nanos
 }
 
-/// Returns whether no answer of any value is possible any more.
+/// Returns whether the query is to be given up, since an answer is no longer possible or would have
+/// no weight.
 fn is_give_up_due(query: &Query, class: &Class, now: Nanos) -> bool {
     let is_past_deadline = now >= query.deadline;
     let is_worthless = class.late_weight <= 0.0 && now >= query.respond_by;
     is_past_deadline || is_worthless || is_unanswerable(query, class)
 }
 
-/// Returns whether more parts are lost than an answer may lack.
+/// Returns whether so many parts are lost that the query can no longer be answered.
 fn is_unanswerable(query: &Query, class: &Class) -> bool {
     let lost_weight: f64 = query
         .step_parts()
@@ -69,7 +72,7 @@
     }
 }
 
-/// Returns whether a part has no answer and can get none.
+/// Returns whether a part has no answer and can no longer get one.
 fn is_lost(part: &Part, class: &Class) -> bool {
     !part.is_answered() && !part.is_in_flight() && !may_attempt_again(part, class)
 }
--- a/src/policy/answers/tests.rs
+++ b/src/policy/answers/tests.rs
@@ -1,4 +1,4 @@
-//! When a query is resolved, and how complete its answer is.
+//! Tests of when and how a query is resolved, and of the completeness of its answer.
 
 use super::completeness::{completeness, Completeness};
 use super::{due_resolution, resolve, Resolution};
@@ -12,7 +12,7 @@
 const RESPOND_BY: Nanos = 2_000;
 const DEADLINE: Nanos = 3_000;
 
-/// A class that needs 80% of the weight for a complete answer and 50% for a partial one.
+/// Returns a class that needs 80% of the weight for a complete answer and 50% for a partial one.
 fn partial_class() -> Class {
     Class {
         required_share: 0.8,
@@ -21,7 +21,7 @@
     }
 }
 
-/// A query with parts of these weights, of which the first `answered` are answered.
+/// Returns a query with parts of these weights, of which the first `answered` are answered.
 fn query(weights: &[f64], answered: usize) -> Query {
     let mut parts = Vec::new();
     for (index, weight) in weights.iter().enumerate() {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_answer_is_called_complete_only_from_the_required_share_on() {
+fn an_answer_is_complete_only_from_the_required_share_on() {
     let class = partial_class();
     let weights = [0.4, 0.2, 0.2, 0.2];
     let expected = [
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_partial_answer_is_given_only_when_the_query_must_be_answered() {
+fn a_partial_answer_is_not_given_before_the_query_must_be_answered() {
     let settings = settings(partial_class());
     let query = query(&[0.4, 0.2, 0.2, 0.2], 2);
     assert_eq!(due_resolution(&query, &settings, RESPOND_BY - 1), None);
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn a_query_without_value_or_time_is_given_up() {
+fn a_query_is_given_up_at_its_deadline_or_when_a_late_answer_has_no_weight() {
     let mut settings = settings(test_fixtures::class("lookup"));
     let query = query(&[0.5, 0.5], 1);
     assert_eq!(
         due_resolution(&query, &settings, RESPOND_BY),
         Some(Resolution::GiveUp),
-        "a late answer earns nothing"
+        "a late answer has no weight"
     );
     settings.classes[0].late_weight = 0.5;
     assert_eq!(due_resolution(&query, &settings, RESPOND_BY), None);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_query_that_may_have_had_an_effect_fails_and_others_are_rejected() {
+fn a_query_given_up_fails_if_it_may_have_had_an_effect_and_is_rejected_otherwise() {
     let class = Class {
         effect: Effect::NonIdempotent,
         ..test_fixtures::class("send")
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,18 +1,20 @@
 //! Decision policy of the coordinator; its settings, events and actions are in `src/interface/`.
 //!
-//! Each batch of events is applied, then every open query is advanced in order of arrival: admitted
-//! or rejected, its parts sent or retried, answered or given up. The parts of the policy decide on
-//! one question each and own the state that it takes:
+//! [`DecisionPolicy::handle`] applies a batch of events, then advances every open query in order of
+//! arrival: it admits or rejects the query, sends and retries its parts, and answers the query or
+//! gives it up. Each submodule makes one kind of decision and owns the state for it:
 //!
-//! * `admission`: who is admitted, and which parts an admitted query does without;
-//! * `attempts`: what may be sent; `replicas`: where to;
-//! * `answers`: what may be answered, and when to give up;
+//! * `admission`: which queries are admitted, and which parts of an admitted query are omitted;
+//! * `attempts`: which attempts are sent; `replicas`: which replica an attempt is sent to;
+//! * `answers`: when a query is answered or given up, and whether its answer is complete;
 //! * `quality`: sampling and measurement of answer quality, the admission controller's input;
-//! * `polling`: when to poll for the endpoint list; `fleet`: statistics over all replicas.
+//! * `polling`: when to poll for the endpoint list; `fleet`: statistics over all replicas;
+//! * `margins`: time reserved before latency objectives and deadlines.
 //!
 //! The design follows "Obtaining and Managing Answer Quality for Online Data-Intensive Services"
-//! (Ubora, by Kelley et al.): the quality of sampled answers sets how many queries of low priority
-//! are admitted. `docs/rules.md` names the rules that hold whatever is decided.
+//! (Ubora, by Kelley et al.): the quality of sampled answers determines how many queries of low
+//! priority are admitted. `docs/rules.md` lists the rules that every decision must obey; comments
+//! refer to them by name.
 
 mod admission;
 mod answers;
@@ -40,14 +42,15 @@
 const CONTROL_PERIOD_TICKS: u64 = 50;
 /// Longest time between two checks of open queries, in ticks.
 const CHECK_PERIOD_TICKS: u64 = 5;
-/// Quality windows after which a replica that is not ready is removed.
+/// Time since its last listing after which a replica that is not ready is removed, in quality
+/// windows.
 const REMOVAL_DELAY_WINDOWS: u64 = 3;
 
 /// Decision policy of one coordinator.
 #[derive(Debug)]
 pub struct DecisionPolicy {
     settings: Settings,
-    /// Time of the present batch.
+    /// Time of the current batch.
     now: Nanos,
     rng: fastrand::Rng,
     queries: QueryTable,
@@ -102,8 +105,8 @@
         self.set_timer(actions);
     }
 
-    /// Returns the ready replicas that no part of an active class would be sent to now, whatever
-    /// its shard.
+    /// Returns the ready replicas that hold shards, but that no part of the first active class
+    /// would be sent to now.
     #[must_use]
     pub fn ejected(&self) -> Vec<ReplicaId> {
         self.replicas.ejected(&self.settings, self.now)
@@ -189,7 +192,8 @@
         }
     }
 
-    /// Closes a query whose client left, and cancels its attempts: their answers are of no use.
+    /// Closes a query whose client disconnected, and cancels its attempts in flight: their answers
+    /// are no longer needed.
     fn abandon(&mut self, query: QueryId, actions: &mut Vec<Action>) {
         let abandoned = self.queries.abandon(query);
         if let Some(query) = abandoned.filter(|_| self.settings.cancellation) {
@@ -232,8 +236,8 @@
         self.queries.insert(query);
     }
 
-    /// Advances an open query: admits or rejects it, sends its parts, and resolves it when that is
-    /// due.
+    /// Advances an open query: admits or rejects it, sends its parts, and answers it or gives it up
+    /// when that is due.
     fn advance(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
         if !self.admit(number) {
             self.resolve(number, Resolution::GiveUp, actions);
@@ -266,7 +270,7 @@
         admitted
     }
 
-    /// Sends the parts of an open query, as far as that is due.
+    /// Sends, retries and cancels attempts at the parts of an open query, as needed.
     fn send_parts(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get_open_mut(number) else {
             return;
@@ -303,11 +307,11 @@
         self.attempts.expire(&self.settings, now);
         self.replicas.balance(&self.settings, now);
         let answered_since = |attempt: &_| self.replicas.has_answered_since(attempt);
-        let reading = measure_quality(self.queries.samples(), answered_since, now);
-        self.admission.update(&reading, period);
+        let measurement = measure_quality(self.queries.samples(), answered_since, now);
+        self.admission.update(&measurement, period);
     }
 
-    /// Sets a timer for what is due next, unless an earlier one is set already.
+    /// Sets a timer for the next time at which something is due, unless an earlier timer is set.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let next_control = self.next_control_at.max(now + self.settings.tick);
--- a/src/policy/polling.rs
+++ b/src/policy/polling.rs
@@ -5,9 +5,11 @@
 
 use crate::interface::{EndpointListKind, Nanos};
 
-/// Fraction of the longest poll interval within which a failed poll is repeated.
+/// Divisor of the longest poll interval that gives the longest wait before a failed poll is
+/// repeated.
 const RETRY_WAIT_DIVISOR: u64 = 8;
-/// Least share of that wait; the rest is drawn.
+/// Shortest wait before a failed poll is repeated, as a share of the longest one. The wait is drawn
+/// at random between the two.
 const MIN_RETRY_WAIT_SHARE: f64 = 0.25;
 
 /// Schedule of polls for the endpoint list.
@@ -17,7 +19,7 @@
 }
 
 impl PollSchedule {
-    /// Creates a schedule whose first poll is due at once if the settings have a longest interval.
+    /// Creates a schedule. The first poll is due at once, or never if `max_interval` is `None`.
     #[must_use]
     pub fn new(max_interval: Option<Nanos>, now: Nanos) -> Self {
         PollSchedule {
@@ -25,14 +27,14 @@
         }
     }
 
-    /// Returns when the next poll is due, if one is.
+    /// Returns the time at which the next poll is due; `None` if none is scheduled.
     #[must_use]
     pub fn due_at(&self) -> Option<Nanos> {
         self.due_at
     }
 
-    /// Returns whether a poll is due. If so it counts as made, and the next is due after half the
-    /// longest interval.
+    /// Returns whether a poll is due. If so, the caller must make it now, and the next one is
+    /// scheduled after half the longest interval.
     pub fn take_due(&mut self, max_interval: Option<Nanos>, now: Nanos) -> bool {
         let due = self.due_at.is_some_and(|at| at <= now);
         if due {
@@ -41,16 +43,16 @@
         due
     }
 
-    /// Records that a list, or changes to it, was received: while a subscription lasts no polls are
-    /// due.
+    /// Records that a list, or changes to it, was received. Unless the list is cached, it comes
+    /// from a subscription, and no polls are due while that lasts.
     pub fn record_list(&mut self, kind: EndpointListKind) {
         if kind != EndpointListKind::Cached {
             self.due_at = None;
         }
     }
 
-    /// Records that a poll failed: the next is due after a jittered wait, well inside the longest
-    /// interval.
+    /// Records that a poll failed, and schedules the next one after a jittered wait that is much
+    /// shorter than the longest interval.
     pub fn record_failure(
         &mut self,
         max_interval: Option<Nanos>,
--- a/src/policy/quality/mod.rs
+++ b/src/policy/quality/mod.rs
@@ -1,5 +1,6 @@
-//! Answer quality, measured on a sample of the queries of the highest priority, as in Ubora (Kelley
-//! et al., "Obtaining and Managing Answer Quality for Online Data-Intensive Services").
+//! Answer quality, measured on a sample of the queries of the highest priority, as described in
+//! "Obtaining and Managing Answer Quality for Online Data-Intensive Services" (Ubora, by Kelley et
+//! al.).
 
 mod sampling;
 
@@ -11,35 +12,36 @@
 use crate::interface::{Nanos, Outcome};
 use crate::queries::{Attempt, Part, Query};
 
-/// Window of a quality reading, in ns.
+/// Window of a quality measurement, in ns.
 pub const QUALITY_WINDOW: Nanos = 10_000_000_000;
 
-/// Reading of the answer quality over one window.
+/// Answer quality as measured over one window.
 #[derive(Debug)]
-pub struct QualityReading {
-    /// Weight that was answered in time, as a share of the weight that was answered at all or is
-    /// late; 1 without samples.
+pub struct QualityMeasurement {
+    /// Weight that was answered in time, as a share of the weight that was answered at any time or
+    /// is late; 1 without samples, so that no query is rejected.
     pub quality: f64,
-    /// Number of samples in the reading.
+    /// Number of samples that were measured.
     pub samples: f64,
 }
 
-/// Weights of sampled parts, summed up.
+/// Sums of the weights of sampled parts.
 #[derive(Default)]
 struct WeightSums {
     in_time: f64,
     expected: f64,
 }
 
-/// Reads the answer quality from the samples of the last window.
+/// Measures the answer quality on the samples of the last window.
 ///
-/// A missing part counts as late if its replica rejected it or has answered others since, which
-/// `answered_since` returns of an attempt; otherwise it is lost and does not count.
+/// A part without an answer counts as late if a replica rejected it, or has answered other attempts
+/// since the attempt at this part was sent, which `answered_since` returns. Otherwise the part is
+/// lost and does not count.
 pub fn measure_quality<'a>(
     samples: impl Iterator<Item = &'a Query>,
     answered_since: impl Fn(&Attempt) -> bool,
     now: Nanos,
-) -> QualityReading {
+) -> QualityMeasurement {
     let window_start = now.saturating_sub(QUALITY_WINDOW);
     let mut sums = WeightSums::default();
     let mut count = 0.0;
@@ -54,7 +56,7 @@
     } else {
         1.0
     };
-    QualityReading {
+    QualityMeasurement {
         quality,
         samples: count,
     }
--- a/src/policy/quality/sampling.rs
+++ b/src/policy/quality/sampling.rs
@@ -1,10 +1,10 @@
-//! Sampling: which queries the answer quality is measured on.
+//! Sampling of the queries on which the answer quality is measured.
 
-/// Number of samples wanted in a quality window.
+/// Target number of samples in a quality window.
 pub const TARGET_SAMPLES: f64 = 20.0;
-/// Maximum number of samples, which bounds the time of each batch.
+/// Maximum number of samples, which bounds the processing time of each batch.
 const MAX_SAMPLES: f64 = 200.0;
-/// Share of the queries beyond the target that is sampled.
+/// Share of the queries that is sampled once the target is reached.
 const SAMPLED_SHARE: f64 = 0.2;
 
 /// Decides whether to sample the next query of the highest priority, given the number of samples
--- a/src/policy/quality/tests.rs
+++ b/src/policy/quality/tests.rs
@@ -1,4 +1,4 @@
-//! Sampling and the reading of answer quality.
+//! Tests of sampling and of the measurement of answer quality.
 
 use super::{measure_quality, should_sample, QUALITY_WINDOW};
 use crate::interface::{ClassId, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, ShardId};
@@ -7,7 +7,7 @@
 const NOW: Nanos = 2 * QUALITY_WINDOW;
 const RECEIVED_AT: Nanos = NOW - QUALITY_WINDOW / 2;
 const ANSWERED_AT: Nanos = RECEIVED_AT + 100;
-const LATE: Nanos = RECEIVED_AT + 200;
+const LATE_AT: Nanos = RECEIVED_AT + 200;
 
 fn part(weight: f64, answered_at: Option<Nanos>, outcome: Option<Outcome>) -> Part {
     let attempt = Attempt {
@@ -39,34 +39,41 @@
 fn quality_is_the_share_of_the_answered_or_late_weight_that_was_in_time() {
     let query = answered_query(vec![
         part(0.5, Some(ANSWERED_AT), Some(Outcome::Ok)),
-        part(0.25, Some(LATE), Some(Outcome::Ok)),
+        part(0.25, Some(LATE_AT), Some(Outcome::Ok)),
         part(0.125, None, Some(Outcome::Rejected)),
         part(0.125, None, None),
     ]);
-    let reading = measure_quality([&query].into_iter(), |_| false, NOW);
-    assert_eq!(reading.quality, 0.5 / 0.875, "the lost part does not count");
-    assert_eq!(reading.samples, 1.0);
-    let reading = measure_quality([&query].into_iter(), |_| true, NOW);
+    let measurement = measure_quality([&query].into_iter(), |_| false, NOW);
     assert_eq!(
-        reading.quality, 0.5,
-        "its replica answered others: it is late"
+        measurement.quality,
+        0.5 / 0.875,
+        "the lost part does not count"
+    );
+    assert_eq!(measurement.samples, 1.0);
+    let measurement = measure_quality([&query].into_iter(), |_| true, NOW);
+    assert_eq!(
+        measurement.quality, 0.5,
+        "the part is late if its replica answered others since"
     );
 }
 
 #[test]
-fn only_settled_queries_of_the_window_are_read() {
+fn only_settled_queries_of_the_window_are_measured() {
     let old = Query {
         received_at: NOW - QUALITY_WINDOW - 1,
-        ..answered_query(vec![part(1.0, Some(LATE), Some(Outcome::Ok))])
+        ..answered_query(vec![part(1.0, Some(LATE_AT), Some(Outcome::Ok))])
     };
     let open = Query {
         first_answer: None,
         respond_by: NOW + 1,
         ..answered_query(vec![part(1.0, None, Some(Outcome::Rejected))])
     };
-    let reading = measure_quality([&old, &open].into_iter(), |_| false, NOW);
-    assert_eq!(reading.samples, 0.0);
-    assert_eq!(reading.quality, 1.0, "without samples nothing is shed");
+    let measurement = measure_quality([&old, &open].into_iter(), |_| false, NOW);
+    assert_eq!(measurement.samples, 0.0);
+    assert_eq!(
+        measurement.quality, 1.0,
+        "without samples nothing is rejected"
+    );
 }
 
 #[test]
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,5 +1,5 @@
-//! Choice of replicas: the replicas of the endpoint list, their health and warm-up, and the choice
-//! among a shard's holders.
+//! Choice of replicas: keeps the state of all replicas of the endpoint list, and chooses the one
+//! that an attempt is sent to among those that hold the shard, its holders.
 
 mod outlier;
 mod replica;
@@ -19,12 +19,13 @@
 use rotation::Rotation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Multiple of the lowest cost among a shard's holders above which a replica is skipped,
+/// A holder is skipped if its cost exceeds this multiple of the lowest cost among the shard's
+/// holders by more than a margin.
 const SKIP_RATIO: f64 = 1.4;
-/// plus this multiple of the mean response time.
+/// Margin above the lowest cost times `SKIP_RATIO`, in mean response times over all replicas.
 const SKIP_MARGIN_RESPONSE_TIMES: f64 = 0.5;
 
-/// Shard that a part is for, and the class of its query.
+/// Shard that a part needs an answer from, and the class of the part's query.
 #[derive(Debug, Clone, Copy)]
 pub struct Target {
     /// Class of the query.
@@ -33,7 +34,7 @@
     pub shard: ShardId,
 }
 
-/// All replicas, and what was observed of them.
+/// All replicas, their state and the attempts in flight.
 #[derive(Debug)]
 pub struct ReplicaTable {
     membership: Membership,
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Applies new settings. Observations of replicas are kept, and those of classes by
-    /// `class_mapping`: for each class, the former class that it continues.
+    /// Applies new settings. The state of replicas is kept. The statistics of classes are kept
+    /// according to `class_mapping`, which has for each class the former class whose statistics it
+    /// continues.
     pub fn apply_settings(
         &mut self,
         settings: &Settings,
@@ -112,7 +114,7 @@
         self.balance(settings, now);
     }
 
-    /// Rebalances the shares of all replicas by their present capacities.
+    /// Rebalances the shares of all replicas by their current capacities.
     pub fn balance(&mut self, settings: &Settings, now: Nanos) {
         let capacity = |replica: &Replica| replica.capacity(settings, now);
         let capacities = self
@@ -123,8 +125,8 @@
         self.rotation.balance(&capacities);
     }
 
-    /// Removes replicas that no list has named since `horizon` and that have nothing in flight. One
-    /// that returns is listed again with its start.
+    /// Removes replicas that are not ready, were last listed before `horizon` and have no attempts
+    /// in flight. A replica that returns later is listed again with the time of its start.
     pub fn remove_unlisted(&mut self, horizon: Nanos) {
         let in_use = |id| {
             let replica = self.replicas.get(&id);
@@ -134,8 +136,8 @@
         self.replicas.retain(|id, _| self.membership.contains(*id));
     }
 
-    /// Returns the ready replicas that no part of an active class would be sent to now, whatever
-    /// its shard.
+    /// Returns the ready replicas that hold shards, but that no part of the first active class
+    /// would be sent to now.
     pub fn ejected(&self, settings: &Settings, now: Nanos) -> Vec<ReplicaId> {
         let Some(index) = settings.classes.iter().position(|class| class.active) else {
             return Vec::new();
@@ -157,7 +159,8 @@
             .collect()
     }
 
-    /// Chooses the replica for a part: the first candidate in rotation.
+    /// Chooses the replica for a part: the first candidate in the order of the rotation, except
+    /// those in `exclude`.
     pub fn choose(
         &self,
         target: Target,
@@ -169,9 +172,11 @@
         candidates.into_iter().next()
     }
 
-    /// Returns the holders of a shard in rotation, without those that warm up too slowly for the
-    /// part, and without those that cost far more than the shard's best: an overdue attempt is part
-    /// of the cost. If all are slow, none is left out for it.
+    /// Returns the holders of a shard that a part may be sent to, in the order of the rotation.
+    ///
+    /// Holders that are warming up are left out if slow start does not admit the part now. Holders
+    /// that cost far more than the cheapest one are left out too; an overdue attempt in flight
+    /// raises the cost. If all holders are slow, none is left out for its cost.
     fn candidates(
         &self,
         target: Target,
@@ -197,8 +202,9 @@
         candidates
     }
 
-    /// Returns whether a part may be sent to a replica: the rules "nothing to draining endpoints"
-    /// and "slow start".
+    /// Returns whether a part may be sent to a replica, which must be ready, hold the shard, and
+    /// admit the part if it is warming up: the rules "nothing to draining endpoints" and "slow
+    /// start".
     pub fn accepts(
         &self,
         target: Target,
@@ -291,12 +297,12 @@
         replica.is_some_and(|replica| replica.health.has_answered_since(attempt.sent_at))
     }
 
-    /// Returns the response times of the fleet.
+    /// Returns the response times over all replicas.
     pub fn latency(&self) -> &FleetLatency {
         &self.fleet.latency
     }
 
-    /// Returns the work of a part and its call, in ns, as observed of its class.
+    /// Returns the work of a part and of its call, in ns, as estimated for the class.
     fn work(&self, class: ClassId, settings: &Settings) -> f64 {
         self.fleet.latency.work(class) + settings.call_overhead as f64
     }
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: the health of a replica by its answers, and the wait to expect there.
+//! Outlier detection: estimates the health of a replica, and the wait to expect there, from its
+//! answers.
 
 use crate::interface::{Class, Effect, Nanos, Outcome, Settings};
 use crate::policy::fleet::FleetStatistics;
@@ -7,17 +8,19 @@
 
 /// Gain of a replica's smoothed response time.
 const LATENCY_GAIN: f64 = 0.5;
-/// Half-life of that time's distance to the fleet's mean, in latency objectives.
+/// Half-life of the distance between a replica's smoothed response time and the mean over all
+/// replicas, in latency objectives.
 const LATENCY_HALF_LIFE_OBJECTIVES: f64 = 0.5;
 /// Gain of a replica's error rate.
 const ERROR_GAIN: f64 = 0.15;
 /// Half-life of the error rate, in latency objectives.
 const ERROR_HALF_LIFE_OBJECTIVES: f64 = 4.0;
-/// Cost of an error to a part that may be retried, in mean response times: the attempt and its
-/// retry.
+/// Cost of an error to a part that may be retried, in mean response times: one for the attempt and
+/// one for its retry.
 const ERROR_COST_RESPONSE_TIMES: f64 = 2.0;
-/// Highest baseline that a response time decays to, as a share of the latency objective, so that
-/// past overload decays.
+/// Maximum of the baseline that a replica's response time decays to, and of the wait for each
+/// attempt in flight, as a share of the latency objective. Without it the fleet's averages, once
+/// raised by an overload, would keep the estimates high.
 const MAX_BASELINE_SHARE: f64 = 0.25;
 /// Factor on a replica's capacity for each consecutive failure without an answer.
 const FAILURE_CAPACITY_FACTOR: f64 = 0.5;
@@ -32,11 +35,11 @@
     Answer,
     /// The replica's queue is full.
     FullQueue,
-    /// The response time is at least that of the attempt.
+    /// The response time is at least the time that the attempt took.
     LowerBound,
     /// The replica answered nothing since the attempt was sent.
     Silence,
-    /// None.
+    /// The attempt gives no evidence.
     None,
 }
 
@@ -46,12 +49,13 @@
     response_time: DecayingAverage,
     error_rate: DecayingAverage,
     last_success_at: Nanos,
-    /// Consecutive failures without any answer, and the time of the next probe.
+    /// Number of consecutive failures without any answer, and the time of the next probe.
     backoff: Backoff,
 }
 
 impl OutlierDetector {
-    /// Creates the detector of a new replica, which is assumed to be like the others.
+    /// Creates the detector of a new replica, with the response time, in ns, that is assumed until
+    /// it has answered.
     pub fn new(response_time: f64, now: Nanos) -> Self {
         OutlierDetector {
             response_time: DecayingAverage::new(response_time, now),
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Returns the capacity assumed after failures, as a share of that when healthy.
+    /// Returns the capacity assumed after failures, as a share of the capacity when healthy.
     pub fn capacity(&self) -> f64 {
         FAILURE_CAPACITY_FACTOR.powi(self.backoff.failures() as i32)
     }
@@ -69,7 +73,8 @@
         self.last_success_at > at
     }
 
-    /// Returns whether the replica has answered nothing for the time that an attempt took.
+    /// Returns whether the replica has answered nothing during the last `elapsed`, the time that an
+    /// attempt took.
     pub fn is_silent_for(&self, elapsed: Nanos, now: Nanos) -> bool {
         self.last_success_at < now.saturating_sub(elapsed)
     }
@@ -140,8 +145,8 @@
     /// Returns the wait to expect at the replica, in ns.
     ///
     /// This is the longest of the decayed response time, the age of the oldest attempt in flight
-    /// and the queueing of this coordinator's attempts there, plus a penalty while the replica is
-    /// ejected.
+    /// and the queueing time of this coordinator's attempts in flight there, plus a penalty after
+    /// failures.
     pub fn expected_wait(
         &self,
         in_flight: &AttemptsByAge,
@@ -161,8 +166,8 @@
         wait + self.penalty(in_flight, oldest_age, class, now) * class.latency_objective as f64
     }
 
-    /// Returns the smoothed response time as it has decayed towards the fleet's, in ns, so that a
-    /// replica that was skipped is tried again.
+    /// Returns the smoothed response time, in ns, which decays towards the mean over all replicas,
+    /// so that a replica that was skipped is tried again.
     fn decayed_response_time(
         &self,
         fleet: &FleetStatistics,
@@ -178,10 +183,10 @@
 
     /// Returns the penalty on the replica, in latency objectives of the class.
     ///
-    /// A replica is ejected while it fails, or has an attempt beyond the objective: it is used only
-    /// if there is no other. Once its backoff is over, classes that allow partial answers probe it;
-    /// for other classes a smaller penalty stays, so that a failure of long ago does not reject
-    /// their queries forever.
+    /// A replica is ejected while it fails, or has an attempt in flight for longer than the latency
+    /// objective: it is used only if there is no other. Once its backoff is over, classes that
+    /// allow partial answers probe it. For other classes a smaller penalty remains, so that an old
+    /// failure does not cause their queries to be rejected forever.
     fn penalty(
         &self,
         in_flight: &AttemptsByAge,
@@ -203,8 +208,9 @@
 
     /// Returns the expected cost of errors, in ns.
     ///
-    /// A part that is not idempotent is lost with its query. A replica that fails fast looks idle;
-    /// parts that may be retried detect when it has recovered.
+    /// A replica that fails fast has a short expected wait; without this cost it would be sent most
+    /// parts. The cost is high for a non-idempotent part, whose query fails with it, and lower for
+    /// parts that may be retried, so that these detect when the replica has recovered.
     pub fn error_cost(
         &self,
         class: &Class,
--- a/src/policy/replicas/replica.rs
+++ b/src/policy/replicas/replica.rs
@@ -1,4 +1,5 @@
-//! One replica: its health, its warm-up, the attempts in flight there and its connections.
+//! State of one replica: its health, its slow start, the attempts in flight there and its
+//! connections.
 
 use super::outlier::OutlierDetector;
 use super::slow_start::SlowStartLimiter;
@@ -6,27 +7,28 @@
 use crate::policy::fleet::FleetStatistics;
 use crate::queries::AttemptsByAge;
 
-/// Least share of its capacity at which a failing or warming replica counts: some parts must probe
-/// it.
+/// Least capacity that is assumed of a failing or warming replica, as a share of its full capacity,
+/// so that some parts are sent to probe it.
 const MIN_CAPACITY_SHARE: f64 = 0.1;
-/// Fraction of the shortest latency objective after which an unused connection counts as idle.
+/// Divisor of the shortest latency objective that gives the time after which an unused connection
+/// counts as idle.
 const IDLE_DIVISOR: u64 = 4;
-/// Share of sends that still use idle connections while these are dropped, to detect when that
-/// ends.
+/// Share of attempts that still use idle connections while these are silently dropped, to detect
+/// when they no longer are.
 const IDLE_SAMPLE_SHARE: f64 = 0.2;
 
 /// State of one replica.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Health, by the answers of the replica.
+    /// Health, as estimated from the answers of the replica.
     pub health: OutlierDetector,
-    /// Guard of the load after a start.
+    /// Limiter of the work sent after a start.
     pub slow_start: SlowStartLimiter,
     /// Attempts in flight at the replica.
     pub in_flight: AttemptsByAge,
     /// Time at which a connection to the replica was last used; 0 if none was.
     pub last_used_at: Nanos,
-    /// Whether the connection in use had been idle before.
+    /// Whether the connection in use was idle before.
     pub was_idle: bool,
 }
 
@@ -36,12 +38,13 @@
     pub replica: ReplicaId,
     /// Wait to expect there, in ns.
     pub expected_wait: f64,
-    /// Expected wait and cost of errors, in ns.
+    /// Sum of the expected wait and the expected cost of errors, in ns.
     pub cost: f64,
 }
 
 impl Replica {
-    /// Creates the state of a replica that was just listed; `drawn_gap` in mean gaps between parts.
+    /// Creates the state of a replica that was just listed; `drawn_gap` is the gap before the first
+    /// part in slow start, as a multiple of the mean gap between parts.
     pub fn new(fleet: &FleetStatistics, drawn_gap: f64, now: Nanos) -> Self {
         Replica {
             health: OutlierDetector::new(fleet.latency.mean(), now),
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Returns the capacity of the replica, as a share of that when warm and healthy.
+    /// Returns the capacity of the replica, as a share of its capacity when warm and healthy.
     pub fn capacity(&self, settings: &Settings, now: Nanos) -> f64 {
         let warm = self.slow_start.capacity(settings.slow_start, now);
         (warm * self.health.capacity()).max(MIN_CAPACITY_SHARE)
@@ -76,8 +79,9 @@
         }
     }
 
-    /// Notes whether the next attempt uses an idle connection, and returns whether idle connections
-    /// must be closed first: while they are silently dropped, all but a sample are closed.
+    /// Records whether the next attempt uses an idle connection, and returns whether idle
+    /// connections must be closed first. While idle connections are silently dropped, all but a
+    /// sample of the attempts require this.
     pub fn prepare_connection(
         &mut self,
         fleet: &FleetStatistics,
--- a/src/policy/replicas/rotation.rs
+++ b/src/policy/replicas/rotation.rs
@@ -1,19 +1,23 @@
-//! Rotation: weighted round robin over the holders of each shard, with weights that balance load.
+//! Rotation: weighted round robin over the holders of each shard, with weights that balance the
+//! load of the replicas.
 
 use crate::interface::{ReplicaId, ShardId};
 use crate::stats::{balance_shares, Share};
 use std::collections::BTreeMap;
 
-/// Rounds of balancing; each spreads the excess load of a replica one neighbour further.
+/// Number of balancing rounds. Each round passes excess load of a replica on to the replicas with
+/// which it has a shard in common.
 const BALANCE_ROUNDS: usize = 8;
-/// Drift of the position beyond an even step, so that over time it samples all of each share.
+/// Distance by which each step of the position exceeds an even step, so that over time the position
+/// falls on all of each holder's share.
 const POSITION_DRIFT: f64 = 0.01;
 
-/// Holders of one shard, with their shares of its parts, and the position of the rotation.
+/// Rotation over the holders of one shard.
 #[derive(Debug)]
 struct ShardRotation {
+    /// Replicas that hold the shard, with their shares of its parts.
     holders: Vec<Share<ReplicaId>>,
-    /// Position, 0 to 1, over the shares of the holders in order.
+    /// Position, 0 to 1, in the sequence of the holders' shares.
     position: f64,
 }
 
@@ -48,8 +52,8 @@
 }
 
 impl Rotation {
-    /// Adds shards up to this count, each at a random position: otherwise coordinators with little
-    /// traffic would rotate in step.
+    /// Adds shards up to this count, each at a random position. From equal positions, coordinators
+    /// with little traffic would send their parts to the same replicas.
     pub fn grow(&mut self, count: usize, rng: &mut fastrand::Rng) {
         let count = self.shards.len().max(count);
         self.shards
@@ -73,7 +77,8 @@
             .is_some_and(|shard| shard.holders.iter().any(|holder| holder.member == replica))
     }
 
-    /// Returns the holders of a shard in rotation, from the one whose share contains the position.
+    /// Returns the holders of a shard in the order of the rotation, starting with the one whose
+    /// share contains the position.
     pub fn in_rotation(&self, shard: ShardId) -> impl Iterator<Item = ReplicaId> + '_ {
         let rotation = self.get(shard);
         let holders = rotation.map_or(&[][..], |shard| &shard.holders);
@@ -89,9 +94,10 @@
 
     /// Balances the shares so that load is proportional to capacity.
     ///
-    /// A replica whose neighbour drains or warms up receives that one's parts too, and its own
-    /// parts of other shards shift to their other holders. All coordinators learn of this at once
-    /// from the endpoint list; from answers alone it would take long.
+    /// While a replica drains or warms up, the other holders of its shards receive its parts too,
+    /// and so parts of their other shards shift to the other holders of those. Computed from the
+    /// endpoint list, this takes effect at once in all coordinators; from answers alone it would
+    /// take long.
     ///
     /// # Panics
     /// If a holder has no entry in `capacities`.
--- a/src/policy/replicas/slow_start.rs
+++ b/src/policy/replicas/slow_start.rs
@@ -1,26 +1,30 @@
-//! Slow start: how much work a replica that has just started is sent while it warms up.
+//! Slow start: limits the work that is sent to a replica while it warms up after its start.
 
 use crate::interface::{Nanos, Settings, SlowStartRule};
 use crate::stats::{exponential, safe_mean, TimeWindow};
 
-/// Cores assumed of a warming replica: the fewest it can have, less a fifth since work varies.
+/// Number of cores assumed of a replica that is warming up: the fewest it can have, less a fifth
+/// because the work of parts varies.
 const ASSUMED_CORES: f64 = 0.8;
-/// Standard deviations by which randomly spaced parts stay below the limit.
+/// Margin between the expected number of randomly spaced parts and the limit, in standard
+/// deviations.
 const SAFETY_DEVIATIONS: f64 = 2.5;
 
-/// Start of one replica, and the work it was sent lately.
+/// Limiter of the work that is sent to one replica after its start.
 #[derive(Debug, Default)]
 pub struct SlowStartLimiter {
-    /// Time of the last start; `None` if it is long past.
+    /// Time of the last start; `None` if it is unknown or long ago, in which case the replica
+    /// counts as warm.
     started_at: Option<Nanos>,
-    /// Work sent, in ns.
+    /// Work that was sent recently, in ns.
     sent_work: TimeWindow<f64>,
-    /// Randomly drawn gap before the next part, in mean gaps.
+    /// Randomly drawn gap before the next part, as a multiple of the mean gap.
     drawn_gap: f64,
 }
 
 impl SlowStartLimiter {
-    /// Creates the limiter of a replica of unknown start; `drawn_gap` in mean gaps between parts.
+    /// Creates the limiter of a replica of unknown start; `drawn_gap` is the gap before the first
+    /// part, as a multiple of the mean gap between parts.
     pub fn new(drawn_gap: f64) -> Self {
         SlowStartLimiter {
             drawn_gap,
@@ -28,14 +32,14 @@
         }
     }
 
-    /// Records a start that the endpoint list reports; 0 if it is long past.
+    /// Records the start time that the endpoint list reports; 0 if it is unknown or long ago.
     pub fn record_start(&mut self, at: Nanos) {
         if at > 0 {
             self.started_at = self.started_at.max(Some(at));
         }
     }
 
-    /// Returns the present capacity of the replica, as a share of its capacity when warm.
+    /// Returns the current capacity of the replica, as a share of its capacity when warm.
     pub fn capacity(&self, rule: Option<SlowStartRule>, now: Nanos) -> f64 {
         match (rule, self.started_at) {
             (Some(rule), Some(started_at)) => rule.capacity(now.saturating_sub(started_at)),
@@ -43,11 +47,12 @@
         }
     }
 
-    /// Returns whether a part of this work, in ns, may be sent now: the rule "slow start".
+    /// Returns whether a part with this work, in ns, may be sent now: the rule "slow start".
     ///
-    /// The work that all coordinators together may send is split evenly among them. Where a share
-    /// is less than one part, each coordinator spaces its parts randomly, on average so far apart
-    /// that all together stay below the limit with a margin for chance.
+    /// The work that all coordinators together may send is split evenly among them. Where a
+    /// coordinator's share is less than one part, it spaces its parts randomly. The mean gap is
+    /// such that the parts of all coordinators together stay below the limit with a margin of
+    /// `SAFETY_DEVIATIONS`.
     pub fn admits(&self, work: f64, settings: &Settings, now: Nanos) -> bool {
         let (Some(rule), Some(started_at)) = (settings.slow_start, self.started_at) else {
             return true;
@@ -64,8 +69,8 @@
         self.mean_gaps_since_last(work, &rule, started_at, now) / coordinators >= self.drawn_gap
     }
 
-    /// Returns the time since the last part or the start, in mean gaps between the parts of all
-    /// coordinators.
+    /// Returns the time since the last part or the start, as a multiple of the mean gap between the
+    /// parts of all coordinators.
     fn mean_gaps_since_last(
         &self,
         work: f64,
@@ -80,7 +85,7 @@
         (now - last) as f64 / rule.overload_window as f64 * parts_per_window
     }
 
-    /// Records that a part of this work, in ns, is sent, which counts where there is a rule.
+    /// Records that a part with this work, in ns, is sent. Without a rule the work is not recorded.
     pub fn record_send(
         &mut self,
         work: f64,
@@ -96,7 +101,7 @@
     }
 }
 
-/// Returns the work, in ns, that overloads a replica of this age if sent within one window.
+/// Returns the work, in ns, that overloads a replica of this age if it is sent within one window.
 fn window_limit(rule: &SlowStartRule, age: Nanos) -> f64 {
     rule.overload_factor * rule.capacity(age) * ASSUMED_CORES * rule.overload_window as f64
 }
--- a/src/policy/replicas/slow_start/tests.rs
+++ b/src/policy/replicas/slow_start/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of the record of sent work.
+//! Tests of the slow-start limiter.
 
 use super::*;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// Guards against memory that grows with each attempt where no rule bounds the record.
+/// Guards against a memory leak: without a slow-start rule, the record of sent work would grow with
+/// each attempt.
 #[test]
 fn the_record_of_sent_work_is_bounded_with_and_without_a_rule() {
     let rule = SlowStartRule {
