--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -13,8 +13,8 @@
         replica: ReplicaId,
         /// Timeout of the attempt.
         timeout: Nanos,
-        /// Time after which writing the attempt must not start: the repeat would no longer be
-        /// dropped by the replica.
+        /// Time after which writing the attempt must not start, since the replica might no longer
+        /// recognize it as a repeat.
         not_after: Nanos,
     },
     /// Cancel an attempt.
@@ -24,8 +24,8 @@
         /// Ordinal of the attempt.
         attempt: AttemptNo,
     },
-    /// Answer from the parts received. An answer from the first step brings the parts of the
-    /// follow-up step.
+    /// Answer a query from the parts received. After an answer from the first step, the coordinator
+    /// reports the parts of the follow-up step, if the class has one.
     Answer {
         /// Query to answer.
         query: QueryId,
@@ -36,12 +36,12 @@
     Reject {
         /// Query to reject.
         query: QueryId,
-        /// Value of `Retry-After`, where clients get one.
+        /// Value of `Retry-After`; `None` if clients get none.
         retry_after: Option<Nanos>,
     },
     /// Fail a query: it may have run.
     Fail(QueryId),
-    /// Report [`Event::TimerFired`](super::Event::TimerFired) at this time.
+    /// Set a timer, and report [`Event::TimerFired`](super::Event::TimerFired) at this time.
     SetTimer(Nanos),
     /// Close the idle connections to a replica.
     CloseIdle(ReplicaId),
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -24,7 +24,8 @@
     pub cell: CellId,
     /// State of the replica.
     pub state: EndpointState,
-    /// Time of the last start; 0 if it is long past.
+    /// Time of the replica's last start; 0 if it is unknown or long ago, in which case the replica
+    /// counts as warm.
     pub started_at: Nanos,
 }
 
@@ -35,8 +36,8 @@
     Delta,
     /// The full list.
     Full,
-    /// The full list as this instance had last received it.
+    /// The full list as an earlier process last received it.
     Cached,
-    /// Nothing: a poll failed, or the subscription broke.
+    /// No list: a poll failed, or the subscription ended.
     Failed,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -15,8 +15,8 @@
         /// Replicas in the list.
         endpoints: Vec<Endpoint>,
     },
-    /// The shards of a replica, where its cell does not determine them; precedes the list that
-    /// names the replica.
+    /// The shards of a replica, where its cell does not determine them. This event precedes the
+    /// endpoint list that names the replica.
     Placement {
         /// The replica.
         replica: ReplicaId,
@@ -33,13 +33,14 @@
         class: ClassId,
         /// Tenant of the client.
         tenant: TenantId,
-        /// Expected work of all parts, where the client stated it.
+        /// Expected work of all parts, as processing time at the replicas; `None` if the client did
+        /// not state it.
         expected_work: Option<Nanos>,
         /// Time until the client abandons the query.
         time_left: Nanos,
     },
-    /// A part of a query was received: of its first step or, after the first answer, of its
-    /// follow-up step.
+    /// A part of a query was received. It belongs to the first step or, after the first answer, to
+    /// the follow-up step.
     Part {
         /// Identifier of the part.
         part: PartId,
@@ -61,11 +62,11 @@
         /// Time since the attempt was sent.
         elapsed: Nanos,
     },
-    /// The client of a query disconnected, or its deadline passed.
+    /// The client of a query disconnected, or the query's deadline passed.
     Abandoned(QueryId),
-    /// The settings changed. Open queries keep their class with the settings it had.
+    /// The settings changed. Open queries keep their class with its former settings.
     Settings {
-        /// Settings in force from now on.
+        /// New settings.
         settings: Box<Settings>,
         /// For each class, the former class whose statistics it continues.
         class_mapping: Vec<ClassId>,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of queries, parts, replicas and what they belong to.
+//! Identifiers of queries, parts, attempts and replicas, and of the groups they belong to.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,4 @@
-//! Interface between a coordinator and its policy: settings, events and actions. Plain data, no
-//! decisions.
+//! Interface between a coordinator and its policy: settings, events and actions, as plain data.
 //!
 //! All times are [`Nanos`] of the caller's clock.
 
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -22,7 +22,8 @@
 }
 
 impl Outcome {
-    /// Returns whether the attempt may have run at the replica: nothing proves that it did not.
+    /// Returns whether the attempt may have run at the replica, that is whether the outcome does
+    /// not prove that it never ran.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         !matches!(
--- a/src/interface/reduction.rs
+++ b/src/interface/reduction.rs
@@ -9,10 +9,10 @@
     /// Whether late parts of sampled queries are cancelled like those of other queries.
     pub skip_late_samples: bool,
     /// Share of the latency objective after which a query that allows partial answers is
-    /// answered, given its minimum share.
+    /// answered, if its minimum share is answered.
     pub answer_after: f64,
-    /// Factor, at least 1, by which the shortest `Retry-After`, half of the longest, moves closer
-    /// to the longest.
+    /// Factor, at least 1, that divides the jitter of `Retry-After`, which is up to half of the
+    /// longest one. The higher the factor, the closer to the longest are all of them.
     pub retry_after_factor: f64,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -5,7 +5,7 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Quota over all coordinators, in queries per second, if there is one.
+    /// Quota over all coordinators, in queries per second; `None` if the tenant is not limited.
     pub quota: Option<f64>,
 }
 
@@ -54,11 +54,11 @@
     pub classes: Vec<Class>,
     /// Tenants, by [`TenantId`](super::TenantId).
     pub tenants: Vec<Tenant>,
-    /// Weight of a query beyond its tenant's quota, as a share of its class's.
+    /// Priority weight of a query beyond its tenant's quota, as a share of that of its class.
     pub over_quota_weight: f64,
     /// Number of shards.
     pub shards: u32,
-    /// Number of cells: shard `s` is held by cells `(s + n) % cells`, `n` below
+    /// Number of cells. Shard `s` is held by the cells `(s + n) % cells`, with `n` below
     /// `cells_per_shard`.
     pub cells: u32,
     /// Number of cells that hold a shard.
@@ -67,8 +67,9 @@
     pub max_batch: u32,
     /// Work of a call in addition to that of its parts.
     pub call_overhead: Nanos,
-    /// Longest interval between polls for the endpoint list; an instance that does not poll for
-    /// this long counts as notified. `None` if the list is pushed.
+    /// Longest interval between polls for the endpoint list. The discovery service counts a
+    /// coordinator that has not polled for this long as notified of all changes. `None` if the list
+    /// is pushed.
     pub max_poll_interval: Option<Nanos>,
     /// Retry budget, if there is one.
     pub retry_budget: Option<RetryBudget>,
--- a/src/policy/admission/controller.rs
+++ b/src/policy/admission/controller.rs
@@ -1,5 +1,5 @@
-//! The admission controller: it sets the admitted share of low-priority queries by the quality of
-//! answers.
+//! The admission controller, which sets the admitted share of low-priority queries by the answer
+//! quality.
 
 use crate::interface::Nanos;
 use crate::policy::quality::{QualityMeasurement, TARGET_SAMPLES};
@@ -7,17 +7,17 @@
 
 /// Target of the answer quality.
 const QUALITY_TARGET: f64 = 0.8;
-/// Gains of the controller. Integral: a full swing takes about one quality window. Derivative:
-/// small, since samples are few.
+/// Gains of the controller. With the integral gain, an error of 1 moves the admitted share from 0
+/// to 1 in about one quality window. The derivative gain is small, since samples are few.
 const GAINS: PidGains = PidGains {
     proportional: 0.4,
     integral: 0.1,
     derivative: 0.05,
 };
-/// Bound of the error, in units of the range above the target, so that one bad measurement does not
-/// reject everything.
+/// Maximum of the error below the target, as a multiple of the distance from the target to a
+/// quality of 1, so that one bad measurement does not cause all queries to be rejected.
 const MAX_ERROR: f64 = 3.0;
-/// Share of the wanted samples from which a measurement counts in full.
+/// Share of the target number of samples from which a measurement counts in full.
 const FULL_CONFIDENCE_SAMPLE_SHARE: f64 = 0.25;
 
 /// PID controller of the admitted share.
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the share of low-priority queries to admit, 0 to 1.
+    /// Returns the admitted share of low-priority queries, 0 to 1.
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Admission: tenants' quotas, the rank of a query's priority, the wait to expect, and the
-//! parts that an admitted query does without.
+//! Admission: decides which queries are admitted, by the tenants' quotas, the priority of a query
+//! and its expected wait, and which parts of an admitted query are omitted.
 
 mod controller;
 mod omission;
@@ -30,7 +30,7 @@
 }
 
 impl Admission {
-    /// Creates the state of admission, which admits all queries.
+    /// Creates the state of admission, whose controller admits all queries.
     pub fn new(settings: &Settings, now: Nanos) -> Self {
         Admission {
             quotas: TenantQuotas::new(settings, now),
@@ -44,12 +44,12 @@
         self.quotas.apply_settings(settings, now);
     }
 
-    /// Counts a query against its tenant's quota, and returns whether the query exceeds it.
+    /// Takes a token of the tenant's quota for a query, and returns whether the query exceeds it.
     pub fn is_over_quota(&mut self, tenant: TenantId, settings: &Settings, now: Nanos) -> bool {
         self.quotas.is_exceeded(tenant, settings, now)
     }
 
-    /// Adjusts the share of low-priority queries to admit by the answer quality of one period.
+    /// Adjusts the admitted share of low-priority queries by the answer quality of one period.
     pub fn update(&mut self, measurement: &QualityMeasurement, period: Nanos) {
         self.controller.update(measurement, period);
     }
@@ -79,9 +79,12 @@
         true
     }
 
-    /// Decides whether a query is rejected: of low priority those beyond the admitted share, the
-    /// lowest priority first; of the highest priority only where all would be late, since serving
-    /// some in time is better than serving none.
+    /// Decides whether a query is rejected.
+    ///
+    /// Low-priority queries are rejected beyond the admitted share, the lowest priority first.
+    /// Queries of the highest priority are rejected only where all of them would be late, since
+    /// answering some in time is better than answering none. The admitted share of the query's
+    /// class under graceful degradation applies to both.
     fn rejects(&mut self, query: &Query, wait_share: f64, settings: &Settings) -> bool {
         let class_index = usize::from(query.class.0);
         let class_shares = &settings.reduction.admitted_shares;
@@ -99,8 +102,8 @@
         below_admitted_rank || worthless || beyond_class_share
     }
 
-    /// Returns the share of the recent low-priority queries that a query exceeds in priority, and
-    /// adds it to them.
+    /// Returns the share of the recent low-priority queries whose priority a query exceeds, and
+    /// adds the query to them.
     fn rank(&mut self, query: &Query) -> f64 {
         let rank = self
             .recent_priorities
--- a/src/policy/admission/quota.rs
+++ b/src/policy/admission/quota.rs
@@ -1,9 +1,9 @@
-//! Quotas: this coordinator's even share of each tenant's queries per second.
+//! Quotas of tenants in queries per second, of which each coordinator enforces an even share.
 
 use crate::interface::{Nanos, Settings, TenantId};
 use crate::stats::TokenBucket;
 
-/// Burst of a quota, in seconds of its rate.
+/// Burst of a quota: the number of queries at its rate in this many seconds.
 const BURST_SECONDS: f64 = 2.0;
 /// Least burst of a quota, in queries.
 const MIN_BURST: f64 = 2.0;
@@ -15,7 +15,7 @@
 }
 
 impl TenantQuotas {
-    /// Creates a bucket with one token for each tenant.
+    /// Creates a bucket for each tenant, with one token in it.
     pub fn new(settings: &Settings, now: Nanos) -> Self {
         let mut quotas = TenantQuotas {
             buckets: Vec::new(),
@@ -24,7 +24,7 @@
         quotas
     }
 
-    /// Applies new settings; tenants keep their tokens.
+    /// Applies new settings. Tenants that exist already keep their tokens.
     pub fn apply_settings(&mut self, settings: &Settings, now: Nanos) {
         let new_bucket = TokenBucket::new(1.0, now);
         self.buckets.resize(settings.tenants.len(), new_bucket);
--- a/src/policy/admission/wait_estimate.rs
+++ b/src/policy/admission/wait_estimate.rs
@@ -1,15 +1,16 @@
-//! Estimate of how long a query will wait, as a share of the time that it has.
+//! Estimate of how long a query will wait, as a share of its remaining time.
 
 use crate::interface::{Class, Nanos, PartId, Settings};
 use crate::policy::fleet::FleetLatency;
 use crate::policy::replicas::{ReplicaTable, Target};
 use crate::queries::{Query, WEIGHT_TOLERANCE};
 
-/// Largest share of a query's time that an estimate without observations may take. Such an estimate
-/// rejects nothing: if all queries were rejected, no answer could ever correct it.
+/// Maximum of an estimate that is not based on observations, as a share of the query's remaining
+/// time. Such an estimate must not cause a query to be rejected: if all queries were rejected, no
+/// answer could ever correct it.
 const MAX_UNOBSERVED_SHARE: f64 = 0.125;
 
-/// Wait to expect for one part.
+/// Expected wait for one part.
 pub struct PartWait {
     /// The part.
     pub part: PartId,
@@ -43,11 +44,11 @@
     waits
 }
 
-/// Returns the share of its time that a query will wait, given the waits of its parts, the longest
-/// first.
+/// Returns the share of its remaining time that a query is expected to wait, given the waits of its
+/// parts, the longest first.
 ///
-/// The controller needs a window to detect overload; this estimate detects it at once. One slow
-/// answer can raise it for a shard, an effect that decays.
+/// The controller needs a quality window to detect overload; this estimate detects it at once. One
+/// slow answer can raise the estimate for a shard, but this effect decays.
 pub fn wait_share(
     query: &Query,
     waits: &[PartWait],
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts: what may be sent, that is first attempts, retries and hedged requests, within the
+//! Attempts: decides which first attempts, retries and hedged requests are sent, and enforces the
 //! rules on sending.
 
 mod next_step;
@@ -20,7 +20,7 @@
 /// Maximum number of attempts at a part in flight at once, where hedging is allowed.
 const MAX_HEDGED_ATTEMPTS: usize = 2;
 
-/// An attempt that was decided on and not sent yet.
+/// An attempt that was decided on, and is sent if the rules allow it.
 #[derive(Debug, Clone, Copy)]
 struct PlannedAttempt {
     /// Index of the part among those of its query.
@@ -31,8 +31,9 @@
 
 /// Returns the timeout of an attempt that is sent now.
 ///
-/// Late answers are awaited for samples, and while nothing is shed if they are of value; otherwise
-/// attempts end when the query must be answered.
+/// The timeout lasts until the query's deadline if a late answer is of use: in sampled queries, and
+/// where late answers have weight, unless low-priority queries are being rejected. Otherwise it
+/// lasts until the query must be answered, if that time is not past.
 pub fn attempt_timeout(query: &Query, is_shedding: bool, settings: &Settings, now: Nanos) -> Nanos {
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
     let late_answer_counts = settings.class(query.class).late_weight > 0.0;
@@ -45,7 +46,7 @@
     end.saturating_sub(now).max(settings.tick)
 }
 
-/// Sender of attempts, which keeps the retry budget.
+/// Sender of attempts, which enforces the retry budget.
 #[derive(Debug, Default)]
 pub struct AttemptSender {
     retries: RetryLimiter,
@@ -57,7 +58,7 @@
         self.retries.record_received(now);
     }
 
-    /// Removes records that are too old to matter.
+    /// Removes records that are too old to count towards the retry budget.
     pub fn expire(&mut self, settings: &Settings, now: Nanos) {
         self.retries.expire(settings, now);
     }
@@ -92,7 +93,7 @@
         actions
     }
 
-    /// Sends an attempt if the rules allow it: the only place where attempts are sent.
+    /// Sends an attempt if the rules allow it. Attempts are sent only here.
     fn send(
         &mut self,
         query: &mut Query,
@@ -127,7 +128,7 @@
         actions
     }
 
-    /// Returns whether every rule on sending allows an attempt, whatever decided to send it.
+    /// Returns whether every rule on sending allows an attempt, regardless of why it was planned.
     fn is_allowed(
         &self,
         query: &Query,
--- a/src/policy/attempts/next_step.rs
+++ b/src/policy/attempts/next_step.rs
@@ -1,4 +1,4 @@
-//! The next step for one part of a query: send an attempt, cancel one, or wait.
+//! Decides the next step for one part of a query: to send an attempt, to cancel one, or to wait.
 
 use super::retry_limiter::RetryLimiter;
 use super::rules::may_attempt_again;
@@ -20,13 +20,13 @@
 /// Reason why nothing is done about a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
-    /// The part belongs to the step that the query has completed.
+    /// The part does not belong to the current step of the query.
     OtherStep,
-    /// The query does without the part.
+    /// The part is omitted.
     Omitted,
     /// The part is answered.
     Answered,
-    /// The part's class allows no further attempt.
+    /// The effect or the maximum number of attempts of the class allows no other attempt.
     NoAttemptAllowed,
     /// An attempt is in flight and not overdue.
     InFlight,
@@ -36,7 +36,7 @@
     RetryBudgetSpent,
     /// No replica accepts the part.
     NoReplica,
-    /// A further attempt would not be in time.
+    /// Another attempt would be answered too late.
     TooLate,
 }
 
@@ -76,7 +76,8 @@
     }
 }
 
-/// Returns why a part needs no attempt at all, if it does not.
+/// Returns the reason why a part needs no attempt, or may not have another one; `None` if it may
+/// need one.
 fn no_attempt_reason(query: &Query, part: &Part, class: &Class) -> Option<WaitReason> {
     if !query.is_in_step(part) {
         Some(WaitReason::OtherStep)
@@ -91,7 +92,7 @@
     }
 }
 
-/// Returns why a part that was attempted is not retried yet, if it is not.
+/// Returns the reason why a part that was attempted is not retried yet; `None` if a retry is due.
 fn retry_wait_reason(
     part: &Part,
     in_flight: Option<&Attempt>,
@@ -115,8 +116,8 @@
     }
 }
 
-/// Returns the replica for a further attempt: one that was not tried yet or, if all were, one where
-/// the part is not in flight.
+/// Returns the replica for another attempt: one that was not tried yet or, if all were, one where
+/// no attempt at the part is in flight.
 fn retry_candidate(
     part: &Part,
     in_flight: Option<&Attempt>,
@@ -132,8 +133,8 @@
         .or_else(|| replicas.choose(target, &busy, settings, now))
 }
 
-/// Decides about a part whose attempt in flight is overdue. Where no second attempt may be in
-/// flight, an idempotent one is cancelled first.
+/// Decides the next step for a part whose attempt in flight is overdue. Where hedging is not
+/// allowed, an idempotent attempt is cancelled first, and the part is retried afterwards.
 fn hedge(
     query: &Query,
     part: &Part,
@@ -154,8 +155,9 @@
     }
 }
 
-/// Decides about a part whose attempts have failed: it is retried if the retry may be in time, or
-/// if the query is late in any case and a late answer is of value.
+/// Decides the next step for a part whose attempts have failed. It is retried if an answer is
+/// expected in time. Where late answers have weight, it is also retried if the query is late
+/// already or the candidate was not tried yet.
 fn retry(query: &Query, part: &Part, candidate: &Candidate, class: &Class, now: Nanos) -> NextStep {
     let tried = part.attempts.iter().any(|a| a.replica == candidate.replica);
     let query_is_late = now >= query.respond_by;
--- a/src/policy/attempts/retry_limiter.rs
+++ b/src/policy/attempts/retry_limiter.rs
@@ -1,15 +1,16 @@
-//! The rule "retry budget": attempts beyond each part's first stay within a share of what was
-//! received.
+//! The rule "retry budget": the number of attempts beyond each part's first is limited to a share
+//! of the queries and parts received.
 
 use crate::interface::{Nanos, Settings};
 use crate::stats::RatioBudget;
 
-/// Ticks at the edge of the budget's window that are counted to its disadvantage.
+/// Ticks around the edge of the budget's window in which retries count, but queries and parts
+/// received do not.
 const WINDOW_MARGIN_TICKS: u64 = 2;
 /// Number of windows for which events are retained.
 const RETAINED_WINDOWS: u64 = 2;
 
-/// Retries and hedged requests, against the queries and parts received.
+/// Limiter of retries and hedged requests, by the number of queries and parts received.
 #[derive(Debug, Default)]
 pub struct RetryLimiter {
     budget: RatioBudget,
@@ -38,7 +39,7 @@
         available >= 1.0
     }
 
-    /// Removes events that no window covers any more.
+    /// Removes events that are too old to be in a window.
     pub fn expire(&mut self, settings: &Settings, now: Nanos) {
         let retained = settings
             .retry_budget
--- a/src/policy/attempts/tests.rs
+++ b/src/policy/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! The next step for a part, and the reasons for which it waits.
+//! Tests of the next step for a part, and of the reasons to wait.
 
 use super::next_step::{next_step, NextStep, WaitReason};
 use super::retry_limiter::RetryLimiter;
@@ -17,10 +17,10 @@
     ReplicaId([10, 0, 0, 1, 0, 80]),
     ReplicaId([10, 0, 0, 2, 0, 80]),
 ];
-/// Age of an attempt that is overdue in a fleet without observations.
+/// Age from which an attempt is overdue while no response time was observed.
 const OVERDUE_AGE: Nanos = 700 * MILLISECOND;
 
-/// One query of one part at a shard that two replicas hold.
+/// A query with one part, whose shard two replicas hold.
 struct Scenario {
     settings: Settings,
     replicas: ReplicaTable,
@@ -65,7 +65,8 @@
         &mut self.query.parts[0]
     }
 
-    /// Records an attempt at the part, sent at the start and ended with an outcome, if any.
+    /// Records an attempt at the part that is sent at `START`, and ends with `outcome` unless that
+    /// is `None`.
     fn attempt(&mut self, replica: ReplicaId, outcome: Option<Outcome>) {
         let part = self.part();
         let key = part.add_attempt(replica, START);
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_part_that_needs_no_attempt_waits_for_its_reason() {
+fn a_part_that_needs_no_attempt_waits_with_the_reason() {
     let mut scenario = Scenario::new(class(Effect::NonIdempotent));
     assert!(matches!(scenario.next_step(), NextStep::Send(_)));
 
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_part_without_a_ready_replica_waits_for_one() {
+fn a_part_without_a_ready_replica_waits() {
     let mut scenario = Scenario::new(class(Effect::Idempotent));
     scenario.list(&[]);
     assert_eq!(scenario.next_step(), NextStep::Wait(WaitReason::NoReplica));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_retry_that_would_be_late_is_not_sent_unless_late_answers_count() {
+fn a_retry_that_would_be_late_is_not_sent_unless_late_answers_have_weight() {
     let mut scenario = Scenario::new(class(Effect::Idempotent));
     scenario.attempt(REPLICAS[0], Some(Outcome::Error));
     scenario.now = scenario.query.respond_by;
--- a/src/policy/fleet/connections.rs
+++ b/src/policy/fleet/connections.rs
@@ -1,11 +1,11 @@
-//! Use of connections, and the share of attempts that is lost on them.
+//! Statistics of the use of connections, and of the attempts that are lost on them.
 
 use super::FLEET_GAIN;
 use crate::interface::Nanos;
 use crate::stats::Ewma;
 
-/// Excess of the loss on idle connections over that on others, as a share of attempts, from which
-/// idle connections count as silently dropped.
+/// Difference between the share of attempts lost on idle connections and the share lost on others,
+/// above which idle connections are taken to be silently dropped.
 const EXCESS_IDLE_LOSS_SHARE: f64 = 0.25;
 
 /// Use of connections to replicas, and losses on them.
@@ -15,13 +15,13 @@
     reuse_interval: Ewma,
     /// Share of attempts lost on connections in use.
     loss_in_use: Ewma,
-    /// Share of attempts lost on connections that had been idle.
+    /// Share of attempts lost on connections that were idle before.
     loss_when_idle: Ewma,
 }
 
 impl ConnectionStatistics {
-    /// Records that a replica is used that was last used at `last`; 0 if it never was. Two uses at
-    /// one time count as one.
+    /// Records that a replica is used now and was last used at `last`, 0 if never. Several uses at
+    /// the same time count as one.
     pub fn record_use(&mut self, last: Nanos, now: Nanos) {
         if last > 0 && last < now {
             let interval = (now - last) as f64;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Records whether an attempt was lost, on a connection that had been idle or on another.
+    /// Records whether an attempt was lost; `idle` states whether its connection was idle before.
     pub fn record_attempt(&mut self, idle: bool, lost: bool) {
         let loss = if idle {
             &mut self.loss_when_idle
@@ -45,8 +45,8 @@
         self.reuse_interval.value()
     }
 
-    /// Returns whether idle connections are silently dropped: far more is lost on them than on
-    /// others. An outage raises both losses.
+    /// Returns whether idle connections are silently dropped, that is whether far more attempts are
+    /// lost on them than on others. The shares are compared because an outage raises both.
     #[must_use]
     pub fn idle_are_dropped(&self) -> bool {
         self.loss_when_idle.value() > self.loss_in_use.value() + EXCESS_IDLE_LOSS_SHARE
--- a/src/policy/fleet/latency.rs
+++ b/src/policy/fleet/latency.rs
@@ -1,22 +1,23 @@
-//! Response times of the fleet and the work of each class. All times are in ns.
+//! Response times over all replicas, and the work of each class: the time that a part takes without
+//! queueing. All times are in ns.
 
 use super::FLEET_GAIN;
 use crate::interface::{ClassId, Nanos, Settings};
 use crate::stats::Ewma;
 
-/// Share of a latency objective that stands for a response time before any was observed.
+/// Response time that is assumed until one is observed, as a share of the latency objective.
 const INITIAL_OBJECTIVE_SHARE: f64 = 0.125;
-/// Multiple of the baseline above which a response time counts as this much in the baseline.
+/// Multiple of the baseline to which longer response times are cut before they are recorded in it.
 const OUTLIER_RATIO: f64 = 2.0;
 /// Multiple of the baseline after which an attempt is overdue.
 const OVERDUE_RATIO: f64 = 5.5;
-/// Gain of a class's work for an answer that took less than it: only the fastest answers consist
-/// of the work alone.
+/// Gain of a class's work for an answer that took less than the estimate; high, since only the
+/// fastest answers consist of the work alone.
 const FAST_ANSWER_GAIN: f64 = 0.5;
-/// Gain of a class's work for an answer that took longer.
+/// Gain of a class's work for an answer that took longer than the estimate.
 const SLOW_ANSWER_GAIN: f64 = 0.002;
 
-/// Work of a class's parts, as observed from the time of its answers.
+/// Work of a class's parts, estimated from the response times of its answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ClassWork {
     time: Ewma,
@@ -53,7 +54,8 @@
 }
 
 impl FleetLatency {
-    /// Creates estimates from the classes' objectives, until answers are observed.
+    /// Creates estimates from the classes' latency objectives, which hold until answers are
+    /// observed.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let estimate = estimated_response_time(settings.min_latency_objective());
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Applies new settings: each class continues the work of the class that it is mapped to, if
-    /// that was observed.
+    /// Applies new settings: each class continues with the work of the former class that it is
+    /// mapped to, if that was observed.
     pub fn apply_settings(&mut self, settings: &Settings, class_mapping: &[ClassId]) {
         let mut work = Vec::with_capacity(settings.classes.len());
         for (class, former) in settings.classes.iter().zip(class_mapping) {
@@ -78,8 +80,8 @@
         self.work = work;
     }
 
-    /// Records an answer: `in_flight` of this coordinator's attempts, this one included, were at
-    /// its replica when it was sent.
+    /// Records an answer. `in_flight` is the number of this coordinator's attempts in flight at the
+    /// replica when this one was sent, itself included.
     pub fn record(&mut self, class: ClassId, elapsed: Nanos, in_flight: f64) {
         let elapsed = elapsed as f64;
         self.per_in_flight.record(elapsed / in_flight, FLEET_GAIN);
@@ -95,7 +97,8 @@
         self.mean.value()
     }
 
-    /// Returns the smoothed response time without outliers: a few slow replicas hardly move it.
+    /// Returns the smoothed response time without outliers, on which a few slow replicas have
+    /// little influence.
     #[must_use]
     pub fn baseline(&self) -> f64 {
         self.baseline.value()
@@ -107,14 +110,15 @@
         OVERDUE_RATIO * self.baseline()
     }
 
-    /// Returns the smoothed response time for each attempt in flight at the replica: the cost of a
-    /// queue there.
+    /// Returns the smoothed quotient of an answer's response time and the number of attempts in
+    /// flight at its replica: the wait that each attempt in a queue adds.
     #[must_use]
     pub fn per_in_flight(&self) -> f64 {
         self.per_in_flight.value()
     }
 
-    /// Returns the work of a class's parts; an estimate until some was observed.
+    /// Returns the work of a part of a class; derived from the latency objective until an answer is
+    /// observed.
     #[must_use]
     pub fn work(&self, class: ClassId) -> f64 {
         self.work[usize::from(class.0)].time.value()
--- a/src/policy/fleet/mod.rs
+++ b/src/policy/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Statistics over the answers of all replicas: response times and the use of connections.
+//! Statistics over all replicas (the fleet): response times and the use of connections.
 
 mod connections;
 mod latency;
@@ -11,7 +11,7 @@
 
 use crate::interface::Settings;
 
-/// Gain of the averages over the fleet, which see many answers.
+/// Gain of the averages over the fleet; small, since the answers of all replicas update them.
 const FLEET_GAIN: f64 = 0.03;
 
 /// All statistics over the fleet.
@@ -24,8 +24,8 @@
 }
 
 impl FleetStatistics {
-    /// Creates statistics that are estimated from the classes' objectives until answers are
-    /// observed.
+    /// Creates statistics whose response times are estimated from the classes' latency objectives
+    /// until answers are observed.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         FleetStatistics {
--- a/src/policy/fleet/tests.rs
+++ b/src/policy/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Statistics over the whole fleet.
+//! Tests of the statistics over all replicas.
 
 use super::{ConnectionStatistics, FleetLatency};
 use crate::interface::{Class, ClassId, Nanos, Settings};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn fleet_latency_is_guessed_from_the_objectives_until_answers_are_observed() {
+fn fleet_latency_is_estimated_from_the_objectives_until_answers_are_observed() {
     let mut latency = FleetLatency::new(&settings(&[800, 1_600]));
     assert_eq!((latency.mean(), latency.baseline()), (100.0, 100.0));
     assert_eq!(
@@ -41,7 +41,7 @@
     assert_eq!(
         latency.work(ClassId(1)),
         150.0,
-        "quicker than thought counts by half"
+        "an answer faster than the estimate has a gain of one half"
     );
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn new_settings_keep_what_was_observed_of_a_class_and_guess_the_others() {
+fn new_settings_keep_the_observed_work_of_a_class_and_estimate_that_of_others() {
     let mut latency = FleetLatency::new(&settings(&[800, 800]));
     latency.record(ClassId(0), 60, 1.0);
     latency.apply_settings(
@@ -76,15 +76,24 @@
 }
 
 #[test]
-fn idle_connections_are_dropped_where_they_lose_far_more_than_others() {
+fn idle_connections_count_as_dropped_if_far_more_attempts_are_lost_on_them_than_on_others() {
     let mut connections = ConnectionStatistics::default();
-    let losses = |connections: &mut ConnectionStatistics, idle, count| {
+    let idle_are_dropped_after_losses = |connections: &mut ConnectionStatistics, idle, count| {
         (0..count).for_each(|_| connections.record_attempt(idle, true));
         connections.idle_are_dropped()
     };
-    assert!(!losses(&mut connections, true, 9), "0.24");
-    assert!(losses(&mut connections, true, 1), "0.26");
-    assert!(!losses(&mut connections, false, 1), "an outage raises both");
+    assert!(
+        !idle_are_dropped_after_losses(&mut connections, true, 9),
+        "a loss of 0.24"
+    );
+    assert!(
+        idle_are_dropped_after_losses(&mut connections, true, 1),
+        "a loss of 0.26"
+    );
+    assert!(
+        !idle_are_dropped_after_losses(&mut connections, false, 1),
+        "an outage raises both losses"
+    );
 }
 
 #[test]
@@ -92,7 +101,11 @@
     let mut connections = ConnectionStatistics::default();
     connections.record_use(0, 5_000);
     connections.record_use(5_000, 5_000);
-    assert_eq!(connections.reuse_interval(), 0.0, "neither is an interval");
+    assert_eq!(
+        connections.reuse_interval(),
+        0.0,
+        "neither a first use nor two uses at the same time are an interval"
+    );
     connections.record_use(5_000, 5_100);
     assert_eq!(connections.reuse_interval(), 3.0);
 }
