--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -20,15 +20,15 @@
 /// otherwise.
 const PROBE_INTERVAL: Micros = Micros::from_secs(8);
 /// The divisor of the interval that gives the time of the first probe.
-const FIRST_PROBE_FRACTION: u64 = 8;
+const FIRST_PROBE_DIVISOR: u64 = 8;
 /// The duration of a probe, as a multiple of the smoothed latency: the queue drains, and the
 /// responses after that show the baseline.
-const PROBE_LATENCIES: f64 = 2.5;
+const PROBE_LATENCY_MULTIPLE: f64 = 2.5;
 /// The factor by which overload decreases the limit.
 const DECREASE_FACTOR: f64 = 0.7;
 /// The minimum interval between two decreases, in microseconds. A longer smoothed latency takes its
 /// place.
-const MIN_DECREASE_INTERVAL: f64 = 10_000.0;
+const MIN_DECREASE_INTERVAL_US: f64 = 10_000.0;
 /// The minimum share of the limit in use for it to grow: below that, nothing shows the effect of a
 /// higher limit.
 const MIN_UTILIZATION: f64 = 0.5;
@@ -36,7 +36,7 @@
 const MAX_BACKOFF: Micros = Micros::from_secs(30);
 /// The multiple of the smoothed latency beyond which a cancelled request counts as a sign of
 /// overload.
-const OVERLOAD_LATENCIES: f64 = 4.0;
+const OVERLOAD_LATENCY_MULTIPLE: f64 = 4.0;
 /// The number of size classes. Latencies are compared among responses of similar size: a page of
 /// five hundred features takes longer than a single feature, without any queue.
 const SIZE_CLASSES: usize = 6;
@@ -171,7 +171,8 @@
 
     /// Returns whether a cancelled request had waited so long that it indicates overload.
     fn is_overdue(&self, latency: Micros) -> bool {
-        self.latency.is_known() && latency.0 as f64 > OVERLOAD_LATENCIES * self.latency.micros()
+        self.latency.is_known()
+            && latency.0 as f64 > OVERLOAD_LATENCY_MULTIPLE * self.latency.micros()
     }
 
     /// Decreases an adaptive limit for overload. A burst of errors decreases it once.
@@ -179,7 +180,7 @@
         let LimitRule::Adaptive { min, .. } = self.rule else {
             return;
         };
-        let interval = Micros(self.latency.micros().max(MIN_DECREASE_INTERVAL) as u64);
+        let interval = Micros(self.latency.micros().max(MIN_DECREASE_INTERVAL_US) as u64);
         if now.since(self.last_decreased) <= interval {
             return;
         }
@@ -226,12 +227,12 @@
             self.end_probe(probe);
             return false;
         }
-        let first_probe_at = now + Micros(PROBE_INTERVAL.0 / FIRST_PROBE_FRACTION);
+        let first_probe_at = now + Micros(PROBE_INTERVAL.0 / FIRST_PROBE_DIVISOR);
         let due = now >= *self.next_probe_at.get_or_insert(first_probe_at);
         if !due || self.limit <= min as f64 + 0.5 {
             return false;
         }
-        let duration = Micros((self.latency.micros() * PROBE_LATENCIES) as u64);
+        let duration = Micros((self.latency.micros() * PROBE_LATENCY_MULTIPLE) as u64);
         self.next_probe_at = Some(now + PROBE_INTERVAL);
         self.probe = Some(BaselineProbe {
             restored_limit: self.limit,
