--- a/src/coordinator/active_settings.rs
+++ b/src/coordinator/active_settings.rs
@@ -12,7 +12,7 @@
 /// its ticks, which are short on some sites.
 const RESPONSE_MARGIN: Micros = Micros::from_millis(10);
 /// The number of processes that share the limits of one during a handover.
-const PROCESSES_IN_HANDOVER: u32 = 2;
+const PROCESSES_IN_HAND_OVER: u32 = 2;
 
 /// The active settings, the limit of reserved slots, and whether another process shares both.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
     /// Returns the number of queries and parts that may be reserved now.
     pub(super) fn max_reserved_slots(&self) -> usize {
         match self.generation {
-            Some(_) => self.max_in_flight / PROCESSES_IN_HANDOVER as usize,
+            Some(_) => self.max_in_flight / PROCESSES_IN_HAND_OVER as usize,
             None => self.max_in_flight,
         }
     }
@@ -86,7 +86,7 @@
             ..self.settings.clone()
         };
         if let Some(generation) = self.generation {
-            settings.coordinators *= PROCESSES_IN_HANDOVER;
+            settings.coordinators *= PROCESSES_IN_HAND_OVER;
             if generation == ProcessGeneration::Successor {
                 settings.retry_budget = settings.retry_budget.map(|budget| RetryBudget {
                     free: 0.0,
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -6,12 +6,12 @@
 use super::cql2::Queryables;
 use super::cursor::CursorKey;
 use crate::coordinator::{ClassMetrics, Metrics};
-use crate::limits::{AdmissionController, ServerCapacity, BASE_MEMORY};
+use crate::limits::{AdmissionController, ServerCapacity, BASE_MEMORY_BYTES};
 use crate::sync::lock;
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The share of the memory beyond [`BASE_MEMORY`] that responses may reserve; another third is for
+/// The share of the memory beyond [`BASE_MEMORY_BYTES`] that responses may reserve; another third is for
 /// the input of clients.
 const RESPONSE_MEMORY_SHARE: f64 = 0.45;
 
@@ -58,7 +58,7 @@
             server_capacity,
         } = dependencies;
         let capabilities = CapabilityCache::new(Micros::from_secs(edge.capability_max_age_s));
-        let memory = (edge.memory_mb * 1024 * 1024).saturating_sub(BASE_MEMORY);
+        let memory = (edge.memory_mb * 1024 * 1024).saturating_sub(BASE_MEMORY_BYTES);
         let response_memory = (memory as f64 * RESPONSE_MEMORY_SHARE) as usize;
         FrontState {
             edge,
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -21,4 +21,4 @@
 
 /// The memory that every process of this program needs before it has a client, in bytes; limits
 /// distribute the rest.
-pub const BASE_MEMORY: usize = 16 * 1024 * 1024;
+pub const BASE_MEMORY_BYTES: usize = 16 * 1024 * 1024;
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -1,6 +1,6 @@
 //! The shares of the process's descriptors and memory that client connections may use.
 
-use crate::limits::BASE_MEMORY;
+use crate::limits::BASE_MEMORY_BYTES;
 use crate::net::admin;
 
 /// The minimum memory for requests in progress, in bytes.
@@ -28,7 +28,7 @@
         ClientLimits {
             connections: (available * 2 / 3).max(1),
             idle: available / 6,
-            bytes: (memory.saturating_sub(BASE_MEMORY) / 3).max(MIN_REQUEST_BYTES),
+            bytes: (memory.saturating_sub(BASE_MEMORY_BYTES) / 3).max(MIN_REQUEST_BYTES),
         }
     }
 
