--- a/src/coordinator/metrics.rs
+++ b/src/coordinator/metrics.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Default)]
 pub struct ClassMetrics {
     /// Requests served.
-    pub ok: Counter,
+    pub served: Counter,
     /// Requests rejected.
-    pub shed: Counter,
+    pub rejected: Counter,
     /// Requests failed.
     pub errors: Counter,
     /// Attempts whose last byte was written.
@@ -90,8 +90,8 @@
 /// Appends the lines of one class.
 fn append_class(text: &mut String, class: &str, metrics: &ClassMetrics) {
     let counters = [
-        ("ok", &metrics.ok),
-        ("shed", &metrics.shed),
+        ("ok", &metrics.served),
+        ("shed", &metrics.rejected),
         ("errors", &metrics.errors),
         ("tries", &metrics.attempts),
     ];
--- a/src/coordinator/queries/completion.rs
+++ b/src/coordinator/queries/completion.rs
@@ -134,8 +134,8 @@
         if request.counted {
             let metrics = self.classes.metrics(class);
             let counter = match answer {
-                Answer::Served { .. } => &metrics.ok,
-                Answer::Rejected { .. } => &metrics.shed,
+                Answer::Served { .. } => &metrics.served,
+                Answer::Rejected { .. } => &metrics.rejected,
                 Answer::Failed { .. } | Answer::DuplicateRequestId | Answer::UnknownClass => {
                     &metrics.errors
                 }
--- a/src/front/ogc/round.rs
+++ b/src/front/ogc/round.rs
@@ -52,8 +52,8 @@
 /// Counts the end of a query. The core does not count its rounds.
 pub(super) fn count_response(metrics: &ClassMetrics, response: &Response) {
     let counter = match response.status {
-        200..=399 | 404 => &metrics.ok,
-        503 | 429 => &metrics.shed,
+        200..=399 | 404 => &metrics.served,
+        503 | 429 => &metrics.rejected,
         _ => &metrics.errors,
     };
     counter.increment();
