--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -6,7 +6,7 @@
 
 use super::counters::COUNTERS;
 use super::diagnostics::log_throttled;
-use super::messages::{Command, EndpointUpdate, NodeEndpoint};
+use super::messages::{Command, EndpointUpdate, ServerEndpoint};
 use super::turn::Turn;
 
 use crate::interface::{
@@ -55,7 +55,7 @@
     /// Returns whether a line of a stale list still applies. A drain or a removal does, since an
     /// incarnation never becomes ready again after it, and so does a later incarnation. In all else
     /// the newer list is right.
-    fn applies_if_stale(&self, node: &NodeEndpoint) -> bool {
+    fn applies_if_stale(&self, node: &ServerEndpoint) -> bool {
         let stops = self.ready && node.state != EndpointState::Ready;
         self.is_later_incarnation(node.started_at)
             || (stops && !self.is_earlier_incarnation(node.started_at))
@@ -142,7 +142,7 @@
     }
 
     /// Applies one line of a list.
-    fn update(&mut self, node: NodeEndpoint, turn: &mut Turn<'_>) -> Endpoint {
+    fn update(&mut self, node: ServerEndpoint, turn: &mut Turn<'_>) -> Endpoint {
         let replica = self.id_of(&node.name);
         if let Some(shards) = node.shards {
             turn.events.push(Event::Placement { replica, shards });
--- a/src/coordinator/messages.rs
+++ b/src/coordinator/messages.rs
@@ -15,7 +15,7 @@
     /// A request that a front submits.
     Submit(Request),
     /// The end of a client's connection: the request needs no answer any more.
-    ClientLeft(Token),
+    ClientDisconnected(Token),
     /// The start of an attempt's write. Some of its request is written and the rest follows, so the
     /// attempt can no longer be withdrawn.
     WriteStarted(AttemptKey),
@@ -41,7 +41,7 @@
 
 /// A server as an endpoint list describes it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct NodeEndpoint {
+pub struct ServerEndpoint {
     /// The name of the server, which is the same after a restart.
     pub name: Arc<str>,
     /// The address on which the server listens.
@@ -66,7 +66,7 @@
     /// The version of the list, where lists have one. The version of a newer list is never lower.
     pub version: Option<u64>,
     /// The endpoints in the list.
-    pub endpoints: Vec<NodeEndpoint>,
+    pub endpoints: Vec<ServerEndpoint>,
 }
 
 /// The end of an attempt, as its driver observed it.
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -24,8 +24,8 @@
 pub use counters::{Counter, Counters, COUNTERS};
 pub use diagnostics::{check_invariant, log_throttled};
 pub use messages::{
-    Answer, AttemptEnd, AttemptRequest, Command, EndpointUpdate, Input, NodeEndpoint,
-    ProcessGeneration, ServedPart,
+    Answer, AttemptEnd, AttemptRequest, Command, EndpointUpdate, Input, ProcessGeneration,
+    ServedPart, ServerEndpoint,
 };
 pub use metrics::{ClassMetrics, Gauge, Metrics};
 pub use request::{AttemptKey, PartRequest, Request, RequestContext, Token, Value};
@@ -159,7 +159,7 @@
         match input {
             Input::EndpointUpdate(update) => self.update_endpoints(update, turn),
             Input::Submit(request) => self.queries.submit(request, &self.settings, turn),
-            Input::ClientLeft(token) => self.queries.abandon(token, turn),
+            Input::ClientDisconnected(token) => self.queries.abandon(token, turn),
             Input::WriteStarted(key) => self.queries.write_started(key),
             Input::FullyWritten(key) => self.queries.fully_written(key),
             Input::AttemptEnded { key, end } => self.queries.attempt_ended(key, end, turn),
--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -2,7 +2,7 @@
 //! hold each shard. Reading an inventory is left to [`inventory`](super::inventory).
 
 use super::inventory::{CollectionShard, Server};
-use crate::coordinator::{EndpointUpdate, NodeEndpoint};
+use crate::coordinator::{EndpointUpdate, ServerEndpoint};
 use crate::interface::{EndpointListKind, EndpointState, ShardId};
 use crate::time::Micros;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -109,7 +109,7 @@
                     started,
                 },
             );
-            nodes.push(NodeEndpoint {
+            nodes.push(ServerEndpoint {
                 name: server.name.as_str().into(),
                 address: server.address.to_string().into(),
                 zone: 0,
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -176,7 +176,7 @@
         state.waker = None;
         if let Some(awaited) = state.awaited.take() {
             sync::lock(&self.awaiting).remove(&awaited.token);
-            let _ = self.inbox.send(Input::ClientLeft(awaited.token));
+            let _ = self.inbox.send(Input::ClientDisconnected(awaited.token));
         }
     }
 }
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -2,7 +2,7 @@
 //! as JSON objects, one a line. `net::watch` owns the connection and opens it again.
 
 use super::http::{HttpError, ResponseReader};
-use crate::coordinator::{EndpointUpdate, NodeEndpoint};
+use crate::coordinator::{EndpointUpdate, ServerEndpoint};
 use crate::interface::{EndpointListKind, EndpointState};
 use crate::time::{monotonic_start, Micros};
 use serde::Deserialize;
@@ -125,8 +125,8 @@
 fn to_node(
     endpoint: EndpointMessage,
     read_at: ReadTime,
-) -> Result<NodeEndpoint, EndpointListError> {
-    Ok(NodeEndpoint {
+) -> Result<ServerEndpoint, EndpointListError> {
+    Ok(ServerEndpoint {
         name: endpoint.name.into(),
         address: endpoint.address.into(),
         zone: zone_number(&endpoint.zone),
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -124,7 +124,7 @@
     fn inputs(self, keys: &[AttemptKey]) -> Vec<Input> {
         let write = self.write_started.then_some(Input::WriteStarted(keys[1]));
         let end = if self.client_leaves {
-            Input::ClientLeft(Token(1))
+            Input::ClientDisconnected(Token(1))
         } else {
             served(keys[0])
         };
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -3,7 +3,7 @@
 use crate::support::{
     coordinator, endpoint_list, fleet, node, node_number, submit, IDEMPOTENT, START,
 };
-use quinceflow::coordinator::{Answer, Command, Coordinator, Input, NodeEndpoint, Token};
+use quinceflow::coordinator::{Answer, Command, Coordinator, Input, ServerEndpoint, Token};
 use quinceflow::time::Micros;
 use quinceflow::{EndpointListKind, EndpointState, ReplicaId};
 use std::collections::BTreeSet;
@@ -71,7 +71,7 @@
 fn list_with_a_duplicate_or_no_endpoint_causes_no_dispatch_that_it_forbids() {
     let mut core = coordinator();
     let mut commands = Vec::new();
-    let full = |nodes: Vec<NodeEndpoint>| endpoint_list(EndpointListKind::Full, None, nodes);
+    let full = |nodes: Vec<ServerEndpoint>| endpoint_list(EndpointListKind::Full, None, nodes);
     core.turn(START, [fleet()], &mut commands);
     let duplicate = vec![
         node(0, EndpointState::Ready),
@@ -131,20 +131,20 @@
 }
 
 /// Returns a list of this version.
-fn list(version: u64, kind: EndpointListKind, nodes: Vec<NodeEndpoint>) -> Input {
+fn list(version: u64, kind: EndpointListKind, nodes: Vec<ServerEndpoint>) -> Input {
     endpoint_list(kind, Some(version), nodes)
 }
 
 /// Returns a server that started at this time.
-fn started(number: u16, state: EndpointState, seconds: u64) -> NodeEndpoint {
-    NodeEndpoint {
+fn started(number: u16, state: EndpointState, seconds: u64) -> ServerEndpoint {
+    ServerEndpoint {
         started_at: Some(Micros::from_secs(seconds)),
         ..node(number, state)
     }
 }
 
 /// Returns three servers, of which the last two are ready.
-fn fleet_with(first: NodeEndpoint) -> Vec<NodeEndpoint> {
+fn fleet_with(first: ServerEndpoint) -> Vec<ServerEndpoint> {
     vec![
         first,
         started(1, EndpointState::Ready, 50),
@@ -202,7 +202,7 @@
     let mut commands = Vec::new();
     let mut ended_at = |start_ms: Option<u64>| {
         let started_at = start_ms.map(|ms| START + Micros::from_millis(ms));
-        let restarted = NodeEndpoint {
+        let restarted = ServerEndpoint {
             started_at,
             ..node(0, EndpointState::Ready)
         };
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -27,7 +27,7 @@
     assert!(
         is_duplicate(&commands, 2) && !is_duplicate(&commands, 1) && !is_duplicate(&commands, 3)
     );
-    core.turn(START, [Input::ClientLeft(Token(1))], &mut commands);
+    core.turn(START, [Input::ClientDisconnected(Token(1))], &mut commands);
     core.turn(
         START + Micros::from_millis(1),
         [named(4, "a")],
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -237,7 +237,7 @@
             Step::ClientLeaves { client } => {
                 let token = client as u64 % (self.tokens + 1);
                 self.left.insert(token);
-                self.inputs.push(Input::ClientLeft(Token(token)));
+                self.inputs.push(Input::ClientDisconnected(Token(token)));
             }
             Step::Drain {
                 node: number,
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -3,8 +3,8 @@
 
 use crate::common::{self, MS};
 use quinceflow::coordinator::{
-    Answer, AttemptEnd, AttemptKey, Command, Coordinator, EndpointUpdate, Input, NodeEndpoint,
-    PartRequest, Request, Token,
+    Answer, AttemptEnd, AttemptKey, Command, Coordinator, EndpointUpdate, Input, PartRequest,
+    Request, ServerEndpoint, Token,
 };
 use quinceflow::time::Micros;
 use quinceflow::{
@@ -56,8 +56,8 @@
 }
 
 /// Returns a server whose number is that of its cell and its port.
-pub fn node(number: u16, state: EndpointState) -> NodeEndpoint {
-    NodeEndpoint {
+pub fn node(number: u16, state: EndpointState) -> ServerEndpoint {
+    ServerEndpoint {
         name: format!("s{number}").into(),
         address: format!("127.0.0.1:{number}").into(),
         zone: 0,
@@ -77,7 +77,7 @@
 pub fn endpoint_list(
     kind: EndpointListKind,
     version: Option<u64>,
-    endpoints: impl IntoIterator<Item = NodeEndpoint>,
+    endpoints: impl IntoIterator<Item = ServerEndpoint>,
 ) -> Input {
     Input::EndpointUpdate(EndpointUpdate {
         kind,
