--- a/src/coordinator/diagnostics/tests.rs
+++ b/src/coordinator/diagnostics/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 use std::sync::Barrier;
 
-/// The number of threads with events at the same time.
+/// The number of threads that log at the same time.
 const THREADS: usize = 4;
-/// The number of times that they have events.
+/// The number of counters, which the threads use one after the other.
 const ROUNDS: usize = 3_000;
 
 #[test]
-fn a_throttled_event_is_counted_each_time_and_logged_at_powers_of_two() {
+fn throttled_event_is_counted_each_time_and_logged_at_powers_of_two() {
     let counter = Counter::new();
     let mut logged = Vec::new();
     for occurrence in 1..=20 {
@@ -18,8 +18,8 @@
     assert_eq!((counter.get(), logged), (20, vec![1, 2, 4, 8, 16]));
 }
 
-/// Guards against events at the same time of which each sees the count of both, so that a line is
-/// skipped or doubled.
+/// Guards against concurrent events that all read the counter after the others have incremented it,
+/// so that a line is skipped or logged twice.
 #[test]
 fn events_of_several_threads_are_logged_once_at_each_power_of_two() {
     let start = Barrier::new(THREADS);
@@ -41,6 +41,6 @@
     let wrong = logged.iter().filter(|logged| logged.get() != 4).count();
     assert_eq!(
         wrong, 0,
-        "of {ROUNDS} times 8 events, logged at 1, 2, 4 and 8"
+        "of {ROUNDS} counters did not log their 8 events at 1, 2, 4 and 8"
     );
 }
