--- a/src/coordinator/queries/admission.rs
+++ b/src/coordinator/queries/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a request becomes a pending query, or is rejected at once.
+//! Admission: a request becomes a pending query, or is rejected immediately.
 
 use super::pending::{slots, PendingQuery, NETWORK_MARGIN};
 use super::QueryTracker;
@@ -18,7 +18,7 @@
         turn: &mut Turn<'_>,
     ) {
         let Some(class) = self.classes.find(&request.class) else {
-            // A reload dropped the class while the request was on its way here.
+            // A reload dropped the class before the coordinator received the request.
             COUNTERS.bad_requests.increment();
             turn.commands.push(Command::Reply {
                 token: request.token,
--- a/src/coordinator/queries/attempts.rs
+++ b/src/coordinator/queries/attempts.rs
@@ -14,16 +14,16 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// An attempt at a part that the policy orders.
+/// The policy's order to dispatch an attempt at a part.
 pub(in crate::coordinator) struct DispatchOrder {
     /// The part.
     pub(in crate::coordinator) part: PartId,
     /// The server.
     pub(in crate::coordinator) replica: ReplicaId,
-    /// The time for which to wait for the value.
+    /// The time for which the coordinator waits for the value.
     pub(in crate::coordinator) timeout: Micros,
-    /// The time by which the write must have started; a later one would repeat the part outside the
-    /// deduplication window of its class.
+    /// The time by which the write must have started; a later write would repeat the part outside
+    /// the deduplication window of its class.
     pub(in crate::coordinator) write_by: Micros,
 }
 
@@ -36,12 +36,12 @@
         turn: &mut Turn<'_>,
     ) {
         let Some(pending) = self.pending.part(order.part) else {
-            return check_invariant(false, "an attempt at a part that has ended");
+            return check_invariant(false, "an attempt was ordered for a part that has ended");
         };
         let no_attempt_in_flight = || !self.in_flight.contains_part(order.part);
         check_invariant(
             settings.hedging() || no_attempt_in_flight(),
-            "a part has two attempts in flight",
+            "a part has two attempts in flight without hedging",
         );
         COUNTERS.attempts_dispatched.increment();
         let key = self.in_flight.next_key(order.part);
@@ -92,15 +92,15 @@
             .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
-    /// Ends the attempts that have timed out, or whose write has not started in time.
+    /// Ends the attempts that have timed out or whose write has not started in time.
     pub(in crate::coordinator) fn expire_attempts(&mut self, turn: &mut Turn<'_>) {
         while let Some(key) = self.in_flight.next_expired(turn.now) {
             let Some(attempt) = self.stop_attempt(key, turn) else {
                 continue;
             };
-            // An attempt whose write has not started is withdrawn: it never ran, so a part that
-            // must not be repeated may be sent again. An attempt whose write has started is written
-            // to its last byte, and may run.
+            // An attempt whose write has not started is never sent and never runs, so another
+            // attempt is safe even at a part that must not be repeated. An attempt whose write has
+            // started is written to its last byte, and may run.
             let outcome = if attempt.write_started {
                 Outcome::TimedOut
             } else {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Cancels an attempt; the policy is notified of its end in the next turn.
+    /// Cancels an attempt. Its outcome is reported to the policy in the next turn.
     pub(in crate::coordinator) fn cancel(&mut self, key: AttemptKey, turn: &mut Turn<'_>) {
         let Some(attempt) = self.stop_attempt(key, turn) else {
             return;
@@ -125,7 +125,7 @@
             .push(record_outcome(key, &attempt, outcome, turn.now));
     }
 
-    /// Removes an attempt and commands its driver to stop waiting for it.
+    /// Removes an attempt, and commands its driver to stop waiting for it.
     fn stop_attempt(&mut self, key: AttemptKey, turn: &mut Turn<'_>) -> Option<InFlightAttempt> {
         let attempt = self.remove_attempt(key)?;
         turn.commands.push(Command::CancelAttempt {
@@ -135,7 +135,8 @@
         Some(attempt)
     }
 
-    /// Removes an attempt with all that it uses, so that it can have no second outcome.
+    /// Removes an attempt and releases its request id and class. An attempt that was removed cannot
+    /// have a second outcome.
     fn remove_attempt(&mut self, key: AttemptKey) -> Option<InFlightAttempt> {
         let attempt = self.in_flight.remove(key)?;
         self.request_ids.release(&attempt.request_id);
@@ -151,8 +152,8 @@
         replica: order.replica,
         dispatched_at: now,
         deadline,
-        // The connection may be established much later: the timer cancels the attempt before it is
-        // written too late.
+        // The connection may be established much later than the dispatch. The timer cancels the
+        // attempt before its write could start too late.
         timer_at: deadline.min(order.write_by),
         write_started: false,
         request_id: query.request.request_id.clone(),
@@ -178,7 +179,7 @@
     }
 }
 
-/// Counts the outcome of an attempt and returns the event of it for the policy.
+/// Counts the outcome of an attempt, and returns the event that reports it to the policy.
 fn record_outcome(
     key: AttemptKey,
     attempt: &InFlightAttempt,
--- a/src/coordinator/queries/completion.rs
+++ b/src/coordinator/queries/completion.rs
@@ -1,5 +1,5 @@
-//! Completion: each pending query ends once, with its final answer, or without one if its client
-//! has left.
+//! Completion: each pending query ends once, with its final answer, or without an answer if its
+//! client has disconnected.
 
 use super::pending::{part_ids, PendingQuery};
 use super::QueryTracker;
@@ -11,12 +11,12 @@
 use crate::interface::{ClassId, Event, QueryId};
 use crate::time::Micros;
 
-/// The tolerance in sums of part weights, which are rounded: a sum may fall short of a share by
-/// this much.
+/// The amount by which a sum of part weights may fall short of a share, since the weights are
+/// rounded.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
 
 impl QueryTracker {
-    /// Removes the query of a client that has closed its connection.
+    /// Removes the query of a client that has disconnected.
     pub(in crate::coordinator) fn abandon(&mut self, token: Token, turn: &mut Turn<'_>) {
         let Some(query) = self.pending.find(token) else {
             return;
@@ -26,7 +26,7 @@
         self.remove_query(query, turn);
     }
 
-    /// Answers a query from the parts that have a value.
+    /// Answers a query with the values of its parts.
     pub(in crate::coordinator) fn answer(
         &mut self,
         query: QueryId,
@@ -34,7 +34,10 @@
         turn: &mut Turn<'_>,
     ) {
         let Some(mut pending) = self.remove_query(query, turn) else {
-            return check_invariant(false, "an answer to a query that is not pending");
+            return check_invariant(
+                false,
+                "an answer was ordered for a query that is not pending",
+            );
         };
         let class = self.classes.get(pending.class);
         let min_weight = if complete {
@@ -42,8 +45,11 @@
         } else {
             class.min_share
         };
-        let enough = pending.served_weight() + WEIGHT_TOLERANCE >= min_weight;
-        check_invariant(enough, "an answer from too few parts");
+        let has_required_weight = pending.served_weight() + WEIGHT_TOLERANCE >= min_weight;
+        check_invariant(
+            has_required_weight,
+            "an answer was ordered with too few answered parts",
+        );
         let counter = if complete {
             &COUNTERS.queries_complete
         } else {
@@ -57,7 +63,7 @@
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
-    /// Rejects a query: a retry is safe.
+    /// Rejects a query, which the client may safely retry.
     pub(in crate::coordinator) fn reject(
         &mut self,
         query: QueryId,
@@ -65,7 +71,10 @@
         turn: &mut Turn<'_>,
     ) {
         let Some(pending) = self.remove_query(query, turn) else {
-            return check_invariant(false, "an end of a query that is not pending");
+            return check_invariant(
+                false,
+                "a rejection was ordered for a query that is not pending",
+            );
         };
         COUNTERS.queries_rejected.increment();
         let answer = Answer::Rejected {
@@ -75,10 +84,13 @@
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
-    /// Fails a query: parts of it may have run.
+    /// Fails a query, of which parts may have run.
     pub(in crate::coordinator) fn fail(&mut self, query: QueryId, turn: &mut Turn<'_>) {
         let Some(pending) = self.remove_query(query, turn) else {
-            return check_invariant(false, "an end of a query that is not pending");
+            return check_invariant(
+                false,
+                "a failure was ordered for a query that is not pending",
+            );
         };
         COUNTERS.queries_failed.increment();
         let answer = Answer::Failed {
@@ -87,13 +99,13 @@
         self.reply(pending.class, &pending.request, answer, turn);
     }
 
-    /// Fails the queries whose deadline has passed. The policy ends each query before that, except
-    /// at a shutdown; if it does not, the client still gets its one answer.
+    /// Fails the queries whose deadline has passed. The policy ends each query before its deadline,
+    /// except during a graceful shutdown; if it does not, the client still gets one answer.
     pub(in crate::coordinator) fn expire_queries(&mut self, turn: &mut Turn<'_>) {
         while let Some(query) = self.pending.next_expired(turn.now) {
             if let Some(pending) = self.remove_query(query, turn) {
-                let shut_down = self.pending.is_final(pending.deadline);
-                check_invariant(shut_down, "a query is pending after its deadline");
+                let is_final_deadline = self.pending.is_final(pending.deadline);
+                check_invariant(is_final_deadline, "a query is pending after its deadline");
                 COUNTERS.queries_failed.increment();
                 self.reply(
                     pending.class,
@@ -106,9 +118,9 @@
         }
     }
 
-    /// Removes a query with all that it uses. Its attempts whose write has not started are
-    /// cancelled even if the settings do not allow cancellation at the servers: the result of an
-    /// attempt that still waits for a connection would be of no use.
+    /// Removes a query and releases its request id and class. Its attempts whose write has not
+    /// started are cancelled even if the settings do not allow cancellation at the servers: the
+    /// result of an attempt that still waits for a connection would be of no use.
     fn remove_query(&mut self, query: QueryId, turn: &mut Turn<'_>) -> Option<PendingQuery> {
         let pending = self.pending.remove(query)?;
         self.request_ids.release(&pending.request.request_id);
--- a/src/coordinator/queries/in_flight.rs
+++ b/src/coordinator/queries/in_flight.rs
@@ -80,7 +80,8 @@
         key
     }
 
-    /// Removes the numbering of a part that has ended: no further attempt follows.
+    /// Removes the number of the next attempt at a part that has ended, since no other attempt
+    /// follows.
     pub(super) fn remove_part(&mut self, part: PartId) {
         self.next_numbers.remove(&part);
     }
@@ -125,7 +126,7 @@
     }
 
     /// Returns the first attempt that has expired: its deadline has passed, or its write has not
-    /// started in time. An attempt whose write has started gets a timer for its deadline instead.
+    /// started in time. If the write has started in time, the timer is set to the deadline.
     pub(super) fn next_expired(&mut self, now: Micros) -> Option<AttemptKey> {
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= now) {
             self.timers.pop_first();
--- a/src/coordinator/queries/mod.rs
+++ b/src/coordinator/queries/mod.rs
@@ -68,13 +68,14 @@
         expiries.into_iter().flatten().min()
     }
 
-    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
-    /// deadline.
+    /// Starts the graceful shutdown: every pending query, and every later one, gets its answer by
+    /// the final deadline.
     pub(super) fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.pending.set_final_deadline(final_deadline);
     }
 
-    /// Activates the classes of a reload; returns the predecessor of each class.
+    /// Activates the classes of a reload; returns for each class the previous one whose statistics
+    /// it continues.
     pub(super) fn replace_classes(&mut self, classes: &[Class]) -> Vec<ClassId> {
         self.classes.replace(classes)
     }
--- a/src/coordinator/queries/pending.rs
+++ b/src/coordinator/queries/pending.rs
@@ -7,11 +7,11 @@
 use crate::time::Micros;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The time of a client's timeout that is reserved for the way here, the turn and the way back. The
-/// margin for the policy's ticks is the policy's own.
+/// The part of a client's timeout that is reserved for the network in both directions and for the
+/// turn. The policy adds its own margin for its ticks.
 pub(super) const NETWORK_MARGIN: Micros = Micros::from_millis(3);
-/// The distance from the objective within which an end counts as caused by it: the policy ends a
-/// query some ticks ahead.
+/// The time before the latency objective or the deadline from which on the end of a query counts as
+/// late: the policy ends a query some ticks before them.
 const LATE_TOLERANCE: Micros = Micros::from_millis(25);
 
 /// A query that has no final answer yet.
@@ -23,7 +23,7 @@
     pub(super) class: ClassId,
     /// The time by which the query must have its answer.
     pub(super) deadline: Micros,
-    /// The time at which the answer is due according to the latency objective.
+    /// The time by which the answer is due according to the latency objective.
     objective: Micros,
     /// The values that servers returned for the parts, in the request's order.
     values: Vec<Option<Value>>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether an end at this time counts as out of time.
+    /// Returns whether a query that ends at this time has run out of time.
     pub(super) fn is_late(&self, now: Micros) -> bool {
         now + LATE_TOLERANCE >= self.objective.min(self.deadline)
     }
@@ -61,7 +61,7 @@
             .sum()
     }
 
-    /// Takes the parts that have a value out of the query.
+    /// Removes the values from the query, and returns the parts that had one.
     pub(super) fn take_served_parts(&mut self) -> Vec<ServedPart> {
         let values = std::mem::take(&mut self.values);
         let parts = self.request.parts.iter().zip(values);
@@ -97,7 +97,7 @@
     PartId(query.0 + 1 + index as u64)
 }
 
-/// Returns the ids of all parts of a query.
+/// Returns the ids of all parts of a query, in the request's order.
 pub(super) fn part_ids(query: QueryId, request: &Request) -> impl Iterator<Item = PartId> {
     (0..request.parts.len()).map(move |index| part_id(query, index))
 }
@@ -133,10 +133,11 @@
     deadlines: BTreeSet<QueryDeadline>,
     /// The slots that all pending queries reserve.
     reserved_slots: usize,
-    /// The time by which every answer must be given, during a shutdown.
+    /// The time by which every answer must be given, during a graceful shutdown.
     final_deadline: Option<Micros>,
     /// The next id of a query or a part; never reused.
     next_id: u64,
+    /// The id that the next query and its parts share; it wraps around.
     next_group: u32,
 }
 
@@ -185,7 +186,7 @@
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// Returns the first query whose deadline has passed.
+    /// Returns the query with the earliest deadline, if that has passed.
     pub(super) fn next_expired(&self, now: Micros) -> Option<QueryId> {
         self.deadlines
             .first()
@@ -193,15 +194,15 @@
             .map(|deadline| deadline.query)
     }
 
-    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
-    /// deadline.
+    /// Starts the graceful shutdown: every pending query, and every later one, gets its answer by
+    /// the final deadline.
     pub(super) fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.final_deadline = Some(final_deadline);
-        let last_in_time = QueryDeadline {
+        let last_allowed = QueryDeadline {
             at: final_deadline,
             query: QueryId(u64::MAX),
         };
-        let late: Vec<QueryDeadline> = self.deadlines.range(last_in_time..).copied().collect();
+        let late: Vec<QueryDeadline> = self.deadlines.range(last_allowed..).copied().collect();
         for deadline in late {
             if let Some(query) = self.queries.get_mut(&deadline.query) {
                 query.deadline = final_deadline;
@@ -220,7 +221,7 @@
             .map_or(deadline, |last| deadline.min(last))
     }
 
-    /// Returns whether a deadline is that of the shutdown.
+    /// Returns whether a deadline is the final one of a graceful shutdown, or later.
     pub(super) fn is_final(&self, deadline: Micros) -> bool {
         self.final_deadline.is_some_and(|last| deadline >= last)
     }
@@ -260,7 +261,7 @@
         self.queries.insert(id, query);
     }
 
-    /// Removes a query and frees its slots, so that it can have no second answer.
+    /// Removes a query and frees its slots. A query that was removed cannot have a second answer.
     pub(super) fn remove(&mut self, id: QueryId) -> Option<PendingQuery> {
         let query = self.queries.remove(&id)?;
         self.reserved_slots -= slots(&query.request);
@@ -275,7 +276,7 @@
         Some(query)
     }
 
-    /// Stores the value that a server returned for a part, unless the query has ended.
+    /// Stores the value that a server returned for a part; ignored if the query has ended.
     pub(super) fn store(&mut self, part: PartId, value: Value) {
         let Some(location) = self.parts.get(&part) else {
             return;
--- a/src/coordinator/queries/request_ids.rs
+++ b/src/coordinator/queries/request_ids.rs
@@ -21,7 +21,7 @@
         *self.users.entry(id.clone()).or_insert(0) += 1;
     }
 
-    /// Removes a user of an id; without users the id is free again.
+    /// Removes a user of an id. The id is free again once it has no users.
     pub(super) fn release(&mut self, id: &Arc<str>) {
         let Some(users) = self.users.get_mut(id) else {
             return;
