--- a/src/coordinator/classes.rs
+++ b/src/coordinator/classes.rs
@@ -7,10 +7,10 @@
 use crate::interface::{Class, ClassId};
 use std::sync::Arc;
 
-/// The predecessor of a new class, which continues the statistics of no other class.
-const NO_PREDECESSOR: ClassId = ClassId(u16::MAX);
+/// Stands for the previous class of a new class, which continues the statistics of no other class.
+const NO_PREVIOUS_CLASS: ClassId = ClassId(u16::MAX);
 
-/// A class with its metrics and the number of its users.
+/// A class with its metrics and the number of queries and attempts that use it.
 #[derive(Debug)]
 struct ClassSlot {
     class: Class,
@@ -39,12 +39,12 @@
 impl Classes {
     /// Creates the classes of the first configuration.
     pub(super) fn new(classes: &[Class], metrics: Arc<Metrics>) -> Self {
-        let mut all = Classes {
+        let mut created = Classes {
             slots: Vec::new(),
             metrics,
         };
-        all.replace(classes);
-        all
+        created.replace(classes);
+        created
     }
 
     /// Returns the number of the active class of this name.
@@ -66,40 +66,40 @@
         &self.slots[usize::from(id.0)].metrics
     }
 
-    /// Counts a query or an attempt that starts to use a class.
+    /// Adds a user of a class: a query or an attempt that has started.
     pub(super) fn acquire(&mut self, id: ClassId) {
         self.slots[usize::from(id.0)].users += 1;
     }
 
-    /// Counts a query or an attempt of a class that has ended.
+    /// Removes a user of a class: a query or an attempt that has ended.
     pub(super) fn release(&mut self, id: ClassId) {
         self.slots[usize::from(id.0)].users -= 1;
     }
 
     /// Activates the classes of a reload. An unchanged class keeps its slot. A changed one gets
-    /// another, so that the queries that use the old one keep its rules. A slot is reused once its
-    /// class is inactive and has no users.
+    /// another slot, so that the queries that use the old class keep its settings. A slot is reused
+    /// once its class is inactive and has no users.
     ///
-    /// Returns for each slot the class whose statistics the policy continues there.
+    /// Returns for each slot the previous class whose statistics the new one continues.
     pub(super) fn replace(&mut self, classes: &[Class]) -> Vec<ClassId> {
-        // Compared before the first slot is reused: it may be that of a class that comes later in
-        // the configuration.
+        // All classes are compared before the first slot is reused, since that slot may belong to a
+        // class that comes later in the configuration.
         let reloaded: Vec<ReloadedClass<'_>> =
             classes.iter().map(|class| self.compare(class)).collect();
         self.keep_active(&reloaded);
-        let mut predecessors: Vec<ClassId> = (0..self.slots.len()).map(class_id).collect();
+        let mut class_mapping: Vec<ClassId> = (0..self.slots.len()).map(class_id).collect();
         for class in reloaded.iter().filter(|class| !class.unchanged) {
             let slot = self.new_slot(class.class);
-            let predecessor = class.current.unwrap_or(NO_PREDECESSOR);
+            let previous = class.current.unwrap_or(NO_PREVIOUS_CLASS);
             if let Some(index) = self.free_slot() {
                 self.slots[index] = slot;
-                predecessors[index] = predecessor;
+                class_mapping[index] = previous;
             } else {
                 self.slots.push(slot);
-                predecessors.push(predecessor);
+                class_mapping.push(previous);
             }
         }
-        predecessors
+        class_mapping
     }
 
     /// Returns all classes by number, for the policy.
--- a/src/coordinator/classes/tests.rs
+++ b/src/coordinator/classes/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of the classes over reloads.
+//! Tests of the classes across reloads.
 
-use super::{Classes, NO_PREDECESSOR};
+use super::{Classes, NO_PREVIOUS_CLASS};
 use crate::interface::{Class, ClassId};
 use crate::test_fixtures;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     }
 }
 
-/// The active classes as name and maximum of attempts, by name.
+/// Returns the name and the maximum number of attempts of each active class, in order of the names.
 fn active_classes(classes: &Classes) -> Vec<(String, u32)> {
     let mut active: Vec<_> = classes
         .all()
@@ -26,10 +26,9 @@
 
 #[test]
 fn reload_that_changes_all_classes_keeps_all_active() {
-    // Regression: the slot of a later class was given to an earlier one, and the later one was
-    // taken for unchanged.
+    // Regression: an earlier class reused the slot of a later one, which then counted as unchanged.
     let mut classes = Classes::new(&[class("a", 4), class("b", 4)], Arc::default());
-    let predecessors = classes.replace(&[class("a", 2), class("b", 2), class("c", 2)]);
+    let class_mapping = classes.replace(&[class("a", 2), class("b", 2), class("c", 2)]);
     assert_eq!(
         active_classes(&classes),
         [
@@ -38,17 +37,18 @@
             ("c".to_owned(), 2)
         ]
     );
-    let predecessor = |name: &str| predecessors[usize::from(classes.find(name).expect("active").0)];
+    let previous =
+        |name: &str| class_mapping[usize::from(classes.find(name).expect("the class is active").0)];
     assert_eq!(
-        (predecessor("a"), predecessor("b"), predecessor("c")),
-        (ClassId(0), ClassId(1), NO_PREDECESSOR)
+        (previous("a"), previous("b"), previous("c")),
+        (ClassId(0), ClassId(1), NO_PREVIOUS_CLASS)
     );
 }
 
 #[test]
 fn slot_of_a_replaced_class_is_reused_only_after_its_last_user_ends() {
     let mut classes = Classes::new(&[class("a", 4), class("b", 4)], Arc::default());
-    let a = classes.find("a").expect("active");
+    let a = classes.find("a").expect("the class is active");
     classes.acquire(a);
     classes.replace(&[class("a", 1), class("b", 4)]);
     assert_eq!(
@@ -56,11 +56,13 @@
         (4, Some(ClassId(1)))
     );
     assert_eq!(
-        classes.get(classes.find("a").expect("active")).max_attempts,
+        classes
+            .get(classes.find("a").expect("the class is active"))
+            .max_attempts,
         1
     );
-    // Class a is dropped while its first slot is in use, so c needs a third one; after the release
-    // the slot is reused.
+    // Class a is dropped. Its first slot is still in use, so c reuses the second one; d reuses the
+    // first slot after its release.
     classes.replace(&[class("b", 4), class("c", 1)]);
     assert_eq!(
         (classes.find("a"), classes.find("c")),
