--- a/src/coordinator/active_settings.rs
+++ b/src/coordinator/active_settings.rs
@@ -1,25 +1,26 @@
-//! The active settings, and the form of them that the policy gets.
+//! The active settings, and the settings that the policy gets in their place.
 //!
-//! The settings are in nanoseconds, as the policy has them; the coordinator's own times are
+//! The times in the settings are nanoseconds, as in the policy; the coordinator's own times are
 //! [`Micros`].
 
 use super::messages::ProcessGeneration;
 use crate::interface::{Class, RetryBudget, Settings};
 use crate::time::Micros;
 
-/// The time before a latency objective in which the coordinator ends its turn, renders some hundred
-/// values and sends them: an answer arrives with its last byte. The policy's own margin is a few of
-/// its ticks, which are short on some sites.
+/// The time from the policy's decision to answer until the client has the last byte of the answer:
+/// the coordinator ends its turn, encodes some hundred values and sends them. The policy's own
+/// margin is a few of its ticks, which are too short for that at some sites.
 const RESPONSE_MARGIN: Micros = Micros::from_millis(10);
-/// The number of processes that share the limits of one during a handover.
+/// The number of processes that share the limits of one during a hand-over.
 const PROCESSES_IN_HAND_OVER: u32 = 2;
 
-/// The active settings, the limit of reserved slots, and whether another process shares both.
+/// The active settings, the maximum number of reserved slots, and whether another process shares
+/// both.
 #[derive(Debug)]
 pub(super) struct ActiveSettings {
     settings: Settings,
     max_in_flight: usize,
-    /// The role of this process while another one shares the limits; `None` without one.
+    /// The role of this process while another one shares the limits; `None` if none does.
     generation: Option<ProcessGeneration>,
 }
 
@@ -67,7 +68,7 @@
         self.settings.hedging
     }
 
-    /// Returns the longest `Retry-After` of a rejected client; `None` where rejections carry none.
+    /// Returns the longest `Retry-After` of a rejection; `None` if rejections carry none.
     pub(super) fn max_retry_after(&self) -> Option<Micros> {
         self.settings.max_retry_after.map(Micros::from_nanos)
     }
@@ -98,18 +99,18 @@
     }
 }
 
-/// Moves each latency objective ahead by the response margin, but by at most half of itself.
+/// Shortens each latency objective by the response margin, but by at most half.
 fn with_response_margin(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
-        let ahead = class
+        let shortened = class
             .latency_objective
             .saturating_sub(RESPONSE_MARGIN.to_nanos());
-        class.latency_objective = ahead.max(class.latency_objective / 2);
+        class.latency_objective = shortened.max(class.latency_objective / 2);
     }
     settings
 }
 
-/// Removes the follow-up parts: neither front has queries with a second step.
+/// Removes the follow-up parts: neither front has queries with a follow-up step.
 fn without_follow_ups(mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         class.follow_up_parts = 0;
--- a/src/coordinator/active_settings/tests.rs
+++ b/src/coordinator/active_settings/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn latency_objective_for_the_policy_is_ahead_by_the_response_margin_but_at_most_by_half() {
+fn policy_gets_latency_objectives_shortened_by_the_response_margin_but_at_most_by_half() {
     let mut configured = settings();
     let short = Class {
         latency_objective: 12 * MS,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn policy_gets_no_follow_ups_and_calls_carry_at_least_one_attempt() {
+fn policy_gets_no_follow_up_parts_and_calls_carry_at_least_one_attempt() {
     let active = ActiveSettings::new(settings(), 10);
     assert_eq!(active.for_new_policy().classes[0].follow_up_parts, 0);
     assert_eq!(active.max_batch(), 1);
@@ -76,7 +76,9 @@
         let for_policy = active.for_policy(settings().classes);
         assert_eq!(active.max_reserved_slots(), slots, "{generation:?}");
         assert_eq!(for_policy.coordinators, coordinators, "{generation:?}");
-        let budget = for_policy.retry_budget.expect("configured");
+        let budget = for_policy
+            .retry_budget
+            .expect("the settings have a retry budget");
         assert_eq!((budget.free, budget.ratio), (free, 0.1), "{generation:?}");
     }
 }
--- a/src/coordinator/batching.rs
+++ b/src/coordinator/batching.rs
@@ -3,8 +3,8 @@
 
 use super::messages::Command;
 
-/// Joins the dispatches to one server into calls of at most `max_batch` attempts, each in the place
-/// of its first attempt. Commands of other kinds keep their places.
+/// Joins the dispatches to one server into calls of at most `max_batch` attempts, each at the
+/// position of its first attempt. Commands of other kinds keep their positions.
 pub(super) fn batch_dispatches(commands: &mut Vec<Command>, max_batch: usize) {
     if max_batch < 2 {
         return;
--- a/src/coordinator/batching/tests.rs
+++ b/src/coordinator/batching/tests.rs
@@ -29,17 +29,18 @@
     }
 }
 
-/// Each command as a word: the server and its parts, or the end of its idle connections.
+/// Returns each command as text: the server with the parts sent to it, or with `idle` where its
+/// idle connections are closed.
 fn summary(commands: &[Command]) -> Vec<String> {
-    let word = |command: &Command| match command {
+    let describe = |command: &Command| match command {
         Command::Dispatch { replica, attempts } => {
             let parts: Vec<u64> = attempts.iter().map(|attempt| attempt.key.part.0).collect();
             format!("{}:{parts:?}", replica.0[3])
         }
         Command::CloseIdle(replica) => format!("{}:idle", replica.0[3]),
-        other => panic!("not in these tests: {other:?}"),
+        other => panic!("unexpected command: {other:?}"),
     };
-    commands.iter().map(word).collect()
+    commands.iter().map(describe).collect()
 }
 
 fn commands() -> Vec<Command> {
--- a/src/coordinator/counters.rs
+++ b/src/coordinator/counters.rs
@@ -7,7 +7,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counters of the whole process. They only grow.
+        /// Counters of the whole process. They only increase.
         #[derive(Debug)]
         pub struct Counters { $($(#[$doc])* pub $name: Counter,)* }
 
@@ -41,7 +41,7 @@
         self.add(1);
     }
 
-    /// Counts one event and returns its number, from 1.
+    /// Counts one event and returns its ordinal number, from 1.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Relaxed) + 1
     }
@@ -59,21 +59,22 @@
 }
 
 counters! {
-    /// Queries that were handed to the policy.
+    /// Queries that were passed to the policy.
     queries_accepted,
     /// Queries answered from all the parts that their class requires.
     queries_complete,
     /// Queries answered from some of their parts.
     queries_partial,
-    /// Queries rejected: repeating them is safe.
+    /// Queries rejected, so that a retry is safe.
     queries_rejected,
     /// Queries that failed.
     queries_failed,
-    /// Queries whose client closed its connection before the final answer.
+    /// Queries whose client disconnected before the final answer.
     queries_abandoned,
-    /// Queries rejected because all slots were reserved; also in `queries_rejected`.
+    /// Queries rejected because too few slots were free; also in `queries_rejected`.
     rejected_over_capacity,
-    /// Queries rejected because their deadline had passed on arrival; also in `queries_rejected`.
+    /// Queries rejected because their deadline had passed or was too near on arrival; also in
+    /// `queries_rejected`.
     rejected_expired,
     /// Feature queries rejected for their estimated cost; the coordinator never received them.
     rejected_over_cost,
@@ -91,7 +92,7 @@
     attempts_rejected,
     /// Attempts that timed out after some of their request was written.
     attempts_timed_out,
-    /// Attempts that had no connection before their timeout.
+    /// Attempts that got no connection before their timeout.
     attempts_connect_failed,
     /// Attempts whose connection broke.
     attempts_reset,
@@ -103,9 +104,9 @@
     connections_accepted,
     /// Connections of clients that could not be accepted.
     accept_errors,
-    /// Connections of clients that were closed to make room.
+    /// Connections of clients that were closed to make room for others.
     connections_evicted,
-    /// Connections to servers that were begun.
+    /// Connections to servers that the process started to open.
     dials,
     /// Connections to servers that were never established.
     dials_failed,
@@ -113,23 +114,24 @@
     server_connections_idle_closed,
     /// Connections to servers that broke with attempts in flight.
     server_connections_lost,
-    /// Connections to servers given up because the server was silent.
+    /// Connections to servers that were abandoned because the server did not respond.
     server_connections_unresponsive,
-    /// Connections to servers dialled again for requests that waited when the old one closed.
+    /// Connections to servers that were dialed again for requests that were waiting when the old
+    /// one closed.
     server_connections_redialed,
     /// Requests of clients that could not be parsed, or whose target does not exist.
     bad_requests,
-    /// Clients that sent nothing, sent half a request, or did not read their answer in time.
+    /// Clients that sent nothing or an incomplete request, or did not read their response in time.
     client_timeouts,
-    /// Calls at the admin address.
+    /// Calls of the admin endpoint.
     admin_calls,
-    /// Frames and answers of servers that could not be used.
+    /// Frames and responses of servers that could not be parsed.
     bad_frames,
     /// Endpoint lists and changes to them that were received.
     endpoint_updates,
     /// Endpoint lists that were older than the newest one.
     stale_endpoint_updates,
-    /// Watches of discovery that ended.
+    /// Discovery watches that ended.
     watch_disconnects,
     /// Endpoint lists that could not be parsed.
     bad_endpoint_updates,
@@ -137,7 +139,7 @@
     reloads,
     /// Reloads that were rejected.
     bad_reloads,
-    /// Invariants that did not hold: defects of the program.
+    /// Violations of invariants, which are defects of the program.
     broken_invariants,
 }
 
--- a/src/coordinator/endpoints.rs
+++ b/src/coordinator/endpoints.rs
@@ -1,8 +1,8 @@
 //! The registry of endpoints: the servers that endpoint lists have named, their ids, and their last
 //! known state.
 //!
-//! The registry decides which lines of an endpoint list apply; the policy and the drivers get the
-//! result as events and commands.
+//! The registry decides which entries of an endpoint list apply. It passes the result to the policy
+//! as events and to the coordinator's loop as commands.
 
 use super::counters::COUNTERS;
 use super::diagnostics::log_throttled;
@@ -16,10 +16,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The time for which a removed endpoint is remembered: it may return under its name.
+/// The time for which a removed endpoint is remembered. A server that returns under the same name
+/// within this time keeps its id.
 const REMOVED_RETENTION: Micros = Micros::from_secs(30);
-/// The maximum distance of two start times of one incarnation: each is computed from two clocks and
-/// varies a little.
+/// The maximum difference between two start times of one incarnation: each is computed from the
+/// readings of two clocks, so it varies a little.
 const START_TIME_TOLERANCE: Micros = Micros::from_millis(500);
 
 /// An endpoint that a list has named.
@@ -28,14 +29,15 @@
     name: Arc<str>,
     address: Arc<str>,
     ready: bool,
-    /// The time of its last start, according to the lists received.
+    /// The time of the last start of the server, according to the lists received.
     started_at: Option<Micros>,
-    /// The time since which it has been removed from the list, or missing in it.
+    /// The time at which a list first marked the endpoint as removed or omitted it; `None` while it
+    /// is listed.
     removed_at: Option<Micros>,
 }
 
 impl KnownEndpoint {
-    /// Returns whether a line with this start time describes a later incarnation than the known
+    /// Returns whether an entry with this start time describes a later incarnation than the known
     /// one.
     fn is_later_incarnation(&self, started_at: Option<Micros>) -> bool {
         started_at.is_some_and(|start| {
@@ -44,21 +46,21 @@
         })
     }
 
-    /// Returns whether a line with this start time describes an earlier incarnation than the known
-    /// one.
+    /// Returns whether an entry with this start time describes an earlier incarnation than the
+    /// known one.
     fn is_earlier_incarnation(&self, started_at: Option<Micros>) -> bool {
         self.started_at.is_some_and(|known| {
             started_at.is_none_or(|start| start + START_TIME_TOLERANCE < known)
         })
     }
 
-    /// Returns whether a line of a stale list still applies. A drain or a removal does, since an
-    /// incarnation never becomes ready again after it, and so does a later incarnation. In all else
-    /// the newer list is right.
-    fn applies_if_stale(&self, node: &ServerEndpoint) -> bool {
-        let stops = self.ready && node.state != EndpointState::Ready;
-        self.is_later_incarnation(node.started_at)
-            || (stops && !self.is_earlier_incarnation(node.started_at))
+    /// Returns whether an entry of a stale list still applies. A drain or a removal does, since an
+    /// incarnation never becomes ready again after it, and so does a later incarnation. In all
+    /// other cases the newer list takes precedence.
+    fn applies_if_stale(&self, entry: &ServerEndpoint) -> bool {
+        let stops_being_ready = self.ready && entry.state != EndpointState::Ready;
+        self.is_later_incarnation(entry.started_at)
+            || (stops_being_ready && !self.is_earlier_incarnation(entry.started_at))
     }
 }
 
@@ -87,14 +89,14 @@
             .count()
     }
 
-    /// Applies a list or a change to it, and reports it to the policy and the drivers.
+    /// Applies a list or a change to it, and adds the resulting events and commands to the turn.
     pub(super) fn apply(&mut self, mut update: EndpointUpdate, turn: &mut Turn<'_>) {
         COUNTERS.endpoint_updates.increment();
         self.filter_stale(&mut update);
         let mut endpoints = Vec::new();
         let mut listed = BTreeSet::new();
-        for node in update.endpoints {
-            let endpoint = self.update(node, turn);
+        for entry in update.endpoints {
+            let endpoint = self.update(entry, turn);
             listed.insert(endpoint.replica);
             endpoints.push(endpoint);
         }
@@ -110,10 +112,10 @@
         });
     }
 
-    /// Reduces a list that is older than the current one to the lines that still apply.
+    /// Reduces a list that is older than the current one to the entries that still apply.
     ///
-    /// Discovery that has moved, or was restored from an older copy, may send such a list.
-    /// Endpoints that are not in it may be newer than it, and those that it calls ready may be
+    /// Discovery may send such a list after it was moved or restored from an older copy. Endpoints
+    /// that are missing in it may be newer than it, and those that it lists as ready may be
     /// draining by now.
     fn filter_stale(&mut self, update: &mut EndpointUpdate) {
         let Some(version) = update.version else {
@@ -132,46 +134,46 @@
             );
         });
         update.kind = EndpointListKind::Delta;
-        update.endpoints.retain(|node| {
+        update.endpoints.retain(|entry| {
             let known = self
                 .ids
-                .get(&node.name)
+                .get(&entry.name)
                 .and_then(|replica| self.endpoints.get(replica));
-            known.is_none_or(|known| known.applies_if_stale(node))
+            known.is_none_or(|known| known.applies_if_stale(entry))
         });
     }
 
-    /// Applies one line of a list.
-    fn update(&mut self, node: ServerEndpoint, turn: &mut Turn<'_>) -> Endpoint {
-        let replica = self.id_of(&node.name);
-        if let Some(shards) = node.shards {
+    /// Applies one entry of a list, and returns its endpoint for the policy.
+    fn update(&mut self, entry: ServerEndpoint, turn: &mut Turn<'_>) -> Endpoint {
+        let replica = self.id_of(&entry.name);
+        if let Some(shards) = entry.shards {
             turn.events.push(Event::Placement { replica, shards });
         }
-        let ready = node.state == EndpointState::Ready;
+        let ready = entry.state == EndpointState::Ready;
         let known = self.endpoints.get(&replica);
-        if known.is_none_or(|known| known.address != node.address || known.ready != ready) {
+        if known.is_none_or(|known| known.address != entry.address || known.ready != ready) {
             turn.commands.push(Command::UpdateServer {
                 replica,
-                address: node.address.clone(),
+                address: entry.address.clone(),
                 ready,
             });
         }
-        let restarted = known.is_some_and(|known| known.is_later_incarnation(node.started_at));
-        if let Some(started_at) = node.started_at.filter(|_| restarted) {
+        let restarted = known.is_some_and(|known| known.is_later_incarnation(entry.started_at));
+        if let Some(started_at) = entry.started_at.filter(|_| restarted) {
             turn.commands.push(Command::EndEarlierConnections {
                 replica,
                 opened_before: started_at - START_TIME_TOLERANCE,
             });
         }
-        let removed = node.state == EndpointState::Removed;
+        let removed = entry.state == EndpointState::Removed;
         let removed_at =
             removed.then(|| known.and_then(|known| known.removed_at).unwrap_or(turn.now));
-        let started_at = node
+        let started_at = entry
             .started_at
             .max(known.and_then(|known| known.started_at));
         let known = KnownEndpoint {
-            name: node.name,
-            address: node.address,
+            name: entry.name,
+            address: entry.address,
             ready,
             started_at,
             removed_at,
@@ -179,10 +181,10 @@
         self.endpoints.insert(replica, known);
         Endpoint {
             replica,
-            zone: ZoneId(node.zone),
-            cell: CellId(node.cell),
-            state: node.state,
-            started_at: node.started_at.map_or(0, Micros::to_nanos),
+            zone: ZoneId(entry.zone),
+            cell: CellId(entry.cell),
+            state: entry.state,
+            started_at: entry.started_at.map_or(0, Micros::to_nanos),
         }
     }
 
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Drops endpoints that were removed long ago and have no attempt in flight. Servers are
-    /// replaced by new ones with new names for as long as the program runs, so the registry would
+    /// Drops endpoints that were removed long ago and have no attempt in flight. New servers with
+    /// new names replace old ones for as long as the process runs, so the registry would otherwise
     /// grow without bound.
     pub(super) fn purge_removed(
         &mut self,
--- a/src/coordinator/messages.rs
+++ b/src/coordinator/messages.rs
@@ -1,5 +1,4 @@
-//! The messages between the coordinator and the program around it: inputs, commands and answers as
-//! plain data.
+//! The messages between the coordinator and its loop: inputs, commands and answers as plain data.
 
 use super::metrics::ClassMetrics;
 use super::request::{AttemptKey, Request, RequestContext, Token, Value};
@@ -14,10 +13,10 @@
     EndpointUpdate(EndpointUpdate),
     /// A request that a front submits.
     Submit(Request),
-    /// The end of a client's connection: the request needs no answer any more.
+    /// The client disconnected: its request needs no answer any more.
     ClientDisconnected(Token),
-    /// The start of an attempt's write. Some of its request is written and the rest follows, so the
-    /// attempt can no longer be withdrawn.
+    /// The start of an attempt's write. Some of its request is written and the rest will follow, so
+    /// the server may run the attempt even if it is cancelled.
     WriteStarted(AttemptKey),
     /// The end of an attempt's write: the last byte of its request is written.
     FullyWritten(AttemptKey),
@@ -25,17 +24,18 @@
     AttemptEnded {
         /// The attempt.
         key: AttemptKey,
-        /// The way in which it ended.
+        /// The result of the attempt.
         end: AttemptEnd,
     },
     /// The settings of a reloaded configuration.
     Settings {
-        /// The settings from now on.
+        /// The new settings.
         settings: Box<Settings>,
-        /// The number of queries and parts that may be pending at the same time from now on.
+        /// The new maximum number of queries and parts that are pending at the same time.
         max_in_flight: usize,
     },
-    /// The expiry of the driver's timer: something is due.
+    /// The expiry of the loop's timer: [`next_turn_due`](super::Coordinator::next_turn_due) has
+    /// been reached.
     TimerDue,
 }
 
@@ -78,16 +78,16 @@
     Failed(Outcome),
 }
 
-/// The role of this process while a new version is started beside the running one.
+/// The role of this process in a hand-over, during which both processes run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessGeneration {
-    /// The process that has served so far.
+    /// The process that hands over and exits.
     Predecessor,
     /// The process that takes over.
     Successor,
 }
 
-/// A command to the drivers, which carry commands out in order.
+/// A command that the coordinator's loop executes; commands are executed in order.
 #[derive(Debug, Clone)]
 pub enum Command {
     /// Registers a server, or a change of its address or readiness.
@@ -103,17 +103,17 @@
     EndEarlierConnections {
         /// The server.
         replica: ReplicaId,
-        /// The time before which a connection leads to an earlier incarnation.
+        /// A connection that was opened before this time leads to an earlier incarnation.
         opened_before: Micros,
     },
-    /// Starts the attempts in one call.
+    /// Sends the attempts to a server in one call.
     Dispatch {
         /// The server to call.
         replica: ReplicaId,
         /// The attempts, at most `max_batch` of them.
         attempts: Vec<AttemptRequest>,
     },
-    /// Ends the wait for an attempt.
+    /// Stops waiting for an attempt.
     CancelAttempt {
         /// The server to which the attempt was dispatched.
         replica: ReplicaId,
@@ -144,7 +144,7 @@
     pub shard: ShardId,
     /// The bytes that the attempt carries to the server.
     pub payload: Arc<[u8]>,
-    /// The data that the front added for its driver.
+    /// The data that the front added for its own driver.
     pub context: Option<RequestContext>,
     /// The time for which the coordinator waits for the end of the attempt.
     pub timeout: Micros,
@@ -157,17 +157,18 @@
 pub enum Answer {
     /// An answer from some or all parts of the request.
     Served {
-        /// Whether the required share of the class was answered.
+        /// Whether the answered parts have the share of the weight that the class requires.
         complete: bool,
         /// The parts that were answered, in the request's order.
         parts: Vec<ServedPart>,
     },
     /// A rejection: nothing of the request ran, so a retry is safe.
     Rejected {
-        /// The time after which a retry has better prospects; `None` where clients are not notified
-        /// of it.
+        /// The time that the client should wait before a retry; `None` if it is not notified of
+        /// one.
         retry_after: Option<Micros>,
-        /// Whether the time of the request ran out.
+        /// Whether the request ran out of time: its latency objective or deadline was too near or
+        /// had passed.
         late: bool,
     },
     /// A rejection because a pending request has the same id. Nothing was sent to a server.
@@ -176,7 +177,7 @@
     UnknownClass,
     /// A failure: parts of the request may have run.
     Failed {
-        /// Whether the time of the request ran out.
+        /// Whether the request ran out of time, as in [`Answer::Rejected`].
         late: bool,
     },
 }
--- a/src/coordinator/metrics.rs
+++ b/src/coordinator/metrics.rs
@@ -1,9 +1,9 @@
 //! The metrics that operators read at the admin endpoint, by class name where they belong to a
 //! class.
 //!
-//! Each is counted in one place, where it happens: an answer where the coordinator gives it, an
-//! attempt where its last byte is written. So both fronts count, and a class that a reload adds
-//! counts from its first request on.
+//! Each event is counted in one place, where it happens: an answer where the coordinator gives it,
+//! an attempt where its last byte is written. Requests of both fronts are therefore counted, and
+//! those of a class that a reload adds from the first one on.
 
 use super::counters::Counter;
 use crate::sync::lock;
@@ -15,17 +15,18 @@
 /// The counters of one class.
 #[derive(Debug, Default)]
 pub struct ClassMetrics {
-    /// Requests served.
+    /// Requests that were served.
     pub served: Counter,
-    /// Requests rejected.
+    /// Requests that were rejected.
     pub rejected: Counter,
-    /// Requests failed.
+    /// Requests that failed, had the id of a pending one, or named an unknown class.
     pub errors: Counter,
     /// Attempts whose last byte was written.
     pub attempts: Counter,
 }
 
-/// A value that rises and falls: the sum of the last reports of all coordinators of the process.
+/// A value that rises and falls: the sum of the last values that the coordinators of the process
+/// reported.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicUsize);
 
@@ -46,11 +47,11 @@
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Mutex<BTreeMap<String, Arc<ClassMetrics>>>,
-    /// Requests accepted and not yet ended.
+    /// Pending queries.
     pub active: Gauge,
     /// Servers in the endpoint list.
     pub pool_size: Gauge,
-    /// Servers of the endpoint list that the policy has avoided for a while.
+    /// Servers that the policy has avoided for a second or longer.
     pub pool_ejected: Gauge,
     /// Configurations applied at SIGHUP.
     pub config_applied: Counter,
@@ -73,15 +74,15 @@
         for (name, metrics) in lock(&self.classes).iter() {
             append_class(&mut text, name, metrics);
         }
-        let figures = [
+        let values = [
             ("active", self.active.get() as u64),
             ("pool_size", self.pool_size.get() as u64),
             ("pool_ejected", self.pool_ejected.get() as u64),
             ("config_applied", self.config_applied.get()),
             ("config_rejected", self.config_rejected.get()),
         ];
-        for (name, figure) in figures {
-            let _ = writeln!(text, "node.{name}={figure}");
+        for (name, value) in values {
+            let _ = writeln!(text, "node.{name}={value}");
         }
         text
     }
--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -1,12 +1,12 @@
 //! The state of one coordinator: the policy, pending queries, attempts, timers and endpoints.
 //!
-//! A driver collects inputs and calls [`Coordinator::turn`] with all of them and one reading of the
-//! clock. The turn passes the policy its events, executes its actions in order and returns the
-//! commands for the drivers.
+//! The coordinator's loop collects inputs and calls [`Coordinator::turn`] with all of them and one
+//! reading of the clock. The turn passes the policy its events, executes the policy's actions in
+//! order, and returns commands that the loop executes.
 //!
-//! The module leaves decisions to the policy, and wire formats and sockets to the fronts and
-//! drivers. Its own times are [`Micros`]; those of events and actions are nanoseconds, and
-//! [`time`](mod@crate::time) converts between the two.
+//! Decisions belong to the policy, wire formats to the fronts, and sockets to the drivers in
+//! [`net`](crate::net). The module's own times are [`Micros`]; those of events and actions are
+//! nanoseconds, and [`time`](mod@crate::time) converts between the two.
 
 mod active_settings;
 mod batching;
@@ -42,17 +42,17 @@
 use std::sync::Arc;
 use turn::Turn;
 
-/// One coordinator: the turn loop around the policy.
+/// One coordinator: the policy and the state on which its actions operate.
 #[derive(Debug)]
 pub struct Coordinator {
     policy: DecisionPolicy,
-    /// The latest time of the policy's next call, if it has asked for one.
+    /// The time by which the policy must be called again, if it has set a timer.
     policy_timer: Option<Micros>,
     settings: ActiveSettings,
     endpoints: EndpointRegistry,
     queries: QueryTracker,
     reporter: MetricsReporter,
-    /// The events for the policy that arose after it was called.
+    /// The events that arose after the policy was called; it handles them in the next turn.
     deferred_events: Vec<Event>,
 }
 
@@ -103,7 +103,7 @@
         self.endpoints.len()
     }
 
-    /// Returns the latest time of the next turn; `None` if nothing is due at any time.
+    /// Returns the time by which the next turn must run; `None` if nothing is due.
     #[must_use]
     pub fn next_turn_due(&self) -> Option<Micros> {
         if !self.deferred_events.is_empty() {
@@ -115,14 +115,14 @@
             .min()
     }
 
-    /// Starts the shutdown: every pending query, and every later one, gets its answer by the final
-    /// deadline.
+    /// Starts the graceful shutdown: every pending query, and every later one, gets its answer by
+    /// the final deadline.
     pub fn set_final_deadline(&mut self, final_deadline: Micros) {
         self.queries.set_final_deadline(final_deadline);
     }
 
-    /// Sets the role of this process while another one of a handover shares its limits; `None` once
-    /// none does. The limits hold for the sum of both processes.
+    /// Sets the role of this process during a hand-over, while another process shares its limits;
+    /// `None` when no other process shares them. Each limit applies to both processes together.
     pub fn set_process_generation(&mut self, generation: Option<ProcessGeneration>) {
         self.settings.set_generation(generation);
         let event = self.settings_event();
@@ -130,7 +130,7 @@
     }
 
     /// Executes one turn: handles the inputs, calls the policy with their events, executes its
-    /// actions, and appends the commands for the drivers in order.
+    /// actions, and appends the resulting commands in order.
     pub fn turn(
         &mut self,
         now: Micros,
@@ -234,13 +234,13 @@
             Action::Fail(query) => self.queries.fail(query, turn),
             Action::SetTimer(at) => self.set_policy_timer(at),
             Action::CloseIdle(replica) => turn.commands.push(Command::CloseIdle(replica)),
-            // The watch of discovery runs from the start to the end of the program.
+            // The discovery watch runs from the start to the end of the process.
             Action::Subscribe => {}
         }
     }
 
     fn set_policy_timer(&mut self, at: Nanos) {
-        // A turn ahead of that time would find nothing due, and set the timer again.
+        // A turn before that time would find nothing due, and set the timer again.
         let at = Micros::from_nanos_rounded_up(at);
         self.policy_timer = Some(self.policy_timer.map_or(at, |earlier| earlier.min(at)));
     }
--- a/src/coordinator/reporting.rs
+++ b/src/coordinator/reporting.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The interval at which the policy's view of the servers is polled.
-const POLICY_POLL_INTERVAL: Micros = Micros::from_millis(100);
-/// The time after which a server that the policy avoids counts as ejected. Many servers are avoided
-/// for a moment, while another one is faster.
+/// The interval at which the listed and the ejected servers are counted.
+const SERVER_COUNT_INTERVAL: Micros = Micros::from_millis(100);
+/// The time after which a server that the policy avoids counts as ejected. The policy also avoids
+/// servers briefly, while others are faster.
 const EJECTED_AFTER: Micros = Micros::from_secs(1);
 
-/// The share of this coordinator in each gauge.
+/// The contribution of one coordinator to each gauge.
 #[derive(Debug, Default, Clone, Copy)]
 struct GaugeValues {
     active: usize,
@@ -21,14 +21,15 @@
     pool_ejected: usize,
 }
 
-/// Reports the gauges of one coordinator and watches how long the policy avoids servers.
+/// Reports the gauges of one coordinator and tracks for how long the policy avoids servers.
 #[derive(Debug)]
 pub(super) struct MetricsReporter {
     metrics: Arc<Metrics>,
     /// The values of the last report.
     reported: GaugeValues,
-    last_policy_poll: Micros,
-    /// The servers that the policy avoids, with the time since which it does.
+    /// The time at which the servers were last counted.
+    last_server_count: Micros,
+    /// The servers that the policy avoids, with the time from which on it has avoided them.
     avoided_since: BTreeMap<ReplicaId, Micros>,
 }
 
@@ -38,13 +39,13 @@
         Self {
             metrics,
             reported: GaugeValues::default(),
-            last_policy_poll: Micros::ZERO,
+            last_server_count: Micros::ZERO,
             avoided_since: BTreeMap::new(),
         }
     }
 
-    /// Reports the pending queries in each turn, and the state of the servers every
-    /// [`POLICY_POLL_INTERVAL`].
+    /// Reports the number of pending queries in each turn, and the numbers of servers every
+    /// [`SERVER_COUNT_INTERVAL`].
     pub(super) fn report(
         &mut self,
         now: Micros,
@@ -56,8 +57,8 @@
             active: pending_queries,
             ..self.reported
         };
-        if now.since(self.last_policy_poll) >= POLICY_POLL_INTERVAL {
-            self.last_policy_poll = now;
+        if now.since(self.last_server_count) >= SERVER_COUNT_INTERVAL {
+            self.last_server_count = now;
             values.pool_size = count_listed();
             values.pool_ejected = self.count_ejected(now, policy.ejected());
         }
@@ -77,7 +78,7 @@
             .count()
     }
 
-    /// Updates the gauges of the process.
+    /// Adds the change since the last report to the gauges of the process.
     fn publish(&mut self, values: GaugeValues) {
         let previous = std::mem::replace(&mut self.reported, values);
         self.metrics.active.update(previous.active, values.active);
--- a/src/coordinator/request.rs
+++ b/src/coordinator/request.rs
@@ -20,18 +20,18 @@
     /// The name of the class. The class's number may change while the request is on its way to the
     /// coordinator.
     pub class: Arc<str>,
-    /// The tenant; 0 where there are none.
+    /// The tenant; 0 if the front does not distinguish tenants.
     pub tenant: TenantId,
     /// The time for which the client waits, from `sent_at`.
     pub timeout: Micros,
-    /// The time at which the client sent the request, as near as its front can determine it.
+    /// The time at which the client sent the request, as precisely as the front can determine it.
     pub sent_at: Micros,
     /// The parts of the request.
     pub parts: Vec<PartRequest>,
     /// The bytes that each attempt carries to its server.
     pub payload: Arc<[u8]>,
-    /// Whether the answer counts in the metrics of the class. A front that needs several requests
-    /// for one answer counts the last one itself.
+    /// Whether the answer counts in the metrics of the class. A front that submits several requests
+    /// for one response counts that response itself.
     pub counted: bool,
 }
 
@@ -41,7 +41,7 @@
 pub struct RequestContext(Arc<dyn Any + Send + Sync>);
 
 impl RequestContext {
-    /// Creates a context of a type that the driver knows.
+    /// Creates a context of the type that the driver expects.
     pub fn new<T: Any + Send + Sync>(data: Arc<T>) -> Self {
         RequestContext(data)
     }
@@ -70,11 +70,11 @@
 pub struct PartRequest {
     /// The shard that can answer the part.
     pub shard: ShardId,
-    /// The share of the part in the answer; the weights of all parts sum to 1.
+    /// The share of the part in a complete answer; the weights of all parts sum to 1.
     pub weight: f64,
     /// The expected work, if the client states it.
     pub expected_work: Option<Micros>,
-    /// The data that the driver needs beside the payload.
+    /// The data that the driver needs in addition to the payload.
     pub context: Option<RequestContext>,
 }
 
--- a/src/coordinator/turn.rs
+++ b/src/coordinator/turn.rs
@@ -4,16 +4,16 @@
 use crate::interface::Event;
 use crate::time::Micros;
 
-/// The state of one turn: its time, the events for the policy, and the commands for the drivers.
+/// The state of one turn: its time, the events for the policy, and the resulting commands.
 pub(super) struct Turn<'a> {
     /// The time of the turn: its only reading of the clock.
     pub(super) now: Micros,
     /// The events that the policy handles in this turn.
     pub(super) events: Vec<Event>,
-    /// The events that the policy handles in the next turn: the results of its own actions, and of
-    /// queries that ended after it ran.
+    /// The events that the policy handles in the next turn: the results of its own actions, and the
+    /// queries that expired after it ran.
     pub(super) deferred_events: Vec<Event>,
-    /// The commands for the drivers, in order.
+    /// The commands for the coordinator's loop, in order.
     pub(super) commands: &'a mut Vec<Command>,
 }
 
