--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -11,8 +11,8 @@
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The share of the memory beyond [`BASE_MEMORY_BYTES`] that responses may reserve; another third is for
-/// the input of clients.
+/// The share of the memory beyond [`BASE_MEMORY_BYTES`] that responses may reserve; another third
+/// is for the input of clients.
 const RESPONSE_MEMORY_SHARE: f64 = 0.45;
 
 /// The catalog, shared by the front, the driver and reloads of the inventory.
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -1,24 +1,24 @@
 //! Admission of queries by their cost, against the throughput of the servers and the memory for
 //! responses.
 //!
-//! The cost of a query is the number of pages that it will request, with the work done here on
-//! them. A new query waits for all pages in flight, divided by the servers' throughput. A cheap
-//! query is admitted while that wait leaves enough of its latency objective. An expensive one is
-//! admitted only while the wait leaves most of it, so that a query for everything does not starve
-//! small queries.
+//! The cost of a query is the number of pages that it will request, plus the coordinator's own work
+//! on them. The expected wait of a new query is the number of all pages in flight and its own,
+//! divided by the servers' throughput. A cheap query is admitted while that wait leaves enough of
+//! its latency objective. An expensive one is admitted only while the wait leaves most of it, so
+//! that expensive queries do not starve cheap ones.
 
 use crate::time::Micros;
 
-/// Queries of at most this number of pages are cheap.
+/// The maximum number of pages of a cheap query.
 const MAX_CHEAP_PAGES: f64 = 3.0;
-/// The share of its latency objective that a cheap query may wait.
+/// The share of its latency objective for which a cheap query may wait.
 const CHEAP_WAIT_SHARE: f64 = 0.8;
-/// The share of its latency objective that an expensive query may wait.
+/// The share of its latency objective for which an expensive query may wait.
 const EXPENSIVE_WAIT_SHARE: f64 = 0.35;
-/// The number of pages in flight below which cheap queries are always admitted: too little work is
-/// in flight to measure the throughput.
+/// The number of pages in flight below which the throughput does not limit cheap queries: too
+/// little work is in flight to measure it.
 const ALWAYS_ADMITTED_PAGES: f64 = 8.0;
-/// The maximum of pages in flight while the throughput is unknown.
+/// The maximum number of pages in flight while the throughput is unknown.
 const MAX_PAGES_AT_UNKNOWN_THROUGHPUT: f64 = 64.0;
 /// The weight of a new page in the moving average of page sizes.
 const PAGE_SIZE_SMOOTHING: f64 = 0.05;
@@ -30,17 +30,17 @@
 const MIN_RETRY_AFTER: Micros = Micros::from_millis(500);
 /// The maximum `Retry-After` of a client that is rejected for lack of throughput.
 const MAX_RETRY_AFTER: Micros = Micros::from_secs(30);
-/// The cost of the lookup at each further shard that is queried at the same time, in pages.
+/// The cost of the lookup at each shard but the first that is queried at the same time, in pages.
 const LOOKUP_PAGES: f64 = 0.25;
-/// The weight of a filter, evaluated here, that doubles the cost of the pages.
+/// The weight at which a filter that the coordinator evaluates doubles the cost of the pages.
 const DOUBLING_FILTER_WEIGHT: f64 = 50.0;
 
 /// The cost of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryCost {
-    /// The pages to request, with the work done here on them.
+    /// The number of pages to request, plus the coordinator's own work on them, in pages.
     pub pages: f64,
-    /// The pages whose bytes the response holds in memory.
+    /// The number of pages whose bytes the response holds in memory.
     pub buffered_pages: f64,
 }
 
@@ -53,11 +53,11 @@
     pub page_size: usize,
     /// The number of shards with features of the query.
     pub shards: usize,
-    /// The number of shards that are queried at the same time at first.
+    /// The number of shards that are queried at the same time in the first round.
     pub parallel_shards: usize,
-    /// The weight of the filter if it is evaluated here, else 0.
+    /// The weight of the filter if the coordinator evaluates it, else 0.
     pub filter_weight: usize,
-    /// The maximum number of pages to read if the query is sorted here, which needs all of its
+    /// The maximum number of pages to read if the coordinator sorts the features, which needs all
     /// pages; `None` for other queries.
     pub max_sorted_pages: Option<usize>,
 }
@@ -68,8 +68,8 @@
     pub fn estimate(query: &QueryShape) -> Self {
         let buffered_pages = query.limit.div_ceil(query.page_size.max(1)) as f64;
         let pages = match query.max_sorted_pages {
-            // The number of pages is unknown: the geometric mean of one page and the maximum, but
-            // at least the buffered pages of each shard.
+            // The number of pages is unknown. The estimate is the geometric mean of one page and
+            // the maximum, but at least the buffered pages of each shard.
             Some(max_pages) => {
                 (query.shards as f64 * buffered_pages).max((max_pages as f64).sqrt())
             }
@@ -89,7 +89,7 @@
 }
 
 impl QueryShape {
-    /// Returns the cost of the lookups at all shards but the first, in pages; 0 where shards are
+    /// Returns the cost of the lookups at all shards but the first, in pages; 0 if the shards are
     /// queried one after the other.
     fn lookup_pages(&self) -> f64 {
         if self.shards <= self.parallel_shards {
@@ -100,12 +100,12 @@
     }
 }
 
-/// The reason for which a query is not admitted.
+/// The reason why a query is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The response would not fit into the memory for responses.
+    /// The memory for responses does not suffice.
     Memory,
-    /// The servers would not answer in time.
+    /// The servers would not respond in time.
     Throughput,
 }
 
@@ -114,16 +114,16 @@
 pub struct Rejection {
     /// The time after which the client may retry.
     pub retry_after: Micros,
-    /// The reason.
+    /// The reason for the rejection.
     pub reason: RejectionReason,
 }
 
 /// The pages and bytes of all admitted queries that have not been released.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct InFlight {
-    /// The pages to request; see [`QueryCost::pages`].
+    /// The number of pages to request; see [`QueryCost::pages`].
     pub pages: f64,
-    /// The bytes reserved for responses.
+    /// The number of bytes reserved for responses.
     pub bytes: f64,
 }
 
@@ -164,8 +164,8 @@
     ///
     /// # Errors
     ///
-    /// The rejection, if the memory or the throughput does not suffice. A rejected query changes
-    /// nothing.
+    /// Returns the rejection if the memory or the throughput does not suffice. A rejected query
+    /// changes nothing.
     pub fn admit(
         &mut self,
         cost: QueryCost,
@@ -196,8 +196,8 @@
         self.in_flight
     }
 
-    /// Checks that the response fits into the memory. While nothing is reserved any response is
-    /// admitted; otherwise one that exceeds the memory alone would always be rejected.
+    /// Checks that the response fits into the memory. While nothing is reserved, any response is
+    /// admitted, since one that exceeds the memory by itself would otherwise always be rejected.
     fn check_memory(
         &self,
         cost: QueryCost,
@@ -244,8 +244,8 @@
             }
             None => pages <= MAX_PAGES_AT_UNKNOWN_THROUGHPUT,
         };
-        // An expensive query alone is admitted, however long it takes: no other query waits for it
-        // yet.
+        // While nothing is in flight, an expensive query is admitted however long it takes: no
+        // other query waits for it.
         if fits || self.in_flight.pages < 1.0 {
             return Ok(());
         }
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -11,8 +11,8 @@
     AdmissionController::new(100 * MIB)
 }
 
-/// A query without a filter and a sort order, with the page size and the parallel shards of the
-/// defaults.
+/// Returns a query without filter or sort order, with the default page size and number of parallel
+/// shards.
 fn shape(limit: usize, shards: usize) -> QueryShape {
     QueryShape {
         limit,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn cheap_queries_are_admitted_beside_expensive_ones() {
+fn cheap_queries_are_admitted_when_expensive_ones_are_rejected() {
     let expensive = cost(5_000, 2);
     let cheap = cost(10, 2);
     let mut admission = controller();
@@ -41,27 +41,27 @@
         .count();
     assert!(
         (5..=20).contains(&expensive_admitted),
-        "{expensive_admitted}"
+        "expensive: {expensive_admitted}"
     );
-    assert!(cheap_admitted >= 100, "{cheap_admitted}");
+    assert!(cheap_admitted >= 100, "cheap: {cheap_admitted}");
     let rejection = admission
         .admit(expensive, OBJECTIVE, Some(200.0))
-        .expect_err("full");
+        .expect_err("the servers have no capacity left");
     assert!(rejection.retry_after >= MIN_RETRY_AFTER && rejection.retry_after <= MAX_RETRY_AFTER);
     assert_eq!(rejection.reason, RejectionReason::Throughput);
 }
 
 #[test]
-fn with_nothing_known_or_nothing_in_flight_no_query_is_rejected() {
-    let everything = QueryShape {
+fn queries_are_admitted_with_unknown_throughput_or_little_in_flight() {
+    let shape = QueryShape {
         filter_weight: 1_000,
         max_sorted_pages: Some(200),
         ..shape(1_000_000, 50)
     };
-    let everything = QueryCost::estimate(&everything);
+    let expensive = QueryCost::estimate(&shape);
     assert!(
-        controller().admit(everything, OBJECTIVE, Some(0.1)).is_ok(),
-        "alone it is served, however long it takes"
+        controller().admit(expensive, OBJECTIVE, Some(0.1)).is_ok(),
+        "an expensive query is admitted while nothing is in flight"
     );
     assert!(controller().admit(cost(10, 2), OBJECTIVE, None).is_ok());
     let mut slow = controller();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn responses_fit_into_the_memory() {
+fn reserved_bytes_do_not_exceed_the_memory() {
     let mut admission = AdmissionController::new(10 * MIB);
     (0..200).for_each(|_| admission.record_page(300_000, 500, 500));
     let expensive = cost(5_000, 1);
@@ -101,32 +101,32 @@
         ..ProptestConfig::with_cases(200)
     })]
 
-    /// In any order of queries: releasing all that was admitted leaves nothing in flight, and a
-    /// rejection changes nothing.
+    /// For any sequence of queries, a rejection changes nothing, and releasing all admitted queries
+    /// leaves nothing in flight.
     #[test]
-    fn all_that_is_admitted_is_released(
+    fn releasing_all_admitted_queries_leaves_nothing_in_flight(
         steps in proptest::collection::vec(
             (1_usize..6_000, 1_usize..20, any::<bool>(), 0.0_f64..500.0),
             0..100,
         )
     ) {
         let mut admission = controller();
-        let mut open = Vec::new();
-        for (limit, shards, end, throughput) in steps {
+        let mut admitted = Vec::new();
+        for (limit, shards, release, throughput) in steps {
             let cost = cost(limit, shards);
             let before = admission.in_flight();
             match admission.admit(cost, OBJECTIVE, Some(throughput)) {
-                Ok(bytes) => open.push((cost, bytes)),
+                Ok(bytes) => admitted.push((cost, bytes)),
                 Err(_) => prop_assert_eq!(before, admission.in_flight()),
             }
-            if end {
-                if let Some((cost, bytes)) = open.pop() {
+            if release {
+                if let Some((cost, bytes)) = admitted.pop() {
                     admission.release_pages(cost);
                     admission.release_bytes(bytes);
                 }
             }
         }
-        for (cost, bytes) in open.drain(..) {
+        for (cost, bytes) in admitted.drain(..) {
             admission.release_pages(cost);
             admission.release_bytes(bytes);
         }
--- a/src/limits/latency.rs
+++ b/src/limits/latency.rs
@@ -7,13 +7,13 @@
 
 /// The weight of a new sample in a moving average of latencies.
 const SMOOTHING: f64 = 0.2;
-/// The multiple of the baseline up to which a latency counts as the baseline: noise, and a queue of
-/// a few requests.
+/// The multiple of the baseline up to which a latency counts as the baseline: it allows for noise
+/// and for a queue of a few requests.
 const TOLERANCE: f64 = 1.8;
-/// The minimum of the gradient: one update at most halves the limit.
+/// The minimum of the gradient, so that one update at most halves the limit.
 const MIN_GRADIENT: f64 = 0.5;
-/// The number of windows over which the baseline is the minimum. A server that became slower for
-/// good has a new baseline after all of them.
+/// The number of windows over which the baseline is the minimum. After a server has become
+/// permanently slower, the baseline follows once all of them have passed.
 const WINDOWS: usize = 6;
 /// The length of a window.
 const WINDOW: Micros = Micros::from_secs(5);
@@ -23,7 +23,7 @@
 pub(super) struct SmoothedLatency(f64);
 
 impl SmoothedLatency {
-    /// Returns the average, 0 before the first sample.
+    /// Returns the average; 0 before the first sample.
     pub(super) fn micros(self) -> f64 {
         self.0
     }
@@ -51,7 +51,7 @@
 /// The minimum latency of one window.
 #[derive(Debug, Clone)]
 struct WindowMinimum {
-    began: Micros,
+    started_at: Micros,
     latency: f64,
 }
 
@@ -65,15 +65,15 @@
 
 impl LatencyGradient {
     /// Adds a sample in microseconds. Returns the ratio of the tolerated baseline to the smoothed
-    /// latency: 1 while the server has no queue, less the longer the queue is.
+    /// latency: 1 while the server has no queue, and less the longer its queue is.
     pub(super) fn record(&mut self, now: Micros, latency: f64) -> f64 {
         self.smoothed.record(latency);
         match self.minima.back_mut() {
-            Some(window) if now.since(window.began) < WINDOW => {
+            Some(window) if now.since(window.started_at) < WINDOW => {
                 window.latency = window.latency.min(latency)
             }
             _ => self.minima.push_back(WindowMinimum {
-                began: now,
+                started_at: now,
                 latency,
             }),
         }
--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -1,44 +1,45 @@
 //! The limit of concurrent requests to one server, adapted to its latency.
 //!
 //! The limiter follows the gradient of latency, as Netflix's `concurrency-limits` does (Gradient2).
-//! Where the smoothed latency exceeds the baseline, requests wait in a queue, and the limit shrinks
-//! by that ratio; otherwise it grows by its square root, which permits a short queue. Errors that
-//! report overload decrease the limit multiplicatively, as in AIMD. At intervals the limit drops to
-//! its minimum for a moment, so that the queue drains and the baseline can be measured (as in BBR's
-//! `PROBE_RTT`).
+//! Where the smoothed latency exceeds the baseline, requests wait in a queue, and the limit is
+//! decreased by that ratio; otherwise it is increased by its square root, which permits a short
+//! queue. Errors that report overload decrease the limit multiplicatively, as in AIMD. At intervals
+//! the limit is set to its minimum for a short time, so that the queue drains and the baseline can
+//! be measured (as in BBR's `PROBE_RTT`).
 //!
 //! The alternatives have drawbacks: a fixed limit is too high for a server that has lost cores, or
-//! too low for one that has them; and AIMD on errors alone reacts late, since a server that queues
-//! returns no errors until its requests time out.
+//! too low for one that has all of them; and AIMD on errors alone reacts late, since a server that
+//! queues requests returns no errors until they time out.
 
 use super::latency::{LatencyGradient, SmoothedLatency};
 use crate::time::Micros;
 
-/// The weight of a newly computed limit against the current one.
+/// The weight of a newly computed limit in the moving average of limits.
 const LIMIT_SMOOTHING: f64 = 0.4;
-/// The interval of baseline probes. A server that always has a queue would never show its baseline
-/// otherwise.
+/// The interval between baseline probes. The baseline of a server that always has a queue could not
+/// be measured otherwise.
 const PROBE_INTERVAL: Micros = Micros::from_secs(8);
-/// The divisor of the interval that gives the time of the first probe.
+/// The divisor of the probe interval that gives the time from the first response to the first
+/// probe.
 const FIRST_PROBE_DIVISOR: u64 = 8;
 /// The duration of a probe, as a multiple of the smoothed latency: the queue drains, and the
-/// responses after that show the baseline.
+/// responses after that have the baseline latency.
 const PROBE_LATENCY_MULTIPLE: f64 = 2.5;
 /// The factor by which overload decreases the limit.
 const DECREASE_FACTOR: f64 = 0.7;
-/// The minimum interval between two decreases, in microseconds. A longer smoothed latency takes its
-/// place.
+/// The minimum interval between two decreases, in microseconds. The smoothed latency is used
+/// instead if it is longer.
 const MIN_DECREASE_INTERVAL_US: f64 = 10_000.0;
-/// The minimum share of the limit in use for it to grow: below that, nothing shows the effect of a
-/// higher limit.
+/// The minimum share of the limit that must be in use for it to increase: below that, latencies do
+/// not show the effect of a higher limit.
 const MIN_UTILIZATION: f64 = 0.5;
 /// The longest backoff that a server can request.
 const MAX_BACKOFF: Micros = Micros::from_secs(30);
 /// The multiple of the smoothed latency beyond which a cancelled request counts as a sign of
 /// overload.
 const OVERLOAD_LATENCY_MULTIPLE: f64 = 4.0;
-/// The number of size classes. Latencies are compared among responses of similar size: a page of
-/// five hundred features takes longer than a single feature, without any queue.
+/// The number of size classes. Latencies are compared among responses of similar size, since a page
+/// of 500 features takes longer than a single feature even without a queue.
 const SIZE_CLASSES: usize = 6;
 
 /// The rule that determines the limit of a server.
@@ -50,7 +51,7 @@
     Adaptive {
         /// The limit before the first response.
         initial: usize,
-        /// The minimum: a server without requests would give no measurement.
+        /// The minimum: without requests to the server there would be no measurements.
         min: usize,
         /// The maximum.
         max: usize,
@@ -60,14 +61,14 @@
 /// The outcome of a request, as far as limits are concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An answer with this number of features.
+    /// A response with this number of features.
     Success(usize),
     /// A report of overload by the server.
     Overloaded,
     /// A cancellation by the coordinator: a sign of overload if the request had waited for long,
     /// otherwise ignored.
     Cancelled,
-    /// An end that shows nothing about the server's load.
+    /// An outcome that indicates nothing about the server's load.
     Ignored,
 }
 
@@ -134,7 +135,7 @@
         now < self.backoff_ends_at
     }
 
-    /// Starts a backoff of this time, at most 30 s, which the server has requested.
+    /// Starts a backoff that the server has requested, for `retry_after` but at most 30 s.
     pub fn back_off(&mut self, now: Micros, retry_after: Micros) {
         self.backoff_ends_at = self.backoff_ends_at.max(now + retry_after.min(MAX_BACKOFF));
     }
@@ -149,8 +150,8 @@
             .then(|| limit * 1e6 / self.latency.micros())
     }
 
-    /// Records the end of a request that took `latency`, with `in_flight` requests in flight up to
-    /// then.
+    /// Records the end of a request that took `latency`, with `in_flight` requests in flight before
+    /// that, itself included.
     pub fn record(
         &mut self,
         now: Micros,
@@ -175,7 +176,7 @@
             && latency.0 as f64 > OVERLOAD_LATENCY_MULTIPLE * self.latency.micros()
     }
 
-    /// Decreases an adaptive limit for overload. A burst of errors decreases it once.
+    /// Decreases an adaptive limit because of overload. A burst of errors decreases it only once.
     fn decrease(&mut self, now: Micros) {
         let LimitRule::Adaptive { min, .. } = self.rule else {
             return;
@@ -203,8 +204,8 @@
         if self.probe_baseline(now, min) {
             return;
         }
-        // Once per smoothed latency: responses that come sooner belong to requests under the
-        // previous limit.
+        // The limit is updated once per smoothed latency: responses that arrive sooner belong to
+        // requests under the previous limit.
         if now.since(self.last_updated) < Micros(self.latency.micros() as u64) {
             return;
         }
@@ -217,7 +218,7 @@
         self.limit = next.clamp(min as f64, max as f64);
     }
 
-    /// Ends or starts a baseline probe if it is due; returns whether one is in progress. Only a
+    /// Ends or starts a baseline probe if that is due; returns whether one is in progress. Only a
     /// limit above its minimum needs one.
     fn probe_baseline(&mut self, now: Micros, min: usize) -> bool {
         if let Some(probe) = self.probe {
@@ -242,8 +243,8 @@
         true
     }
 
-    /// Restores the limit. The smoothed latencies are reset, since they still contain the queue
-    /// from before the probe.
+    /// Ends a probe and restores the limit. The smoothed latencies are reset, since they still
+    /// contain the time in the queue before the probe.
     fn end_probe(&mut self, probe: BaselineProbe) {
         self.limit = probe.restored_limit;
         self.probe = None;
@@ -254,8 +255,8 @@
     }
 }
 
-/// Returns the size class of a response: each is four times as large as the one before, the last
-/// has no upper bound.
+/// Returns the size class of a response. Each class is four times as large as the one before; the
+/// last has no upper bound.
 fn size_class(features: usize) -> usize {
     let class = features.checked_ilog2().map_or(0, |log| log / 2 + 1);
     (class as usize).min(SIZE_CLASSES - 1)
--- a/src/limits/limiter/tests.rs
+++ b/src/limits/limiter/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the concurrency limit, against a simulated server.
+//! Tests of the concurrency limit against a simulated server.
 
 use super::*;
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
     max: 200,
 };
 
-/// The work of a simulated request: 10 ms.
+/// The work of a simulated request, in milliseconds.
 const WORK_MS: f64 = 10.0;
 
 /// A request in flight at the simulated server.
@@ -19,8 +19,9 @@
     work_left_ms: f64,
 }
 
-/// Simulates a server that serves `slots` requests at a time, under more load than any limit
-/// admits, in steps of a millisecond. The result is the maximum in flight in the second half.
+/// Simulates a server that serves `slots` requests at a time, in steps of a millisecond, under more
+/// load than any limit admits. Returns the maximum number of requests in flight in the second half
+/// of the steps.
 fn simulate(limiter: &mut ConcurrencyLimiter, slots: usize, from: u64, steps: u64) -> usize {
     let millis = Micros::from_millis;
     let mut in_flight: Vec<SimulatedRequest> = Vec::new();
@@ -55,31 +56,35 @@
 }
 
 #[test]
-fn the_limit_follows_the_capacity_of_the_server() {
+fn limit_follows_the_capacity_of_the_server() {
     for slots in [2, 8, 32] {
         let mut limiter = ConcurrencyLimiter::new(RULE);
         let max_in_flight = simulate(&mut limiter, slots, 1_000, 20_000);
         assert!(
             max_in_flight >= slots,
-            "{slots} slots are used: {max_in_flight}"
+            "all {slots} slots are used: {max_in_flight}"
         );
         assert!(
             max_in_flight <= slots * 3 + 6,
             "{slots} slots are not overloaded: {max_in_flight}"
         );
     }
-    // Three quarters of its cores are lost for a while.
+    // The server loses three quarters of its slots for a while.
     let mut limiter = ConcurrencyLimiter::new(RULE);
     simulate(&mut limiter, 32, 1_000, 10_000);
     let before = limiter.limit();
     simulate(&mut limiter, 8, 11_000, 6_000);
     assert!(
         limiter.limit() < before,
-        "{} after {before}",
+        "the limit decreases: {} after {before}",
         limiter.limit()
     );
     simulate(&mut limiter, 32, 17_000, 20_000);
-    assert!(limiter.limit() >= 32, "it recovers: {}", limiter.limit());
+    assert!(
+        limiter.limit() >= 32,
+        "the limit recovers: {}",
+        limiter.limit()
+    );
 }
 
 #[test]
@@ -89,13 +94,13 @@
     (0..50).for_each(|_| limiter.record(secs(1), RequestOutcome::Overloaded, secs(1), 8));
     assert_eq!(limiter.limit(), 5);
     (2..60).for_each(|n| limiter.record(secs(n), RequestOutcome::Overloaded, secs(1), 8));
-    assert_eq!(limiter.limit(), 2, "never below its minimum");
+    assert_eq!(limiter.limit(), 2, "the limit is not below its minimum");
     limiter.back_off(secs(100), secs(5));
     assert!(!limiter.has_capacity(0, secs(104)) && limiter.has_capacity(0, secs(106)));
     limiter.back_off(secs(200), secs(9_999));
     assert!(
         !limiter.has_capacity(0, secs(229)) && limiter.has_capacity(0, secs(231)),
-        "not for hours"
+        "the backoff is at most 30 s"
     );
     let mut fixed = ConcurrencyLimiter::new(LimitRule::Fixed(16));
     (0..50).for_each(|n| fixed.record(secs(n), RequestOutcome::Overloaded, secs(1), 8));
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn a_mix_of_large_and_small_responses_is_no_overload() {
+fn mix_of_large_and_small_responses_does_not_count_as_overload() {
     let mut limiter = ConcurrencyLimiter::new(RULE);
     for n in 0..2_000 {
         let (features, latency) = if n % 2 == 0 {
@@ -118,7 +123,7 @@
             limiter.limit(),
         );
     }
-    assert!(limiter.limit() > 100, "{}", limiter.limit());
+    assert!(limiter.limit() > 100, "limit {}", limiter.limit());
     let before = limiter.limit();
     limiter.record(
         Micros::from_secs(3),
@@ -126,18 +131,21 @@
         Micros(2_000),
         9,
     );
-    assert_eq!(limiter.limit(), before, "its client disconnected early");
+    assert_eq!(limiter.limit(), before, "an early cancellation is ignored");
     limiter.record(
         Micros::from_secs(3),
         RequestOutcome::Cancelled,
         Micros::from_secs(1),
         9,
     );
-    assert!(limiter.limit() < before, "it had waited for long");
+    assert!(
+        limiter.limit() < before,
+        "a late cancellation indicates overload"
+    );
 }
 
 #[test]
-fn a_limit_that_is_not_used_does_not_grow() {
+fn unused_limit_does_not_increase() {
     let mut limiter = ConcurrencyLimiter::new(RULE);
     (0..1_000).for_each(|n| {
         limiter.record(
@@ -161,7 +169,7 @@
     })]
 
     #[test]
-    fn a_limit_stays_within_its_bounds(
+    fn limit_stays_within_its_bounds(
         steps in proptest::collection::vec(
             (0_u8..3, 0_u64..10_000_000, 0_u64..500_000, 0_usize..300),
             0..300,
@@ -169,14 +177,14 @@
     ) {
         let mut limiter = ConcurrencyLimiter::new(RULE);
         let mut now = Micros::ZERO;
-        for (kind, latency, passed, in_flight) in steps {
-            now = now + Micros(passed);
+        for (outcome_index, latency, elapsed, in_flight) in steps {
+            now = now + Micros(elapsed);
             let outcomes = [
-                RequestOutcome::Success(usize::from(kind) * 40),
+                RequestOutcome::Success(usize::from(outcome_index) * 40),
                 RequestOutcome::Overloaded,
                 RequestOutcome::Cancelled,
             ];
-            let outcome = outcomes[usize::from(kind)];
+            let outcome = outcomes[usize::from(outcome_index)];
             limiter.record(now, outcome, Micros(latency), in_flight);
             prop_assert!((2..=200).contains(&limiter.limit()));
         }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,8 +1,8 @@
 //! Limits that adapt to the capacity of the servers: the number of requests in flight to each
 //! server, and the admission of queries.
 //!
-//! This module owns these decisions and their state; it has no clock, no socket and no thread.
-//! Callers consult it before they start a request and report the end of the request. The [decision
+//! This module owns these decisions and their state; it has no clock, socket or thread. Callers
+//! consult it before they start a request and report the end of the request. The [decision
 //! policy](crate::policy) chooses the server of an attempt, and decides about retries.
 //!
 //! Times are [`Micros`](crate::time::Micros); latencies in moving averages are microseconds as
@@ -19,6 +19,6 @@
 pub use limiter::{ConcurrencyLimiter, LimitRule, RequestOutcome};
 pub use server_capacity::ServerCapacity;
 
-/// The memory that every process of this program needs before it has a client, in bytes; limits
-/// distribute the rest.
+/// The memory that every process needs before it has a client, in bytes; the limits of memory
+/// divide up the rest.
 pub const BASE_MEMORY_BYTES: usize = 16 * 1024 * 1024;
--- a/src/limits/server_capacity.rs
+++ b/src/limits/server_capacity.rs
@@ -1,13 +1,13 @@
 //! The throughput of all servers together.
 //!
-//! The drivers report to the value that admission reads, so it has a lock.
+//! The value has a lock, since drivers report to it while admission reads it.
 
 use crate::interface::ReplicaId;
 use crate::sync::lock;
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// The throughput of each server: drivers report it, and admission uses the sum.
+/// The throughput of each server, which drivers report; admission uses the sum.
 #[derive(Debug, Default)]
 pub struct ServerCapacity {
     /// The throughput of each server, in pages per second.
@@ -24,7 +24,7 @@
         };
     }
 
-    /// Returns the sum over all servers, in pages per second; `None` without a known throughput.
+    /// Returns the sum over all servers, in pages per second; `None` if no throughput is known.
     #[must_use]
     pub fn total_throughput(&self) -> Option<f64> {
         let throughputs = lock(&self.throughputs);
