--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoint list as last received: the replicas, their states and the shards that they hold.
+//! The endpoint list as last received: the replicas, their states and the shards that they hold.
 //!
 //! The policy decides which of the replicas it uses.
 
@@ -10,26 +10,26 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Record of a replica that a list has named.
+/// The record of a replica that a list has named.
 #[derive(Debug, Clone, PartialEq)]
 struct Member {
     cell: CellId,
     ready: bool,
-    /// Time at which a list last named the replica, or left it out while it was ready.
+    /// The time at which a list last named the replica, or omitted it while it was ready.
     listed_at: Nanos,
 }
 
-/// Replicas of the endpoint list, ready or not.
+/// The replicas of the endpoint list, ready or not.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Membership {
     members: BTreeMap<ReplicaId, Member>,
-    /// Shards of replicas whose cell does not determine them.
+    /// The shards of replicas whose cell does not determine them.
     placements: BTreeMap<ReplicaId, BTreeSet<ShardId>>,
 }
 
 impl Membership {
-    /// Applies an endpoint list, or changes to it. A replica that a full list leaves out is no
-    /// longer ready.
+    /// Applies an endpoint list, or changes to it. A replica that a full list omits is no longer
+    /// ready.
     pub fn apply(&mut self, kind: EndpointListKind, endpoints: &[Endpoint], now: Nanos) {
         if kind != EndpointListKind::Delta {
             for member in self.members.values_mut().filter(|member| member.ready) {
@@ -50,13 +50,14 @@
         }
     }
 
-    /// Sets the shards of a replica, where its cell does not determine them.
+    /// Sets the shards of a replica whose cell does not determine them.
     pub fn set_placement(&mut self, replica: ReplicaId, shards: &[ShardId]) {
         self.placements
             .insert(replica, shards.iter().copied().collect());
     }
 
-    /// Returns the least number of shards that the placement of a replica implies.
+    /// Returns the number of shards that must exist for the placement of a replica: its highest
+    /// shard number plus 1; 0 without a placement.
     #[must_use]
     pub fn placed_shards(&self, replica: ReplicaId) -> usize {
         let last = self
@@ -82,7 +83,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Returns the replicas that are ready and hold a shard.
+    /// Returns the replicas that are ready and hold this shard.
     pub fn holders<'a>(
         &'a self,
         shard: ShardId,
@@ -92,9 +93,9 @@
             .filter(move |replica| self.holds(*replica, shard, settings))
     }
 
-    /// Returns whether a replica holds a shard: by its placement or, without one, by its cell.
-    /// Shard `s` is held by the cells `(s + n) % cells`, `n` below the number of cells that hold a
-    /// shard.
+    /// Returns whether a replica holds a shard according to its placement or, without one, its
+    /// cell. Shard `s` is held by the cells `(s + n) % cells`, for each `n` below the number of
+    /// cells that hold a shard.
     fn holds(&self, replica: ReplicaId, shard: ShardId, settings: &Settings) -> bool {
         if let Some(shards) = self.placements.get(&replica) {
             return shards.contains(&shard);
@@ -107,8 +108,8 @@
         distance < settings.cells_per_shard.max(1)
     }
 
-    /// Removes replicas that are not ready and were last listed before `horizon`, except those for
-    /// which `keep` returns true.
+    /// Removes replicas that are not ready and whose last listing was not after `horizon`, except
+    /// those for which `keep` returns true.
     pub fn remove_unlisted(&mut self, horizon: Nanos, keep: impl Fn(ReplicaId) -> bool) {
         self.members
             .retain(|id, member| member.ready || keep(*id) || member.listed_at > horizon);
@@ -116,7 +117,7 @@
             .retain(|id, _| self.members.contains_key(id));
     }
 
-    /// Returns whether a replica is in the table, ready or not.
+    /// Returns whether there is a record of a replica, ready or not.
     #[must_use]
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.members.contains_key(&replica)
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! The endpoint list.
+//! Tests of the endpoint list.
 
 use super::Membership;
 use crate::interface::{
@@ -19,7 +19,9 @@
     }
 }
 
-fn three() -> (Membership, Settings) {
+/// Returns a list of three ready replicas, each in its own cell, and settings in which two cells
+/// hold a shard.
+fn three_ready_replicas() -> (Membership, Settings) {
     let mut membership = Membership::default();
     let endpoints = [0, 1, 2].map(|number| endpoint(number, EndpointState::Ready));
     membership.apply(EndpointListKind::Full, &endpoints, 100);
@@ -41,8 +43,8 @@
 }
 
 #[test]
-fn a_shard_is_held_by_the_cells_from_its_own_on() {
-    let (membership, settings) = three();
+fn shard_is_held_by_consecutive_cells_starting_with_its_own() {
+    let (membership, settings) = three_ready_replicas();
     assert_eq!(
         [0, 1, 2, 3].map(|shard| holders(&membership, shard, &settings)),
         [[0, 1], [1, 2], [0, 2], [0, 1]]
@@ -50,8 +52,8 @@
 }
 
 #[test]
-fn a_placement_overrides_the_cell() {
-    let (mut membership, settings) = three();
+fn placement_overrides_the_cell() {
+    let (mut membership, settings) = three_ready_replicas();
     membership.set_placement(replica(0), &[ShardId(1)]);
     assert_eq!(
         (
@@ -68,7 +70,7 @@
 
 #[test]
 fn only_ready_replicas_hold_shards() {
-    let (mut membership, settings) = three();
+    let (mut membership, settings) = three_ready_replicas();
     membership.apply(
         EndpointListKind::Delta,
         &[endpoint(0, EndpointState::Draining)],
@@ -85,8 +87,8 @@
 }
 
 #[test]
-fn replicas_that_no_list_names_any_more_are_removed() {
-    let (mut membership, _) = three();
+fn replicas_that_are_no_longer_listed_are_removed() {
+    let (mut membership, _) = three_ready_replicas();
     membership.set_placement(replica(0), &[ShardId(1)]);
     membership.apply(
         EndpointListKind::Full,
@@ -96,7 +98,7 @@
     membership.remove_unlisted(199, |_| false);
     assert!(
         membership.contains(replica(0)),
-        "it was listed until lately"
+        "it was listed after the horizon"
     );
     membership.remove_unlisted(200, |id| id == replica(1));
     let left = [0, 1, 2].map(|number| membership.contains(replica(number)));
