--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings that the platform gives a new instance: from JSON to typed values, and their
-//! validation.
+//! The settings that the platform gives a new instance: their conversion from JSON to typed values,
+//! and their validation.
 //!
 //! All times are nanoseconds, as on the wire. The configuration file of a process and the edge file
 //! are read elsewhere: see [`net::config`](crate::net::config) and
@@ -20,11 +20,11 @@
 use object::{SettingsObject, TransportLimits};
 use policy::policy_settings;
 
-/// The time to connect where the settings state none: 250 ms.
+/// The connect timeout if the settings state none: 250 ms.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// The idle time after which servers close a connection where the settings state none: 15 s.
+/// The idle time after which servers close a connection if the settings state none: 15 s.
 const DEFAULT_IDLE_TIMEOUT: Nanos = 15_000_000_000;
-/// The number of concurrent calls on one connection where the settings state none.
+/// The maximum number of concurrent calls on one connection if the settings state none.
 const DEFAULT_MAX_STREAMS: usize = 100;
 
 /// The settings of a coordinator on sockets: those of the decision policy and the limits of its
@@ -35,11 +35,11 @@
     pub policy: Settings,
     /// The time within which a connection must be established, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// The idle time after which the other side closes a connection at the latest, in nanoseconds.
+    /// The idle time after which a server closes a connection at the latest, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// The number of concurrent calls on one connection, at least 1.
+    /// The maximum number of concurrent calls on one connection, at least 1.
     pub max_streams_per_connection: usize,
-    /// The number of queries and parts that may be in flight at a time.
+    /// The maximum number of queries and parts that are pending at the same time.
     pub max_in_flight: usize,
 }
 
@@ -63,7 +63,7 @@
 /// # Errors
 ///
 /// [`SettingsError::Json`] if the text has the wrong form, [`SettingsError::UnknownEffect`] for a
-/// class with an effect that the wire protocol does not have. The values are not checked further.
+/// class with an effect that the wire protocol does not have. Other values are not checked.
 pub fn parse_policy_settings(text: &str) -> Result<Settings, SettingsError> {
     policy_settings(serde_json::from_str(text)?)
 }
--- a/src/settings/object.rs
+++ b/src/settings/object.rs
@@ -1,9 +1,9 @@
 //! The settings object as the platform sends it.
 //!
-//! Unknown keys are skipped; an absent key has the meaning that the wire protocol gives to its
-//! absence. Each field has its usual name here, and the key of the wire in its `serde` attribute.
-//! Times are nanoseconds. `expecting` preserves the type names that messages of the JSON reader
-//! have always shown.
+//! Unknown keys are ignored; an absent key has the meaning that the wire protocol gives to its
+//! absence. Fields have the names that the rest of the program uses; where the key in the wire
+//! protocol differs, it is in the `serde` attribute. Times are nanoseconds. The `expecting`
+//! attributes keep the type names in the error messages of the JSON reader unchanged.
 
 use crate::interface::Nanos;
 use serde::Deserialize;
@@ -17,10 +17,10 @@
     pub coordinators: u32,
     /// The classes of queries.
     pub classes: Vec<ClassObject>,
-    /// The kind of discovery: whether the endpoint list is pushed or polled.
+    /// The kind of discovery, which determines whether the endpoint list is pushed or polled.
     #[serde(default)]
     pub discovery: String,
-    /// The shape of the queries.
+    /// The properties of the query family.
     #[serde(rename = "family-info")]
     pub query_family: QueryFamily,
     /// The platform's requirements.
@@ -29,7 +29,7 @@
     /// The limits and optional features.
     #[serde(default)]
     pub limits: TransportLimits,
-    /// The weight of a query beyond its tenant's quota, as a share of its class's.
+    /// The weight of a query beyond its tenant's quota, as a share of the weight of its class.
     #[serde(default = "one", rename = "over-share-worth")]
     pub over_quota_weight: f64,
     /// The tenants.
@@ -39,7 +39,7 @@
     pub tick: Nanos,
 }
 
-/// A class of query.
+/// A class of queries.
 #[derive(Deserialize)]
 #[serde(expecting = "struct BootClass", rename_all = "kebab-case")]
 pub struct ClassObject {
@@ -51,9 +51,9 @@
     pub objective_stretch: f64,
     /// The time that a client waits for the final answer, in nanoseconds.
     pub deadline: Nanos,
-    /// The consequence of running a part more than once, by its name in the wire protocol.
+    /// The effect of running a part more than once, by its name in the wire protocol.
     pub effect: String,
-    /// The time in which servers detect a repeated part, in nanoseconds.
+    /// The time within which servers detect a repeated part, in nanoseconds.
     #[serde(default, rename = "dedup-window")]
     pub deduplication_window: Nanos,
     /// The weight of a complete answer, relative to those of other classes.
@@ -67,12 +67,12 @@
     pub name: String,
 }
 
-/// The shape of the queries: how many shards and cells there are, and what each class needs of
-/// them. The lists run parallel to the classes and may be shorter.
+/// The query family: how many shards and cells there are, and which share of the parts each class
+/// requires. The lists have one entry for each class, in the same order, and may be shorter.
 #[derive(Deserialize)]
 #[serde(expecting = "struct FamilyInfo", rename_all = "kebab-case")]
 pub struct QueryFamily {
-    /// The maximum number of parts in one call.
+    /// The maximum number of attempts in one call.
     #[serde(default, rename = "bundle-max")]
     pub max_batch: u32,
     /// The work of a call in addition to that of its parts, in nanoseconds.
@@ -89,7 +89,7 @@
     /// The number of cells that hold a shard.
     #[serde(rename = "in-a-row")]
     pub cells_per_shard: u32,
-    /// The minimum share of the weight from which an answer may be given, 0 to 1, by class.
+    /// The minimum share of the weight with which an answer may be given, 0 to 1, by class.
     #[serde(default, rename = "least-share")]
     pub min_shares: Vec<f64>,
     /// The number of shards.
@@ -114,12 +114,13 @@
     /// The longest interval between polls for the endpoint list, in nanoseconds.
     #[serde(rename = "must-ask-in")]
     pub max_poll_interval: Option<Nanos>,
-    /// The multiple of its capacity that overloads a server, if sustained for the window.
+    /// The multiple of its capacity that overloads a server if it is sustained for the overload
+    /// window.
     pub overload_factor: Option<f64>,
-    /// The window of the overload, in nanoseconds.
+    /// The time for which the load must be sustained to overload a server, in nanoseconds.
     #[serde(rename = "overload-for")]
     pub overload_window: Option<Nanos>,
-    /// The capacity of a server at its start, as a share of the capacity when warm.
+    /// The capacity of a server at its start, as a share of its capacity after the warm-up.
     #[serde(rename = "start-capacity")]
     pub initial_capacity: Option<f64>,
     /// The time after its start at which a server has its full capacity, in nanoseconds.
@@ -141,17 +142,17 @@
     pub idle_timeout: Option<Nanos>,
     /// The maximum number of attempts at a part.
     pub max_attempts: u32,
-    /// The longest `Retry-After` of a rejected client, in nanoseconds.
+    /// The longest `Retry-After` of a rejection, in nanoseconds.
     pub max_retry_after: Nanos,
-    /// The number of queries and parts that may be in flight at a time.
+    /// The maximum number of queries and parts that are pending at the same time.
     #[serde(rename = "most-held")]
     pub max_in_flight: Option<usize>,
     /// Whether rejections carry a `Retry-After`.
     pub retry_after: bool,
-    /// Whether two attempts at a part may be in flight at a time.
+    /// Whether two attempts at a part may be in flight at the same time.
     #[serde(rename = "second-copies")]
     pub hedging: bool,
-    /// The number of concurrent calls on one connection.
+    /// The maximum number of concurrent calls on one connection.
     #[serde(rename = "streams-per-conn")]
     pub max_streams_per_connection: Option<usize>,
 }
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -51,7 +51,8 @@
     })
 }
 
-/// Converts the class at `index`. Without a stated share an answer needs all of the weight.
+/// Converts the class at `index`. If no required share is stated, an answer needs all of the
+/// weight.
 fn convert_class(
     index: usize,
     class: ClassObject,
@@ -86,8 +87,8 @@
 }
 
 /// Returns the effect of this name in the wire protocol; `None` for any other name.
-fn parse_effect(word: &str, deduplication_window: Nanos) -> Option<Effect> {
-    match word {
+fn parse_effect(name: &str, deduplication_window: Nanos) -> Option<Effect> {
+    match name {
         "read_like" => Some(Effect::Idempotent),
         "idempotency_key" => Some(Effect::Deduplicated(deduplication_window)),
         "non_idempotent" => Some(Effect::NonIdempotent),
@@ -95,7 +96,7 @@
     }
 }
 
-/// Returns the retry budget, which the platform sets by stating its window.
+/// Returns the retry budget; `None` unless its window is stated.
 fn retry_budget(rules: &PlatformRules) -> Option<RetryBudget> {
     let window = rules.retry_window?;
     Some(RetryBudget {
@@ -105,7 +106,7 @@
     })
 }
 
-/// Returns the slow start, which the platform sets by stating when a server counts as overloaded.
+/// Returns the slow-start rule; `None` unless it is stated when a server counts as overloaded.
 fn slow_start(rules: &PlatformRules) -> Option<SlowStartRule> {
     Some(SlowStartRule {
         overload_factor: rules.overload_factor?,
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -1,14 +1,15 @@
-//! The validation of settings before a program runs with them.
+//! The validation of settings before a coordinator uses them.
 
 use super::{ClassFault, CoordinatorSettings, SettingsError};
 use crate::interface::{Class, Settings};
 
 impl CoordinatorSettings {
-    /// Checks that a program can start with these settings, or change to them while it runs.
+    /// Checks that a coordinator can start with these settings, or change to them while it runs.
     ///
     /// # Errors
     ///
-    /// The first violation: counts in the order of the settings object, then each class in turn.
+    /// Returns the first violation: first of the values that must be positive, then of each class,
+    /// then of the list of classes.
     pub fn validate(&self) -> Result<(), SettingsError> {
         self.check_positive_values()?;
         let classes = &self.policy.classes;
@@ -24,7 +25,7 @@
         Ok(())
     }
 
-    /// Checks the values for which 0 has no meaning.
+    /// Checks the values that must not be 0.
     fn check_positive_values(&self) -> Result<(), SettingsError> {
         let Settings {
             coordinators,
