--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -51,8 +51,8 @@
     pub(super) closed: bool,
     /// Whether the connection is closed once nothing is in flight.
     pub(super) closing: bool,
-    /// Whether nothing was received for too long while attempts waited.
-    unresponsive: bool,
+    /// Whether the connection counted as silent when an attempt on it was cancelled.
+    silent_on_cancel: bool,
     /// Whether received bytes cannot be used, so that the connection is closed at once.
     pub(super) corrupt: bool,
     /// The time since which part of a frame has been received; `None` between frames.
@@ -110,18 +110,19 @@
         self.wake_driver();
     }
 
-    /// Cancels an attempt. Returns whether this makes the connection unresponsive.
+    /// Cancels an attempt. Returns whether the connection counts as silent from now on; if so, it
+    /// closes once nothing is in flight.
     pub(super) fn cancel(&mut self, key: AttemptKey, now: Micros, silence_timeout: Micros) -> bool {
         self.protocol.cancel(key);
         self.last_used = now;
         let silent = self.silence.record_cancelled(key, now, silence_timeout);
-        let became_unresponsive = silent && !self.unresponsive;
-        if became_unresponsive {
-            self.unresponsive = true;
+        let became_silent = silent && !self.silent_on_cancel;
+        if became_silent {
+            self.silent_on_cancel = true;
             self.closing = true;
         }
         self.wake_driver();
-        became_unresponsive
+        became_silent
     }
 
     /// Reclaims attempts that are not written, and closes the connection once the others have
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -25,7 +25,7 @@
 /// timeout is reset, and an attempt that was reset may have run.
 const IDLE_MARGIN: Micros = Micros::from_secs(3);
 /// The maximum number of connections to one node.
-const MAX_CONNECTIONS: usize = 4;
+const MAX_CONNECTIONS_PER_NODE: usize = 4;
 
 /// A data node and the connections to it.
 struct Node {
@@ -64,21 +64,21 @@
 struct Candidates {
     /// A connection that is neither silent nor in the middle of a frame.
     responsive: Option<Arc<NodeConnection>>,
-    /// A connection that is not responsive.
-    silent: Option<Arc<NodeConnection>>,
+    /// A connection that is silent or in the middle of a frame.
+    unresponsive: Option<Arc<NodeConnection>>,
 }
 
 impl Node {
     /// Returns the first responsive connection for these attempts, or else the last unresponsive
-    /// one.
-    fn find_connection(
+    /// one. Closes connections that have been idle for too long.
+    fn find_candidates(
         &self,
         requests: &[AttemptRequest],
         limits: ConnectionLimits,
         silence_timeout: Micros,
         now: Micros,
     ) -> Candidates {
-        let mut silent = None;
+        let mut unresponsive = None;
         for connection in &self.connections {
             let mut state = connection.lock();
             if state.is_idle_for(limits.idle_timeout, now) {
@@ -91,14 +91,14 @@
             if state.is_responsive(now, silence_timeout) {
                 return Candidates {
                     responsive: Some(connection.clone()),
-                    silent: None,
+                    unresponsive: None,
                 };
             }
-            silent = Some(connection.clone());
+            unresponsive = Some(connection.clone());
         }
         Candidates {
             responsive: None,
-            silent,
+            unresponsive,
         }
     }
 }
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Returns a connection for these attempts: a responsive one, or else a new one, or else a
-    /// silent one. Returns `None` if the node is not ready.
+    /// Returns a connection for these attempts: a responsive one, or else a new one, or else an
+    /// unresponsive one. Returns `None` if the node is not ready.
     fn connection_for(
         &mut self,
         replica: ReplicaId,
@@ -138,12 +138,12 @@
         node.connections
             .retain(|connection| !connection.lock().closed);
         let silence_timeout = self.context.baseline.silence_timeout();
-        let candidates = node.find_connection(requests, self.limits, silence_timeout, now);
+        let candidates = node.find_candidates(requests, self.limits, silence_timeout, now);
         if candidates.responsive.is_some() {
             return candidates.responsive;
         }
-        if node.connections.len() >= MAX_CONNECTIONS {
-            return candidates.silent;
+        if node.connections.len() >= MAX_CONNECTIONS_PER_NODE {
+            return candidates.unresponsive;
         }
         let connection = Arc::new(NodeConnection::opened_at(now));
         node.connections.push(connection.clone());
@@ -180,10 +180,10 @@
             ready,
             connections: Vec::new(),
         });
-        let moved = node.address != address;
+        let address_changed = node.address != address;
         node.address = address;
         node.ready = ready;
-        if !moved && ready {
+        if !address_changed && ready {
             return;
         }
         // The node drains or has another address: attempts that are queued for its connections must
