--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -15,7 +15,7 @@
 /// lasts at least this time, so a flapping signal enters it at most once in this time.
 const REENTRY_WINDOW: Micros = Micros::from_secs(300);
 /// The name of level 0.
-const FULL_SERVICE: &str = "full";
+const FULL_SERVICE_NAME: &str = "full";
 
 /// A transition between two levels.
 #[derive(Debug, Clone, PartialEq)]
@@ -93,7 +93,7 @@
     pub fn name(&self) -> &str {
         match self.level.checked_sub(1) {
             Some(index) => &self.table.levels[index].name,
-            None => FULL_SERVICE,
+            None => FULL_SERVICE_NAME,
         }
     }
 
@@ -168,23 +168,23 @@
         now: Micros,
     ) -> Option<Vec<SignalValue>> {
         let index = self.level.checked_sub(1)?;
-        let present = &self.table.levels[index];
-        if !met_conditions(present, readings, now, |c| c.leave).is_empty() {
+        let current = &self.table.levels[index];
+        if !met_conditions(current, readings, now, |c| c.leave).is_empty() {
             self.leave_requested_since = None;
             return None;
         }
         let leave_requested_since = *self.leave_requested_since.get_or_insert(now);
-        let mut min_stay = self.with_jitter(present.min_stay_ms);
+        let mut min_stay = self.with_jitter(current.min_stay_ms);
         if self.entry_histories[index].reentered_soon {
             min_stay = min_stay.max(REENTRY_WINDOW);
         }
         let leave_is_due =
-            now.since(leave_requested_since) >= self.with_jitter(present.leave_after_ms);
+            now.since(leave_requested_since) >= self.with_jitter(current.leave_after_ms);
         if !leave_is_due || now.since(self.entered_at) < min_stay {
             return None;
         }
         let latest = |condition: &Condition| latest_value(condition, readings, now);
-        Some(present.conditions.iter().filter_map(latest).collect())
+        Some(current.conditions.iter().filter_map(latest).collect())
     }
 
     /// Changes the level and records the transition.
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -75,8 +75,12 @@
     for period in [8, 10, 12, 20, 25, 40] {
         let mut controller = built_in_controller(0.5);
         let transitions = run(&mut controller, 10, 600, |now, readings| {
-            let bad = (now.0 / 1_000_000) % period < period / 2;
-            readings.record(Signal::EjectedNodes, if bad { 0.4 } else { 0.0 }, now);
+            let overloaded = (now.0 / 1_000_000) % period < period / 2;
+            readings.record(
+                Signal::EjectedNodes,
+                if overloaded { 0.4 } else { 0.0 },
+                now,
+            );
         });
         assert!(
             transitions <= 6,
@@ -95,13 +99,16 @@
     // The signal is not reported any more.
     run(&mut controller, 30, 120, |_, _| {});
     assert_eq!(controller.level(), 0);
-    let steps: Vec<_> = controller
+    let transitions: Vec<_> = controller
         .history()
-        .map(|step| (step.from, step.to))
+        .map(|transition| (transition.from, transition.to))
         .collect();
-    assert_eq!(steps, [(0, 1), (1, 2), (2, 1), (1, 0)]);
+    assert_eq!(transitions, [(0, 1), (1, 2), (2, 1), (1, 0)]);
     assert_eq!(
-        controller.history().next().map(|step| step.causes.clone()),
+        controller
+            .history()
+            .next()
+            .map(|transition| transition.causes.clone()),
         Some(vec![SignalValue {
             signal: Signal::EjectedNodes,
             value: 0.9
@@ -138,7 +145,10 @@
     assert_eq!(
         (
             controller.level(),
-            controller.history().last().map(|step| step.pinned)
+            controller
+                .history()
+                .last()
+                .map(|transition| transition.pinned)
         ),
         (2, Some(true))
     );
@@ -200,8 +210,8 @@
             after <= before + 1 && after + 1 >= before,
             "one level at a time"
         );
-        if let Some(step) = transition.filter(|step| step.to > step.from) {
-            assert!(!step.causes.is_empty(), "nothing caused it");
+        if let Some(raised) = transition.filter(|transition| transition.to > transition.from) {
+            assert!(!raised.causes.is_empty(), "nothing caused it");
         }
         ExploredState {
             controller,
@@ -212,8 +222,8 @@
 
     /// Whatever happened before: with both signals calm, service is full after a while.
     fn check_recovery(mut self) {
-        for step in 0..400 {
-            let now = secs(100 + 2 * step);
+        for evaluation in 0..400 {
+            let now = secs(100 + 2 * evaluation);
             self.readings.record(Signal::EjectedNodes, 0.0, now);
             self.readings.record(Signal::RetryRate, 0.0, now);
             self.controller.evaluate(&self.readings, now);
@@ -249,7 +259,7 @@
 /// Explores all states within small bounds: every sequence of the values of two signals, and of
 /// missing values.
 #[test]
-fn no_sequence_of_values_breaks_a_rule() {
+fn every_sequence_of_values_moves_one_level_at_a_time_and_recovers() {
     let table = two_level_table();
     assert_eq!(table.validate(4), []);
     let controller = DegradationController::new(table, 0.5, secs(1));
