--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -70,12 +70,12 @@
 impl FetchDriver {
     /// Starts the driver on a coroutine of its own. Reports the attempt as not sent if that fails.
     pub(super) fn start(self) {
-        self.start_by(|driver| spawn(LARGE_STACK_WORDS, move || driver.run()).map(drop));
+        self.start_with(|driver| spawn(LARGE_STACK_WORDS, move || driver.run()).map(drop));
     }
 
-    /// Starts the driver by `spawn`. If that fails, the attempt is reported as not sent, and its
+    /// Starts the driver with `spawn`. If that fails, the attempt is reported as not sent, and its
     /// slot goes to the next attempt in the queue.
-    fn start_by(self, spawn: impl Fn(FetchDriver) -> io::Result<()>) {
+    fn start_with(self, spawn: impl Fn(FetchDriver) -> io::Result<()>) {
         let FetchDriver {
             request,
             server,
--- a/src/net/feature_client/driver/tests.rs
+++ b/src/net/feature_client/driver/tests.rs
@@ -28,7 +28,7 @@
 
 /// Guards against queued attempts that wait although no attempt is in flight.
 #[test]
-fn a_coroutine_that_cannot_start_leaves_its_slot_to_the_queue() {
+fn queued_attempts_are_reported_as_not_sent_when_no_driver_can_start() {
     let rule = LimitRule::Fixed(1);
     let mut server = FeatureServer::new(rule);
     server.ready = true;
@@ -53,7 +53,7 @@
         server: server.clone(),
         context,
     };
-    driver.start_by(|_| Err(ErrorKind::OutOfMemory.into()));
+    driver.start_with(|_| Err(ErrorKind::OutOfMemory.into()));
     let ended = std::iter::from_fn(|| inputs.try_recv().ok());
     let attempts: Vec<u16> = ended
         .map(|input| match input {
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -29,7 +29,7 @@
 pub struct FeatureClient {
     servers: HashMap<ReplicaId, Arc<Mutex<FeatureServer>>>,
     /// The cancellations of the attempts that the coordinator may still cancel.
-    in_flight: HashMap<AttemptKey, Arc<Cancellation>>,
+    cancellations: HashMap<AttemptKey, Arc<Cancellation>>,
     /// The maximum length of a response's body, in bytes.
     max_body: usize,
     /// The rule by which each server's concurrency limit is set.
@@ -49,7 +49,7 @@
     ) -> Self {
         FeatureClient {
             servers: HashMap::new(),
-            in_flight: HashMap::new(),
+            cancellations: HashMap::new(),
             max_body: edge.max_bytes,
             limit_rule: edge.concurrency_rule(),
             context: DriverContext {
@@ -107,7 +107,7 @@
             };
             state.admit(fetch_request, now)
         };
-        self.in_flight.insert(request.key, cancellation);
+        self.cancellations.insert(request.key, cancellation);
         if let Some(request) = startable {
             self.start_driver(request, server.clone());
         }
@@ -169,7 +169,7 @@
     }
 
     fn cancel(&mut self, _replica: ReplicaId, key: AttemptKey, _now: Micros) {
-        if let Some(cancellation) = self.in_flight.remove(&key) {
+        if let Some(cancellation) = self.cancellations.remove(&key) {
             cancellation.cancel();
         }
     }
@@ -199,6 +199,6 @@
                 self.start_driver(request, server.clone());
             }
         }
-        self.in_flight.retain(|key, _| in_flight(*key));
+        self.cancellations.retain(|key, _| in_flight(*key));
     }
 }
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -63,11 +63,11 @@
     /// Fails if the thread cannot be started.
     pub fn start(clock: Clock, fire: impl Fn() + Send + 'static) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let seen = shared.clone();
+        let thread_shared = shared.clone();
         std::thread::Builder::new()
             .name("alarm".to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || run(&seen, clock, fire))?;
+            .spawn(move || run(&thread_shared, clock, fire))?;
         Ok(Timer { shared })
     }
 
@@ -99,10 +99,10 @@
         }
         state = match state.wakes_at {
             Some(wakes_at) => {
-                let slept = shared
+                let wait_result = shared
                     .changed
                     .wait_timeout(state, wakes_at.since(now).to_duration());
-                slept.unwrap_or_else(PoisonError::into_inner).0
+                wait_result.unwrap_or_else(PoisonError::into_inner).0
             }
             None => shared
                 .changed
--- a/src/net/timer/tests.rs
+++ b/src/net/timer/tests.rs
@@ -21,12 +21,12 @@
 #[test]
 fn a_coroutine_that_waits_for_a_microsecond_is_always_woken() {
     // The runtime's own timed wait hangs here within some thousand rounds.
-    let (clock, (inbox, arrivals)) = (Clock::start(), may::sync::mpsc::channel());
+    let (clock, (inbox, wake_ups)) = (Clock::start(), may::sync::mpsc::channel());
     let timer = Timer::start(clock, move || inbox.send(()).expect("it waits")).expect("a thread");
     let rounds = move || {
         for _ in 0..5_000 {
             timer.set(clock.now() + Micros(1));
-            arrivals.recv().expect("the timer lives");
+            wake_ups.recv().expect("the timer lives");
         }
     };
     spawn(LARGE_STACK_WORDS, rounds)
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -10,26 +10,26 @@
 /// and rejects calls beyond its queue.
 fn coordinators_served(max_poll_interval: Option<Nanos>) -> usize {
     const COORDINATORS: usize = 100;
-    const CALLER_TIMEOUT_MS: u64 = 2_000;
+    const POLL_TIMEOUT_MS: u64 = 2_000;
     const SERVICE_TIME_MS: u64 = 80;
     const MAX_QUEUED: u64 = 40;
     const END_MS: u64 = 30_000;
     let mut backoffs: Vec<_> = (0..COORDINATORS as u64).map(Backoff::new).collect();
-    let mut calls: BTreeSet<_> = (0..COORDINATORS)
+    let mut polls: BTreeSet<_> = (0..COORDINATORS)
         .map(|coordinator| (0, coordinator))
         .collect();
     let mut served = 0;
     let mut queue_end = 0;
-    while let Some((called_at, coordinator)) = calls.pop_first().filter(|call| call.0 < END_MS) {
-        queue_end = queue_end.max(called_at);
-        let rejected = queue_end > called_at + MAX_QUEUED * SERVICE_TIME_MS;
+    while let Some((polled_at, coordinator)) = polls.pop_first().filter(|poll| poll.0 < END_MS) {
+        queue_end = queue_end.max(polled_at);
+        let rejected = queue_end > polled_at + MAX_QUEUED * SERVICE_TIME_MS;
         queue_end += if rejected { 0 } else { SERVICE_TIME_MS };
-        if queue_end <= called_at + CALLER_TIMEOUT_MS {
+        if queue_end <= polled_at + POLL_TIMEOUT_MS {
             served += 1;
         } else {
-            let failed_at = called_at + if rejected { 0 } else { CALLER_TIMEOUT_MS };
+            let failed_at = polled_at + if rejected { 0 } else { POLL_TIMEOUT_MS };
             let delay = backoffs[coordinator].next_delay(false, max_poll_interval);
-            calls.insert((failed_at + delay.as_millis() as u64, coordinator));
+            polls.insert((failed_at + delay.as_millis() as u64, coordinator));
         }
     }
     served
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn silent_agent_is_retried_before_what_it_missed_counts_as_notified() {
+fn silent_agent_is_retried_before_the_coordinator_counts_as_notified() {
     let mut agent = Backoff::new(1);
     let mut gap = agent.first_message_timeout(None);
     assert!(
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -27,7 +27,7 @@
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(3);
 /// The interval at which a silent watch, and a coordinator that waits to open one, checks whether
 /// discovery has moved.
-const MOVE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The timeout of a connect to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -36,7 +36,7 @@
     /// Discovery closed the connection in an orderly way.
     Closed,
     /// A reload has changed the address of discovery.
-    SourceMoved,
+    AddressChanged,
 }
 
 /// The end of a watch by an error.
@@ -71,7 +71,7 @@
             let revision_before = self.revision;
             let address = self.source.address();
             let result = self.watch_once(address);
-            if matches!(result, Ok(WatchEnd::SourceMoved)) {
+            if matches!(result, Ok(WatchEnd::AddressChanged)) {
                 self.backoff.reset_delay();
                 continue;
             }
@@ -80,7 +80,7 @@
             let delay = self
                 .backoff
                 .next_delay(list_received, self.source.max_poll_interval());
-            self.sleep_unless_moved(delay, address);
+            self.sleep_unless_address_changes(delay, address);
         }
     }
 
@@ -94,10 +94,10 @@
 
     /// Sleeps for `delay`, but stops when discovery has moved: a reload that moves it must take
     /// effect within seconds.
-    fn sleep_unless_moved(&self, delay: Duration, address: SocketAddr) {
+    fn sleep_unless_address_changes(&self, delay: Duration, address: SocketAddr) {
         let mut remaining = delay;
         while !remaining.is_zero() && self.source.address() == address {
-            let step = remaining.min(MOVE_CHECK_INTERVAL);
+            let step = remaining.min(ADDRESS_CHECK_INTERVAL);
             may::coroutine::sleep(step);
             remaining -= step;
         }
@@ -114,7 +114,7 @@
         loop {
             // The old address may go on sending for a while, which is ignored.
             if self.source.address() != address {
-                return Ok(WatchEnd::SourceMoved);
+                return Ok(WatchEnd::AddressChanged);
             }
             let bytes_read = match stream.read(response.reader.input.free_space()) {
                 Ok(0) => return Ok(WatchEnd::Closed),
@@ -135,7 +135,7 @@
 
     fn open(&self, address: SocketAddr) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
-        stream.set_read_timeout(Some(MOVE_CHECK_INTERVAL))?;
+        stream.set_read_timeout(Some(ADDRESS_CHECK_INTERVAL))?;
         let request = WatchResponse::request(&address.to_string(), self.revision);
         stream.write_all(request.as_bytes())?;
         Ok(stream)
