--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -8,8 +8,9 @@
 use may::io::WaitIoWaker;
 use std::sync::{Mutex, MutexGuard};
 
-/// The time from the first bytes of a frame to its end. A frame that takes longer has a wrong
-/// length and never ends: the following frames would be taken for its content.
+/// The maximum time from the first bytes of a frame to its end. A frame that takes longer is
+/// assumed to have a wrong length: it would never end, and the frames after it would be read as its
+/// content.
 const PARTIAL_FRAME_TIMEOUT: Micros = Micros::from_millis(50);
 
 /// A connection to a data node, established or not yet.
@@ -49,7 +50,7 @@
     pub(super) waker: Option<WaitIoWaker>,
     /// Whether the connection has ended or could not be established.
     pub(super) closed: bool,
-    /// Whether the connection is closed once nothing is in flight.
+    /// Whether no new attempts are sent, and the connection is closed once nothing is in flight.
     pub(super) closing: bool,
     /// Whether the connection counted as silent when an attempt on it was cancelled.
     silent_on_cancel: bool,
@@ -59,7 +60,7 @@
     partial_frame_since: Option<Micros>,
     /// Whether a complete frame was received since the connection was established.
     pub(super) frame_received: bool,
-    /// Whether the node's process at the other end is gone, by the endpoint list.
+    /// Whether the endpoint list shows that the node's process at the other end is gone.
     pub(super) superseded: bool,
     /// The time of the first dial.
     opened_at: Micros,
@@ -86,7 +87,9 @@
         self.protocol.is_idle() && now.since(self.last_used) >= idle_timeout
     }
 
-    /// Returns whether these attempts may be sent here, with at most `max_attempts` in flight.
+    /// Returns whether these attempts may be sent on this connection, which carries at most
+    /// `max_attempts` at a time. An attempt is not sent where the answer to an earlier attempt at
+    /// its part may still arrive: that answer would be taken for its own.
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
             && self.protocol.in_flight() + requests.len() <= max_attempts
@@ -110,8 +113,8 @@
         self.wake_driver();
     }
 
-    /// Cancels an attempt. Returns whether the connection counts as silent from now on; if so, it
-    /// closes once nothing is in flight.
+    /// Cancels an attempt. Returns whether this is the first cancellation that finds the connection
+    /// silent. Such a connection is closed once nothing is in flight.
     pub(super) fn cancel(&mut self, key: AttemptKey, now: Micros, silence_timeout: Micros) -> bool {
         self.protocol.cancel(key);
         self.last_used = now;
@@ -125,8 +128,8 @@
         became_silent
     }
 
-    /// Reclaims attempts that are not written, and closes the connection once the others have
-    /// ended. Returns the ends of the reclaimed attempts.
+    /// Reclaims attempts of which nothing was written, and closes the connection once the others
+    /// have ended. Returns the ends of the reclaimed attempts.
     pub(super) fn drain(&mut self) -> Vec<AttemptEvent> {
         let mut events = Vec::new();
         self.protocol.reclaim_unwritten(&mut events);
@@ -140,7 +143,8 @@
     }
 
     /// Ends the connection since the process at its other end is gone. Returns the ends of the
-    /// attempts that are not written; the driver ends the others, after it has read what is left.
+    /// attempts of which nothing was written. The driver ends the others after it has read the
+    /// bytes that were already received.
     pub(super) fn supersede(&mut self) -> Vec<AttemptEvent> {
         self.superseded = true;
         self.drain()
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -19,7 +19,7 @@
 pub(super) struct DriverContext {
     /// The coordinator's inbox.
     pub(super) inbox: Sender<Input>,
-    /// The clock of timestamps.
+    /// The clock that the drivers read.
     pub(super) clock: Clock,
     /// The baseline response time of all nodes.
     pub(super) baseline: Arc<ResponseTimeBaseline>,
@@ -34,7 +34,7 @@
                 AttemptEvent::FullyWritten(key) => Input::FullyWritten(key),
                 AttemptEvent::Ended(key, end) => Input::AttemptEnded { key, end },
             };
-            // The coordinator outlives every driver.
+            // The coordinator outlives every driver, so the inbox is open.
             let _ = self.inbox.send(input);
         }
     }
@@ -71,8 +71,8 @@
 
     fn run(self, target: DialTarget) {
         while self.connect_and_drive(target) {
-            // The node closed the connection before any waiting attempt was written: the attempts
-            // are sent on another connection.
+            // Attempts that were not written when the node closed the connection are sent on another
+            // one.
             if !self.connection.lock().prepare_redial() {
                 break;
             }
@@ -82,7 +82,7 @@
         self.finish();
     }
 
-    /// Marks the connection as closed and ends every attempt that is left.
+    /// Marks the connection as closed and fails the attempts that have not ended.
     fn finish(&self) {
         let mut events = Vec::new();
         {
@@ -97,17 +97,17 @@
         self.context.forward(events);
     }
 
-    /// Establishes a connection and drives it to its end. Returns whether another one may follow.
-    /// None may after a connection that could not be established, or that ended before a complete
-    /// frame was received: another one would end in the same way, and a node that sends only
-    /// invalid bytes would be dialled without a pause.
+    /// Establishes a connection and drives it to its end. Returns whether the node may be dialled
+    /// again at once. It may not if the connection could not be established, or ended before a
+    /// complete frame was received: the next connection would probably end in the same way, and a
+    /// node that sends only invalid bytes would be dialled without a pause.
     fn connect_and_drive(&self, target: DialTarget) -> bool {
         let Ok(stream) = TcpStream::connect_timeout(&target.address, target.timeout.to_duration())
         else {
             COUNTERS.dials_failed.increment();
             return false;
         };
-        // A failure costs latency only.
+        // Without this option requests are only delayed, so an error is ignored.
         let _ = stream.set_nodelay(true);
         self.on_connected(stream.waker());
         while self.step(stream.inner()) {
@@ -133,8 +133,9 @@
         open && !finished
     }
 
-    /// Reads, then writes. Returns whether the connection stays open. Reading comes first, since no
-    /// frame may be sent on a connection that the node has closed, nor to a process that is gone.
+    /// Reads, then writes. Returns whether the connection stays open. Reading comes first and shows
+    /// whether the node has closed the connection: no frame may be sent on a closed connection, nor
+    /// to a process that is gone.
     fn exchange(
         &self,
         state: &mut ConnectionState,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Processes the bytes of the last read. Returns whether they can be used.
+    /// Processes the bytes of the last read. Returns whether they follow the protocol.
     fn process_received(
         &self,
         state: &mut ConnectionState,
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Records the end of an attempt. Updates the baseline if the attempt was served.
+    /// Records the end of an attempt, and its response time if it was served. Ignores other events.
     fn record_ended(&self, state: &mut ConnectionState, event: &AttemptEvent, now: Micros) {
         let AttemptEvent::Ended(key, end) = event else {
             return;
--- a/src/net/node_client/mod.rs
+++ b/src/net/node_client/mod.rs
@@ -1,8 +1,7 @@
-//! The upstream client of the data nodes. A connection multiplexes attempts, so that a responsive
-//! node has a single one. The choice of the node belongs to the policy, the protocol is in
-//! `proto::frames`.
+//! The upstream client of the data nodes. A connection multiplexes attempts, so a single one is
+//! enough for a responsive node. The policy chooses the node; the protocol is in `proto::frames`.
 //!
-//! The counters of connections and bad frames are global, as `net` states.
+//! The counters of connections and bad frames are global, as the documentation of `net` explains.
 
 mod connection;
 mod driver;
@@ -21,8 +20,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The time before the node's idle timeout at which a connection is closed. A write after that
-/// timeout is reset, and an attempt that was reset may have run.
+/// The time by which an idle connection is closed before the node's own idle timeout. A write after
+/// that timeout is answered by a reset, and an attempt on a connection that was reset may have run.
 const IDLE_MARGIN: Micros = Micros::from_secs(3);
 /// The maximum number of connections to one node.
 const MAX_CONNECTIONS_PER_NODE: usize = 4;
@@ -59,7 +58,7 @@
     }
 }
 
-/// The existing connections that may carry new attempts.
+/// The existing connections to a node that may carry new attempts; at most one is set.
 #[derive(Default)]
 struct Candidates {
     /// A connection that is neither silent nor in the middle of a frame.
@@ -87,7 +86,8 @@
             if !state.accepts(requests, limits.max_attempts) {
                 continue;
             }
-            // A connection can fall silent while its node is healthy: new attempts use another one.
+            // A connection can become unresponsive while its node is healthy, so new attempts use
+            // another one if possible.
             if state.is_responsive(now, silence_timeout) {
                 return Candidates {
                     responsive: Some(connection.clone()),
@@ -111,7 +111,8 @@
 }
 
 impl NodeClient {
-    /// Creates a pool without connections. The ends of attempts are sent to `inbox`.
+    /// Creates a pool without connections. The progress and the ends of attempts are reported to
+    /// `inbox`.
     #[must_use]
     pub fn new(settings: &CoordinatorSettings, inbox: Sender<Input>, clock: Clock) -> Self {
         NodeClient {
@@ -150,7 +151,8 @@
         self.dial(connection, address)
     }
 
-    /// Starts the driver of a new connection. Returns `None` if that fails.
+    /// Starts the driver of a new connection, and returns the connection. Returns `None` if the
+    /// driver cannot be started.
     fn dial(
         &self,
         connection: Arc<NodeConnection>,
@@ -186,8 +188,8 @@
         if !address_changed && ready {
             return;
         }
-        // The node drains or has another address: attempts that are queued for its connections must
-        // not be sent, neither there nor on another connection.
+        // The node is draining or has another address: attempts that are queued for its connections
+        // must be sent neither on these nor on another connection.
         for connection in &node.connections {
             let reclaimed = connection.lock().drain();
             self.context.forward(reclaimed);
@@ -234,7 +236,7 @@
         let Some(node) = self.nodes.remove(&replica) else {
             return;
         };
-        // No attempt is in flight on any of them: the connections that are still open end here.
+        // No attempt is in flight on these connections, so those that are still open close at once.
         for connection in &node.connections {
             connection.lock().close_when_idle();
         }
--- a/src/net/node_client/silence.rs
+++ b/src/net/node_client/silence.rs
@@ -1,6 +1,6 @@
 //! Silence detection: a connection counts as silent if attempts on it have waited for much longer
-//! than attempts usually take and nothing was received. Its attempts may only be slow, but no new
-//! attempt may wait behind them.
+//! than attempts usually take and nothing was received. These attempts may merely be slow, but new
+//! ones are sent on another connection if possible.
 
 use crate::coordinator::AttemptKey;
 use crate::time::Micros;
@@ -11,9 +11,9 @@
 const SILENCE_RATIO: u64 = 4;
 /// The margin added to the silence timeout of attempts in flight.
 const SILENCE_MARGIN: Micros = Micros::from_millis(5);
-/// The upper bound of a response time that updates the baseline, as a multiple of the baseline.
-/// Equal to the bound of the policy: were it larger here, the policy would cancel attempts before
-/// their connection counts as silent.
+/// The bound to which a response time is reduced before it updates the baseline, as a multiple of
+/// the baseline. It equals the bound in the policy: if it were larger, the policy would cancel
+/// attempts before their connection counts as silent.
 const MAX_OUTLIER_RATIO: u64 = 2;
 /// The baseline before the first response.
 const INITIAL_BASELINE: Micros = Micros::from_millis(60);
@@ -47,14 +47,14 @@
         self.micros.store(updated, Relaxed);
     }
 
-    /// Returns the time that a connection may be silent with attempts in flight.
+    /// Returns how long a connection with attempts in flight may be silent.
     pub(super) fn silence_timeout(&self) -> Micros {
         self.cancelled_silence_timeout() + SILENCE_MARGIN
     }
 
-    /// Returns the time that a connection may have been silent when its attempts are cancelled. No
-    /// margin is added: the policy cancels attempts that are overdue by its own estimate, and with
-    /// a margin a connection with a short baseline would stay in use after such a cancellation.
+    /// Returns how long a connection may have been silent when an attempt on it is cancelled. No
+    /// margin is added: the policy cancels attempts that are overdue by its own estimate, and if
+    /// the baseline is short, a margin would keep the connection in use after such a cancellation.
     pub(super) fn cancelled_silence_timeout(&self) -> Micros {
         Micros(self.micros.load(Relaxed) * SILENCE_RATIO)
     }
@@ -67,10 +67,10 @@
     last_received: Micros,
     /// The dispatch time of each attempt in flight.
     dispatched_at: HashMap<AttemptKey, Micros>,
-    /// The time that attempts cancelled since the last bytes had waited; overlapping waits count
-    /// once.
+    /// The total time for which attempts had waited that were cancelled since bytes were last
+    /// received; overlapping waits count once.
     cancelled_silence: Micros,
-    /// The time up to which `cancelled_silence` is counted.
+    /// The time up to which waits are included in `cancelled_silence`.
     counted_through: Micros,
 }
 
@@ -99,8 +99,8 @@
         self.dispatched_at.remove(&key)
     }
 
-    /// Returns the time that attempts have waited without received bytes, including cancelled
-    /// attempts.
+    /// Returns how long attempts, including cancelled ones, have waited without any bytes being
+    /// received.
     pub(super) fn silent_for(&self, now: Micros) -> Micros {
         let Some(oldest) = self.dispatched_at.values().min() else {
             return self.cancelled_silence;
@@ -111,9 +111,9 @@
 
     /// Records the cancellation of an attempt. Returns whether the connection counts as silent now.
     ///
-    /// A machine that fails leaves its connections open and silent, and resets them when it is
-    /// back: everything sent on them is lost. The dial of a new connection fails in time, which
-    /// proves that the attempt never ran.
+    /// A machine that fails leaves its connections open and silent, and resets them when it is up
+    /// again, so everything that was sent on them is lost. A dial of the failed machine times out
+    /// instead, which proves that the attempt for which it was dialled never ran.
     pub(super) fn record_cancelled(
         &mut self,
         key: AttemptKey,
@@ -121,8 +121,8 @@
         timeout: Micros,
     ) -> bool {
         let dispatched_at = self.dispatched_at.remove(&key).unwrap_or(now);
-        // Bytes received before the dispatch prove nothing about this attempt; neither does the
-        // opening of a new connection.
+        // Bytes that were received after the dispatch show that the connection works. Bytes that
+        // were received earlier do not, nor does the opening of the connection.
         if self.last_received > dispatched_at {
             return false;
         }
--- a/src/net/node_client/silence/tests.rs
+++ b/src/net/node_client/silence/tests.rs
@@ -29,7 +29,7 @@
     }
     assert!(
         detector.silent_for(ms(400)) > timeout,
-        "nothing more is sent there"
+        "the connection counts as silent"
     );
     detector.record_received(ms(500));
     assert_eq!(detector.silent_for(ms(900)), Micros::ZERO);
@@ -70,6 +70,6 @@
     (0..500).for_each(|_| baseline.record(Micros::from_millis(20)));
     assert!(
         baseline.silence_timeout() > Micros::from_millis(80),
-        "the baseline follows: {baseline:?}"
+        "the baseline rises: {baseline:?}"
     );
 }
