--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -1,5 +1,5 @@
 //! The driver of one attempt at a feature server: a coroutine that fetches one page over one
-//! connection and reports the end to the coordinator and to the server's limit.
+//! connection and reports the end to the coordinator and to the server's concurrency limit.
 
 use super::request::FetchRequest;
 use super::server::{FeatureServer, IdleConnection};
@@ -27,13 +27,13 @@
 pub(super) struct DriverContext {
     /// The coordinator's inbox.
     pub(super) inbox: Sender<Input>,
-    /// The clock of timestamps.
+    /// The clock that the drivers read.
     pub(super) clock: Clock,
     /// The timeout of a connect to a server.
     pub(super) connect_timeout: Micros,
     /// The time after which an idle connection is closed.
     pub(super) idle_timeout: Micros,
-    /// The throughput of all servers, for admission.
+    /// The throughput of all servers, which admission reads.
     pub(super) capacity: Arc<ServerCapacity>,
 }
 
@@ -43,7 +43,7 @@
     end: AttemptEnd,
     /// The outcome that is reported to the server's concurrency limit.
     limit_outcome: RequestOutcome,
-    /// The pause that the server requested.
+    /// The pause that the server requested in `Retry-After`.
     retry_after: Option<Micros>,
 }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Releases the attempt's slot and reports the result to the server's limit.
+    /// Releases the attempt's slot and reports the result to the server's concurrency limit.
     fn record_result(
         &self,
         server: &mut FeatureServer,
@@ -161,7 +161,7 @@
             .report(self.request.replica, server.throughput());
     }
 
-    /// Returns the result of a fetch for its attempt and for the server's limit.
+    /// Returns the result of a fetch, for its attempt and for the server's concurrency limit.
     fn interpret(&self, progress: Progress) -> FetchResult {
         match progress {
             Progress::Complete(response) => self.interpret_response(response),
@@ -189,7 +189,8 @@
         } else {
             None
         };
-        // The server is named by its address, by which further pages are requested.
+        // The address identifies the server from which later pages are requested, and is the host
+        // against which the links of this page are resolved.
         let host = self.request.address.to_string();
         let end = self.request.page_request.interpret(&host, &host, response);
         let limit_outcome = match &end {
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Returns an idle connection that is still open: a request on a connection that the server has
-    /// closed would be lost.
+    /// Takes an idle connection that is still open. Drops those that are not, since a request on a
+    /// connection that the server has closed would be lost.
     fn idle_connection(&self) -> Option<TcpStream> {
         let mut server = lock(&self.server);
         while let Some(connection) = server.idle.pop() {
@@ -234,7 +235,7 @@
 
     /// Exchanges request and response over this connection until the fetch has ended.
     fn drive(&mut self, stream: &TcpStream) -> Progress {
-        // A failure costs latency only.
+        // Without this option requests are only delayed, so an error is ignored.
         let _ = stream.set_nodelay(true);
         self.request.cancellation.set_waker(Some(stream.waker()));
         loop {
@@ -273,7 +274,8 @@
 
     fn write_pending(&mut self, stream: &std::net::TcpStream) -> Progress {
         while !self.request.fetch.output().is_empty() {
-            // The last check before the request is sent: a draining server gets nothing new.
+            // Checked until the first byte is written, since a draining server gets no new
+            // requests.
             if self.request.fetch.is_unstarted() && !lock(&self.server).ready {
                 return Progress::Failed(self.cancelled_outcome());
             }
@@ -307,13 +309,15 @@
     }
 }
 
-/// Returns the pause that an overloaded server requested, if it is given in seconds.
+/// Returns the pause that an overloaded server requested. Returns `None` if the header is missing
+/// or does not give the pause in seconds.
 fn retry_after(response: &FetchedResponse) -> Option<Micros> {
     let seconds = response.headers.get("Retry-After")?.trim().parse().ok()?;
     Some(Micros::from_secs(seconds))
 }
 
-/// Returns whether an idle connection is open: nothing has been received on it, not even its end.
+/// Returns whether an idle connection is open: neither bytes nor the end of the stream were
+/// received.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(try_read(stream.inner(), &mut [0]), IoOutcome::WouldBlock)
 }
--- a/src/net/feature_client/driver/tests.rs
+++ b/src/net/feature_client/driver/tests.rs
@@ -32,11 +32,13 @@
     let rule = LimitRule::Fixed(1);
     let mut server = FeatureServer::new(rule);
     server.ready = true;
-    let first = server.admit(request(0), Micros::ZERO).expect("a free slot");
+    let first = server
+        .admit(request(0), Micros::ZERO)
+        .expect("the slot is free");
     for attempt in 1..4 {
         assert!(
             server.admit(request(attempt), Micros::ZERO).is_none(),
-            "queued"
+            "attempt {attempt} is queued"
         );
     }
     let server = Arc::new(Mutex::new(server));
@@ -61,7 +63,7 @@
                 key,
                 end: AttemptEnd::Failed(Outcome::NotSent),
             } => key.attempt.0,
-            other => panic!("{other:?}"),
+            other => panic!("unexpected input: {other:?}"),
         })
         .collect();
     assert_eq!(attempts, [0, 1, 2, 3]);
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -1,6 +1,6 @@
 //! The upstream client of the feature servers. Each attempt is one HTTP request on a connection of
-//! its own, taken from the idle connections if possible. The choice of the server belongs to the
-//! policy, the concurrency limits to `limits`.
+//! its own, taken from the idle connections if possible. The policy chooses the server; the
+//! concurrency limits are in `limits`.
 
 mod driver;
 mod request;
@@ -30,7 +30,7 @@
     servers: HashMap<ReplicaId, Arc<Mutex<FeatureServer>>>,
     /// The cancellations of the attempts that the coordinator may still cancel.
     cancellations: HashMap<AttemptKey, Arc<Cancellation>>,
-    /// The maximum length of a response's body, in bytes.
+    /// The maximum length of a response body, in bytes.
     max_body: usize,
     /// The rule by which each server's concurrency limit is set.
     limit_rule: LimitRule,
@@ -81,7 +81,7 @@
     /// Starts an attempt, or queues it at its server.
     fn start(&mut self, replica: ReplicaId, request: &AttemptRequest) -> Result<(), Outcome> {
         if !self.ensure_connection_capacity() {
-            // The outcome of a server that accepts no connection: nothing was sent.
+            // Nothing was sent, as with a server that refuses connections.
             return Err(Outcome::ConnectFailed);
         }
         let now = self.context.clock.now();
@@ -92,7 +92,7 @@
             let mut state = lock(server);
             let address = state.ready_address().ok_or(Outcome::NotSent)?;
             if state.is_overloaded(now) {
-                // Nothing was sent.
+                // Nothing was sent, so the attempt counts as rejected.
                 return Err(Outcome::Rejected);
             }
             let fetch = Fetch::new(page_request.request(&address.to_string()), self.max_body);
@@ -148,7 +148,7 @@
         state.address = address;
         state.ready = ready;
         self.context.capacity.report(replica, state.throughput());
-        // Attempts that have not started are not sent to a draining server.
+        // A draining server gets no new requests, so its queued attempts end as not sent.
         let unsent = if ready {
             VecDeque::new()
         } else {
@@ -192,7 +192,7 @@
                 .server_connections_idle_closed
                 .add(state.close_expired(now, self.context.idle_timeout));
             state.remove_cancelled();
-            // A pause that the server requested may be over.
+            // If a pause that the server requested is over, queued attempts may start.
             let startable = state.take_startable(now);
             drop(state);
             for request in startable {
--- a/src/net/feature_client/request.rs
+++ b/src/net/feature_client/request.rs
@@ -54,7 +54,7 @@
     pub(super) address: SocketAddr,
     /// The state of the request and its response.
     pub(super) fetch: Fetch,
-    /// The page that is requested.
+    /// The request for the page, as the front describes it.
     pub(super) page_request: Arc<PageRequest>,
     /// The cancellation, shared with the client.
     pub(super) cancellation: Arc<Cancellation>,
--- a/src/net/feature_client/server.rs
+++ b/src/net/feature_client/server.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// The maximum number of queued attempts at a server, as a multiple of its concurrency limit.
-/// Further ones are rejected at once, since they could not be served in time.
+/// Attempts beyond it are rejected at once, since they could not be served in time.
 const MAX_QUEUED_RATIO: usize = 4;
 
 /// A connection that may carry another request.
@@ -26,7 +26,7 @@
     pub(super) address: Option<SocketAddr>,
     /// Whether the server accepts new attempts.
     pub(super) ready: bool,
-    /// The idle connections, the one used last at the end.
+    /// The idle connections, the most recently used one last.
     pub(super) idle: Vec<IdleConnection>,
     /// The number of attempts that have a slot of the limit.
     pub(super) in_flight: usize,
