--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -71,8 +71,8 @@
 
     fn run(self, target: DialTarget) {
         while self.connect_and_drive(target) {
-            // Attempts that were not written when the node closed the connection are sent on another
-            // one.
+            // Attempts that were not written when the node closed the connection are sent on
+            // another one.
             if !self.connection.lock().prepare_redial() {
                 break;
             }
