--- a/src/net/watch/backoff.rs
+++ b/src/net/watch/backoff.rs
@@ -5,43 +5,42 @@
 use crate::time::Micros;
 use std::time::Duration;
 
-/// The first and the longest value of a delay or timeout that doubles with each attempt, in
-/// milliseconds.
+/// The range of a delay or timeout that doubles after each failure, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct DelayRange {
     min_ms: u64,
     max_ms: u64,
 }
 
-/// The delays where an agent beside the coordinator serves the endpoint lists. Polling it costs
-/// nothing, and the coordinator counts as notified of all that the agent knows, even right after
-/// the agent was silent.
+/// The delays if a local discovery agent serves the endpoint lists. They are short: requests to the
+/// agent are cheap, and the coordinator counts as notified of every change that the agent has
+/// received, even right after the agent was silent.
 const AGENT_DELAY: DelayRange = DelayRange {
     min_ms: 25,
     max_ms: 250,
 };
-/// The timeouts for the first message of such an agent, which answers at once. A watch that was
-/// opened while the agent was silent may never be answered. The timeouts grow, since no short one
-/// would be met while the machine is slow.
+/// The timeouts for the first message of a local agent, which responds at once. A watch that was
+/// opened while the agent was silent may never get a response. The timeouts grow, since the agent
+/// would exceed a short one each time while the machine is slow.
 const AGENT_FIRST_MESSAGE_TIMEOUT: DelayRange = DelayRange {
     min_ms: 500,
     max_ms: SILENCE_TIMEOUT.0 / MICROS_PER_MILLI,
 };
-/// The ratio of the longest delay to the first one where one discovery service serves all
-/// coordinators. The longest delay is the poll interval that the settings allow. Such a service
-/// rejects calls beyond a few at a time, so the total rate of calls has to fall until some of them
-/// are served.
+/// The ratio of the longest delay to the shortest one if all coordinators share one discovery
+/// service. The longest delay is the maximum poll interval of the settings. Such a service rejects
+/// all but a few requests at a time, so the total rate of requests must fall until some of them are
+/// served.
 const SHARED_MIN_DELAY_DIVISOR: u64 = 10;
-/// The lower bound on the poll interval of the settings, in milliseconds.
+/// The lower bound to which a shorter maximum poll interval is raised, in milliseconds.
 const MIN_SHARED_POLL_INTERVAL_MS: u64 = 1_000;
-/// The timeout for the first message of a shared discovery service, which answers late.
+/// The timeout for the first message of a shared discovery service, which may respond late.
 pub(super) const SHARED_FIRST_MESSAGE_TIMEOUT: Micros = Micros::from_millis(4_500);
 
 /// The number of microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// An exponential backoff with jitter: coordinators that lost their watches at the same time do not
-/// return at the same time.
+/// An exponential backoff with jitter: coordinators whose watches ended at the same time do not
+/// open new ones at the same time.
 #[derive(Debug)]
 pub struct Backoff {
     /// The last delay before its jitter, in milliseconds; 0 after a reset.
@@ -62,11 +61,11 @@
         }
     }
 
-    /// Returns the delay after a watch has ended. Restarts with the first delay if that watch
-    /// brought an endpoint list, and doubles the delay otherwise.
+    /// Returns the delay after a watch has ended. Restarts with the shortest delay if an endpoint
+    /// list was received on that watch, and doubles the delay otherwise.
     ///
-    /// `max_poll_interval` (nanoseconds) is set where lists are polled from a shared discovery
-    /// service: a coordinator that does not poll within it counts as notified.
+    /// `max_poll_interval`, in nanoseconds, is set if lists are polled from a shared discovery
+    /// service: a coordinator that does not poll for this long counts as notified of every change.
     pub(super) fn next_delay(
         &mut self,
         list_received: bool,
@@ -85,7 +84,7 @@
         Duration::from_millis(self.rng.u64(self.delay_ms / 2..=self.delay_ms))
     }
 
-    /// Restarts with the first delay. Keeps the timeout for the first message.
+    /// Restarts with the shortest delay. Keeps the timeout for the first message.
     pub(super) fn reset_delay(&mut self) {
         self.delay_ms = 0;
     }
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -5,9 +5,9 @@
 
 const POLL_INTERVAL: Nanos = 10_000_000_000;
 
-/// Returns how many coordinators get an endpoint list within 30 s from one discovery service. The
-/// service handles 12 calls a second in turn, including those whose caller has timed out after 2 s,
-/// and rejects calls beyond its queue.
+/// Simulates a shared discovery service for 30 s, and returns how many coordinators it serves with
+/// an endpoint list. It handles 12 polls a second one after another, including those that the
+/// coordinator has given up after 2 s, and rejects a poll if its queue is full.
 fn coordinators_served(max_poll_interval: Option<Nanos>) -> usize {
     const COORDINATORS: usize = 100;
     const POLL_TIMEOUT_MS: u64 = 2_000;
@@ -37,11 +37,11 @@
 
 #[test]
 fn load_on_a_shared_discovery_falls_until_all_coordinators_are_served() {
-    // Short delays keep discovery busy with calls whose callers have timed out.
-    let without_limit = coordinators_served(None);
+    // With short delays, discovery is busy with polls that coordinators have already given up.
+    let served_with_short_delays = coordinators_served(None);
     assert!(
-        without_limit < 60,
-        "the simulation can fail: {without_limit}"
+        served_with_short_delays < 60,
+        "short delays leave coordinators unserved: {served_with_short_delays} served"
     );
     assert_eq!(coordinators_served(Some(POLL_INTERVAL)), 100);
 }
@@ -53,14 +53,14 @@
     assert!(longest <= Some(Duration::from_millis(AGENT_DELAY.max_ms)));
     assert!(
         agent.next_delay(true, None) <= Duration::from_millis(AGENT_DELAY.min_ms),
-        "a list was received: the delays start anew"
+        "the delays restart after a list was received"
     );
     let first_delays: BTreeSet<_> = (0..100)
         .map(|seed| Backoff::new(seed).next_delay(false, Some(POLL_INTERVAL)))
         .collect();
     assert!(
         first_delays.len() > 80,
-        "{} different delays of 100",
+        "only {} different delays of 100",
         first_delays.len()
     );
     let mut shared = Backoff::new(1);
@@ -81,7 +81,7 @@
     let mut gap = agent.first_message_timeout(None);
     assert!(
         gap < Micros::from_secs(1),
-        "an agent answers at once or not at all: {gap:?}"
+        "the first timeout is short: {gap:?}"
     );
     for _ in 0..10 {
         let delay = Micros(agent.next_delay(false, None).as_micros() as u64);
@@ -93,16 +93,16 @@
     }
     assert!(
         gap > Micros::from_secs(2),
-        "a slow machine gets its message in time too"
+        "an agent on a slow machine responds within the timeout: {gap:?}"
     );
     agent.next_delay(true, None);
     assert!(
         agent.first_message_timeout(None) < Micros::from_secs(1),
-        "the timeouts start anew"
+        "the timeouts restart after a list was received"
     );
     assert_eq!(
         agent.first_message_timeout(Some(POLL_INTERVAL)),
         SHARED_FIRST_MESSAGE_TIMEOUT,
-        "a shared discovery answers late"
+        "a shared discovery service responds late"
     );
 }
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -2,7 +2,8 @@
 //! again whenever it ends or falls silent. Passes endpoint lists to the coordinator; the protocol
 //! is in `proto::discovery`.
 //!
-//! The counters of ended watches and rejected lists are global, as `net` states.
+//! The counters of ended watches and rejected lists are global, as the documentation of `net`
+//! explains.
 
 mod backoff;
 mod source;
@@ -21,12 +22,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time without a message after which a watch counts as dead; discovery sends something every 2
-/// s. A coordinator counts as notified of a change 6 s after its last message, so half of that time
-/// is left to open the watch again.
+/// The time without a message after which a watch counts as dead; discovery sends a message every 2
+/// s. A coordinator counts as notified of a change 6 s after the last message that it received, so
+/// half of that time is left to open the watch again.
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(3);
-/// The interval at which a silent watch, and a coordinator that waits to open one, checks whether
-/// discovery has moved.
+/// The interval at which a watcher that waits, for a message or before the next watch, checks
+/// whether the address of discovery has changed.
 const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The timeout of a connect to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -65,7 +66,7 @@
 }
 
 impl Watcher {
-    /// Follows discovery for as long as the process runs.
+    /// Opens one watch after another for as long as the process runs.
     pub fn run(mut self) {
         loop {
             let revision_before = self.revision;
@@ -92,8 +93,8 @@
         });
     }
 
-    /// Sleeps for `delay`, but stops when discovery has moved: a reload that moves it must take
-    /// effect within seconds.
+    /// Sleeps for `delay`, or until the address of discovery is no longer `address`: a reload that
+    /// changes it must take effect within seconds.
     fn sleep_unless_address_changes(&self, delay: Duration, address: SocketAddr) {
         let mut remaining = delay;
         while !remaining.is_zero() && self.source.address() == address {
@@ -112,7 +113,7 @@
         let mut response = WatchResponse::default();
         let mut last_received = self.clock.now();
         loop {
-            // The old address may go on sending for a while, which is ignored.
+            // The service at the old address may still send messages, which are ignored.
             if self.source.address() != address {
                 return Ok(WatchEnd::AddressChanged);
             }
@@ -141,12 +142,13 @@
         Ok(stream)
     }
 
-    /// Passes on the lists that are complete. Returns whether the response has ended.
+    /// Passes the lists that were completely received to the coordinator. Returns whether the
+    /// response has ended.
     fn process(&mut self, response: &mut WatchResponse, now: Micros) -> Result<bool, WatchError> {
         let progress = response.advance(now, unix_ms()).inspect_err(|_| {
             COUNTERS.bad_endpoint_updates.increment();
-            // The content of the message is unknown, so later deltas would not apply: the complete
-            // list is requested.
+            // Later deltas may depend on the content of the invalid message, so the next watch
+            // requests the complete list.
             self.revision = 0;
         })?;
         for update in progress.updates {
@@ -156,7 +158,7 @@
     }
 
     fn publish(&mut self, list: EndpointListUpdate) {
-        // Discovery may go back to an older revision; the next watch continues from the newest one.
+        // Discovery may return to an older revision; the next watch continues from the newest one.
         self.revision = list.revision.max(self.revision);
         let _ = self.inbox.send(Input::EndpointUpdate(list.update));
         self.lifecycle
--- a/src/net/watch/source.rs
+++ b/src/net/watch/source.rs
@@ -17,8 +17,9 @@
 }
 
 impl DiscoverySource {
-    /// Creates the source at this address. `max_poll_interval` (nanoseconds) is set where lists are
-    /// polled: a coordinator that does not poll within it counts as notified.
+    /// Creates the source at this address. `max_poll_interval`, in nanoseconds, is set if lists are
+    /// polled from a shared discovery service: a coordinator that does not poll for this long
+    /// counts as notified of every change.
     #[must_use]
     pub fn new(address: SocketAddr, max_poll_interval: Option<Nanos>) -> Self {
         DiscoverySource(Arc::new(Mutex::new(SourceSettings {
@@ -37,8 +38,8 @@
         self.lock().address
     }
 
-    /// Returns the current longest interval between two polls, in nanoseconds, where lists are
-    /// polled.
+    /// Returns the current maximum interval between two polls, in nanoseconds; `None` if lists are
+    /// pushed.
     pub(super) fn max_poll_interval(&self) -> Option<Nanos> {
         self.lock().max_poll_interval
     }
@@ -49,7 +50,7 @@
         self.lock().address = address;
     }
 
-    /// Changes the longest interval between two polls, in nanoseconds.
+    /// Changes the maximum interval between two polls, in nanoseconds; `None` if lists are pushed.
     pub fn set_max_poll_interval(&self, max_poll_interval: Option<Nanos>) {
         self.lock().max_poll_interval = max_poll_interval;
     }
