--- a/src/net/nonblocking.rs
+++ b/src/net/nonblocking.rs
@@ -5,7 +5,7 @@
 
 /// The outcome of one read or write on a non-blocking socket.
 pub(super) enum IoOutcome {
-    /// This many bytes were read or written.
+    /// This many bytes were read or written; 0 if a signal interrupted the call.
     Transferred(usize),
     /// The socket has no data, or no space, at present.
     WouldBlock,
@@ -15,12 +15,12 @@
     Broken,
 }
 
-/// Reads once into `buffer`.
+/// Reads into `buffer` with one system call.
 pub(super) fn try_read(mut stream: &TcpStream, buffer: &mut [u8]) -> IoOutcome {
     outcome(io::Read::read(&mut stream, buffer))
 }
 
-/// Writes once from `bytes`.
+/// Writes from `bytes` with one system call.
 pub(super) fn try_write(mut stream: &TcpStream, bytes: &[u8]) -> IoOutcome {
     outcome(io::Write::write(&mut stream, bytes))
 }
--- a/src/net/nonblocking/tests.rs
+++ b/src/net/nonblocking/tests.rs
@@ -7,11 +7,14 @@
 #[test]
 fn a_reset_connection_reads_as_broken_and_not_as_end_of_stream() {
     for reset in [false, true] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let stream = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
-        let (peer, _) = listener.accept().expect("accepted");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds to a free port");
+        let stream =
+            TcpStream::connect(listener.local_addr().expect("the listener has an address"))
+                .expect("the connection is established");
+        let (peer, _) = listener.accept().expect("the peer accepts the connection");
         if reset {
-            rustix::net::sockopt::set_socket_linger(&peer, Some(Duration::ZERO)).expect("set");
+            rustix::net::sockopt::set_socket_linger(&peer, Some(Duration::ZERO))
+                .expect("the linger option is set");
         }
         drop(peer);
         match try_read(&stream, &mut [0]) {
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -1,9 +1,9 @@
-//! A timer thread that wakes a coroutine at a set time. The caller decides what the wake-up does.
+//! A timer thread that calls a function at a set time, usually to wake a coroutine.
 //!
-//! The runtime's own timed wait can lose its wake-up: it starts its timer before the coroutine is
-//! registered where the timer looks for it. If the operating system suspends the thread in between
-//! for longer than the wait, the coroutine waits for ever. Coroutines therefore wait without a
-//! limit, and this thread sends them a message at the set time.
+//! The coroutine runtime's own timed wait can lose its wake-up: it starts its timer before the
+//! coroutine is registered where the timer looks for it. If the operating system suspends the
+//! thread in between for longer than the wait, the coroutine waits for ever. Coroutines therefore
+//! wait without a timeout, and this thread sends them a message at the set time.
 
 use crate::sync;
 use crate::time::{Clock, Micros};
@@ -35,8 +35,8 @@
         fires
     }
 
-    /// Sets the time to fire. Returns whether the thread must be woken: a thread that wakes earlier
-    /// anyway reads the new time then.
+    /// Sets the time to fire. Returns whether the thread must be woken: if it wakes earlier anyway,
+    /// it reads the new time then.
     fn set(&mut self, due: Micros) -> bool {
         self.due = Some(due);
         self.wakes_at.is_none_or(|wakes_at| due < wakes_at)
