--- a/src/net/feature_client/driver/tests.rs
+++ b/src/net/feature_client/driver/tests.rs
@@ -28,15 +28,17 @@
 
 /// Guards against queued attempts that wait although no attempt is in flight.
 #[test]
-fn a_coroutine_that_cannot_start_leaves_its_slot_to_the_queue() {
+fn queued_attempts_are_reported_as_not_sent_when_no_driver_can_start() {
     let rule = LimitRule::Fixed(1);
     let mut server = FeatureServer::new(rule);
     server.ready = true;
-    let first = server.admit(request(0), Micros::ZERO).expect("a free slot");
+    let first = server
+        .admit(request(0), Micros::ZERO)
+        .expect("the slot is free");
     for attempt in 1..4 {
         assert!(
             server.admit(request(attempt), Micros::ZERO).is_none(),
-            "queued"
+            "attempt {attempt} is queued"
         );
     }
     let server = Arc::new(Mutex::new(server));
@@ -53,7 +55,7 @@
         server: server.clone(),
         context,
     };
-    driver.start_by(|_| Err(ErrorKind::OutOfMemory.into()));
+    driver.start_with(|_| Err(ErrorKind::OutOfMemory.into()));
     let ended = std::iter::from_fn(|| inputs.try_recv().ok());
     let attempts: Vec<u16> = ended
         .map(|input| match input {
@@ -61,7 +63,7 @@
                 key,
                 end: AttemptEnd::Failed(Outcome::NotSent),
             } => key.attempt.0,
-            other => panic!("{other:?}"),
+            other => panic!("unexpected input: {other:?}"),
         })
         .collect();
     assert_eq!(attempts, [0, 1, 2, 3]);
--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -8,8 +8,9 @@
 use may::io::WaitIoWaker;
 use std::sync::{Mutex, MutexGuard};
 
-/// The time from the first bytes of a frame to its end. A frame that takes longer has a wrong
-/// length and never ends: the following frames would be taken for its content.
+/// The maximum time from the first bytes of a frame to its end. A frame that takes longer is
+/// assumed to have a wrong length: it would never end, and the frames after it would be read as its
+/// content.
 const PARTIAL_FRAME_TIMEOUT: Micros = Micros::from_millis(50);
 
 /// A connection to a data node, established or not yet.
@@ -49,17 +50,17 @@
     pub(super) waker: Option<WaitIoWaker>,
     /// Whether the connection has ended or could not be established.
     pub(super) closed: bool,
-    /// Whether the connection is closed once nothing is in flight.
+    /// Whether no new attempts are sent, and the connection is closed once nothing is in flight.
     pub(super) closing: bool,
-    /// Whether nothing was received for too long while attempts waited.
-    unresponsive: bool,
+    /// Whether the connection counted as silent when an attempt on it was cancelled.
+    silent_on_cancel: bool,
     /// Whether received bytes cannot be used, so that the connection is closed at once.
     pub(super) corrupt: bool,
     /// The time since which part of a frame has been received; `None` between frames.
     partial_frame_since: Option<Micros>,
     /// Whether a complete frame was received since the connection was established.
     pub(super) frame_received: bool,
-    /// Whether the node's process at the other end is gone, by the endpoint list.
+    /// Whether the endpoint list shows that the node's process at the other end is gone.
     pub(super) superseded: bool,
     /// The time of the first dial.
     opened_at: Micros,
@@ -86,7 +87,9 @@
         self.protocol.is_idle() && now.since(self.last_used) >= idle_timeout
     }
 
-    /// Returns whether these attempts may be sent here, with at most `max_attempts` in flight.
+    /// Returns whether these attempts may be sent on this connection, which carries at most
+    /// `max_attempts` at a time. An attempt is not sent where the answer to an earlier attempt at
+    /// its part may still arrive: that answer would be taken for its own.
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
             && self.protocol.in_flight() + requests.len() <= max_attempts
@@ -110,22 +113,23 @@
         self.wake_driver();
     }
 
-    /// Cancels an attempt. Returns whether this makes the connection unresponsive.
+    /// Cancels an attempt. Returns whether this is the first cancellation that finds the connection
+    /// silent. Such a connection is closed once nothing is in flight.
     pub(super) fn cancel(&mut self, key: AttemptKey, now: Micros, silence_timeout: Micros) -> bool {
         self.protocol.cancel(key);
         self.last_used = now;
         let silent = self.silence.record_cancelled(key, now, silence_timeout);
-        let became_unresponsive = silent && !self.unresponsive;
-        if became_unresponsive {
-            self.unresponsive = true;
+        let became_silent = silent && !self.silent_on_cancel;
+        if became_silent {
+            self.silent_on_cancel = true;
             self.closing = true;
         }
         self.wake_driver();
-        became_unresponsive
+        became_silent
     }
 
-    /// Reclaims attempts that are not written, and closes the connection once the others have
-    /// ended. Returns the ends of the reclaimed attempts.
+    /// Reclaims attempts of which nothing was written, and closes the connection once the others
+    /// have ended. Returns the ends of the reclaimed attempts.
     pub(super) fn drain(&mut self) -> Vec<AttemptEvent> {
         let mut events = Vec::new();
         self.protocol.reclaim_unwritten(&mut events);
@@ -139,7 +143,8 @@
     }
 
     /// Ends the connection since the process at its other end is gone. Returns the ends of the
-    /// attempts that are not written; the driver ends the others, after it has read what is left.
+    /// attempts of which nothing was written. The driver ends the others after it has read the
+    /// bytes that were already received.
     pub(super) fn supersede(&mut self) -> Vec<AttemptEvent> {
         self.superseded = true;
         self.drain()
