--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -118,14 +118,16 @@
         self.linger.is_some()
     }
 
-    /// Returns whether the client is sending a request, awaits a response, or has not read it.
-    pub(super) fn is_owed_response(&self) -> bool {
-        let receives = !self.is_lingering() && self.http.has_partial_request();
-        receives || self.has_taken_request()
+    /// Returns whether the client is sending a request, awaits the response, or has not read all of
+    /// it.
+    pub(super) fn has_pending_request(&self) -> bool {
+        let receiving = !self.is_lingering() && self.http.has_partial_request();
+        receiving || self.has_complete_request()
     }
 
-    /// Returns whether the client awaits the response to a complete request, or has not read it.
-    pub(super) fn has_taken_request(&self) -> bool {
+    /// Returns whether the client awaits the response to a complete request, or has not read all of
+    /// it.
+    pub(super) fn has_complete_request(&self) -> bool {
         let unanswered = self.http.awaits_response() || !self.http.output().is_empty();
         unanswered && !self.is_lingering()
     }
--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -7,15 +7,15 @@
 use crate::time::Micros;
 use may::io::WaitIo;
 
-/// The time that a newly accepted connection has to send its first request while connections are
-/// closed.
+/// The time from the accept in which the client of a new connection must send its first request
+/// while connections are closed.
 const FIRST_REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
 
 impl ClientConnections {
     /// Starts or updates the draining after a shutdown was requested. Idle connections stay open,
-    /// since their clients may be about to send a request. Where a successor accepts at the
-    /// listening socket, this process accepts nothing, and each response closes its connection. If
-    /// the successor exits first, this process accepts again.
+    /// since their clients may be about to send a request. While a successor accepts at the same
+    /// listening socket, this process accepts no connections, and each response closes its
+    /// connection. If the successor exits first, this process accepts again.
     pub fn drain(&self, successor_accepts: bool) {
         let before = self.lifecycle.service_phase();
         let event = if successor_accepts {
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Closes idle connections, and each other connection with its next response. New connections
-    /// are still accepted and answered: the kernel completes them in any case, and would reset them
+    /// Closes idle connections, and each other connection after its next response. New connections
+    /// are still accepted and served: the kernel completes them in any case, and would reset them
     /// when the process exits.
     pub fn close_idle(&self, now: Micros) {
         self.lifecycle.shut_down(ShutdownEvent::Close);
@@ -47,21 +47,21 @@
         sync::lock(&self.connections).len()
     }
 
-    /// Returns the number of open connections whose clients are sending a request, await its
-    /// response, or have not read it.
-    pub fn owed_connections(&self) -> usize {
+    /// Returns the number of open connections whose clients are sending a request, await the
+    /// response, or have not read all of it.
+    pub fn connections_with_pending_request(&self) -> usize {
         sync::lock(&self.connections)
             .values()
-            .filter(|c| c.lock().is_owed_response())
+            .filter(|c| c.lock().has_pending_request())
             .count()
     }
 
     /// Returns the number of open connections whose clients have sent a complete request, and await
-    /// its response or have not read it.
-    pub fn taken_connections(&self) -> usize {
+    /// the response or have not read all of it.
+    pub fn connections_with_complete_request(&self) -> usize {
         sync::lock(&self.connections)
             .values()
-            .filter(|c| c.lock().has_taken_request())
+            .filter(|c| c.lock().has_complete_request())
             .count()
     }
 }
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -269,8 +269,12 @@
     fn exits(&self, phase: ShutdownPhase, successor_accepts: bool) -> bool {
         let connections = match phase.awaited_connections() {
             AwaitedConnections::Open => self.clients.open_connections(),
-            AwaitedConnections::Owed => self.clients.owed_connections(),
-            AwaitedConnections::Taken => self.clients.taken_connections(),
+            AwaitedConnections::WithPendingRequest => {
+                self.clients.connections_with_pending_request()
+            }
+            AwaitedConnections::WithCompleteRequest => {
+                self.clients.connections_with_complete_request()
+            }
         };
         let pending = PendingWork {
             queries: self.coordinator.pending_queries(),
