--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -1,5 +1,6 @@
-//! The coroutine of one coordinator: collects inputs, runs turns and executes their commands. Owns
-//! the coordinator and its upstream connections; decisions belong to the coordinator.
+//! The loop of one coordinator, which runs on its own coroutine: it collects inputs, runs turns and
+//! executes their commands. It owns the coordinator and the connections to servers. The decisions
+//! are made in the coordinator.
 
 use super::process::ProcessContext;
 use super::reload::{Reload, Reloaded, RequestedReloads};
@@ -15,42 +16,42 @@
 use may::sync::mpsc::Receiver;
 use std::sync::Arc;
 
-/// The longest sleep of the loop, and so the interval at which signals are checked.
+/// The longest wait of the loop for an input, and so the interval at which signals are checked.
 const MAX_SLEEP: Micros = Micros::from_millis(50);
 /// The interval at which client connections are checked against their time limits.
 const REAP_CLIENTS_INTERVAL: Micros = Micros::from_millis(250);
 /// The interval at which connections to servers are checked. Short, since a part may be waiting for
-/// an answer that will never come.
+/// a response that will never arrive.
 const REAP_SERVERS_INTERVAL: Micros = MAX_SLEEP;
 
-/// A coordinator and the parts of its loop before the start.
-pub(super) struct CoordinatorParts {
+/// A coordinator and the other components of its loop, before the start.
+pub(super) struct CoordinatorComponents {
     /// The coordinator, which takes the inputs of each turn and returns commands.
     coordinator: Coordinator,
     /// The connections to servers.
     upstream: Box<dyn Upstream>,
     /// The receiving end of the coordinator's inbox.
-    arrivals: Receiver<Input>,
+    inbox_receiver: Receiver<Input>,
     /// The source of reloads.
     reload: Box<dyn Reload>,
     /// The longest deadline of a query.
     longest_deadline: Micros,
 }
 
-impl CoordinatorParts {
-    /// Puts the parts together. `longest_deadline` is that of a query under the settings at the
+impl CoordinatorComponents {
+    /// Combines the components. `longest_deadline` is that of a query under the settings at the
     /// start.
     pub(super) fn new(
         coordinator: Coordinator,
         upstream: Box<dyn Upstream>,
-        arrivals: Receiver<Input>,
+        inbox_receiver: Receiver<Input>,
         reload: Box<dyn Reload>,
         longest_deadline: Micros,
     ) -> Self {
-        CoordinatorParts {
+        CoordinatorComponents {
             coordinator,
             upstream,
-            arrivals,
+            inbox_receiver,
             reload,
             longest_deadline,
         }
@@ -61,15 +62,15 @@
 pub(super) struct CoordinatorLoop {
     coordinator: Coordinator,
     upstream: Box<dyn Upstream>,
-    /// The client connections, which receive the answers.
+    /// The client connections, to which the answers are delivered.
     clients: Arc<ClientConnections>,
-    arrivals: Receiver<Input>,
+    inbox_receiver: Receiver<Input>,
     /// The timer that sends an input when a turn is due and no input has arrived.
     timer: Timer,
     startup: Startup,
     reloads: RequestedReloads,
     shutdown: GracefulShutdown,
-    /// The generation of this process when last checked; `None` while no other process serves.
+    /// The generation of this process when last checked; `None` if it was the only process.
     generation: Option<ProcessGeneration>,
     process: ProcessContext,
 }
@@ -83,27 +84,27 @@
 impl CoordinatorLoop {
     /// Creates the loop of a service that starts now.
     pub(super) fn new(
-        parts: CoordinatorParts,
+        components: CoordinatorComponents,
         clients: Arc<ClientConnections>,
         timer: Timer,
         process: ProcessContext,
     ) -> Self {
         let lifecycle = clients.lifecycle().clone();
         CoordinatorLoop {
-            coordinator: parts.coordinator,
-            upstream: parts.upstream,
+            coordinator: components.coordinator,
+            upstream: components.upstream,
             clients,
-            arrivals: parts.arrivals,
+            inbox_receiver: components.inbox_receiver,
             timer,
             startup: Startup::new(lifecycle, process.clock.now()),
-            reloads: RequestedReloads::new(parts.reload),
-            shutdown: GracefulShutdown::new(parts.longest_deadline),
+            reloads: RequestedReloads::new(components.reload),
+            shutdown: GracefulShutdown::new(components.longest_deadline),
             generation: None,
             process,
         }
     }
 
-    /// Runs turns until the process may exit.
+    /// Runs turns until the shutdown is complete.
     pub(super) fn run(mut self) {
         let mut inputs = Vec::new();
         let mut commands = Vec::new();
@@ -132,22 +133,22 @@
         self.process.clock.now()
     }
 
-    /// Receives all inputs that have arrived. Waits if there are none.
+    /// Adds all inputs that have arrived to `inputs`. If there are none, waits for one first.
     fn receive(&self, inputs: &mut Vec<Input>) {
         if inputs.is_empty() {
             inputs.extend(self.wait());
         }
-        self.drain_arrivals(inputs);
+        self.drain_inbox(inputs);
     }
 
-    fn drain_arrivals(&self, inputs: &mut Vec<Input>) {
-        while let Ok(input) = self.arrivals.try_recv() {
+    fn drain_inbox(&self, inputs: &mut Vec<Input>) {
+        while let Ok(input) = self.inbox_receiver.try_recv() {
             inputs.push(input);
         }
     }
 
     /// Waits for an input until the coordinator's next turn or the next check of the shutdown is due,
-    /// and at most for the longest sleep.
+    /// but not longer than [`MAX_SLEEP`].
     fn wait(&self) -> Option<Input> {
         let now = self.now();
         let times = [
@@ -160,7 +161,7 @@
             return None;
         }
         self.timer.set(due);
-        self.arrivals.recv().ok()
+        self.inbox_receiver.recv().ok()
     }
 
     fn carry_out(&mut self, now: Micros, command: Command) {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Halves the limits while another process runs beside this one, and restores them afterwards.
+    /// Halves the limits while another process runs at the same time, and restores them afterwards.
     fn update_generation(&mut self) {
         let generation = self.process.generations.current();
         if generation != self.generation {
@@ -229,11 +230,12 @@
             self.upstream.reconfigure(&settings);
         }
         // Requests that were read under the old settings are submitted before the new ones apply.
-        self.drain_arrivals(inputs);
+        self.drain_inbox(inputs);
         inputs.push(reloaded.input);
     }
 
-    /// Advances a requested shutdown by its schedule. Returns whether the process exits now.
+    /// Advances a requested shutdown to the phase that is due. Returns whether the process exits
+    /// now.
     fn shut_down_if_requested(&mut self, now: Micros) -> bool {
         let requested_at = self.process.signals.shutdown_requested_at();
         let just_started = requested_at.is_some_and(|at| self.shutdown.start(at));
@@ -244,12 +246,13 @@
             self.coordinator
                 .set_final_deadline(schedule.final_deadline());
         }
-        // Repeated in each turn: the signal may come before the report that a successor received
-        // the sockets.
+        // Repeated after each turn, since the signal may arrive before the report that a successor
+        // has received the sockets.
         let successor_accepts = self.generation == Some(ProcessGeneration::Predecessor);
         self.clients.drain(successor_accepts);
         if just_started {
-            // Logged after the health check fails, since a reader of this line may check at once.
+            // Logged after the health check has begun to fail, since a reader of this line may run
+            // a check at once.
             let pending_queries = self.coordinator.pending_queries();
             tracing::info!(pending_queries, "graceful shutdown started");
         }
--- a/src/net/server/generations.rs
+++ b/src/net/server/generations.rs
@@ -1,11 +1,11 @@
-//! The other process of an upgrade, in which a new version is started beside the old one.
+//! The other process of an upgrade, in which a new version starts while the old one is running.
 
 use crate::coordinator::ProcessGeneration;
 use crate::net::handover::PeerProcess;
 use crate::sync;
 use std::sync::Mutex;
 
-/// The processes before and after this one.
+/// The predecessor and the successor of this process.
 #[derive(Debug, Default)]
 pub(super) struct ProcessGenerations {
     /// The process that handed its listening sockets over to this one.
@@ -15,8 +15,8 @@
 }
 
 impl ProcessGenerations {
-    /// Creates the record of a process that has just started, with the predecessor whose sockets it
-    /// received.
+    /// Creates the record of a process that has just started, with the predecessor whose listening
+    /// sockets it received, if any.
     pub(super) fn new(predecessor: Option<PeerProcess>) -> Self {
         ProcessGenerations {
             predecessor,
@@ -39,7 +39,8 @@
         *sync::lock(&self.successor) = Some(successor);
     }
 
-    /// Returns whether this process is the predecessor or the successor while both live.
+    /// Returns which of the two processes of an upgrade this one is; `None` unless both are
+    /// running.
     pub(super) fn current(&self) -> Option<ProcessGeneration> {
         if sync::lock(&self.successor)
             .as_ref()
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -27,30 +27,30 @@
     pub(super) inherited: bool,
 }
 
-/// Returns the listening socket for an address: the one received from the predecessor, or a new
-/// one.
+/// Returns the listening socket for an address: the one received from the predecessor if there is
+/// one, otherwise a new one.
 pub(super) fn listener_for(
     address: SocketAddr,
     inherited: &mut Vec<ListeningSocket<TcpListener>>,
 ) -> Result<OpenListener, ServerError> {
-    let fault = |source| ServerError::Listen { address, source };
+    let listen_error = |source| ServerError::Listen { address, source };
     let received = inherited.iter().position(|s| s.address == address);
     let socket = match received {
         Some(index) => inherited.swap_remove(index).socket,
-        None => handover::listen(address).map_err(fault)?,
+        None => handover::listen(address).map_err(listen_error)?,
     };
-    let listener = CoIo::new(socket).map_err(|e| fault(e.into()))?;
+    let listener = CoIo::new(socket).map_err(|e| listen_error(e.into()))?;
     Ok(OpenListener {
         listener: Arc::new(listener),
         inherited: received.is_some(),
     })
 }
 
-/// A listening socket as it is offered to a successor.
+/// A listening socket that is offered to a successor.
 pub(super) struct SharedListener(Listener);
 
 impl SharedListener {
-    /// Shares a listening socket, which stays in use here.
+    /// Shares a listening socket, which this process continues to use.
     pub(super) fn new(listener: Listener) -> Self {
         SharedListener(listener)
     }
@@ -62,8 +62,8 @@
     }
 }
 
-/// Offers the listening sockets to a successor. A process with a predecessor does so after the
-/// predecessor has exited, which waits at the same path until then.
+/// Offers the listening sockets to a successor. If this process has a predecessor, the offer starts
+/// once the predecessor has exited, since the predecessor waits at the same path until then.
 pub(super) fn offer_to_successor(
     path: PathBuf,
     sockets: Vec<ListeningSocket<SharedListener>>,
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,9 +1,9 @@
 //! The server process: starts a service for each configured front and runs the services until the
-//! shutdown. Connections belong to `net::clients` and to the upstream clients, decisions to the
-//! coordinator.
+//! shutdown. Client connections are in `net::clients`, connections to servers in `net::node_client`
+//! and `net::feature_client`, and the decisions in the coordinator.
 //!
-//! `COUNTERS` stays global, as `net` states; all other state is handed to the services in a
-//! `ProcessContext`.
+//! `COUNTERS` stays global, as the documentation of `net` explains; all other state is passed to
+//! the services in a `ProcessContext`.
 
 mod coordinator_loop;
 mod error;
@@ -40,13 +40,14 @@
 /// # Errors
 /// Fails if a service cannot be started, or if its coordinator panicked.
 pub fn run(platform: Option<Config>, edge: Option<EdgeConfig>) -> Result<(), ServerError> {
-    // A coordinator has one core, but is not pinned to it: other processes may share it.
+    // A coordinator uses one core. It is not pinned to it, since other processes may use the same
+    // core.
     may::config().set_workers(1).set_worker_pin(false);
     let clock = Clock::start();
     let signals = Signals::listen(clock)?;
     let metrics = Arc::new(Metrics::default());
     let admin = admin_config(platform.as_ref(), edge.as_ref());
-    // First, since a process with a predecessor is set up differently.
+    // Before the services are built, since a process with a predecessor builds them differently.
     let mut inherited = request_handover(platform.as_ref(), edge.as_ref());
     let process = ProcessContext::new(clock, signals, inherited.generations);
     let services = build_services(platform, edge, &process, &metrics)?;
@@ -82,16 +83,16 @@
     max_descriptors: usize,
 }
 
-/// Returns the configuration of the one endpoint of the process. The platform's address takes
-/// precedence.
+/// Returns the configuration of the admin endpoint, of which a process has only one. If both fronts
+/// configure one, the platform's takes precedence.
 fn admin_config(platform: Option<&Config>, edge: Option<&EdgeConfig>) -> Option<AdminConfig> {
-    let of_platform = platform.and_then(|config| {
+    let platform_admin = platform.and_then(|config| {
         Some(AdminConfig {
             address: config.admin?,
             max_descriptors: config.max_descriptors,
         })
     });
-    of_platform.or_else(|| {
+    platform_admin.or_else(|| {
         edge.and_then(|edge| {
             Some(AdminConfig {
                 address: edge.mgmt?,
@@ -101,13 +102,14 @@
     })
 }
 
-/// The result of asking a predecessor for its listening sockets.
+/// The result of requesting the listening sockets of a predecessor.
 struct InheritedSockets {
-    /// The path at which this process waits for its own successor; `None` if it cannot.
+    /// The path of the Unix socket at which this process waits for its own successor; `None` if
+    /// there is no safe folder for it.
     path: Option<PathBuf>,
     /// The listening sockets received from the predecessor.
     sockets: Vec<ListeningSocket<TcpListener>>,
-    /// The processes before and after this one.
+    /// The predecessor and the successor of this process.
     generations: Arc<ProcessGenerations>,
 }
 
@@ -176,8 +178,8 @@
     services.iter().zip(listeners).map(share).collect()
 }
 
-/// Starts the admin endpoint. A failure is logged only, since clients are served without the
-/// endpoint, too.
+/// Starts the admin endpoint. A failure is only logged, since clients can be served without the
+/// endpoint.
 fn start_admin(config: AdminConfig, services: &[RunningService], metrics: &Arc<Metrics>) {
     let fronts: Vec<_> = services
         .iter()
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -20,16 +20,16 @@
     fn reload(&mut self, now: Micros) -> Result<Reloaded, ReloadError>;
 }
 
-/// The reloads requested by signals, and how many of them are done.
+/// The reloads that signals requested, and how many of them were carried out.
 pub(super) struct RequestedReloads {
     reload: Box<dyn Reload>,
-    /// The number of requested reloads that are done.
+    /// The number of requested reloads that were carried out, whether applied or rejected.
     done: u64,
 }
 
 impl RequestedReloads {
-    /// Creates a record without a reload. A request made during the start counts: the file may have
-    /// changed after it was read.
+    /// Creates a record in which no reload was carried out. A request made during the start
+    /// therefore leads to a reload: the file may have changed after it was read.
     pub(super) fn new(reload: Box<dyn Reload>) -> Self {
         RequestedReloads { reload, done: 0 }
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The result of a reload that was applied.
+/// The result of a successful reload.
 pub(super) struct Reloaded {
     /// The change that was loaded, for the log.
     change: ReloadedChange,
@@ -83,7 +83,7 @@
 }
 
 impl ReloadedChange {
-    /// Logs that the reload was applied.
+    /// Logs that the reload succeeded.
     fn log(&self) {
         match self {
             ReloadedChange::Configuration { discovery, classes } => {
@@ -99,8 +99,8 @@
     /// The configuration file in force.
     file: ActiveConfig,
     /// The address of discovery in the file. At the start the environment takes precedence over the
-    /// file. A new address in a reloaded file takes precedence over the environment, which cannot
-    /// change.
+    /// file. Once a reloaded file has a new address, that address takes precedence over the
+    /// environment, which cannot change.
     discovery_in_file: Option<SocketAddr>,
     source: DiscoverySource,
     catalog: SharedPlatformCatalog,
@@ -108,8 +108,8 @@
 }
 
 impl PlatformReload {
-    /// Creates the source for the configuration that the process started with. Reloads update the
-    /// discovery source and the catalog.
+    /// Creates the source for the configuration that the process started with. Reloads update
+    /// `source` and the catalog.
     pub(super) fn new(
         config: &Config,
         source: DiscoverySource,
@@ -171,7 +171,7 @@
 }
 
 impl InventoryReload {
-    /// Creates the source for this edge; reloads update the catalog.
+    /// Creates the source for an edge file. Reloads update the catalog.
     pub(super) fn new(edge: EdgeConfig, catalog: SharedCatalog) -> Self {
         InventoryReload { edge, catalog }
     }
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -1,7 +1,7 @@
 //! A service: a front with its coordinator, client connections and connections to servers. Built by
 //! [`super::wiring`], started here.
 
-use super::coordinator_loop::{CoordinatorLoop, CoordinatorParts};
+use super::coordinator_loop::{CoordinatorComponents, CoordinatorLoop};
 use super::generations::ProcessGenerations;
 use super::listeners::OpenListener;
 use super::process::ProcessContext;
@@ -26,14 +26,14 @@
     listen: SocketAddr,
     /// The limits of its client connections.
     limits: ClientLimits,
-    /// The protocol towards clients.
+    /// The protocol that clients speak.
     front: Box<dyn Front>,
     /// The phases of its startup and shutdown.
     lifecycle: Arc<Lifecycle>,
     /// The coordinator's inbox.
     inbox: Sender<Input>,
-    /// The coordinator and the parts of its loop.
-    coordinator: CoordinatorParts,
+    /// The coordinator and the other components of its loop.
+    coordinator: CoordinatorComponents,
 }
 
 /// A service after its start.
@@ -45,7 +45,7 @@
 }
 
 impl Service {
-    /// Creates a service from its configuration and its parts.
+    /// Creates a service from its configuration and its components.
     pub(super) fn new(
         name: String,
         listen: SocketAddr,
@@ -53,7 +53,7 @@
         front: Box<dyn Front>,
         lifecycle: Arc<Lifecycle>,
         inbox: Sender<Input>,
-        coordinator: CoordinatorParts,
+        coordinator: CoordinatorComponents,
     ) -> Self {
         Service {
             name,
@@ -76,7 +76,7 @@
         self.limits = self.limits.shared(fronts);
     }
 
-    /// Starts to accept connections, and starts the coordinator.
+    /// Starts accepting connections and running the coordinator.
     pub(super) fn start(
         self,
         open: OpenListener,
@@ -117,10 +117,10 @@
         })
     }
 
-    /// Starts the timer that wakes the coordinator by an input.
+    /// Starts the timer that wakes the coordinator by sending an input.
     fn start_timer(&self, clock: Clock) -> Result<Timer, ServerError> {
         let inbox = self.inbox.clone();
-        // The receiver outlives the timer.
+        // Sending cannot fail, since the receiver outlives the timer.
         Timer::start(clock, move || drop(inbox.send(Input::TimerDue))).map_err(ServerError::Timer)
     }
 }
--- a/src/net/server/signals.rs
+++ b/src/net/server/signals.rs
@@ -1,4 +1,4 @@
-//! Signals sent to the process, recorded for the coordinators to poll.
+//! Signals sent to the process, which are recorded and polled by the coordinators' loops.
 
 use super::ServerError;
 use crate::coordinator::COUNTERS;
@@ -28,7 +28,7 @@
         let received = signals.clone();
         let mut incoming = iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP])
             .map_err(ServerError::Signals)?;
-        // A separate thread, since waiting for a signal would block the worker.
+        // A separate thread, since waiting for a signal would block the worker of the coroutines.
         std::thread::Builder::new()
             .stack_size(STACK_BYTES)
             .spawn(move || {
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -1,15 +1,15 @@
-//! The startup of a service, which ends once the endpoint list is known or the time to wait for it
-//! is over.
+//! The startup of a service, which ends once the endpoint list was received or the time to wait for
+//! it is over.
 
 use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// The time after which a process without a message from discovery serves requests with the cached
-/// endpoint list.
+/// The time after which a process that has not received an endpoint list from discovery serves
+/// requests with the cached list.
 const MAX_WAIT_FOR_ENDPOINTS: Micros = Micros::from_millis(400);
-/// The time after which the health check succeeds without discovery: the platform may start
-/// coordinators while discovery is down.
+/// The time after which the health check succeeds even without a list from discovery: the platform
+/// may start coordinators while discovery is down.
 const MAX_WAIT_FOR_DISCOVERY: Micros = Micros::from_millis(3_000);
 
 /// The startup of one service.
@@ -19,7 +19,7 @@
 }
 
 impl Startup {
-    /// Creates a startup that begins at this time.
+    /// Creates the state of a startup that begins at `started_at`.
     pub(super) fn new(lifecycle: Arc<Lifecycle>, started_at: Micros) -> Self {
         Startup {
             lifecycle,
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -1,6 +1,6 @@
 //! Construction of the configured services from their configuration.
 
-use super::coordinator_loop::CoordinatorParts;
+use super::coordinator_loop::CoordinatorComponents;
 use super::reload::{InventoryReload, PlatformReload, Reload};
 use super::service::Service;
 use super::shutdown::longest_deadline;
@@ -32,7 +32,7 @@
     metrics: &Arc<Metrics>,
     has_predecessor: bool,
 ) -> Result<Service, ServerError> {
-    let (inbox, arrivals) = channel();
+    let (inbox, inbox_receiver) = channel();
     let revision = load_cached_endpoints(config, clock, &inbox);
     let settings = &config.settings;
     let source = watch::DiscoverySource::new(config.discovery, settings.policy.max_poll_interval);
@@ -55,18 +55,18 @@
         Box::new(Platform::new(catalog)),
         lifecycle,
         inbox,
-        CoordinatorParts::new(
+        CoordinatorComponents::new(
             coordinator,
             Box::new(upstream),
-            arrivals,
+            inbox_receiver,
             Box::new(reload),
             longest_deadline(&settings.policy),
         ),
     ))
 }
 
-/// Returns the seed of the policy. Both processes of an upgrade have the same configured seed, with
-/// which they would choose the same servers at the same time.
+/// Returns the seed of the policy. A process with a predecessor changes the configured seed, with
+/// which both processes of the upgrade would choose the same servers at the same time.
 fn platform_seed(config: &Config, has_predecessor: bool) -> u64 {
     if has_predecessor {
         config.seed ^ (u64::from(std::process::id()) << 32)
@@ -75,7 +75,8 @@
     }
 }
 
-/// Sends the cached endpoint list to the coordinator and returns its revision; 0 if there is none.
+/// Sends the cached endpoint list to the coordinator and returns its revision. Returns 0 if the
+/// list is rejected, which is logged.
 fn load_cached_endpoints(config: &Config, clock: Clock, inbox: &Sender<Input>) -> u64 {
     match parse_cached_endpoint_list(&config.cached_endpoints, clock.now(), unix_ms()) {
         Ok(cached) => {
@@ -116,7 +117,7 @@
     clock: Clock,
     metrics: &Arc<Metrics>,
 ) -> Result<Service, ServerError> {
-    let (inbox, arrivals) = channel();
+    let (inbox, inbox_receiver) = channel();
     let catalog = SharedCatalog::default();
     let mut reload = InventoryReload::new(edge.clone(), catalog.clone());
     let _ = inbox.send(reload.reload(clock.now())?.input);
@@ -125,10 +126,10 @@
     let capacity = Arc::new(ServerCapacity::default());
     let key = CursorKey::new(&edge.cursor_key()?);
     let upstream = FeatureClient::new(&edge, inbox.clone(), clock, capacity.clone());
-    let parts = CoordinatorParts::new(
+    let components = CoordinatorComponents::new(
         feature_coordinator(&edge, clock, metrics),
         Box::new(upstream),
-        arrivals,
+        inbox_receiver,
         Box::new(reload),
         longest_deadline(&edge.settings()),
     );
@@ -145,13 +146,13 @@
         })),
         lifecycle,
         inbox,
-        parts,
+        components,
     ))
 }
 
 /// Creates the coordinator of the service for feature queries.
 fn feature_coordinator(edge: &EdgeConfig, clock: Clock, metrics: &Arc<Metrics>) -> Coordinator {
-    // Two edges that start at the same time must not choose the same servers at the same time.
+    // Two processes that start at the same time must not choose the same servers at the same time.
     let seed = unix_ms() ^ (u64::from(std::process::id()) << 40);
     Coordinator::new(
         edge.settings(),
