--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -36,7 +36,7 @@
 
 /// The reason why the endpoint cannot be served.
 #[derive(Debug, Error)]
-#[error("listen on {address}: {source}")]
+#[error("cannot listen on {address}: {source}")]
 pub struct AdminError {
     /// The configured address.
     pub address: SocketAddr,
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -22,7 +22,7 @@
     );
     assert_eq!(
         error.to_string(),
-        format!("listen on {in_use}: {}", error.source)
+        format!("cannot listen on {in_use}: {}", error.source)
     );
 }
 
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -37,7 +37,7 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A required address is in neither the environment nor the file.
-    #[error("{key}: no address")]
+    #[error("{key}: no address is set")]
     NoAddress {
         /// The key in the file.
         key: &'static str,
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -71,7 +71,7 @@
 fn each_error_names_its_key_to_operators() {
     assert_eq!(
         error_text(|file| file["listen"] = Value::Null),
-        "listen: no address"
+        "listen: no address is set"
     );
     assert_eq!(
         error_text(|file| file["discovery"] = json!("nowhere")),
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -40,16 +40,16 @@
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// The peer's first line is not `HELLO`.
-    #[error("the other process is of another version")]
+    #[error("the peer uses another version of the hand-over protocol")]
     IncompatibleVersion,
     /// The message has no sockets, or not one for each address.
-    #[error("sockets and addresses do not match")]
+    #[error("the message does not have one socket for each address")]
     SocketMismatch,
     /// A word of the message is not an address.
-    #[error("{0:?} is no address")]
+    #[error("{0:?} is not a socket address")]
     InvalidAddress(String),
     /// The sockets do not fit into a message.
-    #[error("too many sockets")]
+    #[error("too many sockets for one message")]
     TooManySockets,
     /// The peer cannot be reached, hangs or has exited.
     #[error(transparent)]
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -105,14 +105,20 @@
     let error =
         parse_addresses(b"quinceflow hand-over 2 127.0.0.1:80").expect_err("another version");
     assert!(matches!(error, HandoverError::IncompatibleVersion));
-    assert_eq!(error.to_string(), "the other process is of another version");
+    assert_eq!(
+        error.to_string(),
+        "the peer uses another version of the hand-over protocol"
+    );
     let (here, there) = UnixStream::pair().expect("a pair");
     (&there)
         .write_all(format!("{HELLO} {ANY_PORT}").as_bytes())
         .expect("written");
     let error = receive_sockets(&here).expect_err("no socket came");
     assert!(matches!(error, HandoverError::SocketMismatch));
-    assert_eq!(error.to_string(), "sockets and addresses do not match");
+    assert_eq!(
+        error.to_string(),
+        "the message does not have one socket for each address"
+    );
 }
 
 /// Guards against words that are dropped, after which sockets would go with other addresses.
@@ -122,5 +128,5 @@
     let addresses = message("127.0.0.1:80 [::1]:81").expect("two addresses");
     assert_eq!(addresses.len(), 2);
     let rejected = message("127.0.0.1:80 nowhere 127.0.0.1:81").expect_err("no address");
-    assert_eq!(rejected.to_string(), "\"nowhere\" is no address");
+    assert_eq!(rejected.to_string(), "\"nowhere\" is not a socket address");
 }
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The reason why the server could not start, or ended other than by a shutdown.
+/// The reason why the server could not start, or ended without a shutdown.
 #[derive(Debug, Error)]
 pub enum ServerError {
     /// The server cannot listen on a front's address.
-    #[error("listen on {address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
@@ -21,7 +21,7 @@
     #[error(transparent)]
     LocalAddress(io::Error),
     /// A coroutine cannot be started.
-    #[error("a coroutine: {0}")]
+    #[error("cannot start a coroutine: {0}")]
     Coroutine(#[source] io::Error),
     /// The thread that waits for signals cannot be started.
     #[error(transparent)]
@@ -36,7 +36,7 @@
     #[error(transparent)]
     CursorKey(#[from] CursorKeyError),
     /// The coroutine of a coordinator panicked.
-    #[error("a core panicked")]
+    #[error("the coroutine of a coordinator panicked")]
     CoordinatorPanicked,
 }
 
--- a/src/net/server/error/tests.rs
+++ b/src/net/server/error/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the texts that operators read.
+//! Tests of the error texts that operators read in the log.
 
 use super::*;
 
@@ -19,13 +19,13 @@
         ServerError::CoordinatorPanicked,
     ];
     let texts = [
-        "listen on 127.0.0.1:8080: no more",
+        "cannot listen on 127.0.0.1:8080: no more",
         "no more",
-        "a coroutine: no more",
+        "cannot start a coroutine: no more",
         "no more",
         "no more",
         "cursor_key must be 32 hexadecimal digits or more, an even number",
-        "a core panicked",
+        "the coroutine of a coordinator panicked",
     ];
     assert_eq!(errors.map(|e| e.to_string()), texts);
 }
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -82,7 +82,7 @@
     let process = LoggingProcess::start_with_hand_over("other", &configuration, &temporary);
     let mut failed = process.wait_for("socket hand-over from predecessor failed");
     assert_eq!(failed.take_field("path"), path.display().to_string());
-    failed.take_field_containing("error", "of another version");
+    failed.take_field_containing("error", "another version of the hand-over protocol");
     failed.assert("WARN", json!({}));
     process.wait_for("listening for client connections");
     let mut connection =
@@ -91,7 +91,7 @@
         .write_all(b"quinceflow hand-over 0\n")
         .expect("it reads");
     let mut failed = process.wait_for("socket hand-over to successor failed");
-    failed.take_field_containing("error", "of another version");
+    failed.take_field_containing("error", "another version of the hand-over protocol");
     failed.assert("WARN", json!({}));
     let _ = std::fs::remove_dir_all(&temporary);
 }
@@ -112,7 +112,7 @@
     assert!(!not_offered.take_field("error").is_empty());
     not_offered.assert("WARN", json!({}));
     let mut not_started = process.wait_for("admin endpoint not started");
-    not_started.take_field_containing("error", &format!("listen on {admin_address}: "));
+    not_started.take_field_containing("error", &format!("cannot listen on {admin_address}: "));
     not_started.assert("WARN", json!({}));
     let _ = std::fs::remove_dir_all(temporary.parent().expect("its folder"));
     let unusable = LoggingProcess::start_platform("unusable", &json!({"listen": "nowhere"}));
