--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! Client protocols: parsing of requests, their mapping to requests to the core, and rendering of
-//! the core's answers as responses.
+//! Client protocols: parsing of HTTP requests, their mapping to requests to the coordinator, and
+//! rendering of the coordinator's answers as HTTP responses.
 //!
 //! Sockets and connections belong to [`crate::net`], the execution of requests to
 //! [`crate::coordinator`].
@@ -11,15 +11,15 @@
 use crate::proto::http::{HttpError, HttpRequest, Response, MAX_BODY_BYTES};
 use crate::time::Micros;
 
-/// Turns the core's answer into a response, or into another request to the core where one round is
-/// not enough.
+/// Turns the coordinator's answer into a response, or into another request to the coordinator if
+/// the query needs another round.
 pub type Render = Box<dyn FnOnce(Answer) -> Reaction + Send>;
 
-/// Outcome of a client's request.
+/// What is to be done about a client's request.
 pub enum Reaction {
-    /// The client gets this response at once.
+    /// This response is sent to the client.
     Respond(Response),
-    /// The request goes to the core, and the function renders the core's answer.
+    /// This request is submitted to the coordinator, and the function renders its answer.
     Submit(Request, Render),
 }
 
@@ -27,22 +27,22 @@
 pub trait Front: Send + Sync {
     /// Handles a request that was received completely.
     ///
-    /// `sent` is the time at which its client sent it, as near as can be known; `ready` tells
-    /// whether the program is ready to serve.
-    fn handle(&self, request: HttpRequest, token: Token, sent: Micros, ready: bool) -> Reaction;
+    /// `sent_at` is the estimated time at which the client sent the request; `ready` is whether
+    /// the coordinator is ready to serve.
+    fn handle(&self, request: HttpRequest, token: Token, sent_at: Micros, ready: bool) -> Reaction;
 
-    /// Returns the response to a request that could not be parsed.
+    /// Returns the response to a request that could not be parsed or was not received in time.
     fn malformed_response(&self, error: HttpError) -> Response;
 
-    /// Returns the largest accepted body of a request, in bytes.
+    /// Returns the maximum length of a request's body, in bytes.
     fn max_body(&self) -> usize {
         MAX_BODY_BYTES
     }
 
     /// Returns the stack size of the coroutine that serves a connection, in words of eight bytes.
     ///
-    /// Only touched pages count as memory. A debug build needs several times the stack of a release
-    /// build.
+    /// Only the pages of a stack that are touched occupy memory. A debug build needs several times
+    /// the stack of a release build.
     fn stack_words(&self) -> usize {
         0x4000
     }
--- a/src/front/platform/error.rs
+++ b/src/front/platform/error.rs
@@ -1,38 +1,38 @@
-//! Errors of malformed requests to the platform's front. Clients read the messages.
+//! Errors of malformed requests to the platform front. Their messages are sent to clients.
 
 use thiserror::Error;
 
-/// Fault of a malformed request; its response has the status 400.
+/// The reason why a request is malformed. The response has the status 400 and the message as body.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// A header is missing.
     #[error("{0} is missing")]
     MissingHeader(&'static str),
-    /// The request's identifier is empty, too long, or has characters other than printable ASCII.
+    /// The request id is empty, is too long, or contains other characters than printable ASCII.
     #[error("X-Trace-Id is no id")]
-    RequestId,
-    /// There is no such class.
+    InvalidRequestId,
+    /// There is no class with this name.
     #[error("X-Qos names no class")]
     UnknownClass,
-    /// The time-out is not a number of seconds from 0 on.
+    /// The timeout is not a finite, non-negative number of seconds.
     #[error("X-Expires-In is no time")]
-    Timeout,
-    /// The body is not JSON of the protocol.
+    InvalidTimeout,
+    /// The body is not JSON, or its structure is not that of a query.
     #[error("body: {0}")]
-    Body(#[from] serde_json::Error),
-    /// The share of a part is not a number from 0 on.
+    MalformedBody(#[from] serde_json::Error),
+    /// The weight of a part is not a finite, non-negative number.
     #[error("a fraction is no share")]
-    Share,
-    /// There is no such shard.
+    InvalidWeight,
+    /// There is no shard with this number.
     #[error("tablet {0} is none")]
     UnknownShard(u32),
-    /// A shard is named twice.
+    /// Two parts have the same shard.
     #[error("tablet {0} is named twice")]
     DuplicateShard(u32),
-    /// No shard is named.
+    /// The query has no parts.
     #[error("no tablets")]
-    NoShards,
-    /// The shares of the parts don't add up to 1.
+    NoParts,
+    /// The weights of the parts don't add up to 1.
     #[error("the fractions do not add up to 1")]
-    ShareSum,
+    WeightSum,
 }
--- a/src/front/platform/mod.rs
+++ b/src/front/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's protocol: `POST /api` with a query's parts in JSON, and `GET /up`.
+//! The platform front, which serves queries (`POST /api` with a JSON body) and readiness checks
+//! (`GET /up`).
 
 mod error;
 mod request;
@@ -13,25 +14,25 @@
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Media type of answers.
+/// The media type of answers.
 const JSON: &str = "application/json";
-/// Media type of everything else.
+/// The media type of all other responses.
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// Classes and shards that a request may refer to; a reload of the settings replaces them.
+/// The classes and shards that a request may refer to. A reload of the settings replaces them.
 #[derive(Debug)]
 pub struct PlatformCatalog {
-    /// Names of the classes.
+    /// The names of the classes.
     classes: Vec<Arc<str>>,
-    /// Number of shards, which are numbered from 0.
+    /// The number of shards, which are numbered from 0.
     shards: u32,
 }
 
-/// Catalog that the front shares with a reload of the settings.
+/// The catalog that the front reads and a reload of the settings replaces.
 pub type SharedPlatformCatalog = Arc<Mutex<Arc<PlatformCatalog>>>;
 
 impl PlatformCatalog {
-    /// Creates the catalog of the settings.
+    /// Creates the catalog for these settings.
     #[must_use]
     pub fn new(settings: &CoordinatorSettings) -> Arc<Self> {
         let policy = &settings.policy;
@@ -47,7 +48,7 @@
     }
 }
 
-/// Front for the platform's protocol.
+/// The front for the platform's protocol.
 #[derive(Debug)]
 pub struct Platform {
     catalog: SharedPlatformCatalog,
@@ -60,8 +61,8 @@
         Platform { catalog }
     }
 
-    /// Submits a query, or responds with an error.
-    fn query(&self, request: &HttpRequest, token: Token, sent_at: Micros) -> Reaction {
+    /// Submits a query to the coordinator, or responds with an error if the request is malformed.
+    fn handle_query(&self, request: &HttpRequest, token: Token, sent_at: Micros) -> Reaction {
         let catalog = self
             .catalog
             .lock()
@@ -74,21 +75,21 @@
             ),
             Err(error) => {
                 COUNTERS.bad_requests.increment();
-                text(400, &format!("{error}\n"))
+                respond_text(400, &format!("{error}\n"))
             }
         }
     }
 }
 
 impl Front for Platform {
-    fn handle(&self, request: HttpRequest, token: Token, sent: Micros, ready: bool) -> Reaction {
+    fn handle(&self, request: HttpRequest, token: Token, sent_at: Micros, ready: bool) -> Reaction {
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
-            ("GET" | "HEAD", "/up") if ready => text(200, "ready\n"),
-            ("GET" | "HEAD", "/up") => text(503, "not ready\n"),
-            ("POST", "/api") => self.query(&request, token, sent),
-            (_, "/up" | "/api") => text(405, "another method is needed\n"),
-            _ => text(404, "nothing is here\n"),
+            ("GET" | "HEAD", "/up") if ready => respond_text(200, "ready\n"),
+            ("GET" | "HEAD", "/up") => respond_text(503, "not ready\n"),
+            ("POST", "/api") => self.handle_query(&request, token, sent_at),
+            (_, "/up" | "/api") => respond_text(405, "another method is needed\n"),
+            _ => respond_text(404, "nothing is here\n"),
         }
     }
 
@@ -97,8 +98,8 @@
     }
 }
 
-/// Creates a response of plain text.
-fn text(status: u16, text: &str) -> Reaction {
+/// Responds with plain text.
+fn respond_text(status: u16, text: &str) -> Reaction {
     Reaction::Respond(Response::new(status, TEXT, text))
 }
 
--- a/src/front/platform/request.rs
+++ b/src/front/platform/request.rs
@@ -1,4 +1,4 @@
-//! Parsing of `POST /api`: headers and a JSON body become a request to the core.
+//! The parser of `POST /api`, which turns headers and a JSON body into a request to the coordinator.
 
 use super::error::RequestError;
 use super::PlatformCatalog;
@@ -9,50 +9,55 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// Most characters of a request's identifier, which is repeated in every frame.
-const MAX_REQUEST_ID: usize = 128;
-/// Longest time-out of a client in seconds; a longer one is reduced to it.
+/// The maximum length of a request id, in bytes. Each attempt at a data node repeats the id.
+const MAX_REQUEST_ID_BYTES: usize = 128;
+/// The maximum timeout of a client, in seconds. A longer timeout is reduced to it.
 const MAX_TIMEOUT_S: f64 = 3_600.0;
-/// Largest difference between 1 and the sum of the shares, which are rounded.
-const MAX_ROUNDING: f64 = 1e-3;
+/// The maximum difference between 1 and the sum of the weights, which clients round.
+const MAX_ROUNDING_ERROR: f64 = 1e-3;
 
-/// Body of a request. Errors of the JSON reader name this type and its fields.
+/// The body of a request. The error messages that clients receive contain the name of this type.
 #[derive(Deserialize)]
 struct Query {
-    /// Parts of the query, by shard.
-    tablets: Vec<Tablet>,
-    /// Statement that the nodes run.
+    /// The parts of the query.
+    #[serde(rename = "tablets")]
+    parts: Vec<Tablet>,
+    /// The statement that the data nodes run.
     statement: String,
 }
 
-/// Part of a query in the body.
+/// A part of a query in the body. The error messages that clients receive contain the name of this
+/// type.
 #[derive(Deserialize)]
 struct Tablet {
-    /// Number of the shard.
-    tablet: u32,
-    /// Share of the answer that the part stands for; all shares add up to 1.
-    fraction: f64,
-    /// Expected work of the part, in microseconds.
-    guess: Option<f64>,
+    /// The number of the shard.
+    #[serde(rename = "tablet")]
+    shard: u32,
+    /// The share of the answer that the part contributes. The weights of all parts add up to 1.
+    #[serde(rename = "fraction")]
+    weight: f64,
+    /// The expected work of the part, in microseconds.
+    #[serde(rename = "guess")]
+    expected_work_us: Option<f64>,
 }
 
-/// Parses a request that its client sent at `sent_at`.
+/// Parses a request that the client sent at `sent_at`.
 ///
 /// # Errors
 ///
-/// Fails if a header or the body is malformed, or names a class or a shard that `catalog` doesn't
-/// have.
+/// Fails if a header or the body is malformed, or if it names a class or a shard that `catalog`
+/// doesn't have.
 pub(super) fn parse(
     catalog: &PlatformCatalog,
     request: &HttpRequest,
     token: Token,
     sent_at: Micros,
 ) -> Result<Request, RequestError> {
-    let request_id = request_id(request)?;
-    let class = class(catalog, request)?;
-    let timeout = timeout(request)?;
+    let request_id = parse_request_id(request)?;
+    let class = parse_class(catalog, request)?;
+    let timeout = parse_timeout(request)?;
     let query: Query = serde_json::from_slice(&request.body)?;
-    let parts = parts(query.tablets, catalog.shards)?;
+    let parts = parse_parts(query.parts, catalog.shards)?;
     Ok(Request {
         token,
         request_id: request_id.into(),
@@ -67,55 +72,62 @@
 }
 
 /// Returns the value of a header that the protocol requires.
-fn header<'a>(request: &'a HttpRequest, name: &'static str) -> Result<&'a str, RequestError> {
+fn required_header<'a>(
+    request: &'a HttpRequest,
+    name: &'static str,
+) -> Result<&'a str, RequestError> {
     request
         .headers
         .get(name)
         .ok_or(RequestError::MissingHeader(name))
 }
 
-/// Returns the request's identifier.
-fn request_id(request: &HttpRequest) -> Result<&str, RequestError> {
-    let id = header(request, "X-Trace-Id")?;
-    if id.is_empty() || id.len() > MAX_REQUEST_ID || !id.bytes().all(|byte| byte.is_ascii_graphic())
+/// Returns the request id, which the client chooses.
+fn parse_request_id(request: &HttpRequest) -> Result<&str, RequestError> {
+    let id = required_header(request, "X-Trace-Id")?;
+    if id.is_empty()
+        || id.len() > MAX_REQUEST_ID_BYTES
+        || !id.bytes().all(|byte| byte.is_ascii_graphic())
     {
-        return Err(RequestError::RequestId);
+        return Err(RequestError::InvalidRequestId);
     }
     Ok(id)
 }
 
-/// Returns the class that the request names.
-fn class(catalog: &PlatformCatalog, request: &HttpRequest) -> Result<Arc<str>, RequestError> {
-    let name = header(request, "X-Qos")?;
+/// Returns the name of the request's class.
+fn parse_class(catalog: &PlatformCatalog, request: &HttpRequest) -> Result<Arc<str>, RequestError> {
+    let name = required_header(request, "X-Qos")?;
     let class = catalog.classes.iter().find(|class| &***class == name);
     class.cloned().ok_or(RequestError::UnknownClass)
 }
 
-/// Returns the client's time-out.
-fn timeout(request: &HttpRequest) -> Result<Micros, RequestError> {
-    let seconds = header(request, "X-Expires-In")?.parse::<f64>().ok();
+/// Returns the client's timeout, measured from the time at which the client sent the request.
+fn parse_timeout(request: &HttpRequest) -> Result<Micros, RequestError> {
+    let seconds = required_header(request, "X-Expires-In")?
+        .parse::<f64>()
+        .ok();
     let seconds = seconds
         .filter(|s| s.is_finite() && *s >= 0.0)
-        .ok_or(RequestError::Timeout)?;
+        .ok_or(RequestError::InvalidTimeout)?;
     Ok(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
-/// Returns the parts of a query over a platform with a number of shards.
-fn parts(tablets: Vec<Tablet>, shards: u32) -> Result<Vec<PartRequest>, RequestError> {
+/// Validates the parts of a query to a platform with `shard_count` shards.
+fn parse_parts(tablets: Vec<Tablet>, shard_count: u32) -> Result<Vec<PartRequest>, RequestError> {
     let mut parts: Vec<PartRequest> = Vec::with_capacity(tablets.len());
     for tablet in tablets {
-        let weight = Some(tablet.fraction).filter(|weight| weight.is_finite() && *weight >= 0.0);
-        let weight = weight.ok_or(RequestError::Share)?;
-        let shard = ShardId(tablet.tablet);
-        if shard.0 >= shards {
+        let weight = Some(tablet.weight).filter(|weight| weight.is_finite() && *weight >= 0.0);
+        let weight = weight.ok_or(RequestError::InvalidWeight)?;
+        let shard = ShardId(tablet.shard);
+        if shard.0 >= shard_count {
             return Err(RequestError::UnknownShard(shard.0));
         }
         if parts.iter().any(|part| part.shard == shard) {
             return Err(RequestError::DuplicateShard(shard.0));
         }
         let expected_work = tablet
-            .guess
-            .filter(|guess| guess.is_finite() && *guess >= 0.0);
+            .expected_work_us
+            .filter(|micros| micros.is_finite() && *micros >= 0.0);
         let expected_work = expected_work.map(|micros| Micros(micros as u64));
         parts.push(PartRequest {
             shard,
@@ -125,12 +137,12 @@
         });
     }
     if parts.is_empty() {
-        return Err(RequestError::NoShards);
+        return Err(RequestError::NoParts);
     }
-    // With a sum below 1 an incomplete answer could pass for a complete one.
+    // If the sum were not 1, an answer with parts missing could be reported as complete.
     let sum = parts.iter().map(|part| part.weight).sum::<f64>();
-    if (sum - 1.0).abs() > MAX_ROUNDING {
-        return Err(RequestError::ShareSum);
+    if (sum - 1.0).abs() > MAX_ROUNDING_ERROR {
+        return Err(RequestError::WeightSum);
     }
     Ok(parts)
 }
--- a/src/front/platform/response.rs
+++ b/src/front/platform/response.rs
@@ -1,4 +1,4 @@
-//! Rendering of the core's answers as responses to `POST /api`.
+//! Rendering of the coordinator's answers as responses to `POST /api`.
 
 use super::{JSON, TEXT};
 use crate::coordinator::Answer;
@@ -7,40 +7,39 @@
 use serde::Serialize;
 use std::borrow::Cow;
 
-/// Body of an answer.
+/// The body of an answer.
 #[derive(Serialize)]
-struct Served<'a> {
-    /// Whether the answer is complete.
-    full: bool,
-    /// Parts of the answer.
-    pieces: Vec<Piece<'a>>,
+struct AnswerBody<'a> {
+    #[serde(rename = "full")]
+    complete: bool,
+    #[serde(rename = "pieces")]
+    parts: Vec<AnsweredPart<'a>>,
 }
 
-/// Part of an answer.
+/// A part of an answer.
 #[derive(Serialize)]
-struct Piece<'a> {
-    /// Number of the shard.
-    tablet: u32,
-    /// Value of the part, as UTF-8.
-    cell: Cow<'a, str>,
+struct AnsweredPart<'a> {
+    /// The number of the shard.
+    #[serde(rename = "tablet")]
+    shard: u32,
+    /// The value of the part, in which U+FFFD replaces each invalid UTF-8 sequence.
+    #[serde(rename = "cell")]
+    value: Cow<'a, str>,
 }
 
 /// Returns the response for an answer.
 pub(super) fn render(answer: Answer) -> Response {
     match answer {
         Answer::Served { complete, parts } => {
-            let piece = |shard: u32, value| Piece {
-                tablet: shard,
-                cell: String::from_utf8_lossy(value),
+            let answered_part = |shard: u32, value| AnsweredPart {
+                shard,
+                value: String::from_utf8_lossy(value),
             };
-            let pieces = parts
+            let parts = parts
                 .iter()
-                .map(|part| piece(part.shard.0, &part.value))
+                .map(|part| answered_part(part.shard.0, &part.value))
                 .collect();
-            match serde_json::to_vec(&Served {
-                full: complete,
-                pieces,
-            }) {
+            match serde_json::to_vec(&AnswerBody { complete, parts }) {
                 Ok(body) => Response::new(200, JSON, body),
                 Err(error) => Response::new(500, TEXT, format!("{error}\n")),
             }
@@ -48,7 +47,7 @@
         Answer::Rejected { retry_after, .. } => {
             let mut response = Response::new(503, TEXT, "refused: ask again\n");
             if let Some(time) = retry_after {
-                response.add_header("Retry-After", seconds(time));
+                response.add_header("Retry-After", format_seconds(time));
             }
             response
         }
@@ -61,7 +60,7 @@
     }
 }
 
-/// Formats a time in seconds with three decimals, as in the platform's `Retry-After`.
-fn seconds(time: Micros) -> String {
+/// Formats a time in seconds with three decimals, the platform's format of `Retry-After`.
+fn format_seconds(time: Micros) -> String {
     format!("{}.{:03}", time.0 / 1_000_000, time.0 / 1_000 % 1_000)
 }
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the platform's protocol without a core: the requests that are submitted and the
-//! responses to all others.
+//! Tests of the platform front without a coordinator: the requests that it submits, and its
+//! responses.
 
 use super::request::parse;
 use super::response::render;
@@ -31,7 +31,7 @@
     }
 }
 
-fn http(method: &str, target: &str, headers: &[(&str, &str)], body: &str) -> HttpRequest {
+fn http_request(method: &str, target: &str, headers: &[(&str, &str)], body: &str) -> HttpRequest {
     let headers: String = headers
         .iter()
         .map(|(name, value)| format!("{name}: {value}\r\n"))
@@ -48,26 +48,27 @@
         .expect("well formed")
 }
 
-/// Parses a request with the usual headers, one of which is replaced or, without a value, omitted.
+/// Parses a request with [`HEADERS`], of which `replaced` replaces the value of one; `None` as the
+/// value omits that header.
 fn parse_with(replaced: Option<(&str, Option<&str>)>, body: &str) -> Result<Request, RequestError> {
-    let value = |name: &str, usual| match replaced {
+    let value = |name: &str, default| match replaced {
         Some((other, value)) if other == name => value,
-        _ => Some(usual),
+        _ => Some(default),
     };
     let headers: Vec<_> = HEADERS
         .iter()
-        .filter_map(|(name, usual)| Some((*name, value(name, usual)?)))
+        .filter_map(|(name, default)| Some((*name, value(name, default)?)))
         .collect();
     parse(
         &catalog(),
-        &http("POST", "/api", &headers, body),
+        &http_request("POST", "/api", &headers, body),
         Token(7),
         Micros(5),
     )
 }
 
 #[test]
-fn a_request_becomes_the_cores() {
+fn well_formed_request_is_parsed() {
     let request = parse_with(None, BODY).expect("well formed");
     assert_eq!(
         (request.token, request.sent_at, request.timeout),
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn each_malformed_header_has_its_error_and_text() {
+fn malformed_headers_are_rejected_with_their_messages() {
     let text = |name: &str, value: Option<&str>| {
         parse_with(Some((name, value)), BODY)
             .expect_err("malformed")
@@ -123,10 +124,10 @@
 }
 
 #[test]
-fn each_malformed_body_has_its_error_and_text() {
+fn malformed_bodies_are_rejected_with_their_messages() {
     let error = |body: &str| parse_with(None, body).expect_err("malformed");
     let parts = |tablets: &str| error(&format!(r#"{{"tablets":[{tablets}],"statement":"s"}}"#));
-    assert!(matches!(error("{}"), RequestError::Body(_)));
+    assert!(matches!(error("{}"), RequestError::MalformedBody(_)));
     assert_eq!(
         error("{}").to_string(),
         "body: missing field `tablets` at line 1 column 2"
@@ -158,16 +159,16 @@
 }
 
 #[test]
-fn a_request_is_answered_or_submitted_by_method_and_path() {
+fn requests_are_routed_by_method_and_path() {
     let front = Platform::new(Arc::new(Mutex::new(Arc::new(catalog()))));
     let respond = |method: &str, target: &str, ready: bool| match front.handle(
-        http(method, target, &[], ""),
+        http_request(method, target, &[], ""),
         Token(1),
         Micros::ZERO,
         ready,
     ) {
         Reaction::Respond(response) => (response.status, response.body.to_vec()),
-        Reaction::Submit(..) => panic!("it is submitted"),
+        Reaction::Submit(..) => panic!("{method} {target} was submitted"),
     };
     assert_eq!(respond("GET", "/up", true), (200, b"ready\n".to_vec()));
     assert_eq!(
@@ -186,7 +187,7 @@
         respond("POST", "/api", true),
         (400, b"X-Trace-Id is missing\n".to_vec())
     );
-    let request = http("POST", "/api", &HEADERS, BODY);
+    let request = http_request("POST", "/api", &HEADERS, BODY);
     assert!(matches!(
         front.handle(request, Token(1), Micros::ZERO, true),
         Reaction::Submit(..)
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_served_answer_has_its_parts_in_the_body() {
+fn response_to_a_served_query_contains_its_parts() {
     let response = render(Answer::Served {
         complete: true,
         parts: vec![ServedPart {
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn each_answer_has_its_status_and_body() {
+fn unserved_answers_have_their_status_and_message() {
     for (answer, status, body) in [
         (Answer::UnknownClass, 400, "X-Qos names no class\n"),
         (
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_rejected_answer_tells_when_to_retry() {
+fn response_to_a_rejected_query_has_a_retry_after_header() {
     let response = render(Answer::Rejected {
         retry_after: Some(Micros(1_250_400)),
         late: false,
