--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -7,7 +7,7 @@
 fuzz_target!(|bytes: &[u8]| {
     let mut server = ServerConnection::default();
     server.input().extend(bytes);
-    server.end_of_input();
+    server.on_end_of_stream();
     let mut errors = 0;
     while let Some(polled) = server.next_request() {
         match polled {
--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -129,7 +129,7 @@
     if let Some(tag) = response.header("ETag") {
         return tag.to_owned();
     }
-    let tag = entity_tag(response.body.chunks());
+    let tag = entity_tag(response.body.segments());
     response.add_header("ETag", tag.as_str());
     tag
 }
@@ -142,7 +142,7 @@
     );
     let written = response
         .body
-        .chunks()
+        .segments()
         .try_for_each(|chunk| encoder.write_all(chunk));
     if let (Ok(()), Ok(compressed)) = (written, encoder.finish()) {
         response.body = compressed.into();
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -32,7 +32,7 @@
     let mut server = ServerConnection::default();
     server.set_max_body(front.max_body());
     server.input().extend(bytes);
-    server.end_of_input();
+    server.on_end_of_stream();
     match server.next_request()? {
         Err(e) => Some(front.malformed_response(e)),
         Ok(request) => match front.handle(request, Token(1), Micros::ZERO, true) {
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -185,7 +185,7 @@
         if self.discard_paused {
             return false;
         }
-        if self.http.wants_input() {
+        if self.http.accepts_input() {
             return true;
         }
         let discarded = self.http.discard_excess();
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -83,7 +83,7 @@
                     return false
                 }
                 IoOutcome::EndOfStream | IoOutcome::Broken => {
-                    state.http.end_of_input();
+                    state.http.on_end_of_stream();
                     self.handle_requests(connection, state);
                     return true;
                 }
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -107,7 +107,7 @@
         let stream = self.idle_connection().or_else(|| self.dial());
         let progress = match &stream {
             Some(stream) => self.drive(stream),
-            None => self.request.fetch.on_broken(),
+            None => self.request.fetch.on_connection_failed(),
         };
         let now = self.context.clock.now();
         let reusable =
@@ -266,7 +266,7 @@
                 }
                 IoOutcome::WouldBlock => return Progress::Pending,
                 IoOutcome::EndOfStream => return self.request.fetch.on_end_of_stream(),
-                IoOutcome::Broken => return self.request.fetch.on_broken(),
+                IoOutcome::Broken => return self.request.fetch.on_connection_failed(),
             }
         }
     }
@@ -281,7 +281,7 @@
                 IoOutcome::Transferred(bytes) => self.record_written(bytes),
                 IoOutcome::WouldBlock => break,
                 IoOutcome::EndOfStream | IoOutcome::Broken => {
-                    return self.request.fetch.on_broken()
+                    return self.request.fetch.on_connection_failed()
                 }
             }
         }
--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -8,43 +8,43 @@
 /// Bytes with several owners, such as a page in a cache.
 pub type SharedBytes = Arc<dyn AsRef<[u8]> + Send + Sync>;
 
-/// The size up to which adjacent owned pieces are joined, in bytes: another system call costs more
+/// The size up to which adjacent owned segments are joined, in bytes: another system call costs more
 /// than the copy.
 const MAX_JOINED_BYTES: usize = 16 * 1024;
-/// The size up to which shared ranges are copied, in bytes: a piece of its own costs more.
+/// The size up to which shared ranges are copied, in bytes: a segment of its own costs more.
 const MAX_COPIED_BYTES: usize = 512;
 
 /// A contiguous part of a body.
 #[derive(Clone)]
-enum Piece {
+enum Segment {
     Owned(Vec<u8>),
     Shared(SharedBytes, Range<usize>),
 }
 
-impl Piece {
+impl Segment {
     fn bytes(&self) -> &[u8] {
         match self {
-            Piece::Owned(bytes) => bytes,
-            Piece::Shared(shared, range) => &shared.as_ref().as_ref()[range.clone()],
+            Segment::Owned(bytes) => bytes,
+            Segment::Shared(shared, range) => &shared.as_ref().as_ref()[range.clone()],
         }
     }
 
-    /// Returns the memory that is released with this piece, in bytes; shared bytes do not count.
+    /// Returns the memory that is released with this segment, in bytes; shared bytes do not count.
     fn owned_memory(&self) -> usize {
         match self {
-            Piece::Owned(bytes) => bytes.capacity(),
-            Piece::Shared(..) => 0,
+            Segment::Owned(bytes) => bytes.capacity(),
+            Segment::Shared(..) => 0,
         }
     }
 }
 
-/// A queue of bytes, in pieces.
+/// A queue of bytes, in segments.
 #[derive(Clone, Default)]
 pub struct Body {
-    pieces: VecDeque<Piece>,
-    /// The number of bytes left in all pieces.
+    segments: VecDeque<Segment>,
+    /// The number of bytes left in all segments.
     length: usize,
-    /// The number of bytes of the first piece that have been consumed.
+    /// The number of bytes of the first segment that have been consumed.
     consumed: usize,
 }
 
@@ -52,12 +52,12 @@
     /// Appends a copy of the bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.length += bytes.len();
-        match self.pieces.back_mut() {
-            Some(Piece::Owned(last)) if last.len() + bytes.len() <= MAX_JOINED_BYTES => {
+        match self.segments.back_mut() {
+            Some(Segment::Owned(last)) if last.len() + bytes.len() <= MAX_JOINED_BYTES => {
                 last.extend_from_slice(bytes)
             }
             _ if bytes.is_empty() => {}
-            _ => self.pieces.push_back(Piece::Owned(bytes.to_vec())),
+            _ => self.segments.push_back(Segment::Owned(bytes.to_vec())),
         }
     }
 
@@ -77,23 +77,22 @@
             return self.push(&bytes);
         }
         self.length += length;
-        self.pieces.push_back(Piece::Shared(shared, range));
+        self.segments.push_back(Segment::Shared(shared, range));
     }
 
     /// Appends another body, of which nothing may have been consumed.
     pub fn append(&mut self, mut other: Body) {
         debug_assert_eq!(other.consumed, 0, "only complete bodies are joined");
-        // The first piece is joined to the last one here, so that a small response is one write.
-        let is_short =
-            |piece: &Piece| matches!(piece, Piece::Owned(bytes) if bytes.len() <= MAX_JOINED_BYTES);
-        if other.pieces.front().is_some_and(is_short) {
-            if let Some(Piece::Owned(first)) = other.pieces.pop_front() {
+        // The first segment is joined to the last one here, so that a small response is one write.
+        let is_short = |segment: &Segment| matches!(segment, Segment::Owned(bytes) if bytes.len() <= MAX_JOINED_BYTES);
+        if other.segments.front().is_some_and(is_short) {
+            if let Some(Segment::Owned(first)) = other.segments.pop_front() {
                 other.length -= first.len();
                 self.push(&first);
             }
         }
         self.length += other.length;
-        self.pieces.append(&mut other.pieces);
+        self.segments.append(&mut other.segments);
     }
 
     /// Returns the number of bytes left.
@@ -111,16 +110,16 @@
     /// Returns the next contiguous bytes; empty only if none are left.
     #[must_use]
     pub fn front(&self) -> &[u8] {
-        self.pieces
+        self.segments
             .front()
-            .map_or(&[], |piece| &piece.bytes()[self.consumed..])
+            .map_or(&[], |segment| &segment.bytes()[self.consumed..])
     }
 
     /// Consumes the next `count` bytes.
     pub fn advance(&mut self, count: usize) {
         let mut count = count.min(self.length);
         self.length -= count;
-        while let Some(first) = self.pieces.front() {
+        while let Some(first) = self.segments.front() {
             let left = first.bytes().len() - self.consumed;
             if count < left {
                 self.consumed += count;
@@ -128,47 +127,50 @@
             }
             count -= left;
             self.consumed = 0;
-            self.pieces.pop_front();
+            self.segments.pop_front();
         }
     }
 
     /// Returns the memory that is released with this body, in bytes; shared bytes do not count.
     #[must_use]
     pub fn memory(&self) -> usize {
-        self.pieces.iter().map(Piece::owned_memory).sum()
+        self.segments.iter().map(Segment::owned_memory).sum()
     }
 
     /// Returns a copy of all bytes left.
     #[must_use]
     pub fn to_vec(&self) -> Vec<u8> {
         let mut all = Vec::with_capacity(self.length);
-        self.pieces
+        self.segments
             .iter()
-            .for_each(|piece| all.extend_from_slice(piece.bytes()));
+            .for_each(|segment| all.extend_from_slice(segment.bytes()));
         all.drain(..self.consumed);
         all
     }
 
-    /// Returns the bytes left in each piece.
-    pub fn chunks(&self) -> impl Iterator<Item = &[u8]> {
+    /// Returns the bytes left in each segment.
+    pub fn segments(&self) -> impl Iterator<Item = &[u8]> {
         let consumed = self.consumed;
-        self.pieces.iter().enumerate().map(move |(index, piece)| {
-            let start = if index == 0 { consumed } else { 0 };
-            &piece.bytes()[start..]
-        })
+        self.segments
+            .iter()
+            .enumerate()
+            .map(move |(index, segment)| {
+                let start = if index == 0 { consumed } else { 0 };
+                &segment.bytes()[start..]
+            })
     }
 }
 
 impl From<Vec<u8>> for Body {
     fn from(bytes: Vec<u8>) -> Self {
         let length = bytes.len();
-        let pieces = if bytes.is_empty() {
+        let segments = if bytes.is_empty() {
             VecDeque::new()
         } else {
-            VecDeque::from([Piece::Owned(bytes)])
+            VecDeque::from([Segment::Owned(bytes)])
         };
         Body {
-            pieces,
+            segments,
             length,
             consumed: 0,
         }
--- a/src/proto/body/tests.rs
+++ b/src/proto/body/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn pieces_are_written_in_order_with_any_write_size() {
+fn segments_are_written_in_order_with_any_write_size() {
     let shared: SharedBytes = Arc::new(vec![b'h'; 5_000]);
     for step in [1, 7, 512, 100_000] {
         let mut body = Body::default();
@@ -26,7 +26,7 @@
             assert!(count > 0);
             written.extend_from_slice(&body.front()[..count]);
             body.advance(count);
-            assert_eq!(body.chunks().map(<[u8]>::len).sum::<usize>(), body.len());
+            assert_eq!(body.segments().map(<[u8]>::len).sum::<usize>(), body.len());
         }
         assert_eq!(written, expected);
         assert!(body.front().is_empty() && body.memory() == 0);
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -112,7 +112,7 @@
     let endpoints = list
         .endpoints
         .into_iter()
-        .map(|e| to_node(e, read_at))
+        .map(|e| to_node_endpoint(e, read_at))
         .collect::<Result<_, _>>()?;
     let update = EndpointUpdate {
         kind,
@@ -122,7 +122,7 @@
     Ok(EndpointListUpdate { revision, update })
 }
 
-fn to_node(
+fn to_node_endpoint(
     endpoint: EndpointMessage,
     read_at: ReadTime,
 ) -> Result<NodeEndpoint, EndpointListError> {
@@ -181,18 +181,18 @@
         .iter()
         .rposition(|b| *b == b'\n')
         .map_or(0, |at| at + 1);
-    let mut parsed = parse_ended_lines(&text[..lines_end], read_at)?;
-    let unfinished = text[parsed.consumed..lines_end].trim_ascii_start();
+    let mut parsed = parse_complete_lines(&text[..lines_end], read_at)?;
+    let incomplete_list = text[parsed.consumed..lines_end].trim_ascii_start();
     let consumed_before = parsed.consumed;
-    parse_open_line(text, &mut parsed, read_at)?;
-    if parsed.consumed == consumed_before && has_empty_line(unfinished) {
+    parse_incomplete_line(text, &mut parsed, read_at)?;
+    if parsed.consumed == consumed_before && has_empty_line(incomplete_list) {
         return Err(EndpointListError::Truncated);
     }
     Ok(parsed)
 }
 
 /// Parses lists from complete lines, up to the first list that is incomplete.
-fn parse_ended_lines(lines: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
+fn parse_complete_lines(lines: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let mut objects = serde_json::Deserializer::from_slice(lines).into_iter::<ListMessage>();
     let mut parsed = ParsedLists::default();
     loop {
@@ -212,7 +212,7 @@
 /// Parses lists from the rest of the text, whose last line is incomplete. Errors are ignored: a
 /// list that is split within a number looks malformed. The rest is parsed again once its line is
 /// complete.
-fn parse_open_line(
+fn parse_incomplete_line(
     text: &[u8],
     parsed: &mut ParsedLists,
     read_at: ReadTime,
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn errors_keep_the_texts_of_the_log() {
+fn errors_have_their_log_messages() {
     let unknown_state = LIST.replace("terminating", "asleep");
     let list_error = parse_cached_endpoint_list(unknown_state.as_bytes(), Micros::ZERO, 0);
     let list_error = list_error.expect_err("an unknown state");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn json_of_another_shape_is_rejected_in_the_words_of_earlier_versions() {
+fn json_that_is_not_an_endpoint_list_is_rejected() {
     let message = |text: &str| {
         let error =
             parse_cached_endpoint_list(text.as_bytes(), Micros::ZERO, 0).expect_err("no list");
--- a/src/proto/fetch.rs
+++ b/src/proto/fetch.rs
@@ -91,14 +91,14 @@
 
     /// Handles an orderly close by the server, which completes a response without a length.
     pub fn on_end_of_stream(&mut self) -> Progress {
-        if self.reader.end_of_input() {
+        if self.reader.on_end_of_stream() {
             return self.take_response();
         }
-        self.on_broken()
+        self.on_connection_failed()
     }
 
     /// Handles a connection that failed or was never established.
-    pub fn on_broken(&mut self) -> Progress {
+    pub fn on_connection_failed(&mut self) -> Progress {
         Progress::Failed(if self.may_have_run() {
             Outcome::Reset
         } else {
--- a/src/proto/fetch/tests.rs
+++ b/src/proto/fetch/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn response_without_length_is_completed_by_the_end_of_stream_but_not_by_a_reset() {
+fn response_without_length_is_completed_by_an_orderly_close_but_not_by_a_reset() {
     const REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
     for (reset, length_header) in [
         (false, ""),
@@ -19,7 +19,7 @@
             .extend(format!("HTTP/1.1 200 OK\r\n{length_header}\r\n{{}}").as_bytes());
         assert!(fetch.advance().is_pending());
         let progress = if reset {
-            fetch.on_broken()
+            fetch.on_connection_failed()
         } else {
             fetch.on_end_of_stream()
         };
--- a/src/proto/frames/attempts.rs
+++ b/src/proto/frames/attempts.rs
@@ -108,7 +108,7 @@
     }
 
     /// Records an answer and removes the attempt that it belongs to from those in flight.
-    pub(super) fn answer(&mut self, id: &str) -> AnsweredAttempt {
+    pub(super) fn record_answer(&mut self, id: &str) -> AnsweredAttempt {
         if let Some(attempt) = self.in_flight.remove(id) {
             self.ids.remove(&attempt.key);
             self.retire(id.to_owned(), true);
@@ -139,7 +139,7 @@
     }
 
     /// Returns whether an earlier attempt with this id was cancelled and may still be answered.
-    pub(super) fn is_unanswered(&self, id: &str) -> bool {
+    pub(super) fn awaits_late_answer(&self, id: &str) -> bool {
         self.retired
             .iter()
             .any(|retired| retired.id == id && !retired.answered)
--- a/src/proto/frames/codec.rs
+++ b/src/proto/frames/codec.rs
@@ -33,7 +33,7 @@
 pub enum FrameError {
     /// The length of a frame is zero or exceeds the maximum.
     #[error("a frame of {0} bytes")]
-    Length(usize),
+    InvalidLength(usize),
     /// The letter of a frame denotes no known kind.
     #[error("unknown letter {0:?}")]
     UnknownLetter(char),
@@ -131,7 +131,7 @@
     };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
-        return Err(FrameError::Length(length));
+        return Err(FrameError::InvalidLength(length));
     }
     let Some(body) = data.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
         return Ok(None);
--- a/src/proto/frames/codec/tests.rs
+++ b/src/proto/frames/codec/tests.rs
@@ -10,15 +10,15 @@
 }
 
 /// A frame that is rejected, with its error and the text in the log.
-struct RejectedFrame {
+struct InvalidFrame {
     letter: u8,
     payload: &'static str,
     error: FrameError,
     text: &'static str,
 }
 
-fn rejected_answer(payload: &'static str, error: FrameError, text: &'static str) -> RejectedFrame {
-    RejectedFrame {
+fn invalid_answer(payload: &'static str, error: FrameError, text: &'static str) -> InvalidFrame {
+    InvalidFrame {
         letter: letter::ANSWER,
         payload,
         error,
@@ -26,36 +26,36 @@
     }
 }
 
-fn rejected_frames() -> [RejectedFrame; 6] {
+fn invalid_frames() -> [InvalidFrame; 6] {
     [
-        RejectedFrame {
+        InvalidFrame {
             letter: b'z',
             payload: "",
             error: FrameError::UnknownLetter('z'),
             text: "unknown letter 'z'",
         },
-        RejectedFrame {
+        InvalidFrame {
             letter: letter::ERROR,
             payload: "old",
             error: FrameError::Rejected("old".to_owned()),
             text: "refused: old",
         },
-        rejected_answer(
+        invalid_answer(
             "1.0 served 1 -",
             FrameError::UnterminatedLine,
             "an answer with no end of its line",
         ),
-        rejected_answer(
+        invalid_answer(
             "1.0 served\n",
             FrameError::MalformedLine,
             "an answer with a line that cannot be read",
         ),
-        rejected_answer(
+        invalid_answer(
             "1.0 served x -\nv",
             FrameError::MalformedValue,
             "an answer with a score or a value that cannot be read",
         ),
-        rejected_answer(
+        invalid_answer(
             "1.0 lost 1 -\n",
             FrameError::UnknownEnd("lost".to_owned()),
             "an answer with the unknown end \"lost\"",
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn invalid_frames_are_rejected_with_the_texts_of_the_log() {
-    for frame in rejected_frames() {
+fn invalid_frames_are_rejected_with_their_log_messages() {
+    for frame in invalid_frames() {
         let error = decode_error(frame.letter, frame.payload.as_bytes());
         assert_eq!(error, frame.error);
         assert_eq!(error.to_string(), frame.text);
@@ -77,17 +77,17 @@
 }
 
 #[test]
-fn length_beyond_the_bound_is_rejected_before_the_frame_is_complete() {
+fn length_that_exceeds_the_maximum_is_rejected_before_the_frame_is_complete() {
     let too_long = MAX_FRAME_BYTES + 1;
     let error = decode(&(too_long as u32).to_be_bytes()).err();
-    assert_eq!(error, Some(FrameError::Length(too_long)));
+    assert_eq!(error, Some(FrameError::InvalidLength(too_long)));
     assert_eq!(
         error.map(|e| e.to_string()),
         Some(format!("a frame of {too_long} bytes"))
     );
     assert_eq!(
         decode(&[0; LENGTH_BYTES]).err(),
-        Some(FrameError::Length(0))
+        Some(FrameError::InvalidLength(0))
     );
     assert!(matches!(
         decode(&(MAX_FRAME_BYTES as u32).to_be_bytes()),
--- a/src/proto/frames/connection.rs
+++ b/src/proto/frames/connection.rs
@@ -59,7 +59,7 @@
         let Some(at) = self
             .output
             .iter()
-            .position(|frame| frame.is_unstarted_with(key))
+            .position(|frame| frame.carries_unwritten(key))
         else {
             self.output.push_back(OutgoingFrame::cancel(&id));
             return self.attempts.retire(id, false);
@@ -76,7 +76,10 @@
     /// in flight.
     #[must_use]
     pub fn awaits_late_answer(&self, request: &AttemptRequest) -> bool {
-        request.key.attempt.0 > 0 && self.attempts.is_unanswered(&codec::attempt_id(request))
+        request.key.attempt.0 > 0
+            && self
+                .attempts
+                .awaits_late_answer(&codec::attempt_id(request))
     }
 
     /// Reclaims every frame of which no byte has been written: a draining node gets nothing new.
@@ -215,7 +218,7 @@
     attempts: &mut AttemptTable,
     answer: AttemptAnswer<'_>,
 ) -> Result<Option<AttemptEvent>, FrameError> {
-    match attempts.answer(answer.id) {
+    match attempts.record_answer(answer.id) {
         AnsweredAttempt::InFlight(key) => Ok(Some(AttemptEvent::Ended(key, answer.end))),
         AnsweredAttempt::Retired => Ok(None),
         AnsweredAttempt::Unknown => Err(FrameError::UnknownAttempt),
--- a/src/proto/frames/outgoing.rs
+++ b/src/proto/frames/outgoing.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether the frame carries this attempt and no byte of it has been written.
-    pub(super) fn is_unstarted_with(&self, key: AttemptKey) -> bool {
+    pub(super) fn carries_unwritten(&self, key: AttemptKey) -> bool {
         self.written == 0 && self.attempts.iter().any(|attempt| attempt.key == key)
     }
 
--- a/src/proto/http/connection.rs
+++ b/src/proto/http/connection.rs
@@ -37,7 +37,7 @@
     /// The maximum length of a request's body, in bytes.
     max_body: usize,
     /// Whether the connection closes after the next response.
-    close: bool,
+    close_after_response: bool,
     /// Whether the connection closes as soon as no part of a request is here.
     draining: bool,
     /// Whether the request in progress is a `HEAD` request, whose response has no body.
@@ -53,7 +53,7 @@
             state: State::Head,
             output: Body::default(),
             max_body: MAX_BODY_BYTES,
-            close: false,
+            close_after_response: false,
             draining: false,
             omit_body: false,
             input_ended: false,
@@ -68,7 +68,7 @@
     }
 
     /// Returns the buffer for reads from the socket. The caller reads only while
-    /// [`wants_input`](Self::wants_input).
+    /// [`accepts_input`](Self::accepts_input).
     pub fn input(&mut self) -> &mut Buffer {
         &mut self.input
     }
@@ -76,7 +76,7 @@
     /// Returns whether more should be read. A client that pipelines without end, or does not read
     /// its responses, must wait.
     #[must_use]
-    pub fn wants_input(&self) -> bool {
+    pub fn accepts_input(&self) -> bool {
         self.input.data().len() < MAX_PIPELINED_BYTES
             && self.output.len() < MAX_BODY_BYTES
             && !matches!(self.state, State::Closed)
@@ -139,12 +139,12 @@
     /// Closes the connection as soon as no request is in progress. A request of which part was
     /// received is still served: otherwise its client would have to retry it, or count it as lost.
     pub fn close_when_idle(&mut self) {
-        self.close = true;
+        self.close_after_response = true;
         self.draining = true;
     }
 
     /// Records that the client has closed its sending side.
-    pub fn end_of_input(&mut self) {
+    pub fn on_end_of_stream(&mut self) {
         self.input_ended = true;
     }
 
@@ -158,7 +158,7 @@
             return 0;
         }
         self.input.consume(unread);
-        self.close = true;
+        self.close_after_response = true;
         unread
     }
 
@@ -174,7 +174,7 @@
                 self.omit_body = request.method == "HEAD";
                 Some(Ok(request))
             }
-            Ok(None) => self.check_end_of_input().map(Err),
+            Ok(None) => self.check_end_of_stream().map(Err),
             Err(error) => {
                 self.stop_reading();
                 Some(Err(error))
@@ -185,13 +185,13 @@
     /// Responds to the request that was handed out, or to the error. Closes the connection
     /// afterwards if `close` is set.
     pub fn respond(&mut self, response: Response, close: bool) {
-        self.close |= close;
+        self.close_after_response |= close;
         self.output
-            .push(response.encode_head(self.close).as_bytes());
+            .push(response.encode_head(self.close_after_response).as_bytes());
         if !std::mem::take(&mut self.omit_body) {
             self.output.append(response.body);
         }
-        self.state = if self.close {
+        self.state = if self.close_after_response {
             State::Closed
         } else {
             State::Head
@@ -239,7 +239,7 @@
             return Ok(());
         };
         self.input.consume(head.length);
-        self.close |= head.closes;
+        self.close_after_response |= head.close_requested;
         if head.expects_continue {
             self.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
@@ -252,7 +252,7 @@
 
     /// Stops reading once the client has closed its sending side, unless a request is in progress.
     /// Returns an error if a request was cut off.
-    fn check_end_of_input(&mut self) -> Option<HttpError> {
+    fn check_end_of_stream(&mut self) -> Option<HttpError> {
         if !self.input_ended || self.awaits_response() {
             return None;
         }
@@ -263,6 +263,6 @@
 
     fn stop_reading(&mut self) {
         self.state = State::Closed;
-        self.close = true;
+        self.close_after_response = true;
     }
 }
--- a/src/proto/http/request.rs
+++ b/src/proto/http/request.rs
@@ -26,7 +26,7 @@
     /// The length of the head, in bytes.
     pub(super) length: usize,
     /// Whether the client asks to close the connection after the response.
-    pub(super) closes: bool,
+    pub(super) close_requested: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
@@ -54,7 +54,7 @@
         if hosts > 1 || (hosts == 0 && !is_http_1_0) {
             return Err(HttpError::Malformed);
         }
-        let closes = headers.has_token("connection", "close")
+        let close_requested = headers.has_token("connection", "close")
             || (is_http_1_0 && !headers.has_token("connection", "keep-alive"));
         let expects_continue = !is_http_1_0 && headers.has_token("expect", "100-continue");
         let request = HttpRequest {
@@ -67,7 +67,7 @@
             request,
             framing,
             length,
-            closes,
+            close_requested,
             expects_continue,
         }))
     }
--- a/src/proto/http/response_reader.rs
+++ b/src/proto/http/response_reader.rs
@@ -80,7 +80,7 @@
 
     /// Records the end of the connection, which completes a body without a length. Returns whether
     /// the response is complete.
-    pub fn end_of_input(&mut self) -> bool {
+    pub fn on_end_of_stream(&mut self) -> bool {
         let framing = self.response.as_ref().map(|response| response.framing);
         self.complete |= framing == Some(Framing::CloseDelimited);
         self.complete
--- a/src/proto/http/tests.rs
+++ b/src/proto/http/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 /// Returns what a server connection makes of these bytes.
-fn request(bytes: &str) -> Option<Result<HttpRequest, HttpError>> {
+fn parse_request(bytes: &str) -> Option<Result<HttpRequest, HttpError>> {
     let mut server = ServerConnection::default();
     server.input().extend(bytes.as_bytes());
     server.next_request()
 }
 
 /// Returns the bytes that the server side writes for a response to a request.
-fn written(request: &str, response: Response) -> String {
+fn encode_response(request: &str, response: Response) -> String {
     let mut server = ServerConnection::default();
     server.input().extend(request.as_bytes());
     let request = server.next_request().expect("complete");
@@ -28,14 +28,14 @@
 /// Guards against a 304 that states the length of an empty body: only the length of the 200
 /// response may be stated (RFC 9110, section 8.6).
 #[test]
-fn a_304_states_no_length() {
-    let text = written(
+fn response_with_status_304_has_no_content_length() {
+    let text = encode_response(
         "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         Response::new(304, "", ""),
     );
     assert!(text.starts_with("HTTP/1.1 304 Not Modified\r\n"), "{text}");
     assert!(!text.contains("Content-Length"), "{text}");
-    let text = written(
+    let text = encode_response(
         "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         Response::new(200, "", ""),
     );
@@ -44,10 +44,10 @@
 
 /// Guards against reason phrases of no meaning (RFC 9110, section 15).
 #[test]
-fn each_status_that_is_sent_has_its_reason_phrase() {
+fn status_line_has_the_reason_phrase_of_its_status() {
     for (status, phrase) in [(409, "Conflict"), (412, "Precondition Failed")] {
         let response = Response::new(status, "", "");
-        let text = written("GET / HTTP/1.1\r\nHost: x\r\n\r\n", response);
+        let text = encode_response("GET / HTTP/1.1\r\nHost: x\r\n\r\n", response);
         assert!(
             text.starts_with(&format!("HTTP/1.1 {status} {phrase}\r\n")),
             "{text}"
@@ -57,8 +57,8 @@
 
 /// Guards against requests that name no host or several (RFC 9112, section 3.2).
 #[test]
-fn a_request_names_its_host_once() {
-    let status = |text| request(text).map(|request| request.map_err(HttpError::status).err());
+fn request_must_have_exactly_one_host_header() {
+    let status = |text| parse_request(text).map(|request| request.map_err(HttpError::status).err());
     assert_eq!(status("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), Some(None));
     assert_eq!(status("GET / HTTP/1.1\r\nHost:\r\n\r\n"), Some(None));
     assert_eq!(status("GET / HTTP/1.0\r\n\r\n"), Some(None));
@@ -70,7 +70,7 @@
 /// Guards against an interim response that a client of HTTP/1.0 cannot read (RFC 9110, section
 /// 10.1.1).
 #[test]
-fn a_client_of_http_1_0_gets_no_interim_response() {
+fn http_1_0_client_gets_no_interim_response() {
     let output = |version: &str| {
         let mut server = ServerConnection::default();
         let head = format!(
@@ -94,7 +94,7 @@
 
 /// Guards against a head beyond the limits that is accepted since it arrives at once.
 #[test]
-fn a_response_head_beyond_the_limits_is_too_large() {
+fn response_head_that_exceeds_a_limit_is_rejected() {
     assert_eq!(response_error("Vary: x\r\n"), None);
     let long = format!("Vary: {}\r\n", "x".repeat(MAX_HEAD_BYTES));
     assert_eq!(response_error(&long), Some(HttpError::HeadTooLarge));
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -119,7 +119,7 @@
                 prop_assert!(server.is_finished());
             }
         }
-        server.end_of_input();
+        server.on_end_of_stream();
         let _ = server.next_request();
         prop_assert!(server.awaits_response() || server.input().capacity() < 128 * 1024);
     }
@@ -136,7 +136,7 @@
     let mut kept = 0;
     for _ in 0..12 {
         assert!(
-            server.wants_input() || server.discard_excess() > 0,
+            server.accepts_input() || server.discard_excess() > 0,
             "what is here is dropped, and reading goes on"
         );
         server.input().extend(&[b'x'; 20_000]);
@@ -169,7 +169,7 @@
     let mut server = ServerConnection::default();
     server.input().extend(text.as_bytes());
     let first = server.next_request();
-    server.end_of_input();
+    server.on_end_of_stream();
     let error = first
         .or_else(|| server.next_request())
         .and_then(Result::err)?;
