--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -124,7 +124,7 @@
         now: Nanos,
     ) -> Evidence {
         let answered_recently = now - self.last_success_at < objective;
-        let is_inconclusive =
+        let inconclusive =
             (ended.elapsed as f64) < fleet.latency.overdue_after() && answered_recently;
         let lost_on_idle_connection =
             ended.attempt.idle_connection && ended.silent && fleet.connections.idle_are_dropped();
@@ -133,9 +133,7 @@
             Outcome::Rejected => Evidence::FullQueue,
             Outcome::NotSent => Evidence::None,
             _ if lost_on_idle_connection => Evidence::None,
-            Outcome::Cancelled | Outcome::Reset | Outcome::Error if is_inconclusive => {
-                Evidence::None
-            }
+            Outcome::Cancelled | Outcome::Reset | Outcome::Error if inconclusive => Evidence::None,
             Outcome::ConnectFailed => Evidence::Silence,
             _ if ended.silent => Evidence::Silence,
             _ => Evidence::LowerBound,
--- a/src/queries/in_flight.rs
+++ b/src/queries/in_flight.rs
@@ -22,27 +22,27 @@
     /// Number of this coordinator's attempts in flight at the replica when this one was sent,
     /// itself included.
     pub concurrency: usize,
-    /// Whether the attempt was sent on a connection that had been idle.
+    /// Whether the attempt was sent on a connection that was idle before.
     pub idle_connection: bool,
 }
 
 /// Record of an attempt that ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndedAttempt {
-    /// Record from when the attempt was sent.
+    /// Record that was made when the attempt was sent.
     pub attempt: InFlight,
     /// Outcome of the attempt.
     pub outcome: Outcome,
     /// Time since the attempt was sent.
     pub elapsed: Nanos,
-    /// Whether the replica answered nothing since the attempt was sent.
+    /// Whether the replica has answered no attempt since this one was sent.
     pub silent: bool,
 }
 
 /// All attempts in flight.
 pub type InFlightTable = BTreeMap<AttemptKey, InFlight>;
 
-/// An attempt at a replica; ordered by age, the oldest first.
+/// An attempt in flight at a replica; ordered by age, the oldest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SentAttempt {
     sent_at: Nanos,
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -1,6 +1,6 @@
-//! Table of queries, with their parts and attempts, and of attempts in flight.
+//! Tables of queries, with their parts and attempts, and of attempts in flight.
 //!
-//! The records follow the events; the policy decides what to do about them.
+//! The tables only record what the events report; the decisions are made by the policy.
 
 mod in_flight;
 mod query;
@@ -14,7 +14,7 @@
 use crate::interface::{AttemptNo, GroupId, Nanos, Outcome, PartId, QueryId};
 use std::collections::BTreeMap;
 
-/// Number of a query in the table, in order of arrival.
+/// Sequence number of a query in the table, in order of arrival.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryNo(u64);
 
@@ -27,7 +27,7 @@
     pub index: usize,
 }
 
-/// Queries in order of arrival, found by number, and their parts, found by identifier.
+/// Queries by their sequence number, and their parts by identifier.
 #[derive(Debug, Default)]
 pub struct QueryTable {
     queries: BTreeMap<QueryNo, Query>,
@@ -65,29 +65,29 @@
         });
     }
 
-    /// Returns a query that is still in the table.
+    /// Returns a query, open or closed, if it is still in the table.
     #[must_use]
     pub fn get(&self, number: QueryNo) -> Option<&Query> {
         self.queries.get(&number)
     }
 
-    /// Returns a query that is still in the table, mutably.
+    /// Returns a query, open or closed, mutably, if it is still in the table.
     pub fn get_mut(&mut self, number: QueryNo) -> Option<&mut Query> {
         self.queries.get_mut(&number)
     }
 
-    /// Returns a query that awaits its final answer.
+    /// Returns a query if it awaits its final answer.
     #[must_use]
     pub fn get_open(&self, number: QueryNo) -> Option<&Query> {
         self.get(number).filter(|query| query.is_open())
     }
 
-    /// Returns a query that awaits its final answer, mutably.
+    /// Returns a query, mutably, if it awaits its final answer.
     pub fn get_open_mut(&mut self, number: QueryNo) -> Option<&mut Query> {
         self.get_mut(number).filter(|query| query.is_open())
     }
 
-    /// Closes the open query with this identifier, whose client has left, and returns it.
+    /// Closes the open query with this identifier, whose client disconnected, and returns it.
     pub fn abandon(&mut self, id: QueryId) -> Option<&Query> {
         let query = self
             .queries
@@ -120,7 +120,7 @@
         self.queries.values().filter(|query| query.is_open())
     }
 
-    /// Returns the times after `now` at which open queries are due or have their deadline.
+    /// Returns the times after `now` at which open queries must be answered or have their deadline.
     pub fn due_after(&self, now: Nanos) -> impl Iterator<Item = Nanos> + '_ {
         self.open()
             .flat_map(|query| [query.respond_by, query.deadline])
--- a/src/queries/query.rs
+++ b/src/queries/query.rs
@@ -5,7 +5,7 @@
     Action, AttemptNo, ClassId, GroupId, Nanos, Outcome, PartId, QueryId, ReplicaId, ShardId,
 };
 
-/// Error that rounding may leave in a sum of weights.
+/// Rounding error that is tolerated in a sum of weights.
 pub const WEIGHT_TOLERANCE: f64 = 1e-6;
 
 /// An attempt at a part.
@@ -20,7 +20,7 @@
 }
 
 impl Attempt {
-    /// Returns whether the attempt may have run at the replica: nothing proves that it did not.
+    /// Returns whether the attempt may have run at the replica, which includes attempts in flight.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(Outcome::may_have_run)
@@ -38,17 +38,17 @@
     pub weight: f64,
     /// Whether the part belongs to the follow-up step.
     pub follow_up: bool,
-    /// Whether the part is requested; the query does without it otherwise.
+    /// Whether the part is requested; `false` if it is omitted.
     pub requested: bool,
     /// Attempts at the part, in order.
     pub attempts: Vec<Attempt>,
-    /// Time at which the answer was received.
+    /// Time at which the first answer to the part was received.
     pub answered_at: Option<Nanos>,
 }
 
 impl Part {
-    /// Creates a part that is requested and not attempted yet. A weight that is negative or not
-    /// finite counts as 0.
+    /// Creates a part of the first step that is requested and not attempted yet. A weight that is
+    /// negative or not finite counts as 0.
     #[must_use]
     pub fn new(id: PartId, shard: ShardId, weight: f64) -> Self {
         let weight = if weight.is_finite() {
@@ -86,7 +86,7 @@
         self.in_flight().next().is_some()
     }
 
-    /// Returns whether any attempt may have run: nothing proves that none did.
+    /// Returns whether any attempt may have run at its replica.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
@@ -139,11 +139,11 @@
     FirstStep,
     /// The first step is answered; the parts of the follow-up step are awaited or requested.
     FollowUp,
-    /// The query has its final answer, or its client has left.
+    /// The query was answered, rejected or failed, or its client disconnected.
     Closed,
 }
 
-/// Answer from the first step.
+/// The answer from the first step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FirstAnswer {
     /// Time of the answer.
@@ -163,7 +163,7 @@
     pub group: GroupId,
     /// Priority weight of the class, reduced if the query is beyond its tenant's quota.
     pub priority: f64,
-    /// Random draw, 0 to 1, that decides among queries of equal priority.
+    /// Random number, 0 to 1, by which queries of equal priority are admitted or rejected.
     pub admission_draw: f64,
     /// Stage of the query.
     pub stage: Stage,
@@ -175,15 +175,15 @@
     pub deadline: Nanos,
     /// Whether the query is sampled to measure answer quality.
     pub sampled: bool,
-    /// Answer from the first step, once it is given.
+    /// Answer from the first step; `None` until it is given.
     pub first_answer: Option<FirstAnswer>,
     /// Parts of both steps.
     pub parts: Vec<Part>,
 }
 
 impl Query {
-    /// Creates a query received at `now`: without parts or priority, due and with its deadline at
-    /// once, for the caller to set.
+    /// Creates a query received at `now`, without parts. The priority is 0, and `respond_by` and
+    /// `deadline` are `now`, until the caller sets them.
     #[must_use]
     pub fn new(id: QueryId, class: ClassId, group: GroupId, now: Nanos) -> Self {
         Query {
@@ -208,18 +208,18 @@
         self.stage != Stage::Closed
     }
 
-    /// Returns whether a part belongs to the present step.
+    /// Returns whether a part belongs to the current step.
     #[must_use]
     pub fn is_in_step(&self, part: &Part) -> bool {
         part.follow_up == (self.stage == Stage::FollowUp)
     }
 
-    /// Returns the parts of the present step.
+    /// Returns the parts of the current step.
     pub fn step_parts(&self) -> impl Iterator<Item = &Part> {
         self.parts.iter().filter(|part| self.is_in_step(part))
     }
 
-    /// Returns the answered weight of the present step.
+    /// Returns the sum of the weights of the answered parts in the current step.
     #[must_use]
     pub fn answered_weight(&self) -> f64 {
         self.step_parts()
@@ -228,19 +228,20 @@
             .sum()
     }
 
-    /// Returns whether the present step has parts and all of them are answered.
+    /// Returns whether the current step has parts and all of them are answered.
     #[must_use]
     pub fn all_answered(&self) -> bool {
         are_all_answered(self.step_parts())
     }
 
-    /// Returns whether the present step has requested parts and all of those are answered.
+    /// Returns whether the current step has requested parts and all of those are answered.
     #[must_use]
     pub fn all_requested_answered(&self) -> bool {
         are_all_answered(self.step_parts().filter(|part| part.requested))
     }
 }
 
+/// Returns whether there are parts and all of them are answered.
 fn are_all_answered<'a>(parts: impl Iterator<Item = &'a Part>) -> bool {
     let mut parts = parts.peekable();
     parts.peek().is_some() && parts.all(Part::is_answered)
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -1,4 +1,4 @@
-//! The query table and its records.
+//! Tests of the query table, its records, and the attempts in flight at a replica.
 
 use super::{
     Attempt, AttemptKey, AttemptsByAge, Part, PartPosition, Query, QueryNo, QueryTable, Stage,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn parts_go_to_the_latest_open_query_of_their_group() {
+fn parts_are_added_to_the_latest_open_query_of_their_group() {
     let mut table = QueryTable::default();
     table.insert(query(1, 7, 0));
     table.insert(query(2, 7, 0));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn parts_of_the_follow_up_step_are_told_apart_and_only_the_present_step_counts() {
+fn only_parts_of_the_current_step_count_as_answered() {
     let mut table = QueryTable::default();
     table.insert(query(1, 7, 0));
     table.add_part(GroupId(7), part(10, 0.75));
@@ -79,7 +79,10 @@
     assert!(first.all_answered());
     assert_eq!(first.answered_weight(), 0.75);
     first.stage = Stage::FollowUp;
-    assert!(!first.all_answered(), "no part of this step has come yet");
+    assert!(
+        !first.all_answered(),
+        "no part of this step was received yet"
+    );
     table.add_part(GroupId(7), part(11, 0.5));
     let query = table.get(number).expect("kept");
     assert_eq!(
@@ -90,14 +93,14 @@
 }
 
 #[test]
-fn a_part_that_is_not_requested_is_missing_only_from_the_complete_answer() {
+fn an_omitted_part_is_not_needed_for_all_requested_parts_to_be_answered() {
     let mut query = query(1, 7, 0);
     query.stage = Stage::FirstStep;
-    let mut asked = part(10, 0.5);
+    let mut requested = part(10, 0.5);
     let mut omitted = part(11, 0.5);
-    asked.answered_at = Some(5);
+    requested.answered_at = Some(5);
     omitted.requested = false;
-    query.parts = vec![asked, omitted];
+    query.parts = vec![requested, omitted];
     assert!(query.all_requested_answered() && !query.all_answered());
 }
 
@@ -153,14 +156,14 @@
 }
 
 #[test]
-fn a_weight_that_is_no_share_counts_as_nothing() {
+fn a_weight_that_is_negative_or_not_finite_counts_as_zero() {
     for weight in [f64::NAN, f64::INFINITY, -1.0] {
         assert_eq!(part(10, weight).weight, 0.0);
     }
 }
 
 #[test]
-fn parts_are_found_after_they_were_put_in_another_order() {
+fn parts_are_found_after_they_were_reordered_and_reindexed() {
     let mut table = QueryTable::default();
     table.insert(query(1, 7, 0));
     table.add_part(GroupId(7), part(10, 0.1));
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn closed_queries_are_removed_but_for_recent_samples() {
+fn closed_queries_are_removed_except_recent_samples() {
     let mut table = QueryTable::default();
     for (id, sampled, received_at) in [
         (1, false, 100),
@@ -213,11 +216,15 @@
         table.samples().map(|query| query.id.0).collect::<Vec<_>>(),
         [2]
     );
-    assert_eq!(table.parts.len(), 2, "their parts are gone with them");
+    assert_eq!(
+        table.parts.len(),
+        2,
+        "the parts of removed queries are removed"
+    );
 }
 
 #[test]
-fn attempts_at_a_replica_are_kept_by_age() {
+fn attempts_at_a_replica_are_ordered_by_age() {
     let key = |part| AttemptKey {
         part: PartId(part),
         attempt: AttemptNo(0),
--- a/src/stats/average.rs
+++ b/src/stats/average.rs
@@ -44,32 +44,33 @@
         }
     }
 
-    /// Returns the average at `now`: the distance to `baseline` halves with each `half_life`, in
-    /// ns, since the last record.
+    /// Returns the average at `now`. The distance to `baseline` halves with each `half_life`, in
+    /// ns, that has passed since a value was last recorded.
     #[must_use]
     pub fn value_at(&self, now: Nanos, half_life: f64, baseline: f64) -> f64 {
         let half_lives = (now - self.updated_at) as f64 / half_life;
         baseline + (self.average.value() - baseline) * 0.5f64.powf(half_lives)
     }
 
-    /// Records a sample; the decay since the last record is ignored.
+    /// Records a sample, and ignores the decay since a value was last recorded.
     pub fn record(&mut self, now: Nanos, sample: f64, gain: f64) {
         self.average.record(sample, gain);
         self.updated_at = now;
     }
 
-    /// Records a sample on top of the average as decayed towards 0 since the last record.
+    /// Applies the decay towards 0 since a value was last recorded, then records a sample.
     pub fn record_decayed(&mut self, now: Nanos, half_life: f64, sample: f64, gain: f64) {
         self.average = Ewma::new(self.value_at(now, half_life, 0.0));
         self.record(now, sample, gain);
     }
 
-    /// Records a lower bound of a sample: a lower average moves towards it, a higher one stays.
+    /// Records a lower bound of a sample: an average below it moves towards it, a higher one keeps
+    /// its value. The decay since a value was last recorded is ignored.
     pub fn record_lower_bound(&mut self, now: Nanos, bound: f64, gain: f64) {
         self.record(now, bound.max(self.average.value()), gain);
     }
 
-    /// Raises the average to `floor`, unless it is higher already.
+    /// Raises the average to `floor`, unless it is higher already, and restarts its decay.
     pub fn raise_to(&mut self, now: Nanos, floor: f64) {
         *self = DecayingAverage::new(self.average.value().max(floor), now);
     }
--- a/src/stats/backoff.rs
+++ b/src/stats/backoff.rs
@@ -13,14 +13,14 @@
 }
 
 impl Backoff {
-    /// Records a failure: the next probe is due after twice `base`, in ns, then four times, and so
-    /// on.
+    /// Records a failure. The next probe is due after `base`, in ns, times two to the power of the
+    /// number of consecutive failures, of which at most `MAX_DOUBLINGS` count.
     pub fn fail(&mut self, now: Nanos, base: f64) {
         self.failures += 1;
         self.due_at = now + (base * f64::from(1u32 << self.failures.min(MAX_DOUBLINGS))) as Nanos;
     }
 
-    /// Records a success, which ends the run of failures.
+    /// Records a success, which resets the number of consecutive failures.
     pub fn succeed(&mut self) {
         self.failures = 0;
     }
--- a/src/stats/budget.rs
+++ b/src/stats/budget.rs
@@ -3,7 +3,7 @@
 use super::{seconds, TimeWindow};
 use crate::interface::Nanos;
 
-/// Token bucket, which fills at a rate up to a burst; each request takes one token.
+/// Token bucket, which is refilled at a rate up to a maximum, the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     tokens: f64,
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Refills the bucket at `rate` tokens per second, up to `burst`, and takes one token; returns
-    /// whether there was one.
+    /// Refills the bucket at `rate` tokens per second, up to `burst` tokens, and takes one token.
+    /// Returns false if there was less than one.
     pub fn try_take(&mut self, now: Nanos, rate: f64, burst: f64) -> bool {
         let refill = seconds(now - self.refilled_at) * rate;
         self.tokens = (self.tokens + refill).min(burst);
@@ -34,7 +34,8 @@
     }
 }
 
-/// Budget that is a ratio of the events in a sliding window, such as retries per request.
+/// Budget for one kind of events that is a ratio of the number of another kind in a sliding window,
+/// such as retries per request.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct RatioBudget {
     earned: TimeWindow,
@@ -47,14 +48,14 @@
         self.earned.push(now, ());
     }
 
-    /// Records one event that spends from the budget, which may be overdrawn.
+    /// Records one event that spends from the budget. The budget may become negative.
     pub fn spend(&mut self, now: Nanos) {
         self.spent.push(now, ());
     }
 
-    /// Returns the budget left at `now`: `free`, plus `ratio` for each earning event within the
-    /// last `window`, less the events that spent. Events within `margin` of the edge of the window
-    /// count as spent but not as earned.
+    /// Returns the budget left at `now`: `free`, plus `ratio` for each event within the last
+    /// `window` that added to the budget, less the number of those that spent from it. Within
+    /// `margin` of the edge of the window, inside or outside, only the events that spent count.
     #[must_use]
     pub fn available(
         &self,
--- a/src/stats/control.rs
+++ b/src/stats/control.rs
@@ -21,8 +21,8 @@
 }
 
 impl VelocityPid {
-    /// Takes the error of one period, at most `max_error` in size, and returns the change of the
-    /// output.
+    /// Records the error of one period, in ns, and returns the change of the output. The caller
+    /// bounds the error to at most `max_error` in size.
     pub fn step(&mut self, gains: PidGains, error: f64, max_error: f64, period: Nanos) -> f64 {
         let change = (error - self.last_error) / max_error;
         let second_difference = error - 2.0 * self.last_error + self.error_before_last;
--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,8 +1,8 @@
 //! Statistics and primitives for the policy: moving averages, sliding windows, budgets, backoff and
 //! control.
 //!
-//! Nothing here decides. Times are [`Nanos`] of the caller's clock, passed with each call; random
-//! draws come from the caller's generator.
+//! The module makes no decisions. Times are [`Nanos`] of the caller's clock, passed with each call;
+//! random numbers come from the caller's generator.
 
 mod average;
 mod backoff;
@@ -23,14 +23,14 @@
 
 use crate::interface::Nanos;
 
-/// Draws from the exponential distribution with mean 1.
+/// Draws a random number from the exponential distribution with mean 1.
 #[must_use]
 pub fn exponential(rng: &mut fastrand::Rng) -> f64 {
     -rng.f64().max(f64::MIN_POSITIVE).ln()
 }
 
-/// Returns the highest mean of a Poisson count that stays under `limit` within `deviations`
-/// standard deviations.
+/// Returns the highest mean of a Poisson-distributed count for which `limit` is at least
+/// `deviations` standard deviations above the mean.
 #[must_use]
 pub fn safe_mean(limit: f64, deviations: f64) -> f64 {
     (((deviations * deviations / 4.0 + limit).sqrt() - deviations / 2.0).powi(2)).min(limit)
--- a/src/stats/shares.rs
+++ b/src/stats/shares.rs
@@ -1,4 +1,4 @@
-//! Balancing of load over groups that overlap.
+//! Balancing of load over the members of overlapping groups.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,12 @@
     pub share: f64,
 }
 
-/// Balances the load of each group over its members, so that all members have the same load for
-/// their capacity, as far as the groups overlap. The shares of a group then sum to 1.
+/// Balances the load of each group over its members, so that the load of every member is in
+/// proportion to its capacity, as far as the overlap of the groups allows. The shares of each group
+/// then sum to 1.
 ///
-/// The method is iterative proportional fitting from even shares: each round passes the excess of a
-/// member in one group on to the other groups.
+/// The method is iterative proportional fitting, starting from even shares: each round moves excess
+/// load of a member to the other members of its groups.
 ///
 /// # Panics
 /// If a member has no entry in `capacities`.
@@ -24,12 +25,12 @@
     capacities: &BTreeMap<K, f64>,
     rounds: usize,
 ) {
-    let numbers: BTreeMap<K, usize> = capacities.keys().copied().zip(0..).collect();
+    let indexes: BTreeMap<K, usize> = capacities.keys().copied().zip(0..).collect();
     let capacities: Vec<f64> = capacities.values().copied().collect();
-    let number = |share: &Share<K>| numbers[&share.member];
-    let members: Vec<Vec<usize>> = groups
+    let index_of = |share: &Share<K>| indexes[&share.member];
+    let member_indexes: Vec<Vec<usize>> = groups
         .iter()
-        .map(|group| group.iter().map(number).collect())
+        .map(|group| group.iter().map(index_of).collect())
         .collect();
     groups
         .iter_mut()
@@ -40,11 +41,11 @@
         for (share, member) in groups
             .iter()
             .flat_map(|group| group.iter())
-            .zip(members.iter().flatten())
+            .zip(member_indexes.iter().flatten())
         {
             load[*member] += share.share;
         }
-        for (group, members) in groups.iter_mut().zip(&members) {
+        for (group, members) in groups.iter_mut().zip(&member_indexes) {
             for (share, member) in group.iter_mut().zip(members) {
                 share.share *= (capacities[*member] / load[*member]).sqrt();
             }
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -1,4 +1,4 @@
-//! Each statistic on its own.
+//! Tests of each statistic and primitive.
 
 use super::{balance_shares, exponential, safe_mean, FallingRamp, PidGains, Share, VelocityPid};
 use super::{Backoff, DecayingAverage, Ewma, RatioBudget};
@@ -27,7 +27,7 @@
     assert_eq!(
         average.value_at(2 * SECOND, half_life, 100.0),
         90.0,
-        "a baseline above it draws it up"
+        "the average moves up to a higher baseline"
     );
 }
 
@@ -41,7 +41,7 @@
     assert_eq!(
         average.value_at(SECOND, 1.0, 0.0),
         70.0,
-        "half of 80 was left"
+        "the average of 40 (half of 80) and 100"
     );
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn raising_an_average_never_lowers_it_and_starts_its_decay_anew() {
+fn raising_an_average_never_lowers_it_and_restarts_its_decay() {
     for (floor, expected) in [(100.0, 100.0), (60.0, 80.0)] {
         let mut average = DecayingAverage::new(80.0, 0);
         average.raise_to(SECOND, floor);
@@ -64,27 +64,27 @@
 }
 
 #[test]
-fn a_token_bucket_gives_its_burst_at_once_and_then_its_rate() {
+fn a_token_bucket_allows_its_burst_at_once_and_then_its_rate() {
     let mut bucket = TokenBucket::new(1.0, 0);
     let take = |bucket: &mut TokenBucket, now| bucket.try_take(now, 2.0, 4.0);
     assert!(take(&mut bucket, 0));
     assert!(!take(&mut bucket, 0));
-    assert!(!take(&mut bucket, SECOND / 4), "half a token is none");
+    assert!(!take(&mut bucket, SECOND / 4), "half a token is not enough");
     assert!(
         take(&mut bucket, SECOND / 2),
-        "what was refused took nothing"
+        "a failed attempt takes no token"
     );
-    let after_long = (0..10).filter(|_| take(&mut bucket, 100 * SECOND)).count();
-    assert_eq!(after_long, 4, "the burst");
+    let taken = (0..10).filter(|_| take(&mut bucket, 100 * SECOND)).count();
+    assert_eq!(taken, 4, "a full bucket holds the burst");
 }
 
 #[test]
-fn a_ratio_budget_earns_within_its_window_and_is_never_optimistic_at_its_edge() {
+fn a_ratio_budget_counts_only_spent_events_at_the_edge_of_its_window() {
     let mut budget = RatioBudget::default();
     let available = |budget: &RatioBudget, second, margin| {
         budget.available(second * SECOND, 1.0, 0.5, 10 * SECOND, margin * SECOND)
     };
-    assert_eq!(available(&budget, 0, 0), 1.0, "what is free");
+    assert_eq!(available(&budget, 0, 0), 1.0, "the free budget");
     budget.earn(10 * SECOND);
     budget.earn(10 * SECOND);
     budget.spend(10 * SECOND);
@@ -92,21 +92,25 @@
     assert_eq!(
         available(&budget, 20, 1),
         0.0,
-        "spent counts to the window's far edge, earned to its near one"
+        "spent events count beyond the edge, earned ones not up to it"
+    );
+    assert_eq!(
+        available(&budget, 21, 0),
+        1.0,
+        "all events are older than the window"
     );
-    assert_eq!(available(&budget, 21, 0), 1.0, "all is past");
     budget.expire(21 * SECOND, 20 * SECOND);
     assert_eq!(
         available(&budget, 21, 5),
         0.0,
-        "what the span holds is kept"
+        "events within the span are kept"
     );
     budget.expire(21 * SECOND, 10 * SECOND);
     assert_eq!(available(&budget, 21, 5), 1.0);
 }
 
 #[test]
-fn a_time_window_counts_and_sums_what_is_recent() {
+fn a_time_window_counts_and_sums_recent_observations() {
     let mut window = TimeWindow::default();
     assert_eq!(
         (
@@ -123,7 +127,7 @@
     assert_eq!(
         window.count(now, 2 * SECOND),
         3,
-        "the edge belongs to the window"
+        "an observation at the edge is in the window"
     );
     assert_eq!(window.sum(now, 2 * SECOND), 9.0);
     assert_eq!(window.latest(), Some(now));
@@ -132,9 +136,9 @@
 }
 
 #[test]
-fn recent_values_rank_a_new_one_among_them() {
+fn a_new_value_is_ranked_among_the_recent_ones() {
     let mut recent = RecentValues::default();
-    assert_eq!(recent.rank(5.0, 0.5), 0.5, "the only one");
+    assert_eq!(recent.rank(5.0, 0.5), 0.5, "the only value");
     for value in [1.0, 2.0, 2.0] {
         recent.push(value, 3);
     }
@@ -143,11 +147,11 @@
     assert_eq!(recent.rank(2.0, 0.0), 0.25);
     assert_eq!(recent.rank(2.0, 1.0), 1.0);
     recent.push(9.0, 3);
-    assert_eq!(recent.rank(1.5, 0.0), 0.0, "the oldest is gone");
+    assert_eq!(recent.rank(1.5, 0.0), 0.0, "the oldest value was removed");
 }
 
 #[test]
-fn a_safe_mean_leaves_room_for_chance_under_its_limit() {
+fn a_safe_mean_stays_below_its_limit_by_the_given_deviations() {
     for limit in [0.5, 4.0, 100.0] {
         let mean = safe_mean(limit, 2.5);
         assert!(
@@ -168,7 +172,7 @@
 }
 
 #[test]
-fn a_pid_controller_gives_the_change_of_its_output() {
+fn a_pid_controller_returns_the_change_of_its_output() {
     let only = |proportional, integral, derivative| PidGains {
         proportional,
         integral,
@@ -180,13 +184,13 @@
         (only(0.0, 0.0, 0.5), [0.25, -0.25, -0.25]),
     ] {
         let mut pid = VelocityPid::default();
-        let given = [1.0, 1.0, 0.0].map(|error| pid.step(gains, error, 2.0, 2 * SECOND));
-        assert_eq!(given, changes, "{gains:?}");
+        let actual = [1.0, 1.0, 0.0].map(|error| pid.step(gains, error, 2.0, 2 * SECOND));
+        assert_eq!(actual, changes, "{gains:?}");
     }
 }
 
 #[test]
-fn a_falling_ramp_goes_from_one_to_nothing() {
+fn a_falling_ramp_falls_from_one_to_zero() {
     let ramp = FallingRamp { from: 0.5, to: 1.5 };
     assert_eq!(
         [0.0, 0.5, 0.75, 1.5, 9.0].map(|x| ramp.at(x)),
@@ -195,9 +199,9 @@
 }
 
 #[test]
-fn shares_are_balanced_over_groups_that_overlap() {
+fn shares_are_balanced_over_overlapping_groups() {
     let group = |members: [usize; 2]| members.map(|member| Share { member, share: 1.0 });
-    // Members 0 and 1 hold the first group, 1 and 2 the second; member 1 has less capacity.
+    // Members 0 and 1 form the first group, 1 and 2 the second; member 1 has less capacity.
     let mut first = group([0, 1]);
     let mut second = group([1, 2]);
     let capacities = BTreeMap::from([(0, 1.0), (1, 0.5), (2, 1.0)]);
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn a_backoff_doubles_with_each_failure_up_to_its_bound() {
+fn a_backoff_doubles_with_each_failure_up_to_a_maximum() {
     let mut backoff = Backoff::default();
     assert!(!backoff.is_failing() && backoff.is_due(0));
     for (failures, wait) in [(1, 200), (2, 400), (3, 800), (4, 1_600), (5, 1_600)] {
--- a/src/stats/window.rs
+++ b/src/stats/window.rs
@@ -10,7 +10,8 @@
     value: T,
 }
 
-/// Recent observations in order of time. A `TimeWindow<()>` only counts them.
+/// Recent observations in order of time. Those of a `TimeWindow<()>` have no value and are only
+/// counted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TimeWindow<T = ()> {
     observations: VecDeque<Observation<T>>,
@@ -60,15 +61,15 @@
     }
 }
 
-/// Last values of a sequence, among which new ones are ranked.
+/// Most recent values of a sequence, among which new values are ranked.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct RecentValues {
     values: VecDeque<f64>,
 }
 
 impl RecentValues {
-    /// Returns the share, 0 to 1, of the values that `value` exceeds; `tie_break`, 0 to 1, is the
-    /// position among equal ones.
+    /// Returns the rank of `value`: the share, 0 to 1, of the values that are lower. `tie_break`, 0
+    /// to 1, is its position among equal values.
     #[must_use]
     pub fn rank(&self, value: f64, tie_break: f64) -> f64 {
         let lower = self.values.iter().filter(|v| **v < value).count() as f64;
--- a/src/test_fixtures.rs
+++ b/src/test_fixtures.rs
@@ -1,8 +1,8 @@
-//! Values for unit tests of several modules.
+//! Fixtures for the unit tests of several modules.
 
 use crate::interface::{Class, Effect};
 
-/// Returns an idempotent class of this name.
+/// Returns an idempotent class with this name.
 pub(crate) fn class(name: &str) -> Class {
     Class {
         name: name.to_owned(),
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,8 @@
 //! Time outside the decision policy: whole microseconds of the monotonic clock, and the conversion
 //! to and from other clocks and units.
 //!
-//! The decision policy, the settings and the simulator's protocol have nanoseconds ([`Nanos`]); the
-//! coordinator, the limits, the fronts and the drivers have [`Micros`]. [`Micros::to_nanos`],
+//! The decision policy, the settings and the simulator's protocol use nanoseconds ([`Nanos`]); the
+//! coordinator, the limits, the fronts and the drivers use [`Micros`]. [`Micros::to_nanos`],
 //! [`Micros::from_nanos`] and [`Micros::from_nanos_rounded_up`] are the only conversions between
 //! them.
 //!
@@ -79,8 +79,8 @@
     }
 }
 
-/// The time at the start of a clock: one day, so that events shortly before the program's start
-/// have a time too.
+/// The time at the start of a clock: one day, so that events up to a day before the program's start
+/// have a time.
 const CLOCK_ORIGIN: Micros = Micros::from_secs(86_400);
 
 /// The monotonic clock.
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the conversions of time.
+//! Tests of the conversions between clocks and units of time.
 
 use super::*;
 
@@ -14,7 +14,7 @@
     assert_eq!(
         monotonic_start(1, 1_000_000, now),
         None,
-        "before the clock's start: long ago"
+        "before the origin of the monotonic clock"
     );
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Guards against a very long time that wraps to a short one.
+/// Guards against an overflow that turns a very long time into a short one.
 #[test]
 fn spans_beyond_the_longest_saturate() {
     assert_eq!(Micros::from_secs(u64::MAX), Micros(u64::MAX));
