--- a/src/interface/class.rs
+++ b/src/interface/class.rs
@@ -5,7 +5,7 @@
 /// Consequence of running a part more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat has no further effect: the part may be retried freely.
+    /// A repeat has no additional effect: the part may be retried freely.
     Idempotent,
     /// Replicas drop repeats within this time after the first attempt that may have run: the part
     /// may be retried within it.
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -97,9 +97,9 @@
         let by_wait = LOW_PRIORITY_ADMISSION.at(wait_share);
         let admitted_share = self.controller.admitted_share().min(by_wait);
         let below_admitted_rank = rank < 1.0 - admitted_share;
-        let worthless = query.priority <= 0.0;
+        let has_no_weight = query.priority <= 0.0;
         let beyond_class_share = query.admission_draw < 1.0 - class_share;
-        below_admitted_rank || worthless || beyond_class_share
+        below_admitted_rank || has_no_weight || beyond_class_share
     }
 
     /// Returns the share of the recent low-priority queries whose priority a query exceeds, and
--- a/src/policy/admission/omission.rs
+++ b/src/policy/admission/omission.rs
@@ -31,7 +31,7 @@
 }
 
 /// Omits light parts, the lightest first, as long as the weight left is at least the minimum share
-/// plus the admitted share of the rest. `parts` is sorted, the heaviest first.
+/// plus the admitted share of the weight above it. `parts` is sorted, the heaviest first.
 fn omit_light_parts(parts: &mut [Part], min_share: f64, admitted: f64) {
     let max_light_weight = LIGHT_PART_SHARE / parts.len().max(1) as f64;
     let wanted_weight = min_share + (1.0 - min_share) * admitted;
--- a/src/policy/answers/resolution.rs
+++ b/src/policy/answers/resolution.rs
@@ -54,8 +54,8 @@
 /// no weight.
 fn is_give_up_due(query: &Query, class: &Class, now: Nanos) -> bool {
     let is_past_deadline = now >= query.deadline;
-    let is_worthless = class.late_weight <= 0.0 && now >= query.respond_by;
-    is_past_deadline || is_worthless || is_unanswerable(query, class)
+    let is_late_without_weight = class.late_weight <= 0.0 && now >= query.respond_by;
+    is_past_deadline || is_late_without_weight || is_unanswerable(query, class)
 }
 
 /// Returns whether so many parts are lost that the query can no longer be answered.
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -31,9 +31,9 @@
 
 /// Returns the timeout of an attempt that is sent now.
 ///
-/// The timeout lasts until the query's deadline if a late answer is of use: in sampled queries, and
-/// where late answers have weight, unless low-priority queries are being rejected. Otherwise it
-/// lasts until the query must be answered, if that time is not past.
+/// The timeout lasts until the query's deadline if the query is late already, or if a late answer
+/// is of use: in sampled queries, and where late answers have weight, unless low-priority queries
+/// are being rejected. Otherwise it lasts until the query must be answered.
 pub fn attempt_timeout(query: &Query, is_shedding: bool, settings: &Settings, now: Nanos) -> Nanos {
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
     let late_answer_counts = settings.class(query.class).late_weight > 0.0;
--- a/src/policy/attempts/next_step.rs
+++ b/src/policy/attempts/next_step.rs
@@ -133,8 +133,9 @@
         .or_else(|| replicas.choose(target, &busy, settings, now))
 }
 
-/// Decides the next step for a part whose attempt in flight is overdue. Where hedging is not
-/// allowed, an idempotent attempt is cancelled first, and the part is retried afterwards.
+/// Decides the next step for a part whose attempt in flight is overdue. It is hedged if an answer
+/// is expected in time, or if it belongs to the follow-up step. Where hedging is not allowed, an
+/// idempotent attempt is cancelled first if that is possible, and the part is retried afterwards.
 fn hedge(
     query: &Query,
     part: &Part,
--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: estimates the health of a replica, and the wait to expect there, from its
-//! answers.
+//! Outlier detection: estimates the health of a replica, and the wait to expect there, from the
+//! outcomes of attempts.
 
 use crate::interface::{Class, Effect, Nanos, Outcome, Settings};
 use crate::policy::fleet::FleetStatistics;
@@ -143,8 +143,8 @@
     /// Returns the wait to expect at the replica, in ns.
     ///
     /// This is the longest of the decayed response time, the age of the oldest attempt in flight
-    /// and the queueing time of this coordinator's attempts in flight there, plus a penalty after
-    /// failures.
+    /// and the queueing time of this coordinator's attempts in flight there, plus a penalty while
+    /// the replica is ejected or due to be probed.
     pub fn expected_wait(
         &self,
         in_flight: &AttemptsByAge,
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -202,12 +202,12 @@
         table.abandon(QueryId(id)).expect("open");
     }
     table.remove_closed(50);
-    let left: Vec<u64> = table
+    let remaining: Vec<u64> = table
         .numbers()
         .filter_map(|n| table.get(n))
         .map(|query| query.id.0)
         .collect();
-    assert_eq!(left, [2, 4]);
+    assert_eq!(remaining, [2, 4]);
     assert_eq!(
         table.open().map(|query| query.id.0).collect::<Vec<_>>(),
         [4]
