--- a/src/policy/replicas/outlier.rs
+++ b/src/policy/replicas/outlier.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: estimates the health of a replica, and the wait to expect there, from its
-//! answers.
+//! Outlier detection: estimates the health of a replica, and the wait to expect there, from the
+//! outcomes of attempts.
 
 use crate::interface::{Class, Effect, Nanos, Outcome, Settings};
 use crate::policy::fleet::FleetStatistics;
@@ -124,7 +124,7 @@
         now: Nanos,
     ) -> Evidence {
         let answered_recently = now - self.last_success_at < objective;
-        let is_inconclusive =
+        let inconclusive =
             (ended.elapsed as f64) < fleet.latency.overdue_after() && answered_recently;
         let lost_on_idle_connection =
             ended.attempt.idle_connection && ended.silent && fleet.connections.idle_are_dropped();
@@ -133,9 +133,7 @@
             Outcome::Rejected => Evidence::FullQueue,
             Outcome::NotSent => Evidence::None,
             _ if lost_on_idle_connection => Evidence::None,
-            Outcome::Cancelled | Outcome::Reset | Outcome::Error if is_inconclusive => {
-                Evidence::None
-            }
+            Outcome::Cancelled | Outcome::Reset | Outcome::Error if inconclusive => Evidence::None,
             Outcome::ConnectFailed => Evidence::Silence,
             _ if ended.silent => Evidence::Silence,
             _ => Evidence::LowerBound,
@@ -145,8 +143,8 @@
     /// Returns the wait to expect at the replica, in ns.
     ///
     /// This is the longest of the decayed response time, the age of the oldest attempt in flight
-    /// and the queueing time of this coordinator's attempts in flight there, plus a penalty after
-    /// failures.
+    /// and the queueing time of this coordinator's attempts in flight there, plus a penalty while
+    /// the replica is ejected or due to be probed.
     pub fn expected_wait(
         &self,
         in_flight: &AttemptsByAge,
