--- a/src/coordinator/queries/pending.rs
+++ b/src/coordinator/queries/pending.rs
@@ -10,8 +10,8 @@
 /// The part of a client's timeout that is reserved for the network in both directions and for the
 /// turn. The policy adds its own margin for its ticks.
 pub(super) const NETWORK_MARGIN: Micros = Micros::from_millis(3);
-/// The time before the latency objective or the deadline from which on the end of a query counts as
-/// late: the policy ends a query some ticks before them.
+/// A query that ends less than this time before its latency objective or deadline counts as late,
+/// since the policy ends a query some ticks before them.
 const LATE_TOLERANCE: Micros = Micros::from_millis(25);
 
 /// A query that has no final answer yet.
--- a/src/coordinator/request.rs
+++ b/src/coordinator/request.rs
@@ -17,8 +17,8 @@
     pub token: Token,
     /// The id of the request at the servers and in logs. No two pending requests have the same one.
     pub request_id: Arc<str>,
-    /// The name of the class. The class's number may change while the request is on its way to the
-    /// coordinator.
+    /// The name of the class. The class's number may change before the coordinator receives the
+    /// request.
     pub class: Arc<str>,
     /// The tenant; 0 if the front does not distinguish tenants.
     pub tenant: TenantId,
--- a/src/limits/limiter.rs
+++ b/src/limits/limiter.rs
@@ -19,7 +19,7 @@
 /// The interval between baseline probes. The baseline of a server that always has a queue could not
 /// be measured otherwise.
 const PROBE_INTERVAL: Micros = Micros::from_secs(8);
-/// The divisor of the probe interval that gives the time from the first response to the first
+/// The divisor of the probe interval whose result is the time from the first response to the first
 /// probe.
 const FIRST_PROBE_DIVISOR: u64 = 8;
 /// The duration of a probe, as a multiple of the smoothed latency: the queue drains, and the
