--- a/src/degradation/validate.rs
+++ b/src/degradation/validate.rs
@@ -4,8 +4,8 @@
 use super::{Condition, DegradationTable, Effects, Level, Signal};
 use thiserror::Error;
 
-/// The minimum distance of `leave` below `enter`, as a share of `enter`: signals have noise of that
-/// size.
+/// The minimum distance of `leave` below `enter`, as a share of `enter`: the noise of signals has
+/// about this size.
 const MIN_HYSTERESIS: f64 = 0.15;
 /// The minimum of all durations of a level, in milliseconds: each signal is refreshed twice in this
 /// time.
@@ -28,22 +28,24 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum LevelFault {
     /// The name is empty, or an earlier level has it.
-    #[error("its name is empty or there twice")]
+    #[error("name is empty or not unique")]
     InvalidName,
     /// No condition can enter the level.
-    #[error("it is out of reach: no condition enters it")]
+    #[error("no condition enters the level")]
     NoCondition,
-    /// A duration is shorter than the interval at which signals are refreshed.
-    #[error("enter_ms, leave_ms and stay_ms must be {MIN_DURATION_MS} or more")]
+    /// A duration is too short for the interval at which signals are refreshed.
+    #[error("enter_ms, leave_ms or stay_ms is below {MIN_DURATION_MS}")]
     DurationTooShort,
-    /// A bound is not finite or has the wrong sign.
-    #[error("{signal}: enter and leave must be numbers, and enter above 0")]
+    /// A bound is not finite, the bound to enter is not above 0, or the bound to leave is below 0.
+    #[error("{signal}: enter is not above 0, leave is below 0, or one is not finite")]
     InvalidBounds {
         /// The signal of the condition.
         signal: Signal,
     },
     /// The bounds are so close that noise would make the level flap.
-    #[error("{signal}: between enter {enter} and leave {leave} noise would swing it")]
+    #[error(
+        "{signal}: leave {leave} is so close to enter {enter} that noise would make the level flap"
+    )]
     HysteresisTooSmall {
         /// The signal of the condition.
         signal: Signal,
@@ -52,29 +54,29 @@
         /// The bound to leave.
         leave: f64,
     },
-    /// The loss of quality is not grouped with another signal.
-    #[error("Lacking must not be believed alone: name another signal with the same `with`")]
+    /// The loss of quality is not grouped with another signal. By itself it is not reliable.
+    #[error("Lacking has no other signal with the same `with`")]
     UngroupedQualityLoss,
     /// The next milder level has the same condition with the same bound to enter or a higher one.
-    #[error("{signal}: it is entered by no more than the level below it")]
+    #[error("{signal}: enter is not above that of the next milder level")]
     NotAboveMilderLevel {
         /// The signal of the condition.
         signal: Signal,
     },
     /// An admitted share lies outside 0 to 1.
-    #[error("admit: shares must be from 0 to 1")]
+    #[error("a share in admit is not between 0 and 1")]
     InvalidAdmittedShare,
     /// The maximum of attempts is 0, or exceeds that of the settings.
-    #[error("most_attempts must be from 1 to {max}")]
+    #[error("most_attempts is not between 1 and {max}")]
     InvalidMaxAttempts {
         /// The maximum over all classes of the settings.
         max: u32,
     },
     /// The share of the latency objective lies outside 0 to 1, or is 0.
-    #[error("answer_after must be above 0 and at most 1")]
+    #[error("answer_after is not above 0 and at most 1")]
     InvalidAnswerAfter,
     /// The factor of `Retry-After` is too small or too large.
-    #[error("come_back must be from 1 to 60")]
+    #[error("come_back is not between 1 and 60")]
     InvalidRetryAfterFactor,
 }
 
@@ -103,7 +105,7 @@
     }
 }
 
-/// Checks the level's name, conditions and durations; `milder` are the levels before it.
+/// Checks the level's name, conditions and durations; `milder` contains the levels before it.
 fn check_level(level: &Level, milder: &[Level], faults: &mut Vec<LevelFault>) {
     if level.name.is_empty() || milder.iter().any(|other| other.name == level.name) {
         faults.push(LevelFault::InvalidName);
--- a/src/degradation/validate/tests.rs
+++ b/src/degradation/validate/tests.rs
@@ -73,14 +73,11 @@
 #[test]
 fn faults_of_a_level_are_described_by_the_keys_of_the_operators_file() {
     assert_texts([
-        (LevelFault::InvalidName, "its name is empty or there twice"),
-        (
-            LevelFault::NoCondition,
-            "it is out of reach: no condition enters it",
-        ),
+        (LevelFault::InvalidName, "name is empty or not unique"),
+        (LevelFault::NoCondition, "no condition enters the level"),
         (
             LevelFault::DurationTooShort,
-            "enter_ms, leave_ms and stay_ms must be 500 or more",
+            "enter_ms, leave_ms or stay_ms is below 500",
         ),
     ]);
 }
@@ -91,7 +88,7 @@
     assert_texts([
         (
             LevelFault::InvalidBounds { signal },
-            "Avoided: enter and leave must be numbers, and enter above 0",
+            "Avoided: enter is not above 0, leave is below 0, or one is not finite",
         ),
         (
             LevelFault::HysteresisTooSmall {
@@ -99,15 +96,15 @@
                 enter: 0.2,
                 leave: 0.19,
             },
-            "Avoided: between enter 0.2 and leave 0.19 noise would swing it",
+            "Avoided: leave 0.19 is so close to enter 0.2 that noise would make the level flap",
         ),
         (
             LevelFault::UngroupedQualityLoss,
-            "Lacking must not be believed alone: name another signal with the same `with`",
+            "Lacking has no other signal with the same `with`",
         ),
         (
             LevelFault::NotAboveMilderLevel { signal },
-            "Avoided: it is entered by no more than the level below it",
+            "Avoided: enter is not above that of the next milder level",
         ),
     ]);
 }
@@ -117,19 +114,19 @@
     assert_texts([
         (
             LevelFault::InvalidAdmittedShare,
-            "admit: shares must be from 0 to 1",
+            "a share in admit is not between 0 and 1",
         ),
         (
             LevelFault::InvalidMaxAttempts { max: 4 },
-            "most_attempts must be from 1 to 4",
+            "most_attempts is not between 1 and 4",
         ),
         (
             LevelFault::InvalidAnswerAfter,
-            "answer_after must be above 0 and at most 1",
+            "answer_after is not above 0 and at most 1",
         ),
         (
             LevelFault::InvalidRetryAfterFactor,
-            "come_back must be from 1 to 60",
+            "come_back is not between 1 and 60",
         ),
     ]);
 }
