--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -1,7 +1,8 @@
 //! The controller that moves between degradation levels.
 //!
-//! The level changes one step at a time. A step needs its conditions for a minimum duration, and a
-//! level has a minimum stay, which is longer if the level is entered again soon after it was left.
+//! Signals change the level by one step at a time. A level is entered once any of its conditions has
+//! been met for a minimum duration, and left once none has been met for another one. It also has a
+//! minimum stay, which is longer if the level is entered again soon after it was left.
 
 use super::{Condition, DegradationTable, Level, SignalReadings, SignalValue};
 use crate::time::Micros;
@@ -9,10 +10,10 @@
 
 /// The maximum age of a reading: an older one neither enters a level nor keeps it in force.
 const MAX_READING_AGE: Micros = Micros::from_secs(5);
-/// The number of transitions that are remembered.
+/// The maximum number of transitions in the history; older ones are dropped.
 const MAX_HISTORY: usize = 64;
-/// The time after a level was left in which entering it again counts as flapping. The level then
-/// lasts at least this time, so a flapping signal enters it at most once in this time.
+/// The time after a level was left in which entering it again counts as flapping. The minimum stay
+/// is then at least this time, so a flapping signal enters the level at most once in this time.
 const REENTRY_WINDOW: Micros = Micros::from_secs(300);
 /// The name of level 0.
 const FULL_SERVICE_NAME: &str = "full";
@@ -33,7 +34,7 @@
     pub pinned: bool,
 }
 
-/// The previous entries into one level.
+/// When one level was last left, and whether it was entered again soon after that.
 #[derive(Debug, Clone, Copy, Default)]
 struct EntryHistory {
     /// Whether the level was last entered within [`REENTRY_WINDOW`] after it had been left.
@@ -46,19 +47,20 @@
 #[derive(Debug, Clone)]
 pub struct DegradationController {
     table: DegradationTable,
-    /// The factor of all durations of this instance, 0.8 to 1.2, so that many instances do not
-    /// change levels at the same time.
+    /// The factor by which this instance scales all durations of the table, 0.8 to 1.2, so that
+    /// many instances do not change levels at the same time.
     jitter_factor: f64,
     /// The current level: 0 for full service, n for the table's level at index n - 1.
     level: usize,
+    /// The time when the current level was entered, or when the last pin ended.
     entered_at: Micros,
     /// The time since which the next level has been requested.
     enter_requested_since: Option<Micros>,
     /// The time since which the current level has not been requested.
     leave_requested_since: Option<Micros>,
-    /// The history of each level of the table.
+    /// The entry history of each level of the table.
     entry_histories: Vec<EntryHistory>,
-    /// The time until which an operator has pinned the level.
+    /// The time until which an operator has pinned the level; `None` if no pin is in force.
     pin_expires_at: Option<Micros>,
     history: VecDeque<Transition>,
 }
@@ -97,13 +99,13 @@
         }
     }
 
-    /// Returns the last transitions, the oldest first.
+    /// Returns the last transitions, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Transition> {
         self.history.iter()
     }
 
-    /// Moves to a level and stays there until the given time, whatever the signals are. A level
-    /// beyond the table stands for the last one.
+    /// Moves to a level and stays there until the given time, whatever the signals are. A number
+    /// beyond the table selects the last level.
     pub fn pin(&mut self, level: usize, until: Micros, now: Micros) {
         let level = level.min(self.table.levels.len());
         self.pin_expires_at = Some(until);
@@ -126,7 +128,7 @@
         None
     }
 
-    /// Returns whether a pin is in force. At its end all durations start anew.
+    /// Returns whether a pin is in force. When it has expired, all durations restart.
     fn is_pinned(&mut self, now: Micros) -> bool {
         let Some(until) = self.pin_expires_at else {
             return false;
@@ -227,8 +229,9 @@
     }
 }
 
-/// Returns the signals of the level's conditions that are met. `bound` selects the bound to enter
-/// or to leave. A condition of a group is met only if all of the group are.
+/// Returns the signals of the level's conditions that are met, with their values. `bound` selects
+/// the bound to enter or to leave. A condition of a group is met only if all conditions of the
+/// group are.
 fn met_conditions(
     level: &Level,
     readings: &SignalReadings,
@@ -252,7 +255,7 @@
     level.conditions.iter().filter_map(met).collect()
 }
 
-/// Returns the value of the condition's signal, if it has a recent one.
+/// Returns the condition's signal with its value, if it has a recent one.
 fn latest_value(
     condition: &Condition,
     readings: &SignalReadings,
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -13,8 +13,8 @@
     DegradationController::new(DegradationTable::built_in(), jitter, secs(1))
 }
 
-/// Evaluates the signals for this number of seconds, with the readings that `record` adds each
-/// time. Returns the number of transitions.
+/// Evaluates the signals from the time `from`, in seconds, for `seconds` seconds, with the readings
+/// that `record` adds before each evaluation. Returns the number of transitions.
 fn run(
     controller: &mut DegradationController,
     from: u64,
@@ -28,7 +28,10 @@
         record(now, &mut readings);
         let before = controller.level();
         let changed = controller.evaluate(&readings, now).is_some();
-        assert!(controller.level() <= before + 1, "one level up at a time");
+        assert!(
+            controller.level() <= before + 1,
+            "the level rises by one at a time"
+        );
         assert_eq!(changed, before != controller.level());
         transitions += usize::from(changed);
         now = now + EVALUATION_INTERVAL;
@@ -38,8 +41,8 @@
 
 #[test]
 fn a_signal_near_a_bound_causes_few_transitions() {
-    // Ten minutes at each bound and 2, 5 and 10% around it, with noise of each size: at most 2
-    // transitions in 5 minutes beyond the first.
+    // Runs ten minutes at each bound and at 2, 5 and 10% above and below it, with noise of each
+    // size. After the first transition, at most 2 are allowed in 5 minutes.
     let table = DegradationTable::built_in();
     for level in &table.levels {
         for condition in level
@@ -61,7 +64,8 @@
     }
 }
 
-/// The number of transitions in ten minutes of a signal with uniform noise, relative to its value.
+/// Returns the number of transitions in ten minutes of a signal with uniform noise; `noise` is the
+/// maximum deviation relative to `value`.
 fn transitions_with_noise(signal: Signal, value: f64, noise: f64) -> usize {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut controller = built_in_controller(0.5);
@@ -96,7 +100,7 @@
         readings.record(Signal::EjectedNodes, 0.9, now)
     });
     assert_eq!((controller.level(), controller.name()), (2, "essential"));
-    // The signal is not reported any more.
+    // The signal has no further readings.
     run(&mut controller, 30, 120, |_, _| {});
     assert_eq!(controller.level(), 0);
     let transitions: Vec<_> = controller
@@ -161,7 +165,11 @@
     });
     assert_eq!(controller.level(), 0);
     controller.pin(9, secs(400), secs(300));
-    assert_eq!(controller.level(), 2, "not beyond the table");
+    assert_eq!(
+        controller.level(),
+        2,
+        "a level beyond the table selects the last one"
+    );
 }
 
 #[test]
@@ -172,7 +180,13 @@
         run(&mut controller, 10, 10, |now, readings| {
             readings.record(Signal::EjectedNodes, 0.3, now)
         });
-        times.push(controller.history().next().expect("a transition").at);
+        times.push(
+            controller
+                .history()
+                .next()
+                .expect("the level has changed")
+                .at,
+        );
     }
     times.sort();
     let max_at_once = times
@@ -180,7 +194,10 @@
         .map(<[Micros]>::len)
         .max()
         .unwrap_or(0);
-    assert!(max_at_once <= 50, "{max_at_once} of 100 at the same time");
+    assert!(
+        max_at_once <= 50,
+        "{max_at_once} of 100 instances move at the same time"
+    );
 }
 
 /// A controller after some evaluations.
@@ -191,8 +208,8 @@
 }
 
 impl ExploredState {
-    /// Records the values, if any, and evaluates them a second later than the last ones. Checks the
-    /// step.
+    /// Returns the state after these values, if any, are recorded and evaluated, one second after
+    /// the previous evaluation. Checks the transition.
     fn after(&self, ejected: Option<f64>, retries: Option<f64>) -> ExploredState {
         let mut controller = self.controller.clone();
         let mut readings = self.readings.clone();
@@ -208,10 +225,13 @@
         let after = controller.level();
         assert!(
             after <= before + 1 && after + 1 >= before,
-            "one level at a time"
+            "the level changes by one at a time"
         );
         if let Some(raised) = transition.filter(|transition| transition.to > transition.from) {
-            assert!(!raised.causes.is_empty(), "nothing caused it");
+            assert!(
+                !raised.causes.is_empty(),
+                "a transition to a higher level has a cause"
+            );
         }
         ExploredState {
             controller,
@@ -220,7 +240,8 @@
         }
     }
 
-    /// Whatever happened before: with both signals calm, service is full after a while.
+    /// Checks that 400 evaluations with both signals at 0, two seconds apart, restore full service
+    /// from this state.
     fn check_recovery(mut self) {
         for evaluation in 0..400 {
             let now = secs(100 + 2 * evaluation);
@@ -228,7 +249,7 @@
             self.readings.record(Signal::RetryRate, 0.0, now);
             self.controller.evaluate(&self.readings, now);
         }
-        assert_eq!(self.controller.level(), 0, "stuck");
+        assert_eq!(self.controller.level(), 0, "full service is restored");
     }
 }
 
@@ -256,10 +277,10 @@
     }
 }
 
-/// Explores all states within small bounds: every sequence of the values of two signals, and of
-/// missing values.
+/// Explores sequences of five evaluations of two signals, with all combinations of values (missing
+/// ones included) in the first three, and two selected combinations in the others.
 #[test]
-fn every_sequence_of_values_moves_one_level_at_a_time_and_recovers() {
+fn explored_sequences_move_one_level_at_a_time_and_recover() {
     let table = two_level_table();
     assert_eq!(table.validate(4), []);
     let controller = DegradationController::new(table, 0.5, secs(1));
--- a/src/degradation/effects.rs
+++ b/src/degradation/effects.rs
@@ -9,14 +9,14 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Effects {
     /// The share of queries that are admitted, 0 to 1, by the name of their class; 1 for a class
-    /// that is not named.
+    /// without an entry.
     #[serde(rename = "admit")]
     pub admitted_shares: BTreeMap<String, f64>,
-    /// The maximum number of attempts at a part; `None` keeps that of the settings.
+    /// The maximum number of attempts at a part; `None` keeps the maximum of the settings.
     #[serde(rename = "most_attempts")]
     pub max_attempts: Option<u32>,
-    /// Whether parts that are late for their answer are cancelled. Otherwise a sample of them runs
-    /// on to measure latency.
+    /// Whether parts that are too late for the answer are all cancelled. Otherwise a sample of them
+    /// runs on to measure latency.
     #[serde(rename = "quiet")]
     pub skip_late_samples: bool,
     /// The share of the latency objective, 0 to 1, after which a class that allows partial answers
@@ -40,8 +40,8 @@
 }
 
 impl Effects {
-    /// Returns the settings with these effects. A level only restricts: it never allows more
-    /// attempts than the settings, nor a `Retry-After` beyond their maximum.
+    /// Returns the settings with these effects. A level only restricts service: it never allows
+    /// more attempts than the settings, nor a `Retry-After` beyond their maximum.
     #[must_use]
     pub fn apply_to(&self, settings: &Settings) -> Settings {
         let mut settings = settings.clone();
--- a/src/degradation/mod.rs
+++ b/src/degradation/mod.rs
@@ -1,8 +1,8 @@
 //! Graceful degradation: from signals of overload to a level of service, and from a level to its
 //! effects.
 //!
-//! This module owns the operators' table of levels, the controller that moves between levels, and
-//! the history of its transitions. It has no clock and no socket: callers pass the time and the
+//! This module contains the operators' table of levels, the controller that moves between levels,
+//! and the history of its transitions. It has no clock and no socket: callers pass the time and the
 //! readings. The decision policy carries out the effects, which reach it as settings
 //! ([`Effects::apply_to`]). Nothing in the program enters a level yet; `docs/design-degradation.md`
 //! lists the next steps.
--- a/src/degradation/signal.rs
+++ b/src/degradation/signal.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use std::fmt;
 
-/// A measure of overload or degradation. Each is a share or a ratio: the larger, the worse.
+/// A measure of overload or degradation. Each is a share or a ratio, and a larger value is worse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 pub enum Signal {
     /// Share of nodes that are ejected as outliers.
@@ -23,7 +23,7 @@
     /// Duration of one turn of the event loop, relative to the target for a turn.
     #[serde(rename = "turn_delay")]
     LoopDelay,
-    /// Parts in flight, relative to the number that the fleet has sustained.
+    /// Parts in flight, relative to the number that all nodes together have sustained.
     #[serde(rename = "out")]
     InFlightLoad,
     /// Attempts per part, minus 1.
@@ -60,7 +60,7 @@
 }
 
 impl fmt::Display for Signal {
-    /// Writes the name that messages to operators use.
+    /// Writes the name by which messages to operators refer to the signal.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Signal::EjectedNodes => "Avoided",
--- a/src/degradation/table.rs
+++ b/src/degradation/table.rs
@@ -1,7 +1,7 @@
 //! The table of degradation levels, in the form in which operators write it.
 //!
-//! Each field has the field's usual name here, and the key of the operators' file in its `serde`
-//! attribute.
+//! Where a field's name differs from its key in the operators' file, a `serde` attribute gives the
+//! key.
 
 use super::{Effects, Signal};
 use serde::Deserialize;
@@ -17,8 +17,8 @@
     /// The bound to leave the level: while the level is in force, the condition is met from this
     /// value on. The distance below `enter` is the hysteresis.
     pub leave: f64,
-    /// The group of the condition, which is met only together with all others of its group; `None`
-    /// for a condition that counts by itself.
+    /// The name of the condition's group. A condition is met only together with all others of its
+    /// group; `None` if it is met independently of the others.
     #[serde(rename = "with")]
     pub group: Option<String>,
 }
@@ -55,8 +55,9 @@
 }
 
 impl DegradationTable {
-    /// Returns the default table: service is reduced when a fifth of the nodes is ejected or many
-    /// attempts are retries, and limited to the essential when half of the nodes is ejected.
+    /// Returns the default table. Service is reduced when, among other conditions, a fifth of the
+    /// nodes is ejected or many attempts are retries, and limited to the essential when half of the
+    /// nodes is ejected.
     #[must_use]
     pub fn built_in() -> Self {
         DegradationTable {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Returns a condition that counts by itself.
+/// Returns a condition that is met independently of the others.
 fn ungrouped(signal: Signal, enter: f64, leave: f64) -> Condition {
     Condition {
         signal,
--- a/src/degradation/table/tests.rs
+++ b/src/degradation/table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the form of the operators' table.
+//! Tests of how the operators' file is parsed.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let text = "[[level]]\nname = \"reduced\"\nenter_ms = 1000\nleave_ms = 2000\nstay_ms = 3000\n\
         when = [{ signal = \"avoided\", enter = 0.3, leave = 0.1, with = \"jam\" }]\n\
         effects = { most_attempts = 2, admit = { lookup = 0.5 }, quiet = true, come_back = 3.0 }\n";
-    let table: DegradationTable = toml::from_str(text).expect("a table");
+    let table: DegradationTable = toml::from_str(text).expect("the table parses");
     assert_eq!(table.validate(4), []);
     let level = &table.levels[0];
     assert_eq!(
@@ -44,7 +44,7 @@
     ];
     for (key, signal) in keys.into_iter().zip(Signal::ALL) {
         let text = format!("signal = \"{key}\"\nenter = 0.3\nleave = 0.1\n");
-        let condition: Condition = toml::from_str(&text).expect("a condition");
+        let condition: Condition = toml::from_str(&text).expect("the condition parses");
         assert_eq!(condition.signal, signal);
     }
 }
