--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -88,8 +88,9 @@
     }
 
     /// Returns whether these attempts may be sent on this connection, which carries at most
-    /// `max_attempts` at a time. An attempt is not sent where the answer to an earlier attempt at
-    /// its part may still arrive: that answer would be taken for its own.
+    /// `max_attempts` at a time. An attempt may not be sent if the response to an earlier attempt
+    /// at its part may still arrive here: that response would be taken for the one to the new
+    /// attempt.
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
             && self.protocol.in_flight() + requests.len() <= max_attempts
--- a/src/net/timer.rs
+++ b/src/net/timer.rs
@@ -2,7 +2,7 @@
 //!
 //! The coroutine runtime's own timed wait can lose its wake-up: it starts its timer before the
 //! coroutine is registered where the timer looks for it. If the operating system suspends the
-//! thread in between for longer than the wait, the coroutine waits for ever. Coroutines therefore
+//! thread in between for longer than the wait, the coroutine waits forever. Coroutines therefore
 //! wait without a timeout, and this thread sends them a message at the set time.
 
 use crate::sync;
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -76,12 +76,14 @@
 }
 
 #[test]
-fn silent_agent_is_retried_before_the_coordinator_counts_as_notified() {
+fn timeout_and_delay_for_a_silent_agent_grow_within_bounds() {
+    // The watch must be opened again before the coordinator counts as notified of a change that the
+    // silent agent did not send.
     let mut agent = Backoff::new(1);
     let mut gap = agent.first_message_timeout(None);
     assert!(
         gap < Micros::from_secs(1),
-        "the first timeout is short: {gap:?}"
+        "the first timeout for an agent is short: {gap:?}"
     );
     for _ in 0..10 {
         let delay = Micros(agent.next_delay(false, None).as_micros() as u64);
