--- a/src/proto/admin.rs
+++ b/src/proto/admin.rs
@@ -1,32 +1,33 @@
-//! The protocol of the admin endpoint: each connection carries one command and its reply, a line
-//! each. The endpoint in `net::admin` owns the sockets and writes the replies.
+//! The protocol of the admin endpoint. Each connection carries one command, which is a line of text,
+//! and its reply. The endpoint in `net::admin` owns the sockets and writes the replies.
 
 use super::buffer::Buffer;
 
-/// The maximum length of a command's line, in bytes.
+/// The maximum length of a command, in bytes.
 const MAX_COMMAND_BYTES: usize = 256;
 
-/// A command of an operator.
+/// A command of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminCommand {
     /// `HEALTH`: asks whether this process can serve requests.
     Health,
     /// `DUMP`: asks for all metrics.
     Dump,
-    /// Any other line, including one that exceeds the maximum length.
+    /// Any other line, or a line that exceeds the maximum length.
     Unknown,
 }
 
-/// The receiving side of one connection of an operator.
+/// The receiving side of a caller's connection.
 #[derive(Debug, Default)]
 pub struct AdminConnection {
-    /// The buffer that reads from the socket fill.
+    /// The buffer for reads from the socket.
     pub input: Buffer,
 }
 
 impl AdminConnection {
-    /// Returns the command once its line is complete, which the end of the input (`input_ended`)
-    /// also does. Returns `None` if more input is needed, or if the input ended without a command.
+    /// Returns the command once its line is complete. A line is complete at its line feed, or at
+    /// the end of the input (`input_ended`). Returns `None` if more input is needed, or if the input
+    /// ended without a command.
     #[must_use]
     pub fn command(&self, input_ended: bool) -> Option<AdminCommand> {
         let data = self.input.data();
--- a/src/proto/body.rs
+++ b/src/proto/body.rs
@@ -8,10 +8,11 @@
 /// Bytes with several owners, such as a page in a cache.
 pub type SharedBytes = Arc<dyn AsRef<[u8]> + Send + Sync>;
 
-/// The size up to which adjacent owned segments are joined, in bytes: another system call costs more
-/// than the copy.
+/// The size up to which adjacent owned segments are joined, in bytes. Up to this size, the copy costs
+/// less than another system call.
 const MAX_JOINED_BYTES: usize = 16 * 1024;
-/// The size up to which shared ranges are copied, in bytes: a segment of its own costs more.
+/// The size up to which shared ranges are copied, in bytes. Up to this size, the copy costs less than
+/// a separate segment.
 const MAX_COPIED_BYTES: usize = 512;
 
 /// A contiguous part of a body.
@@ -38,7 +39,7 @@
     }
 }
 
-/// A queue of bytes, in segments.
+/// A queue of bytes, which is stored in segments.
 #[derive(Clone, Default)]
 pub struct Body {
     segments: VecDeque<Segment>,
@@ -83,7 +84,8 @@
     /// Appends another body, of which nothing may have been consumed.
     pub fn append(&mut self, mut other: Body) {
         debug_assert_eq!(other.consumed, 0, "only complete bodies are joined");
-        // The first segment is joined to the last one here, so that a small response is one write.
+        // The first segment of `other` is joined to the last one of `self`, so that a small response
+        // takes one write.
         let is_short = |segment: &Segment| matches!(segment, Segment::Owned(bytes) if bytes.len() <= MAX_JOINED_BYTES);
         if other.segments.front().is_some_and(is_short) {
             if let Some(Segment::Owned(first)) = other.segments.pop_front() {
@@ -107,7 +109,7 @@
         self.length == 0
     }
 
-    /// Returns the next contiguous bytes; empty only if none are left.
+    /// Returns the next contiguous bytes. They are empty only if no bytes are left.
     #[must_use]
     pub fn front(&self) -> &[u8] {
         self.segments
--- a/src/proto/body/tests.rs
+++ b/src/proto/body/tests.rs
@@ -34,6 +34,6 @@
     assert_eq!(
         Arc::strong_count(&shared),
         1,
-        "no reference is left once all is written"
+        "written bodies hold no references"
     );
 }
--- a/src/proto/fetch.rs
+++ b/src/proto/fetch.rs
@@ -1,5 +1,5 @@
-//! One HTTP request to a feature server and its response, which together are one attempt at a part.
-//! The driver in `net::feature_client` owns the connection.
+//! A fetch: one HTTP request to a feature server and its response. Each attempt at a part of a
+//! feature query is one fetch. The driver in `net::feature_client` owns the connection.
 
 use super::http::{Headers, ResponseReader};
 use crate::interface::Outcome;
@@ -45,7 +45,7 @@
 }
 
 impl Fetch {
-    /// Creates a fetch with this request and a response body of at most `max_body` bytes.
+    /// Creates a fetch with an encoded request and a response body of at most `max_body` bytes.
     #[must_use]
     pub fn new(request: Vec<u8>, max_body: usize) -> Self {
         Fetch {
@@ -61,8 +61,8 @@
         &self.request[self.written..]
     }
 
-    /// Records that `bytes` bytes of [`Fetch::output`] were written. Returns whether the last byte
-    /// was among them; the server may run the request from then on.
+    /// Records that `bytes` bytes of [`Fetch::output`] were written. Returns whether they included
+    /// the last byte of the request, after which the server may run it.
     pub fn record_written(&mut self, bytes: usize) -> bool {
         self.written += bytes;
         bytes > 0 && self.output().is_empty()
@@ -80,7 +80,7 @@
         self.output().is_empty()
     }
 
-    /// Processes the input in the reader's buffer.
+    /// Processes the input in the reader's buffer, and returns the progress of the fetch.
     pub fn advance(&mut self) -> Progress {
         match self.reader.advance() {
             Err(_) => Progress::Failed(Outcome::Error),
@@ -97,7 +97,7 @@
         self.on_connection_failed()
     }
 
-    /// Handles a connection that failed or was never established.
+    /// Handles a connection that failed or could not be established.
     pub fn on_connection_failed(&mut self) -> Progress {
         Progress::Failed(if self.may_have_run() {
             Outcome::Reset
--- a/src/proto/fetch/tests.rs
+++ b/src/proto/fetch/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of responses without a length.
+//! Tests of responses without a `Content-Length`.
 
 use super::*;
 
--- a/src/proto/http/connection.rs
+++ b/src/proto/http/connection.rs
@@ -1,4 +1,4 @@
-//! The server side of a connection: requests in, responses out, one at a time.
+//! The server side of a connection, which serves one request at a time.
 
 use super::framing::Framing;
 use super::request::{HttpRequest, RequestHead};
@@ -7,7 +7,7 @@
 use crate::proto::body::Body;
 use crate::proto::buffer::Buffer;
 
-/// The maximum length of the input behind a request in progress, in bytes.
+/// The maximum length of the input that follows a request in progress, in bytes.
 const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 
 /// The state of the connection.
@@ -20,15 +20,15 @@
         request: HttpRequest,
         framing: Framing,
     },
-    /// A request was handed out; the next one is not read before the response.
+    /// A request was returned to the owner. The next one is not parsed before the response.
     AwaitingResponse,
     /// No more requests are read.
     Closed,
 }
 
 /// The server side of one connection, without its socket. The owner fills [`input`](Self::input),
-/// takes requests from [`next_request`](Self::next_request), answers each by
-/// [`respond`](Self::respond), and writes [`output`](Self::output).
+/// takes requests from [`next_request`](Self::next_request), responds to each by
+/// [`respond`](Self::respond), and writes [`output`](Self::output) to the socket.
 #[derive(Debug)]
 pub struct ServerConnection {
     input: Buffer,
@@ -38,7 +38,7 @@
     max_body: usize,
     /// Whether the connection closes after the next response.
     close_after_response: bool,
-    /// Whether the connection closes as soon as no part of a request is here.
+    /// Whether the connection closes as soon as no request is in progress.
     draining: bool,
     /// Whether the request in progress is a `HEAD` request, whose response has no body.
     omit_body: bool,
@@ -73,8 +73,8 @@
         &mut self.input
     }
 
-    /// Returns whether more should be read. A client that pipelines without end, or does not read
-    /// its responses, must wait.
+    /// Returns whether the connection accepts more input. It does not while the client has sent too
+    /// much after the request in progress, or does not read its responses.
     #[must_use]
     pub fn accepts_input(&self) -> bool {
         self.input.data().len() < MAX_PIPELINED_BYTES
@@ -93,20 +93,21 @@
         self.input.capacity() + body + self.output.memory()
     }
 
-    /// Returns whether part of a request that has not been handed out was received.
+    /// Returns whether a request was received in part, or is complete but was not returned yet.
     #[must_use]
     pub fn has_partial_request(&self) -> bool {
         matches!(self.state, State::Body { .. }) || !self.input.data().is_empty()
     }
 
-    /// Returns whether a request that was handed out has no response yet.
+    /// Returns whether a request was returned by [`next_request`](Self::next_request) and has no
+    /// response yet.
     #[must_use]
     pub fn awaits_response(&self) -> bool {
         matches!(self.state, State::AwaitingResponse)
     }
 
-    /// Returns whether the connection is between requests: no part of the next one was received,
-    /// and nothing is to be written.
+    /// Returns whether the connection is between requests: no part of the next request was received,
+    /// and no output is left to write.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Head)
@@ -122,9 +123,9 @@
     }
 
     /// Returns whether the socket needs a lingering close: the client may still be sending, and
-    /// closing a socket with unread input sends a reset, which can destroy the response on its way.
-    /// A connection between requests needs none, since its client has sent nothing after its last
-    /// response.
+    /// closing a socket with unread input sends a reset, after which the client may lose a response
+    /// that it has not read yet. A connection between requests needs none, since its client has sent
+    /// nothing since its last response.
     #[must_use]
     pub fn needs_lingering_close(&self) -> bool {
         !self.input_ended && (matches!(self.state, State::Closed) || !self.input.data().is_empty())
@@ -136,8 +137,8 @@
         self.draining
     }
 
-    /// Closes the connection as soon as no request is in progress. A request of which part was
-    /// received is still served: otherwise its client would have to retry it, or count it as lost.
+    /// Closes the connection as soon as no request is in progress. A request that was received in
+    /// part is still served: otherwise its client would have to retry it, or count it as lost.
     pub fn close_when_idle(&mut self) {
         self.close_after_response = true;
         self.draining = true;
@@ -148,10 +149,10 @@
         self.input_ended = true;
     }
 
-    /// Discards the input behind a request in progress if it exceeds the maximum, and closes the
-    /// connection after the response. Returns the number of bytes discarded. Reading goes on, since
-    /// only a read shows that the client has disconnected, after which the request's attempts can
-    /// be cancelled.
+    /// Discards the input that follows a request in progress if it exceeds the maximum. The
+    /// connection then closes after the response. Returns the number of bytes discarded. Reading
+    /// continues, since only a read shows that the client has disconnected and that the attempts of
+    /// its request can be cancelled.
     pub fn discard_excess(&mut self) -> usize {
         let unread = self.input.data().len();
         if !self.awaits_response() || unread < MAX_PIPELINED_BYTES {
@@ -165,7 +166,7 @@
     /// Returns the next complete request, or the error that ends the connection. Returns `None` if
     /// more input is needed, while a request is in progress, and after an error.
     pub fn next_request(&mut self) -> Option<Result<HttpRequest, HttpError>> {
-        // An error is reported once: a response to each call would fill the memory.
+        // The error is reported once, since a response to each call would fill the memory.
         if matches!(self.state, State::Closed) {
             return None;
         }
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Responds to the request that was handed out, or to the error. Closes the connection
-    /// afterwards if `close` is set.
+    /// Responds to the request or the error that [`next_request`](Self::next_request) returned. The
+    /// connection closes after the response if `close` is set.
     pub fn respond(&mut self, response: Response, close: bool) {
         self.close_after_response |= close;
         self.output
@@ -203,7 +204,7 @@
         self.respond(response, true);
     }
 
-    /// Returns the next contiguous bytes to write; empty only if none are left.
+    /// Returns the next contiguous bytes to write. They are empty only if no bytes are left.
     #[must_use]
     pub fn output(&self) -> &[u8] {
         self.output.front()
@@ -214,7 +215,7 @@
         self.output.advance(count);
     }
 
-    /// Parses the input and returns the request if it is complete.
+    /// Parses the input, and returns the request if it is complete.
     fn read_request(&mut self) -> Result<Option<HttpRequest>, HttpError> {
         if matches!(self.state, State::Head) {
             self.read_head()?;
@@ -250,8 +251,8 @@
         Ok(())
     }
 
-    /// Stops reading once the client has closed its sending side, unless a request is in progress.
-    /// Returns an error if a request was cut off.
+    /// Stops reading if the client has closed its sending side and no request awaits its response.
+    /// Returns an error if a request was truncated.
     fn check_end_of_stream(&mut self) -> Option<HttpError> {
         if !self.input_ended || self.awaits_response() {
             return None;
--- a/src/proto/http/error.rs
+++ b/src/proto/http/error.rs
@@ -1,12 +1,11 @@
-//! Errors of received HTTP messages and the status codes that report them.
+//! Errors of received HTTP messages, and the status codes that report them.
 
 use thiserror::Error;
 
-/// The reason why a received message cannot be used. The variant's name is the text in responses
-/// and logs.
+/// The reason why a received message is rejected. Responses and logs contain the variant's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HttpError {
-    /// The message is not HTTP, or contradicts itself.
+    /// The message is not valid HTTP, or has contradictory header fields.
     #[error("Malformed")]
     Malformed,
     /// The header section is longer than [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has too many
@@ -19,10 +18,10 @@
     /// The transfer coding is not `chunked`.
     #[error("UnknownCoding")]
     UnknownCoding,
-    /// The connection ended in the middle of the message.
+    /// The connection ended before the message was complete.
     #[error("Truncated")]
     Truncated,
-    /// The message was not complete in time.
+    /// The message was not received completely in time.
     #[error("TooSlow")]
     TooSlow,
 }
--- a/src/proto/http/framing.rs
+++ b/src/proto/http/framing.rs
@@ -1,5 +1,5 @@
-//! The framing of bodies, whose end is given by a length, by the last chunk, or by the end of the
-//! connection (RFC 9112, sections 6 and 7).
+//! The framing of bodies (RFC 9112, sections 6 and 7). The end of a body is given by a length, by the
+//! last chunk, or by the end of the connection.
 
 use super::HttpError;
 use crate::proto::buffer::Buffer;
@@ -12,7 +12,7 @@
 /// The framing of a body and the state of reading it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// A body with a length, of which this many bytes are still to come.
+    /// A body with a length, of which this number of bytes has not been received yet.
     ContentLength(u64),
     /// A body in chunks, which ends after the last chunk and the trailer fields.
     Chunked(ChunkState),
@@ -25,7 +25,7 @@
 pub(super) enum ChunkState {
     /// The size line of a chunk.
     Size,
-    /// The data of a chunk, of which this many bytes are still to come.
+    /// The data of a chunk, of which this number of bytes has not been received yet.
     Data(u64),
     /// The line end after the data of a chunk.
     DataEnd,
@@ -49,8 +49,9 @@
         Framing::Chunked(ChunkState::Size)
     }
 
-    /// Moves the available part of the body from `buffer` to `body`, which may hold `max_body`
-    /// bytes. Returns whether the body is complete.
+    /// Moves the available part of the body from `buffer` to `body`, which may hold at most
+    /// `max_body` bytes. Returns whether the body is complete. The end of the connection completes a
+    /// [`Framing::CloseDelimited`] body, so it is never complete here.
     pub(super) fn read(
         &mut self,
         buffer: &mut Buffer,
@@ -151,8 +152,8 @@
     })
 }
 
-/// Moves at most `left` bytes and subtracts them from `left`. Fails in advance if the rest of the
-/// body would exceed `max_body`.
+/// Moves at most `left` bytes and subtracts their number from `left`. Fails before moving any byte if
+/// `body` would exceed `max_body` bytes with all that is left.
 fn move_counted(
     left: &mut u64,
     buffer: &mut Buffer,
@@ -170,7 +171,7 @@
     Ok(())
 }
 
-/// Moves all received bytes.
+/// Moves all received bytes. Fails if `body` would exceed `max_body` bytes.
 fn move_all(buffer: &mut Buffer, body: &mut Vec<u8>, max_body: usize) -> Result<(), HttpError> {
     let data = buffer.data();
     let length = data.len();
--- a/src/proto/http/headers.rs
+++ b/src/proto/http/headers.rs
@@ -1,4 +1,4 @@
-//! The header fields of a message, and the framing that they state.
+//! The header fields of a message, and the framing of the body that they specify.
 
 use super::framing::Framing;
 use super::HttpError;
@@ -16,7 +16,7 @@
 pub struct Headers(Vec<Header>);
 
 impl Headers {
-    /// Returns the value of the first field with that name, compared without case.
+    /// Returns the value of the first field with this name. Case is ignored.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
@@ -25,7 +25,7 @@
             .map(|header| header.value.as_str())
     }
 
-    /// Copies the fields out of the parser. Fails if a value is not UTF-8.
+    /// Copies the fields from the parser. Fails if a value is not valid UTF-8.
     pub(super) fn from_parsed(parsed: &[httparse::Header<'_>]) -> Result<Self, HttpError> {
         let mut headers = Vec::new();
         for header in parsed {
@@ -38,20 +38,22 @@
         Ok(Headers(headers))
     }
 
-    /// Returns the number of fields with that name.
+    /// Returns the number of fields with this name.
     pub(super) fn count(&self, name: &str) -> usize {
         self.values(name).count()
     }
 
-    /// Returns whether a field with that name lists the token, in a list separated by commas.
+    /// Returns whether a field with this name contains the token in its list, which is separated by
+    /// commas.
     pub(super) fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .flat_map(|value| value.split(','))
             .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Returns the framing of the body, if the fields state it. Contradicting statements are
-    /// rejected as a defect or an attempt at request smuggling (RFC 9112, section 6.3).
+    /// Returns the framing of the body, or `None` if the fields do not specify it. Rejects
+    /// contradictory fields, since they are a defect of the sender or an attempt at request smuggling
+    /// (RFC 9112, section 6.3).
     pub(super) fn framing(&self) -> Result<Option<Framing>, HttpError> {
         let mut codings = self.values("transfer-encoding");
         let mut lengths = self.values("content-length");
@@ -81,7 +83,7 @@
     }
 }
 
-/// Parses a `Content-Length`, which consists of digits: unlike [`str::parse`], a sign is rejected.
+/// Parses a `Content-Length`, which consists of digits. Unlike [`str::parse`], rejects a sign.
 fn parse_length(text: &str) -> Result<u64, HttpError> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::Malformed);
--- a/src/proto/http/mod.rs
+++ b/src/proto/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 (RFC 9112): the server side of a connection, and a reader of responses for the client
-//! side. Neither owns a socket.
+//! HTTP/1.1 (RFC 9112) without sockets: the server side of a connection, and a reader of responses
+//! for the client side.
 
 mod connection;
 mod error;
@@ -18,7 +18,7 @@
 
 /// The maximum length of a header section with its start line, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The default maximum length of a request's body, in bytes, which is the platform's limit.
+/// The default maximum length of a request's body, in bytes. The platform front uses it.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The maximum number of header fields in a message.
 const MAX_HEADERS: usize = 64;
--- a/src/proto/http/request.rs
+++ b/src/proto/http/request.rs
@@ -4,12 +4,12 @@
 use super::headers::Headers;
 use super::{HttpError, MAX_HEADERS, MAX_HEAD_BYTES};
 
-/// A request that was completely received.
+/// A request that was received completely.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct HttpRequest {
     /// The method, such as `GET`.
     pub method: String,
-    /// The request target: the path with the query.
+    /// The request target: the path and the query string.
     pub target: String,
     /// The header fields.
     pub headers: Headers,
@@ -32,8 +32,8 @@
 }
 
 impl RequestHead {
-    /// Parses a head. Returns `None` while it is incomplete. Fails if it announces a body of more
-    /// than `max_body` bytes.
+    /// Parses a head. Returns `None` if it is incomplete. Fails if it is malformed, exceeds a limit,
+    /// or announces a body of more than `max_body` bytes.
     pub(super) fn parse(data: &[u8], max_body: usize) -> Result<Option<Self>, HttpError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
@@ -49,7 +49,7 @@
             return Err(HttpError::BodyTooLarge);
         }
         let is_http_1_0 = parsed.version == Some(0);
-        // RFC 9112, section 3.2.
+        // RFC 9112, section 3.2: a request has exactly one Host field, which HTTP/1.0 may omit.
         let hosts = headers.count("host");
         if hosts > 1 || (hosts == 0 && !is_http_1_0) {
             return Err(HttpError::Malformed);
--- a/src/proto/http/response.rs
+++ b/src/proto/http/response.rs
@@ -22,7 +22,7 @@
     pub status: u16,
     /// The media type of the body; empty if there is no `Content-Type`.
     pub content_type: &'static str,
-    /// The additional header fields, in the order written.
+    /// The additional header fields, in the order in which they are written.
     pub headers: Vec<ResponseHeader>,
     /// The body.
     pub body: Body,
@@ -57,7 +57,8 @@
             .map(|header| header.value.as_str())
     }
 
-    /// Encodes the head; `close` announces that the connection closes after the response.
+    /// Encodes the head. If `close` is set, it announces that the connection closes after the
+    /// response.
     pub(super) fn encode_head(&self, close: bool) -> String {
         let mut head = String::with_capacity(HEAD_CAPACITY);
         let _ = write!(
@@ -76,7 +77,8 @@
             head.push_str("Connection: close\r\n");
         }
         if self.status != 304 {
-            // RFC 9110, section 8.6: a 304 may only state the length of the 200 response.
+            // RFC 9110, section 8.6: the Content-Length of a 304 response is the length of the body
+            // that a 200 response would have.
             let _ = write!(head, "Content-Length: {}\r\n", self.body.len());
         }
         head.push_str("\r\n");
--- a/src/proto/http/response_reader.rs
+++ b/src/proto/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! The client side: a reader of one response.
+//! The client side of a connection: a reader of one response.
 
 use super::framing::Framing;
 use super::headers::Headers;
@@ -16,7 +16,7 @@
     pub reusable: bool,
 }
 
-/// A response whose head was received.
+/// A response of which at least the head was received.
 #[derive(Debug)]
 struct PartialResponse {
     head: ResponseHead,
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the response is not HTTP or exceeds a maximum length.
+    /// Fails if the response is not valid HTTP or exceeds a maximum length.
     pub fn advance(&mut self) -> Result<bool, HttpError> {
         if self.response.is_none() {
             self.response = self.read_head()?;
@@ -78,7 +78,7 @@
         self.response.as_ref().map(|response| &response.head)
     }
 
-    /// Records the end of the connection, which completes a body without a length. Returns whether
+    /// Handles the end of the connection, which completes a body without a length. Returns whether
     /// the response is complete.
     pub fn on_end_of_stream(&mut self) -> bool {
         let framing = self.response.as_ref().map(|response| response.framing);
--- a/src/proto/http/tests.rs
+++ b/src/proto/http/tests.rs
@@ -1,20 +1,20 @@
-//! Tests of the server side of a connection and of the reader of responses.
+//! Tests of the server side of a connection, and of the reader of responses.
 
 use super::*;
 
-/// Returns what a server connection makes of these bytes.
+/// Returns the result of parsing these bytes on a server connection.
 fn parse_request(bytes: &str) -> Option<Result<HttpRequest, HttpError>> {
     let mut server = ServerConnection::default();
     server.input().extend(bytes.as_bytes());
     server.next_request()
 }
 
-/// Returns the bytes that the server side writes for a response to a request.
+/// Returns the text that a server connection writes as the response to a request.
 fn encode_response(request: &str, response: Response) -> String {
     let mut server = ServerConnection::default();
     server.input().extend(request.as_bytes());
-    let request = server.next_request().expect("complete");
-    request.expect("well formed");
+    let request = server.next_request().expect("the request is complete");
+    request.expect("the request is well formed");
     server.respond(response, false);
     let mut bytes = Vec::new();
     while !server.output().is_empty() {
@@ -22,11 +22,11 @@
         let count = server.output().len();
         server.advance_output(count);
     }
-    String::from_utf8(bytes).expect("text")
+    String::from_utf8(bytes).expect("the response is text")
 }
 
-/// Guards against a 304 that states the length of an empty body: only the length of the 200
-/// response may be stated (RFC 9110, section 8.6).
+/// Guards against a `Content-Length` of 0 in a 304 response: the field must be the length of the body
+/// that a 200 response would have (RFC 9110, section 8.6).
 #[test]
 fn response_with_status_304_has_no_content_length() {
     let text = encode_response(
@@ -42,7 +42,8 @@
     assert!(text.contains("Content-Length: 0\r\n"), "{text}");
 }
 
-/// Guards against reason phrases of no meaning (RFC 9110, section 15).
+/// Guards against the placeholder for an unlisted status in place of its reason phrase (RFC 9110,
+/// section 15).
 #[test]
 fn status_line_has_the_reason_phrase_of_its_status() {
     for (status, phrase) in [(409, "Conflict"), (412, "Precondition Failed")] {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Guards against requests that name no host or several (RFC 9112, section 3.2).
+/// Guards against accepting a request with no `Host` field or with several (RFC 9112, section 3.2).
 #[test]
 fn request_must_have_exactly_one_host_header() {
     let status = |text| parse_request(text).map(|request| request.map_err(HttpError::status).err());
@@ -67,8 +68,8 @@
     assert_eq!(status(twice), Some(Some(400)));
 }
 
-/// Guards against an interim response that a client of HTTP/1.0 cannot read (RFC 9110, section
-/// 10.1.1).
+/// Guards against an interim response to an HTTP/1.0 client, which cannot parse it (RFC 9110,
+/// section 10.1.1).
 #[test]
 fn http_1_0_client_gets_no_interim_response() {
     let output = |version: &str| {
@@ -78,13 +79,13 @@
         );
         server.input().extend(head.as_bytes());
         assert!(server.next_request().is_none());
-        String::from_utf8(server.output().to_vec()).expect("text")
+        String::from_utf8(server.output().to_vec()).expect("the output is text")
     };
     assert_eq!(output("1.1"), "HTTP/1.1 100 Continue\r\n\r\n");
     assert_eq!(output("1.0"), "");
 }
 
-/// Returns the error of a response whose head has these fields, if it has one.
+/// Returns the error of parsing a response with these header fields, if there is one.
 fn response_error(fields: &str) -> Option<HttpError> {
     let mut reader = ResponseReader::new(MAX_BODY_BYTES);
     let head = format!("HTTP/1.1 200 OK\r\n{fields}Content-Length: 0\r\n\r\n");
@@ -92,7 +93,7 @@
     reader.advance().err()
 }
 
-/// Guards against a head beyond the limits that is accepted since it arrives at once.
+/// Guards against accepting a head that exceeds a limit but arrives in one read.
 #[test]
 fn response_head_that_exceeds_a_limit_is_rejected() {
     assert_eq!(response_error("Vary: x\r\n"), None);
