--- a/src/proto/frames/attempts.rs
+++ b/src/proto/frames/attempts.rs
@@ -1,14 +1,15 @@
-//! The table of the attempts on one connection: maps the coordinator's keys to the ids that the
-//! node knows, and back.
+//! The table of the attempts on one connection, which maps the coordinator's keys to the ids in the
+//! frames, and back.
 
 use crate::coordinator::AttemptKey;
 use std::collections::{HashMap, VecDeque};
 
-/// The maximum number of ids of ended attempts that are kept to recognise late and duplicate
+/// The maximum number of ids of ended attempts that are kept, to recognise late and duplicate
 /// answers.
 const MAX_RETIRED_IDS: usize = 256;
 
-/// The attempts in flight on a connection, and the ids of those that ended.
+/// The attempts in flight on a connection, which include queued ones, and the ids of attempts that
+/// have ended.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
     /// The attempts in flight by their ids.
@@ -62,7 +63,7 @@
         self.ids.contains_key(&key)
     }
 
-    /// Adds an attempt that is to be written. Replaces an attempt with the same id.
+    /// Adds an attempt that is to be written. Replaces an attempt in flight with the same id.
     pub(super) fn insert(&mut self, key: AttemptKey, id: String) {
         self.ids.insert(key, id.clone());
         let attempt = InFlightAttempt {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Removes an attempt and returns its id at the node.
+    /// Removes an attempt and returns its id.
     pub(super) fn remove(&mut self, key: AttemptKey) -> Option<String> {
         let id = self.ids.remove(&key)?;
         self.in_flight.remove(&id);
@@ -107,7 +108,7 @@
         self.in_flight.values().any(|attempt| attempt.fully_written)
     }
 
-    /// Records an answer and removes the attempt that it belongs to from those in flight.
+    /// Records an answer with this id. If it belongs to an attempt in flight, that attempt has ended.
     pub(super) fn record_answer(&mut self, id: &str) -> AnsweredAttempt {
         if let Some(attempt) = self.in_flight.remove(id) {
             self.ids.remove(&attempt.key);
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Keeps the id of an attempt that has ended, with whether it was answered. Drops the oldest id
-    /// where there are too many.
+    /// Keeps the id of an attempt that has ended, and whether it was answered. Drops the oldest id if
+    /// there are too many.
     pub(super) fn retire(&mut self, id: String, answered: bool) {
         self.retired.retain(|retired| retired.id != id);
         self.retired.push_back(RetiredId { id, answered });
--- a/src/proto/frames/codec.rs
+++ b/src/proto/frames/codec.rs
@@ -3,7 +3,8 @@
 use crate::coordinator::{AttemptEnd, AttemptRequest};
 use crate::interface::Outcome;
 
-/// The maximum length of a frame from a data node, in bytes: the largest value and its line.
+/// The maximum length of a frame from a data node, in bytes: that of the longest value and of the
+/// line before it.
 const MAX_FRAME_BYTES: usize = 64 * 1024 + 1024;
 /// The size of a frame's length field, in bytes.
 const LENGTH_BYTES: usize = 4;
@@ -20,40 +21,40 @@
     pub(super) const CANCEL: u8 = b'c';
     /// The answer to an attempt.
     pub(super) const ANSWER: u8 = b'a';
-    /// An error: the node could not use a frame and closes the connection.
+    /// An error: the node has rejected a frame and closes the connection.
     pub(super) const ERROR: u8 = b'e';
-    /// A health check or its answer; the coordinator sends none.
+    /// A health check or its result. The coordinator sends no health checks.
     pub(super) const HEALTH_CHECK: u8 = b'p';
-    /// A request for a load report, or its answer; the coordinator sends none.
+    /// A request for a load report, or the report. The coordinator sends no such requests.
     pub(super) const LOAD_REPORT: u8 = b'l';
 }
 
-/// The reason why bytes from a data node cannot be used. The connection is closed.
+/// The reason why bytes from a data node are rejected, after which the connection is closed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The length of a frame is zero or exceeds the maximum.
-    #[error("a frame of {0} bytes")]
+    #[error("frame length of {0} bytes is zero or exceeds the maximum")]
     InvalidLength(usize),
     /// The letter of a frame denotes no known kind.
-    #[error("unknown letter {0:?}")]
+    #[error("unknown frame letter {0:?}")]
     UnknownLetter(char),
-    /// The node rejected a frame, for this reason.
-    #[error("refused: {0}")]
+    /// The node rejected a frame for this reason.
+    #[error("data node rejected a frame: {0}")]
     Rejected(String),
     /// The first line of an answer has no end.
-    #[error("an answer with no end of its line")]
+    #[error("answer has an unterminated first line")]
     UnterminatedLine,
     /// The first line of an answer has too few fields, or is not UTF-8.
-    #[error("an answer with a line that cannot be read")]
+    #[error("answer has a malformed first line")]
     MalformedLine,
     /// The score of an answer is not a finite number, or the value is not plain text.
-    #[error("an answer with a score or a value that cannot be read")]
+    #[error("answer has a malformed score or value")]
     MalformedValue,
-    /// The result code of an answer is not known.
-    #[error("an answer with the unknown end {0:?}")]
+    /// The answer states an unknown end of its attempt.
+    #[error("answer has the unknown end {0:?}")]
     UnknownEnd(String),
     /// The answer belongs to no attempt that was sent on the connection.
-    #[error("an answer to what never went out")]
+    #[error("answer to an attempt that was never sent on this connection")]
     UnknownAttempt,
 }
 
@@ -69,26 +70,26 @@
 pub(super) enum FrameContent<'a> {
     /// The answer to an attempt.
     Answer(AttemptAnswer<'a>),
-    /// A frame that the coordinator never requests, which is harmless.
+    /// A frame of a kind that the coordinator does not use.
     Ignored,
 }
 
 /// The answer to one attempt.
 pub(super) struct AttemptAnswer<'a> {
-    /// The id of the attempt at the node.
+    /// The id of the attempt.
     pub(super) id: &'a str,
     /// The end of the attempt.
     pub(super) end: AttemptEnd,
 }
 
-/// Returns the id of an attempt at its node. All attempts at a part have the same id.
+/// Returns the id of an attempt in frames. All attempts at a part have the same id.
 pub(super) fn attempt_id(request: &AttemptRequest) -> String {
     format!("{}.{}", request.request_id, request.shard.0)
 }
 
 /// Appends one attempt to the payload of a query frame.
 pub(super) fn encode_attempt(id: &str, request: &AttemptRequest, payload: &mut Vec<u8>) {
-    // Rounded up: the node must not time out before the coordinator does.
+    // The timeout is rounded up, so that the node does not time out before the coordinator.
     let timeout_ms = request.timeout.0.div_ceil(MICROS_PER_MILLI);
     let line = format!(
         "{id} {} d={timeout_ms} {}\n",
@@ -123,8 +124,7 @@
     frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Decodes the frame at the front of the received bytes. Returns `None` while the frame is
-/// incomplete.
+/// Decodes the first frame of the received bytes. Returns `None` if the frame is incomplete.
 pub(super) fn decode(data: &[u8]) -> Result<Option<IncomingFrame<'_>>, FrameError> {
     let Some(length) = data.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -153,9 +153,9 @@
     }))
 }
 
-/// Decodes an answer: a line with id, end, score and load report, then the value. Anything
-/// malformed invalidates the answer, since only a value exactly as the node made it may reach a
-/// client. Only the load report is not checked, since nothing depends on it.
+/// Decodes an answer: a line with the id, the end of the attempt, the score and the load report, and
+/// after it the value. An answer with a malformed field is rejected, since no corrupted value may
+/// reach a client. Only the load report is not checked, since it is not used.
 fn decode_answer(payload: &[u8]) -> Result<AttemptAnswer<'_>, FrameError> {
     let line_end = payload
         .iter()
@@ -178,8 +178,9 @@
     Ok(AttemptAnswer { id, end })
 }
 
-/// Returns the value if the score is valid and the value has no control characters. Where a wrong
-/// length joins two frames, the value contains the header of the second one.
+/// Returns the value if it is UTF-8 without control characters and the score is valid. If a corrupted
+/// length joins two frames, the value contains the header of the second frame, which has control
+/// characters.
 fn checked_value<'a>(score: &str, value: &'a [u8]) -> Result<&'a [u8], FrameError> {
     let score_valid = score.parse::<f64>().is_ok_and(f64::is_finite);
     let is_plain_text = |text: &str| !text.contains(char::is_control);
--- a/src/proto/frames/connection.rs
+++ b/src/proto/frames/connection.rs
@@ -12,7 +12,8 @@
 /// An event of an attempt, caused by bytes that were written or read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEvent {
-    /// The first bytes of the attempt's frame were written, so that it can no longer be reclaimed.
+    /// The first byte of the attempt's frame was written, so that the frame can no longer be
+    /// reclaimed.
     WriteStarted(AttemptKey),
     /// The last byte of the attempt's frame was written.
     FullyWritten(AttemptKey),
@@ -51,7 +52,7 @@
     }
 
     /// Cancels an attempt. If no byte of its frame has been written, the attempt is removed from
-    /// the frame; otherwise the node is told to cancel it.
+    /// the frame; otherwise a frame that cancels it is queued.
     pub fn cancel(&mut self, key: AttemptKey) {
         let Some(id) = self.attempts.remove(key) else {
             return;
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Returns whether an earlier attempt at this part was cancelled here and may still be
-    /// answered. That answer would be taken for one to the new attempt, which has the same id. Were
-    /// it a rejection or an error, the part would be sent a third time while the second attempt is
-    /// in flight.
+    /// Returns whether an earlier attempt at this part was cancelled on this connection and may
+    /// still be answered. Its answer would be mistaken for that to the new attempt, which has the
+    /// same id. If it were a rejection or an error, the part would be sent a third time while the
+    /// second attempt is still in flight.
     #[must_use]
     pub fn awaits_late_answer(&self, request: &AttemptRequest) -> bool {
         request.key.attempt.0 > 0
@@ -82,7 +83,8 @@
                 .awaits_late_answer(&codec::attempt_id(request))
     }
 
-    /// Reclaims every frame of which no byte has been written: a draining node gets nothing new.
+    /// Reclaims every frame of which no byte has been written, since a draining node receives no new
+    /// attempts. Their attempts end with [`Outcome::NotSent`].
     pub fn reclaim_unwritten(&mut self, events: &mut Vec<AttemptEvent>) {
         let (reclaimed, kept): (Vec<_>, Vec<_>) = self
             .output
@@ -138,7 +140,7 @@
     /// Processes the input buffer and returns the number of complete frames in it.
     ///
     /// # Errors
-    /// Fails if a frame cannot be used. The events of the frames before it are valid.
+    /// Fails if a frame is invalid. The events of the frames before it are valid.
     pub fn process_input(&mut self, events: &mut Vec<AttemptEvent>) -> Result<usize, FrameError> {
         let mut complete_frames = 0;
         while let Some(frame) = codec::decode(self.input.data())? {
@@ -157,10 +159,10 @@
         !self.input.data().is_empty()
     }
 
-    /// Prepares the queued frames for another connection after this one has ended, and returns
-    /// whether they may be sent there. They may not if the node may have run an attempt in flight;
-    /// otherwise every frame starts again. No part must fail because a node closed an idle
-    /// connection.
+    /// Prepares the frames for another connection after this one has ended, so that no part fails
+    /// because a node closed an idle connection. Every frame is written again from its first byte.
+    /// Returns `false` and changes nothing if the node may have run an attempt in flight, or if none
+    /// is in flight.
     pub fn restart_unsent(&mut self) -> bool {
         if self.attempts.is_empty() || self.attempts.any_fully_written() {
             return false;
@@ -175,8 +177,8 @@
         true
     }
 
-    /// Ends every attempt after the connection has ended or could not be established. Only an
-    /// attempt whose last byte was written can have run.
+    /// Ends every attempt after the connection has ended or could not be established. The node can
+    /// only have run an attempt whose last byte was written.
     pub fn fail_all(&mut self, events: &mut Vec<AttemptEvent>) {
         self.output.clear();
         for attempt in self.attempts.drain() {
@@ -211,9 +213,9 @@
     }
 }
 
-/// Returns the event of an answer to an attempt in flight. A duplicate, and the answer to a
-/// cancelled attempt, are ignored. An answer to an attempt that was never sent here must be the
-/// corrupted answer to another attempt, whose own answer will not come: that is an error.
+/// Returns the event of an answer to an attempt in flight. Duplicate answers and answers to cancelled
+/// attempts are ignored. An answer to an attempt that was never sent on this connection is an error:
+/// its id must be corrupted, and the attempt to which it belongs would get no other answer.
 fn accept_answer(
     attempts: &mut AttemptTable,
     answer: AttemptAnswer<'_>,
--- a/src/proto/frames/mod.rs
+++ b/src/proto/frames/mod.rs
@@ -1,8 +1,8 @@
 //! The protocol of the data nodes: binary frames on a connection that multiplexes many attempts.
 //! The driver in `net::node_client` owns the socket.
 //!
-//! A frame is a 32-bit big-endian length, a letter for the frame's kind, and the payload. The
-//! length counts the letter and the payload.
+//! A frame consists of a 32-bit big-endian length, a letter that denotes the frame's kind, and the
+//! payload. The length is that of the letter and the payload, in bytes.
 
 mod attempts;
 mod codec;
--- a/src/proto/frames/outgoing.rs
+++ b/src/proto/frames/outgoing.rs
@@ -1,4 +1,5 @@
-//! The queue entries of a connection: frames that are to be written, and the attempts in them.
+//! The entries of a connection's output queue: frames that are to be written, and the attempts in
+//! them.
 
 use super::codec::{self, HEADER_BYTES};
 use crate::coordinator::{AttemptKey, ClassMetrics};
@@ -9,10 +10,10 @@
 pub(super) struct QueuedAttempt {
     /// The coordinator's key of the attempt.
     pub(super) key: AttemptKey,
-    /// The length of the attempt in the frame, in bytes.
+    /// The length of the encoded attempt in the frame, in bytes.
     pub(super) bytes: usize,
-    /// The counters of the attempt's class. The attempt is counted once its frame is written, even
-    /// if it was cancelled after the frame's first byte.
+    /// The counters of the attempt's class. The attempt is counted when its frame is fully written,
+    /// even if it was cancelled after the frame's first byte.
     pub(super) metrics: Arc<ClassMetrics>,
 }
 
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Returns the bytes that are still to be written.
+    /// Returns the bytes that have not been written yet.
     pub(super) fn remaining(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// Records that bytes were written. Returns whether the first byte was among them.
+    /// Records that this number of bytes was written. Returns whether they included the first byte.
     pub(super) fn record_written(&mut self, bytes: usize) -> bool {
         let started = self.written == 0 && bytes > 0;
         self.written += bytes;
@@ -87,7 +88,8 @@
         self.attempts
     }
 
-    /// Removes the attempts that `keep` rejects. Restarts the frame: all of it is written again.
+    /// Removes the attempts for which `keep` returns `false`. The frame is then written from its
+    /// first byte, even if part of it was written before.
     pub(super) fn retain(&mut self, keep: impl Fn(AttemptKey) -> bool) {
         self.written = 0;
         let mut start = HEADER_BYTES;
