--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -1,5 +1,5 @@
-//! The protocol of the discovery watch: an HTTP response that stays open and carries endpoint lists
-//! as JSON objects, one a line. `net::watch` owns the connection and opens it again.
+//! The protocol of the discovery watch: an HTTP response that stays open and carries endpoint lists,
+//! each of which is a JSON object. `net::watch` owns the connection and reconnects.
 
 use super::http::{HttpError, ResponseReader};
 use crate::coordinator::{EndpointUpdate, NodeEndpoint};
@@ -7,14 +7,15 @@
 use crate::time::{monotonic_start, Micros};
 use serde::Deserialize;
 
-/// The maximum length of a line, in bytes; a complete list of a large fleet is far shorter.
-const MAX_LIST_LINE_BYTES: usize = 1024 * 1024;
-/// The status of a watch that was accepted.
+/// The maximum length of an endpoint list, in bytes. The complete list of a large fleet is far
+/// shorter.
+const MAX_LIST_BYTES: usize = 1024 * 1024;
+/// The HTTP status with which discovery accepts a watch.
 const STATUS_OK: u16 = 200;
 
-/// An endpoint list as discovery writes it.
+/// An endpoint list in the format of discovery.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Listing")]
+#[serde(expecting = "an endpoint list")]
 struct ListMessage {
     #[serde(rename = "rev")]
     revision: u64,
@@ -26,7 +27,7 @@
 
 /// One endpoint of a [`ListMessage`].
 #[derive(Deserialize)]
-#[serde(expecting = "struct Target")]
+#[serde(expecting = "an endpoint")]
 struct EndpointMessage {
     #[serde(rename = "uid")]
     name: String,
@@ -46,50 +47,52 @@
 pub struct EndpointListUpdate {
     /// The revision of the list.
     pub revision: u64,
-    /// The endpoints that it names.
+    /// The endpoints in the list.
     pub update: EndpointUpdate,
 }
 
 /// The reason why a text is not an endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// The text is not JSON, or its shape is not that of a list.
+    /// The text is not JSON, or its structure is not that of an endpoint list.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// An endpoint has an unknown state.
-    #[error("unknown state {0:?}")]
+    #[error("unknown endpoint state {0:?}")]
     UnknownState(String),
-    /// The next message began before the list was complete.
-    #[error("a list without its end")]
+    /// A keep-alive message arrived before the list was complete.
+    #[error("endpoint list is truncated")]
     Truncated,
 }
 
-/// The reason why a watch cannot be followed.
+/// The reason why a watch cannot be continued.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The response is not HTTP.
-    #[error("Http({0:?})")]
+    /// The response is not valid HTTP, or an endpoint list exceeds the maximum length.
+    #[error("invalid HTTP response: {0:?}")]
     Http(HttpError),
     /// Discovery responded with a status other than 200.
-    #[error("Status({0})")]
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
-    /// A line is not an endpoint list.
-    #[error("Line({:?})", .0.to_string())]
+    /// The body of the response contains something that is not an endpoint list.
+    #[error("invalid endpoint list: {:?}", .0.to_string())]
     List(#[from] EndpointListError),
 }
 
-/// The time at which a list is read, on the monotonic and on the wall clock.
+/// The time at which a list is parsed.
 #[derive(Debug, Clone, Copy)]
 struct ReadTime {
+    /// The time on the monotonic clock.
     now: Micros,
+    /// The time on the wall clock, in milliseconds since the Unix epoch.
     unix_now_ms: u64,
 }
 
-/// Parses an endpoint list that was cached by an earlier process. `now` and `unix_now_ms`
-/// (milliseconds) are the same moment on the monotonic and on the wall clock.
+/// Parses a cached endpoint list. `now` and `unix_now_ms` (in milliseconds) are the current time on
+/// the monotonic and on the wall clock.
 ///
 /// # Errors
-/// Fails if the text is not one complete list, or contains an unknown state.
+/// Fails if the text is not one complete list, or if an endpoint has an unknown state.
 pub fn parse_cached_endpoint_list(
     text: &[u8],
     now: Micros,
@@ -142,14 +145,15 @@
     })
 }
 
-/// Returns the number of a zone, whose name is a letter: 0 for `a` or an empty name.
+/// Returns the number of a zone: the distance of the first letter of its name from `a`, or 0 for an
+/// empty name.
 fn zone_number(zone: &str) -> u16 {
     zone.bytes()
         .next()
         .map_or(0, |letter| u16::from(letter.saturating_sub(b'a')))
 }
 
-/// The complete lists at the front of a text.
+/// The complete lists at the beginning of a text.
 #[derive(Default)]
 struct ParsedLists {
     updates: Vec<EndpointListUpdate>,
@@ -169,13 +173,12 @@
     }
 }
 
-/// Parses the complete lists at the front of the received text. A list may stand on one line or be
-/// indented over several. It is complete where its JSON object ends, even if its line has not
-/// ended: a watch may be reset in between.
+/// Parses the complete lists at the beginning of the received text. A list may occupy one line, or
+/// several if it is indented. It is complete at the end of its JSON object, without waiting for the
+/// end of the line, since the connection may be reset before that arrives.
 ///
-/// An empty line is a keep-alive message and never part of a list. An incomplete list followed by
-/// one was cut off and is an error; otherwise its end would be waited for as long as the watch
-/// lives.
+/// An empty line is a keep-alive message and never part of a list. If one follows an incomplete list,
+/// the list was truncated, which is an error: its end will never arrive.
 fn parse_lists(text: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let lines_end = text
         .iter()
@@ -191,7 +194,7 @@
     Ok(parsed)
 }
 
-/// Parses lists from complete lines, up to the first list that is incomplete.
+/// Parses lists from complete lines, up to the first incomplete list.
 fn parse_complete_lines(lines: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let mut objects = serde_json::Deserializer::from_slice(lines).into_iter::<ListMessage>();
     let mut parsed = ParsedLists::default();
@@ -209,9 +212,9 @@
     }
 }
 
-/// Parses lists from the rest of the text, whose last line is incomplete. Errors are ignored: a
-/// list that is split within a number looks malformed. The rest is parsed again once its line is
-/// complete.
+/// Parses lists from the rest of the text, whose last line is incomplete. Ignores errors, since a
+/// list that is split within a number may look malformed. What remains is parsed again when its line
+/// is complete.
 fn parse_incomplete_line(
     text: &[u8],
     parsed: &mut ParsedLists,
@@ -227,7 +230,7 @@
     Ok(())
 }
 
-/// Returns whether one of the complete lines is empty.
+/// Returns whether one of the complete lines in `lines` is empty.
 fn has_empty_line(lines: &[u8]) -> bool {
     lines
         .split(|b| *b == b'\n')
@@ -245,7 +248,7 @@
     pub ended: bool,
 }
 
-/// The response that carries one watch.
+/// The HTTP response to a watch request.
 #[derive(Debug)]
 pub struct WatchResponse {
     /// The reader of the response.
@@ -255,24 +258,24 @@
 impl Default for WatchResponse {
     fn default() -> Self {
         WatchResponse {
-            reader: ResponseReader::new(MAX_LIST_LINE_BYTES),
+            reader: ResponseReader::new(MAX_LIST_BYTES),
         }
     }
 }
 
 impl WatchResponse {
-    /// Returns the HTTP request that opens a watch for the changes after the revision `since`.
+    /// Returns the HTTP request that opens a watch for the changes after revision `since`.
     #[must_use]
     pub fn request(host: &str, since: u64) -> String {
         format!("GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\n\r\n")
     }
 
-    /// Processes the input in the reader's buffer. `now` and `unix_now_ms` (milliseconds) are the
-    /// same moment on the monotonic and on the wall clock.
+    /// Processes the input in the reader's buffer. `now` and `unix_now_ms` (in milliseconds) are the
+    /// current time on the monotonic and on the wall clock.
     ///
     /// # Errors
-    /// Fails if the response is not HTTP, has a status other than 200, or contains anything but
-    /// endpoint lists.
+    /// Fails if the response is not valid HTTP, has a status other than 200, or contains anything
+    /// but endpoint lists.
     pub fn advance(&mut self, now: Micros, unix_now_ms: u64) -> Result<WatchProgress, WatchError> {
         let ended = self.reader.advance().map_err(WatchError::Http)?;
         if let Some(head) = self.reader.head().filter(|head| head.status != STATUS_OK) {
--- a/src/proto/discovery/tests.rs
+++ b/src/proto/discovery/tests.rs
@@ -9,14 +9,14 @@
 
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Returns the revisions in a watch's response that arrives in these pieces, in order.
-fn revisions(pieces: &[&str]) -> Result<Vec<u64>, WatchError> {
+/// Returns the revisions of the lists in a watch's response whose body arrives in these chunks.
+fn revisions(chunks: &[&str]) -> Result<Vec<u64>, WatchError> {
     let mut response = WatchResponse::default();
     let mut revisions = Vec::new();
-    let chunks = pieces
+    let encoded_chunks = chunks
         .iter()
-        .map(|piece| format!("{:x}\r\n{piece}\r\n", piece.len()));
-    for bytes in std::iter::once(RESPONSE_HEAD.to_owned()).chain(chunks) {
+        .map(|chunk| format!("{:x}\r\n{chunk}\r\n", chunk.len()));
+    for bytes in std::iter::once(RESPONSE_HEAD.to_owned()).chain(encoded_chunks) {
         response.reader.input.extend(bytes.as_bytes());
         revisions.extend(
             response
@@ -29,31 +29,31 @@
     Ok(revisions)
 }
 
-fn read_revisions(pieces: &[&str]) -> Vec<u64> {
-    revisions(pieces).expect("only lists")
+fn valid_revisions(chunks: &[&str]) -> Vec<u64> {
+    revisions(chunks).expect("the chunks contain only endpoint lists")
 }
 
 #[test]
 fn lists_on_one_line_or_indented_are_parsed_however_they_are_split() {
-    // An indented list is complete only at the end of its object, not of its first line.
-    let value: serde_json::Value = serde_json::from_str(LIST).expect("a list");
-    let indented = serde_json::to_string_pretty(&value).expect("a list");
+    // An indented list is complete at the end of its object, not at the end of its first line.
+    let value: serde_json::Value = serde_json::from_str(LIST).expect("the list is JSON");
+    let indented = serde_json::to_string_pretty(&value).expect("JSON can be formatted");
     for form in [
         format!("{LIST}\n"),
         format!("{indented}\n"),
         format!("\r\n  {}\r\n\n", indented.replace('\n', "\r\n")),
-        // A watch may be reset before the end of the line.
+        // The connection may be reset before the end of the line arrives.
         LIST.to_owned(),
     ] {
-        assert_eq!(read_revisions(&[&form, "\n", &form]), [43, 43], "{form}");
+        assert_eq!(valid_revisions(&[&form, "\n", &form]), [43, 43], "{form}");
         assert_eq!(
-            read_revisions(&[&format!("{form}{form}")]),
+            valid_revisions(&[&format!("{form}{form}")]),
             [43, 43],
             "{form}"
         );
         let characters: Vec<String> = form.chars().map(String::from).collect();
         let characters: Vec<&str> = characters.iter().map(String::as_str).collect();
-        assert_eq!(read_revisions(&characters), [43], "{form}");
+        assert_eq!(valid_revisions(&characters), [43], "{form}");
     }
 }
 
@@ -67,14 +67,14 @@
                 revisions(&[&complete, &truncated, "\n"]),
                 Err(WatchError::List(_))
             ),
-            "then a keep-alive: {truncated}"
+            "a keep-alive message follows {truncated}"
         );
         assert!(
             matches!(
                 revisions(&[&truncated, &complete, "\n"]),
                 Err(WatchError::List(_))
             ),
-            "then a list: {truncated}"
+            "a list follows {truncated}"
         );
     }
 }
@@ -83,17 +83,20 @@
 fn errors_have_their_log_messages() {
     let unknown_state = LIST.replace("terminating", "asleep");
     let list_error = parse_cached_endpoint_list(unknown_state.as_bytes(), Micros::ZERO, 0);
-    let list_error = list_error.expect_err("an unknown state");
+    let list_error = list_error.expect_err("the state is unknown");
     assert!(matches!(&list_error, EndpointListError::UnknownState(state) if state == "asleep"));
-    assert_eq!(list_error.to_string(), r#"unknown state "asleep""#);
+    assert_eq!(list_error.to_string(), r#"unknown endpoint state "asleep""#);
     assert_eq!(
         WatchError::List(list_error).to_string(),
-        r#"Line("unknown state \"asleep\"")"#
+        r#"invalid endpoint list: "unknown endpoint state \"asleep\"""#
+    );
+    assert_eq!(
+        WatchError::Status(404).to_string(),
+        "unexpected HTTP status 404"
     );
-    assert_eq!(WatchError::Status(404).to_string(), "Status(404)");
     assert_eq!(
         WatchError::Http(HttpError::Malformed).to_string(),
-        "Http(Malformed)"
+        "invalid HTTP response: Malformed"
     );
 }
 
@@ -101,17 +104,17 @@
 fn json_that_is_not_an_endpoint_list_is_rejected() {
     let message = |text: &str| {
         let error =
-            parse_cached_endpoint_list(text.as_bytes(), Micros::ZERO, 0).expect_err("no list");
+            parse_cached_endpoint_list(text.as_bytes(), Micros::ZERO, 0).expect_err("not a list");
         error.to_string()
     };
     let list = message("7");
     assert!(
-        list.starts_with("invalid type: integer `7`, expected struct Listing at line 1"),
+        list.starts_with("invalid type: integer `7`, expected an endpoint list at line 1"),
         "{list}"
     );
-    let target = message(r#"{"rev":1,"all":true,"targets":[7]}"#);
+    let endpoint = message(r#"{"rev":1,"all":true,"targets":[7]}"#);
     assert!(
-        target.starts_with("invalid type: integer `7`, expected struct Target at line 1"),
-        "{target}"
+        endpoint.starts_with("invalid type: integer `7`, expected an endpoint at line 1"),
+        "{endpoint}"
     );
 }
