--- a/src/bin/quinceflow.rs
+++ b/src/bin/quinceflow.rs
@@ -1,7 +1,8 @@
-//! The coordinator on real sockets.
+//! The program of the coordinator.
 //!
-//! `NODE_CONFIG` names the platform's configuration; `--edge FILE` names the operator's file that
-//! sets up the front for feature queries. At least one of them must be given.
+//! The environment variable `NODE_CONFIG` names the configuration file of the platform front, and
+//! the argument `--edge FILE` that of the front for feature queries. At least one of them must be
+//! given.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -56,7 +57,8 @@
     }
 }
 
-/// Prints the report of a check; the exit code is 0 if there is no fault, else 2.
+/// Prints the report of a check. Returns the exit code, which is 0 if there are no faults and
+/// [`EXIT_FAULTS`] otherwise.
 fn print_report(report: &check::Report) -> ExitCode {
     for fault in &report.faults {
         println!("{fault}");
@@ -73,8 +75,8 @@
     }
 }
 
-/// Runs the coordinator until a shutdown was requested and is complete. `edge` is the path of the
-/// edge file, if any.
+/// Runs the coordinator until a requested shutdown is complete. `edge` is the path of the edge file,
+/// if there is one.
 fn serve(edge: Option<PathBuf>) -> Result<(), Box<dyn Error>> {
     let edge = edge.map(|file| EdgeConfig::load(&file)).transpose()?;
     let platform = match std::env::var_os("NODE_CONFIG") {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,31 +1,34 @@
-//! A query coordinator: the decisions, protocols and sockets of a program that answers a query from
-//! many shards.
+//! A query coordinator: the decisions, protocols and sockets of a program that answers queries from
+//! data in many shards.
 //!
-//! A coordinator receives queries. Each consists of parts, a part needs an answer from one shard,
-//! and each shard is served by several replicas. [`DecisionPolicy`] decides where each attempt at a
-//! part goes, how long to wait for it, whether to retry or hedge, when to answer the query, and
-//! which queries to reject. It opens no socket and reads no clock: the caller passes it the events
-//! of a moment, carries out the returned actions in order, and calls it again when its timer fires.
+//! A coordinator receives queries from clients. Each query consists of parts, a part needs an answer
+//! from one shard, and each shard is served by several replicas. [`DecisionPolicy`] decides where
+//! each attempt at a part goes, how long to wait for it, whether to retry or hedge, when to answer
+//! the query, and which queries to reject. It opens no socket and reads no clock: the caller passes
+//! it the current time and a batch of events, carries out the returned actions in order, and calls
+//! it again when its timer fires.
 //!
-//! The modules, from the decisions outwards:
+//! The modules, starting with those that make the decisions:
 //!
-//! * [`interface`]: settings, events and actions; [`policy`]: the decisions;
+//! * [`interface`]: the policy's settings, events and actions; [`policy`]: the decisions;
 //! * [`queries`], [`membership`], [`stats`]: the policy's query table, endpoint list and
 //!   statistics;
-//! * [`coordinator`]: the queries and attempts in progress, and the events and actions on their
-//!   behalf;
-//! * [`front`]: the requests of clients, translated to queries and back;
-//! * [`limits`] and [`degradation`]: adaptive limits of concurrency, admission by cost, graceful
+//! * [`coordinator`]: the queries and attempts in progress; it passes events to the policy and
+//!   carries out the policy's actions;
+//! * [`front`]: the protocols of clients, which turn requests into queries and answers into
+//!   responses;
+//! * [`limits`] and [`degradation`]: adaptive concurrency limits, admission by cost, and graceful
 //!   degradation;
-//! * [`proto`]: protocols without sockets; [`net`]: sockets, signals and the processes of two
-//!   versions;
-//! * [`settings`], [`time`](mod@time), [`log`], [`sync`]: shared by all of them.
+//! * [`proto`]: wire protocols without sockets; [`net`]: sockets, signals, and the hand-over from a
+//!   process to its successor;
+//! * [`settings`], [`time`](mod@time), [`log`], [`sync`]: utilities of all other modules.
 //!
-//! The policy's times are nanoseconds ([`Nanos`]), all others [`time::Micros`].
+//! Times of the policy are in nanoseconds ([`Nanos`]), all others in microseconds
+//! ([`time::Micros`]).
 //!
-//! Global in a process are its counters ([`coordinator::COUNTERS`]), by which log lines are
-//! throttled, the sequence numbers of requests, and the log: they concern the process as a whole.
-//! All other state belongs to a value that its owner passes on.
+//! Three things are global, since they concern the process as a whole: the counters
+//! ([`coordinator::COUNTERS`]), which also limit the rate of repeated log events; the sequence numbers
+//! of requests; and the log. All other state is owned by a value and passed explicitly.
 //!
 //! ```
 //! use quinceflow::*;
@@ -66,7 +69,7 @@
 //! };
 //! let mut policy = DecisionPolicy::new(settings, 42, 0);
 //!
-//! // The coordinator's loop: events in, actions out.
+//! // Each batch of events results in actions.
 //! let replica = ReplicaId([10, 0, 0, 1, 0, 80]);
 //! let endpoint = Endpoint {
 //!     replica,
--- a/src/log.rs
+++ b/src/log.rs
@@ -20,8 +20,8 @@
     Json,
 }
 
-/// The text format: the level, the message and the fields, without a time and without colours. The
-/// collector of the lines adds the time.
+/// The text format: the level, the message and the fields, without colours. It has no timestamp,
+/// since the collector of the log adds one.
 struct PlainFormat;
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
@@ -43,13 +43,13 @@
     }
 }
 
-/// Starts the log of this process; further calls change nothing.
+/// Starts the log of this process. Later calls have no effect.
 pub fn init(format: LogFormat) {
-    let lines = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(tracing::Level::INFO);
     let _ = match format {
-        LogFormat::Text => lines.event_format(PlainFormat).try_init(),
-        LogFormat::Json => lines.json().try_init(),
+        LogFormat::Text => subscriber.event_format(PlainFormat).try_init(),
+        LogFormat::Json => subscriber.json().try_init(),
     };
 }
--- a/src/sync/tests.rs
+++ b/src/sync/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the lock helper.
+//! Tests of locking poisoned mutexes.
 
 use super::lock;
 use std::sync::Mutex;
 
 #[test]
-fn a_mutex_poisoned_by_a_panic_is_locked_all_the_same() {
+fn mutex_poisoned_by_a_panic_can_be_locked() {
     let counter = Mutex::new(1);
     let panicked = std::thread::scope(|scope| {
         let thread = scope.spawn(|| {
-            let _guard = counter.lock().expect("not poisoned yet");
-            panic!("poisons the mutex");
+            let _guard = counter.lock().expect("the mutex is not poisoned yet");
+            panic!("this panic poisons the mutex");
         });
         thread.join().is_err()
     });
