--- a/src/bin/quinceflow-sim-adapter/error.rs
+++ b/src/bin/quinceflow-sim-adapter/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the adapter's input and output, with their position.
+//! Errors in the adapter's input and output, with their positions.
 
 use crate::ids::{InstanceId, PoolId};
 use std::error::Error;
@@ -6,10 +6,11 @@
 use std::string::FromUtf8Error;
 use thiserror::Error;
 
-/// The reason for which the adapter stops.
+/// The reason why the adapter exits with a failure.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// Fields of a frame or record reach beyond its end.
+    /// A frame or record ends before one of its fields does. `requested` is the length of the field
+    /// and `available` the length of the rest, in bytes.
     #[error("{context}: {requested} bytes wanted at {offset}, {available} there")]
     Truncated {
         context: &'static str,
@@ -17,7 +18,7 @@
         offset: usize,
         available: usize,
     },
-    /// A float that stands for an integer is not a number, or is out of range.
+    /// A float that encodes an integer is infinite, not a number, or out of range.
     #[error("{context}: {value} at {offset} is no number")]
     NotANumber {
         context: &'static str,
@@ -30,7 +31,7 @@
     /// Reading a frame header failed.
     #[error("frame header: {0}")]
     ReadHeader(#[source] io::Error),
-    /// The stated length of a frame is less than its fixed fields.
+    /// The length of a frame is less than that of its fixed fields.
     #[error("frame header: length {length} is under {minimum}")]
     FrameTooShort { length: u32, minimum: u32 },
     /// Reading a frame failed.
@@ -39,7 +40,7 @@
     /// The input ends within a frame.
     #[error("frame: {announced} bytes announced, input ends after {received}")]
     FrameTruncated { announced: u32, received: usize },
-    /// A batch has bytes left after its records.
+    /// A batch contains more bytes than its records.
     #[error("batch {batch}: bytes left after {records} records")]
     TrailingBytes { batch: u32, records: u32 },
     /// A record is malformed.
@@ -70,13 +71,13 @@
         batch: u32,
         source: Box<dyn Error + Send + Sync>,
     },
-    /// An event comes before any record that selects an instance.
+    /// A record that is for an instance comes before any record that selects one.
     #[error("batch {batch}: an event comes before any ON record")]
     NoCurrentInstance { batch: u32 },
-    /// A list refers to endpoints that were not sent.
+    /// An endpoint list refers to a pool that was not defined.
     #[error("batch {batch}: MEMBERSHIP names no POOL {pool}")]
     UnknownPool { batch: u32, pool: PoolId },
-    /// An event is for an instance that was not started.
+    /// An event is for an instance that was not created.
     #[error("batch {batch}: no instance {instance} was started")]
     UnknownInstance { batch: u32, instance: InstanceId },
     /// Writing a reply failed.
--- a/src/bin/quinceflow-sim-adapter/fields.rs
+++ b/src/bin/quinceflow-sim-adapter/fields.rs
@@ -1,16 +1,18 @@
-//! A reader of the fields of a frame or record, which are little-endian and have no separators.
+//! A reader of the fields of a frame or record. Fields are little-endian and have no separators.
 
 use crate::error::AdapterError;
 use quinceflow::ReplicaId;
 
-/// The remaining fields of a frame or record.
+/// The fields of a frame or record that have not been read yet.
 pub struct Fields<'a> {
     bytes: &'a [u8],
+    /// The index in `bytes` of the next field.
     offset: usize,
-    /// The name of the frame or record, for errors.
+    /// The name of the frame or record in errors.
     context: &'static str,
 }
 
+/// Defines methods of [`Fields`] that each read one little-endian number of a type.
 macro_rules! little_endian {
     ($($name:ident: $type:ty),*) => {$(
         pub fn $name(&mut self) -> Result<$type, AdapterError> {
@@ -55,7 +57,7 @@
         self.array().map(ReplicaId)
     }
 
-    /// Skips the values of a load report, which the policy does not use.
+    /// Skips a load report, which the policy does not use: the number of values, and the values.
     pub fn skip_load_report(&mut self) -> Result<(), AdapterError> {
         for _ in 0..self.u8()? {
             self.f32()?;
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Reads an integer that is sent as a float; `None` for a negative one.
+    /// Reads an integer that is encoded as a float. Returns `None` if it is negative.
     pub fn integer(&mut self) -> Result<Option<u32>, AdapterError> {
         let value = self.f32()?;
         if !value.is_finite() || value > u32::MAX as f32 {
@@ -77,7 +79,7 @@
         Ok((value >= 0.0).then_some(value as u32))
     }
 
-    /// Returns whether all fields are read.
+    /// Returns whether all fields have been read.
     pub fn is_empty(&self) -> bool {
         self.offset == self.bytes.len()
     }
--- a/src/bin/quinceflow-sim-adapter/host.rs
+++ b/src/bin/quinceflow-sim-adapter/host.rs
@@ -8,10 +8,10 @@
 use quinceflow::{settings, DecisionPolicy, Endpoint, EndpointListKind, Event, Settings};
 use std::collections::BTreeMap;
 
-/// The events of one batch by instance, in order.
+/// The events of one batch, in order, for each instance.
 type Inboxes = BTreeMap<InstanceId, Vec<Event>>;
 
-/// All instances of this process; they share no state.
+/// All instances of the policy in this process. They share no state.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<InstanceId, DecisionPolicy>,
@@ -19,23 +19,23 @@
 }
 
 impl Host {
-    /// Passes a batch to its instances and returns their reply.
-    pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
+    /// Passes the events of a batch to their instances, and returns the encoded reply.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let mut inboxes = Inboxes::new();
         let mut current = None;
         for record in Record::read_all(batch)? {
             match record {
-                Record::On(instance) => current = Some(instance),
-                Record::Pool { pool, endpoints } => {
+                Record::SelectInstance(instance) => current = Some(instance),
+                Record::DefinePool { pool, endpoints } => {
                     self.pools.insert(pool, endpoints);
                 }
                 record => self.apply(record, current, batch, &mut inboxes)?,
             }
         }
-        self.reply(batch, inboxes)
+        self.handle_events(batch, inboxes)
     }
 
-    /// Applies a record that is for the current instance.
+    /// Applies a record that is for the current instance. Fails if no instance is selected.
     fn apply(
         &mut self,
         record: Record,
@@ -49,13 +49,13 @@
             })
         };
         match record {
-            Record::New { seed, settings } => {
+            Record::CreateInstance { seed, settings } => {
                 let settings = parse_settings(&settings, batch)?;
                 let policy = DecisionPolicy::new(settings, seed, batch.now);
                 self.instances.insert(instance()?, policy);
                 inboxes.insert(instance()?, Vec::new());
             }
-            Record::Destroy => {
+            Record::DestroyInstance => {
                 self.instances.remove(&instance()?);
                 inboxes.remove(&instance()?);
             }
@@ -67,14 +67,14 @@
                     .push(Event::Endpoints { kind, endpoints });
             }
             Record::Event(event) => inboxes.entry(instance()?).or_default().push(event),
-            Record::On(_) | Record::Pool { .. } | Record::Other => {
+            Record::SelectInstance(_) | Record::DefinePool { .. } | Record::Unused => {
                 instance()?;
             }
         }
         Ok(())
     }
 
-    /// Returns the endpoints of a list; none for a failed one.
+    /// Returns the endpoints of an endpoint list, which has none if the poll failed.
     fn endpoints(
         &self,
         kind: EndpointListKind,
@@ -93,8 +93,8 @@
             })
     }
 
-    /// Lets each instance handle its events, and returns the reply.
-    fn reply(&mut self, batch: &Batch, inboxes: Inboxes) -> Result<Vec<u8>, AdapterError> {
+    /// Passes the events to their instances, and returns the encoded reply.
+    fn handle_events(&mut self, batch: &Batch, inboxes: Inboxes) -> Result<Vec<u8>, AdapterError> {
         let mut reply = Reply::new(batch.number);
         let mut actions = Vec::new();
         for (instance, events) in inboxes {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Parses the settings of an instance that starts in this batch.
+/// Parses the settings of an instance that is created in this batch.
 fn parse_settings(text: &str, batch: &Batch) -> Result<Settings, AdapterError> {
     settings::parse_policy_settings(text).map_err(|error| AdapterError::Settings {
         batch: batch.number,
--- a/src/bin/quinceflow-sim-adapter/ids.rs
+++ b/src/bin/quinceflow-sim-adapter/ids.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// The number of a pool: a set of endpoints to which endpoint lists refer.
+/// The number of a pool, a set of endpoints to which endpoint lists refer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PoolId(pub u16);
 
--- a/src/bin/quinceflow-sim-adapter/main.rs
+++ b/src/bin/quinceflow-sim-adapter/main.rs
@@ -1,6 +1,7 @@
-//! Hosts instances of the policy and speaks the simulator's protocol on standard input and output.
+//! The simulator adapter, which runs instances of the policy for a simulator. It reads batches of
+//! events from standard input and writes a reply with the resulting actions to standard output.
 //!
-//! The adapter makes no decisions; times are nanoseconds, as in the protocol and the policy.
+//! The adapter makes no decisions. All times are in nanoseconds, as in the protocol and the policy.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -25,13 +26,13 @@
     }
 }
 
-/// Answers each batch of the input until its end.
+/// Replies to each batch of the input, until its end.
 fn serve() -> Result<(), AdapterError> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
     let mut host = host::Host::default();
     while let Some(batch) = frame::Batch::read(&mut input)? {
-        let reply = host.answer(&batch)?;
+        let reply = host.handle_batch(&batch)?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
--- a/src/bin/quinceflow-sim-adapter/record.rs
+++ b/src/bin/quinceflow-sim-adapter/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch: the events of instances, and the instances' start and end.
+//! The records of a batch: the events of instances, and the creation and destruction of instances.
 
 use crate::error::AdapterError;
 use crate::fields::Fields;
@@ -9,50 +9,57 @@
     PartId, QueryId, ShardId, TenantId, ZoneId,
 };
 
-/// The codes of records; their names are those of the protocol.
+/// The codes that denote the kinds of records.
 mod code {
     pub const NEW_INSTANCE: u8 = 1;
+    /// An endpoint list.
     pub const MEMBERSHIP: u8 = 2;
+    /// A query, or a part of a query.
     pub const REQUEST: u8 = 3;
-    /// The start of an answer; no class streams here.
+    /// The start of an answer that is streamed. The policy uses no streaming.
     pub const ACCEPTED: u8 = 4;
+    /// The outcome of an attempt.
     pub const VERDICT: u8 = 5;
+    /// A query that was abandoned.
     pub const LAPSED: u8 = 6;
+    /// The timer of the instance has fired.
     pub const REMINDER: u8 = 7;
+    /// The result of a health check. The policy uses no health checks.
     pub const PROBED: u8 = 8;
-    /// A message of another coordinator; none is sent here.
+    /// A message from another coordinator. The policy uses no such messages.
     pub const PEER_MESSAGE: u8 = 9;
     pub const DESTROY: u8 = 10;
     pub const POOL: u8 = 11;
+    /// The selection of an instance.
     pub const ON: u8 = 12;
 }
 
-/// The flag of a query that states its expected work.
-const WORK_STATED: u8 = 1;
+/// The flag of a query whose expected work is given.
+const FLAG_EXPECTED_WORK: u8 = 1;
 
 /// One record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Record {
     /// Selects the instance to which the following records belong.
-    On(InstanceId),
-    /// Defines the endpoints to which later lists refer by this number.
-    Pool {
+    SelectInstance(InstanceId),
+    /// Defines the endpoints of a pool, to which later endpoint lists refer.
+    DefinePool {
         pool: PoolId,
         endpoints: Vec<Endpoint>,
     },
-    /// Starts the instance.
-    New { seed: u64, settings: String },
-    /// Sends the instance an endpoint list.
+    /// Creates the instance. The settings are JSON.
+    CreateInstance { seed: u64, settings: String },
+    /// Sends the instance the endpoints of a pool as an endpoint list.
     EndpointList {
         kind: EndpointListKind,
         pool: PoolId,
     },
-    /// Ends the instance.
-    Destroy,
+    /// Destroys the instance.
+    DestroyInstance,
     /// Sends the instance an event.
     Event(Event),
     /// A record that the policy does not use.
-    Other,
+    Unused,
 }
 
 impl Record {
@@ -60,7 +67,7 @@
     pub fn read_all(batch: &Batch) -> Result<Vec<Record>, AdapterError> {
         let mut body = Fields::new(&batch.body, "batch");
         let mut records = Vec::new();
-        for number in 0..batch.records {
+        for number in 0..batch.record_count {
             let record = Record::read(&mut body).map_err(|error| AdapterError::Record {
                 batch: batch.number,
                 record: number,
@@ -71,7 +78,7 @@
         if !body.is_empty() {
             return Err(AdapterError::TrailingBytes {
                 batch: batch.number,
-                records: batch.records,
+                records: batch.record_count,
             });
         }
         Ok(records)
@@ -84,7 +91,7 @@
         let bytes = body.bytes(length as usize)?;
         let fields = |context| Fields::new(bytes, context);
         match code {
-            code::NEW_INSTANCE => read_new(&mut fields("NEW_INSTANCE")),
+            code::NEW_INSTANCE => read_new_instance(&mut fields("NEW_INSTANCE")),
             code::MEMBERSHIP => read_endpoint_list(&mut fields("MEMBERSHIP")),
             code::REQUEST => read_query_or_part(&mut fields("ASK")).map(Record::Event),
             code::VERDICT => read_outcome(&mut fields("VERDICT")).map(Record::Event),
@@ -96,21 +103,21 @@
                 Ok(Record::Event(Event::TimerFired))
             }
             code::PROBED => read_health_check(&mut fields("PROBED")),
-            code::ACCEPTED | code::PEER_MESSAGE => Ok(Record::Other),
-            code::DESTROY => Ok(Record::Destroy),
+            code::ACCEPTED | code::PEER_MESSAGE => Ok(Record::Unused),
+            code::DESTROY => Ok(Record::DestroyInstance),
             code::POOL => read_pool(&mut fields("POOL")),
-            code::ON => Ok(Record::On(InstanceId(fields("ON").u16()?))),
+            code::ON => Ok(Record::SelectInstance(InstanceId(fields("ON").u16()?))),
             _ => Err(AdapterError::UnknownRecord(code)),
         }
     }
 }
 
-fn read_new(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
+fn read_new_instance(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
     let seed = fields.u64()?;
     let length = fields.u32()?;
     let text = fields.bytes(length as usize)?.to_vec();
     let settings = String::from_utf8(text).map_err(AdapterError::SettingsEncoding)?;
-    Ok(Record::New { seed, settings })
+    Ok(Record::CreateInstance { seed, settings })
 }
 
 fn read_endpoint_list(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
@@ -150,7 +157,7 @@
             group,
             class,
             tenant,
-            expected_work: (flags & WORK_STATED != 0).then_some(expected_work),
+            expected_work: (flags & FLAG_EXPECTED_WORK != 0).then_some(expected_work),
             time_left,
         },
     })
@@ -160,7 +167,7 @@
     let part = PartId(fields.u64()?);
     let attempt = AttemptNo(fields.u16()?);
     let _replica = fields.replica()?;
-    let outcome = outcome(fields.u8()?)?;
+    let outcome = parse_outcome(fields.u8()?)?;
     let elapsed = fields.u64()?;
     let _flags = fields.u8()?;
     fields.skip_load_report()?;
@@ -174,10 +181,10 @@
 
 fn read_health_check(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
     let _replica = fields.replica()?;
-    let _outcome = outcome(fields.u8()?)?;
+    let _outcome = parse_outcome(fields.u8()?)?;
     let _elapsed = fields.u64()?;
     fields.skip_load_report()?;
-    Ok(Record::Other)
+    Ok(Record::Unused)
 }
 
 fn read_pool(fields: &mut Fields<'_>) -> Result<Record, AdapterError> {
@@ -186,7 +193,7 @@
     let endpoints = (0..count)
         .map(|_| read_endpoint(fields))
         .collect::<Result<_, _>>()?;
-    Ok(Record::Pool { pool, endpoints })
+    Ok(Record::DefinePool { pool, endpoints })
 }
 
 fn read_endpoint(fields: &mut Fields<'_>) -> Result<Endpoint, AdapterError> {
@@ -210,7 +217,7 @@
     })
 }
 
-fn outcome(code: u8) -> Result<Outcome, AdapterError> {
+fn parse_outcome(code: u8) -> Result<Outcome, AdapterError> {
     Ok(match code {
         0 => Outcome::Ok,
         1 => Outcome::Cancelled,
--- a/src/bin/quinceflow-sim-adapter/reply.rs
+++ b/src/bin/quinceflow-sim-adapter/reply.rs
@@ -3,7 +3,7 @@
 use crate::ids::InstanceId;
 use quinceflow::Action;
 
-/// The codes of records in a reply; their names are those of the protocol.
+/// The codes that denote the kinds of records in a reply.
 mod code {
     pub const SEND: u8 = 65;
     pub const REJECT: u8 = 66;
@@ -13,10 +13,11 @@
     pub const CLOSE_IDLE: u8 = 71;
     pub const SUBSCRIBE: u8 = 75;
     pub const ANSWER: u8 = 77;
+    /// The selection of the instance whose actions follow.
     pub const FROM: u8 = 78;
 }
 
-/// The size of a frame's length, which counts the bytes that follow it.
+/// The size of a frame's length field, in bytes. The length is that of the bytes after the field.
 const LENGTH_BYTES: usize = 4;
 
 /// An unfinished reply.
@@ -25,7 +26,7 @@
 }
 
 impl Reply {
-    /// Creates an empty reply to the batch of this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(batch: u32) -> Self {
         let mut bytes = vec![0; LENGTH_BYTES];
         bytes.extend(batch.to_le_bytes());
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Writes the length of the frame and returns it.
+    /// Sets the length of the frame, and returns the encoded frame.
     pub fn finish(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - LENGTH_BYTES) as u32;
         self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
