--- a/src/bin/quinceflow-sim-adapter/error.rs
+++ b/src/bin/quinceflow-sim-adapter/error.rs
@@ -56,7 +56,7 @@
     /// The kind of an endpoint list is unknown.
     #[error("MEMBERSHIP: unknown kind {0}")]
     UnknownListKind(u8),
-    /// The state of a replica is unknown.
+    /// The state of an endpoint is unknown.
     #[error("POOL: unknown state {0}")]
     UnknownState(u8),
     /// The outcome of an attempt is unknown.
--- a/src/bin/quinceflow.rs
+++ b/src/bin/quinceflow.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code of a check that found faults.
+/// The exit code of `check` if it finds faults.
 const EXIT_FAULTS: u8 = 2;
 
 /// A query coordinator: serves the platform's protocol as NODE_CONFIG sets it up, and feature
--- a/src/front/platform/request.rs
+++ b/src/front/platform/request.rs
@@ -139,7 +139,7 @@
     if parts.is_empty() {
         return Err(RequestError::NoParts);
     }
-    // If the sum were not 1, an answer with parts missing could be reported as complete.
+    // If the sum were less than 1, an incomplete answer could count as complete.
     let sum = parts.iter().map(|part| part.weight).sum::<f64>();
     if (sum - 1.0).abs() > MAX_ROUNDING_ERROR {
         return Err(RequestError::WeightSum);
--- a/src/front/platform/tests.rs
+++ b/src/front/platform/tests.rs
@@ -44,8 +44,8 @@
     server.input().extend(text.as_bytes());
     server
         .next_request()
-        .expect("complete")
-        .expect("well formed")
+        .expect("the request is complete")
+        .expect("the request is well formed")
 }
 
 /// Parses a request with [`HEADERS`], of which `replaced` replaces the value of one; `None` as the
@@ -69,7 +69,7 @@
 
 #[test]
 fn well_formed_request_is_parsed() {
-    let request = parse_with(None, BODY).expect("well formed");
+    let request = parse_with(None, BODY).expect("the request is well formed");
     assert_eq!(
         (request.token, request.sent_at, request.timeout),
         (Token(7), Micros(5), Micros(1_500_000))
@@ -91,7 +91,8 @@
             (ShardId(2), 0.75, None)
         ]
     );
-    let long = parse_with(Some(("X-Expires-In", Some("1e9"))), BODY).expect("well formed");
+    let long =
+        parse_with(Some(("X-Expires-In", Some("1e9"))), BODY).expect("the request is well formed");
     assert_eq!(long.timeout, Micros::from_secs(3_600));
 }
 
@@ -99,7 +100,7 @@
 fn malformed_headers_are_rejected_with_their_messages() {
     let text = |name: &str, value: Option<&str>| {
         parse_with(Some((name, value)), BODY)
-            .expect_err("malformed")
+            .expect_err("the header is malformed")
             .to_string()
     };
     for (name, _) in HEADERS {
@@ -125,7 +126,7 @@
 
 #[test]
 fn malformed_bodies_are_rejected_with_their_messages() {
-    let error = |body: &str| parse_with(None, body).expect_err("malformed");
+    let error = |body: &str| parse_with(None, body).expect_err("the body is malformed");
     let parts = |tablets: &str| error(&format!(r#"{{"tablets":[{tablets}],"statement":"s"}}"#));
     assert!(matches!(error("{}"), RequestError::MalformedBody(_)));
     assert_eq!(
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -174,11 +174,12 @@
 }
 
 /// Parses the complete lists at the beginning of the received text. A list may occupy one line, or
-/// several if it is indented. It is complete at the end of its JSON object, without waiting for the
-/// end of the line, since the connection may be reset before that arrives.
+/// several if it is indented. It is complete at the end of its JSON object, even if the line has not
+/// ended, since the connection may be reset before the line ends.
 ///
-/// An empty line is a keep-alive message and never part of a list. If one follows an incomplete list,
-/// the list was truncated, which is an error: its end will never arrive.
+/// An empty line is a keep-alive message and never part of a list. An incomplete list that is followed
+/// by an empty line was truncated, which is an error: otherwise the watch would wait for the end of
+/// the list for as long as the connection is open.
 fn parse_lists(text: &[u8], read_at: ReadTime) -> Result<ParsedLists, EndpointListError> {
     let lines_end = text
         .iter()
