--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint, which serves the health check and the metrics. It runs on a thread of its
-//! own and reads atomics only, so that a saturated worker delays no reply. The protocol is in
+//! The admin endpoint, which serves the health check and the metrics. It runs on its own thread and
+//! reads only atomics, so that a saturated worker does not delay replies. The protocol is in
 //! `proto::admin`.
 
 use super::lifecycle::Unhealthy;
@@ -14,20 +14,21 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The time after which a caller is closed. The oldest caller is closed sooner if there are too
-/// many.
-const CALL_TIMEOUT: Duration = Duration::from_secs(6);
-/// The longest wait for a socket, and so the interval at which the callers' time limit is checked.
+/// The time after which a caller's connection is closed. It is closed sooner if there are too many
+/// callers.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The longest wait for a socket, and so the interval at which callers are checked for
+/// [`CALLER_TIMEOUT`].
 const MAX_POLL_WAIT: Timespec = Timespec {
     tv_sec: 0,
     tv_nsec: 250_000_000,
 };
-/// The pause while no connection can be accepted.
+/// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// The stack of the endpoint's thread, in bytes.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// Returns the number of a process's descriptors that are reserved for the endpoint: its listening
+/// Returns how many of a process's `descriptors` are reserved for the endpoint: for its listening
 /// socket and its callers.
 #[must_use]
 pub fn reserved_descriptors(descriptors: usize) -> usize {
@@ -54,7 +55,7 @@
     pub max_callers: usize,
 }
 
-/// Starts the thread that answers calls for as long as the process lives.
+/// Starts the thread that replies to commands for as long as the process runs.
 ///
 /// # Errors
 /// Fails if the address cannot be bound or the thread cannot be started.
@@ -80,15 +81,15 @@
     Ok(bound)
 }
 
-/// A connection of an operator.
+/// The connection of a caller.
 struct CallerConnection {
     stream: TcpStream,
-    /// The protocol state.
-    caller: AdminConnection,
+    /// The state of the protocol, with the input.
+    protocol: AdminConnection,
     accepted_at: Instant,
     /// The rest of the reply, once there is one.
     reply: Option<Body>,
-    /// Whether the caller sends nothing more.
+    /// Whether the caller has closed its sending side, or the connection is broken.
     input_ended: bool,
 }
 
@@ -96,7 +97,7 @@
     fn new(stream: TcpStream) -> Self {
         CallerConnection {
             stream,
-            caller: AdminConnection::default(),
+            protocol: AdminConnection::default(),
             accepted_at: Instant::now(),
             reply: None,
             input_ended: false,
@@ -104,12 +105,12 @@
     }
 
     /// Returns whether the whole reply was written.
-    fn is_replied(&self) -> bool {
+    fn is_reply_written(&self) -> bool {
         self.reply.as_ref().is_some_and(Body::is_empty)
     }
 
-    /// Writes the rest of the reply until the socket would block, and ends the connection's sending
-    /// side after it. A caller that has gone needs no reply.
+    /// Writes the rest of the reply until the socket would block, and shuts down the sending side of
+    /// the connection after it. If the connection is broken, the reply is dropped.
     fn write_reply(&mut self) {
         let Some(reply) = self.reply.as_mut().filter(|reply| !reply.is_empty()) else {
             return;
@@ -124,7 +125,7 @@
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Returns the events to wait for.
+    /// Returns the events of the socket to wait for.
     fn awaited_events(&self) -> PollFlags {
         let mut events = PollFlags::empty();
         events.set(PollFlags::IN, !self.input_ended);
@@ -137,7 +138,8 @@
     }
 }
 
-/// Waits for input, accepts callers, and answers the calls that are complete.
+/// Waits until a socket is ready or [`MAX_POLL_WAIT`] is over, accepts callers, and replies to
+/// complete commands.
 fn serve_once(
     listener: &TcpListener,
     callers: &mut Vec<CallerConnection>,
@@ -148,19 +150,21 @@
     }
     while let Some(stream) = accept(listener) {
         if callers.len() >= endpoint.max_callers {
-            // Callers that have their reply go first, then the oldest: a caller with a call must
-            // not wait behind callers without one.
-            let replied = callers.iter().position(CallerConnection::is_replied);
+            // A caller whose reply was written is closed first, otherwise the oldest: a caller that
+            // sends a command must not wait for callers that send none.
+            let replied = callers.iter().position(CallerConnection::is_reply_written);
             callers.remove(replied.unwrap_or(0));
         }
         callers.push(CallerConnection::new(stream));
-        // Most calls come with their connection.
-        callers.retain_mut(|c| !is_done(c, endpoint));
+        // Most callers send their command as soon as they are connected.
+        callers.retain_mut(|c| !is_done_after_io(c, endpoint));
     }
-    callers.retain_mut(|c| !is_done(c, endpoint) && c.accepted_at.elapsed() < CALL_TIMEOUT);
+    callers
+        .retain_mut(|c| !is_done_after_io(c, endpoint) && c.accepted_at.elapsed() < CALLER_TIMEOUT);
 }
 
-/// Waits until a socket has input, or for the maximum. Returns whether the wait succeeded.
+/// Waits until a socket is ready, but not longer than [`MAX_POLL_WAIT`]. Returns whether the wait
+/// succeeded.
 fn wait_for_input(listener: &TcpListener, callers: &[CallerConnection]) -> bool {
     let mut sockets: Vec<PollFd<'_>> = vec![PollFd::new(listener, PollFlags::IN)];
     sockets.extend(
@@ -191,26 +195,27 @@
     }
 }
 
-/// Reads once, and replies if the call is complete. Returns whether the connection is to be closed.
-fn is_done(connection: &mut CallerConnection, endpoint: &AdminEndpoint) -> bool {
+/// Reads once, and writes the reply if the command is complete. Returns whether the connection can
+/// be closed.
+fn is_done_after_io(connection: &mut CallerConnection, endpoint: &AdminEndpoint) -> bool {
     connection.input_ended = connection.input_ended || read_once(connection);
     if connection.reply.is_some() {
-        // Input behind the call is discarded until the caller closes: closing a socket with unread
-        // input sends a reset, which can destroy the reply on its way.
-        connection.caller = AdminConnection::default();
-    } else if let Some(call) = connection.caller.command(connection.input_ended) {
+        // Input after the command is discarded until the caller closes its sending side: closing a
+        // socket with unread input sends a reset, which can destroy the reply in transit.
+        connection.protocol = AdminConnection::default();
+    } else if let Some(command) = connection.protocol.command(connection.input_ended) {
         COUNTERS.admin_calls.increment();
-        connection.reply = Some(reply(call, endpoint).into_bytes().into());
+        connection.reply = Some(reply(command, endpoint).into_bytes().into());
     }
     connection.write_reply();
     connection.input_ended && !connection.has_unwritten_reply()
 }
 
-/// Reads once from the caller. Returns whether the caller sends nothing more.
+/// Reads once from the caller. Returns whether the input has ended.
 fn read_once(connection: &mut CallerConnection) -> bool {
-    match try_read(&connection.stream, connection.caller.input.free_space()) {
+    match try_read(&connection.stream, connection.protocol.input.free_space()) {
         IoOutcome::Transferred(bytes) => {
-            connection.caller.input.commit(bytes);
+            connection.protocol.input.commit(bytes);
             false
         }
         IoOutcome::WouldBlock => false,
@@ -218,11 +223,11 @@
     }
 }
 
-fn reply(call: AdminCommand, endpoint: &AdminEndpoint) -> String {
-    match call {
+fn reply(command: AdminCommand, endpoint: &AdminEndpoint) -> String {
+    match command {
         AdminCommand::Health => match (endpoint.health)() {
             Ok(()) => "YES\n".to_owned(),
-            Err(why) => format!("NO {why}\n"),
+            Err(reason) => format!("NO {reason}\n"),
         },
         AdminCommand::Dump => format!("YES\n{}END\n", endpoint.metrics.dump()),
         AdminCommand::Unknown => "NO such call: HEALTH or DUMP\n".to_owned(),
--- a/src/net/admin/tests.rs
+++ b/src/net/admin/tests.rs
@@ -12,9 +12,9 @@
 }
 
 #[test]
-fn an_address_in_use_is_an_error_that_names_it() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let in_use = listener.local_addr().expect("bound");
+fn an_address_in_use_is_an_error_that_contains_the_address() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let in_use = listener.local_addr().expect("the listener is bound");
     let error = start(in_use, endpoint()).expect_err("the address is in use");
     assert_eq!(
         (error.address, error.source.kind()),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_sixteenth_of_the_descriptors_is_reserved_within_bounds() {
+fn a_sixteenth_of_the_descriptors_is_reserved_but_at_least_3_and_at_most_33() {
     assert_eq!(
         [1, 64, 256, 512, 10_000].map(reserved_descriptors),
         [3, 4, 16, 32, 33]
@@ -51,17 +51,17 @@
     );
 }
 
-/// The number of classes whose metrics no pair of socket buffers holds.
+/// A number of classes whose metrics exceed the socket buffers of both ends.
 const MANY_CLASSES: usize = 60_000;
 
 /// Starts an endpoint on a free port.
 fn start_endpoint(endpoint: AdminEndpoint) -> SocketAddr {
-    try_start(([127, 0, 0, 1], 0).into(), endpoint).expect("a port")
+    try_start(([127, 0, 0, 1], 0).into(), endpoint).expect("a port is free")
 }
 
-/// Guards against a dump that is cut off without its `END`.
+/// Guards against a dump that is truncated before its `END`.
 #[test]
-fn a_dump_larger_than_the_socket_buffers_arrives_whole() {
+fn a_dump_larger_than_the_socket_buffers_is_written_completely() {
     let endpoint = AdminEndpoint {
         max_callers: 4,
         ..endpoint()
@@ -71,13 +71,17 @@
             .metrics
             .class(&format!("a-class-with-a-long-name-{class:06}"));
     }
-    let mut caller = TcpStream::connect(start_endpoint(endpoint)).expect("it listens");
-    caller.write_all(b"DUMP\n").expect("sent");
-    caller.shutdown(Shutdown::Write).expect("ended");
-    // The caller reads late, so that the buffers are full.
+    let mut caller = TcpStream::connect(start_endpoint(endpoint)).expect("the endpoint listens");
+    caller.write_all(b"DUMP\n").expect("the command is sent");
+    caller
+        .shutdown(Shutdown::Write)
+        .expect("the sending side is shut down");
+    // The caller reads late, so that the socket buffers fill up.
     std::thread::sleep(Duration::from_millis(200));
     let mut text = String::new();
-    caller.read_to_string(&mut text).expect("a reply");
+    caller
+        .read_to_string(&mut text)
+        .expect("the reply is received");
     assert!(
         text.starts_with("YES\n") && text.ends_with("\nEND\n"),
         "{} bytes",
@@ -86,9 +90,9 @@
     assert_eq!(text.matches(".ok=0\n").count(), MANY_CLASSES);
 }
 
-/// Guards against failures to accept that `accept_errors` does not count.
+/// Guards against failures to accept a connection that the counter `accept_errors` misses.
 #[test]
-fn a_failure_to_accept_counts_as_an_accept_error() {
+fn a_failure_to_accept_is_counted_as_an_accept_error() {
     let before = COUNTERS.accept_errors.get();
     assert!(accept_result(Err(ErrorKind::OutOfMemory.into())).is_none());
     assert_eq!(COUNTERS.accept_errors.get() - before, 1);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,10 +1,10 @@
-//! Hand-over of the listening sockets to a new version of the program that is started beside the
-//! old one. `net::server` decides when sockets are requested and offered.
+//! Hand-over of the listening sockets to a new version of the program that is started while the old
+//! one is running. `net::server` decides when sockets are requested and offered.
 //!
 //! The old process (the predecessor) waits on a Unix socket in `$TMPDIR` and passes its listening
 //! sockets to the new process (the successor) as ancillary data (`SCM_RIGHTS`). The connection
-//! stays open for as long as both live, so that each detects the exit of the other, whatever its
-//! cause.
+//! stays open for as long as both are running, so that each detects the exit of the other, whatever
+//! its cause.
 
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -23,14 +23,14 @@
 
 /// The first line that each side sends, which names the protocol version.
 const HELLO: &str = "quinceflow hand-over 1";
-/// The successor's acknowledgement that it has the sockets.
+/// The successor's acknowledgement that it received the sockets.
 const ACKNOWLEDGEMENT: &[u8] = b"taken\n";
-/// The timeout of each read and write, so that the start does not depend on a peer that hangs.
+/// The timeout of each read and write, so that a peer that hangs does not prevent a start.
 const IO_TIMEOUT: Duration = Duration::from_millis(400);
 /// The maximum number of sockets in a message; a process has one or two fronts.
 const MAX_SOCKETS: usize = 4;
 /// The maximum length of a message, in bytes.
-const MAX_MESSAGE: usize = 1024;
+const MAX_MESSAGE_BYTES: usize = 1024;
 /// The stack of a thread that waits for the other process, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 /// The backlog of a listening socket, in connections.
@@ -42,10 +42,10 @@
     /// The peer's first line is not `HELLO`.
     #[error("the peer uses another version of the hand-over protocol")]
     IncompatibleVersion,
-    /// The message has no sockets, or not one for each address.
+    /// The message has no sockets, or not exactly one for each address.
     #[error("the message does not have one socket for each address")]
     SocketMismatch,
-    /// A word of the message is not an address.
+    /// A word of the message is not a socket address.
     #[error("{0:?} is not a socket address")]
     InvalidAddress(String),
     /// The sockets do not fit into a message.
@@ -70,12 +70,13 @@
 pub struct Handover {
     /// The sockets.
     pub sockets: Vec<ListeningSocket<TcpListener>>,
-    /// The process that the sockets come from.
+    /// The process that sent the sockets.
     pub predecessor: PeerProcess,
 }
 
 /// Returns the path of the Unix socket at which the process that listens at `address` waits for its
-/// successor. Returns `None` without `$TMPDIR`: a folder that all users share is not safe.
+/// successor. Returns `None` if `$TMPDIR` is not set, since a folder that all users share would not
+/// be safe.
 #[must_use]
 pub fn socket_path(address: SocketAddr) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
@@ -175,7 +176,7 @@
 fn receive_sockets(
     connection: &UnixStream,
 ) -> Result<Vec<ListeningSocket<TcpListener>>, HandoverError> {
-    let mut text = [0; MAX_MESSAGE];
+    let mut text = [0; MAX_MESSAGE_BYTES];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let buffers = &mut [IoSliceMut::new(&mut text)];
@@ -215,8 +216,8 @@
     addresses.split_whitespace().map(address).collect()
 }
 
-/// Starts a thread that waits for successors for as long as this process lives. Calls
-/// `on_handed_over` for each successor that acknowledged the sockets.
+/// Starts a thread that waits for successors for as long as this process runs. Calls
+/// `on_handed_over` for each successor that has acknowledged the sockets.
 ///
 /// # Errors
 /// Fails if the Unix socket cannot be created at this path, or the thread cannot be started.
@@ -225,8 +226,8 @@
     sockets: Vec<ListeningSocket<S>>,
     on_handed_over: impl Fn(PeerProcess) + Send + 'static,
 ) -> io::Result<()> {
-    // The socket is created under a unique name and then renamed, since a stale socket or the
-    // predecessor's may exist at the path.
+    // The socket is created under a unique name and then renamed, since a stale socket or that of
+    // the predecessor may exist at the path.
     let own_path = path.with_extension(std::process::id().to_string());
     let _ = std::fs::remove_file(&own_path);
     let listener = UnixListener::bind(&own_path)?;
@@ -244,7 +245,7 @@
 ) {
     let mut successor: Option<PeerProcess> = None;
     for connection in listener.incoming().flatten() {
-        // One successor at a time, since two processes share the limits.
+        // One successor at a time, since the limits are shared by two processes, not more.
         if successor.as_ref().is_some_and(PeerProcess::is_alive) {
             continue;
         }
@@ -258,8 +259,8 @@
     }
 }
 
-/// Hands the sockets over to a peer and waits for its acknowledgement. Fails if the peer does not
-/// speak this protocol.
+/// Hands the sockets over to a peer and waits for its acknowledgement. Fails if the peer's first
+/// line is not [`HELLO`].
 fn hand_over<S: AsFd>(
     mut connection: UnixStream,
     sockets: &[ListeningSocket<S>],
@@ -294,8 +295,8 @@
     Ok(())
 }
 
-/// Opens a listening socket. With `SO_REUSEPORT` a process that received no sockets can start
-/// beside this one.
+/// Opens a listening socket. `SO_REUSEPORT` allows a process that received no sockets to start
+/// while this one is running.
 ///
 /// # Errors
 /// Fails if the address cannot be bound.
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -73,7 +73,12 @@
     .expect("offered");
     let mut connection = UnixStream::connect(&path).expect("the predecessor waits");
     writeln!(connection, "{HELLO}").expect("written");
-    assert!(connection.read(&mut [0; MAX_MESSAGE]).expect("the sockets") > 0);
+    assert!(
+        connection
+            .read(&mut [0; MAX_MESSAGE_BYTES])
+            .expect("the sockets")
+            > 0
+    );
     drop(connection);
     let handover = request_handover(&path).expect("the next one is served");
     assert!(successors.recv().expect("notified").is_alive() && handover.predecessor.is_alive());
