--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -23,7 +23,7 @@
         } else {
             ShutdownEvent::DrainAlone
         };
-        let after = self.lifecycle.shut_down(event);
+        let after = self.lifecycle.handle_shutdown_event(event);
         if before.accepts_connections() && !after.accepts_connections() {
             self.listener.waker().wakeup();
         }
@@ -33,7 +33,7 @@
     /// are still accepted and served: the kernel completes them in any case, and would reset them
     /// when the process exits.
     pub fn close_idle(&self, now: Micros) {
-        self.lifecycle.shut_down(ShutdownEvent::Close);
+        self.lifecycle.handle_shutdown_event(ShutdownEvent::Close);
         for connection in sync::lock(&self.connections).values() {
             let mut state = connection.lock();
             if state.received_request || now.since(state.accepted_at) > FIRST_REQUEST_TIMEOUT {
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -103,7 +103,7 @@
     /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
     /// The maximum memory of the process, in bytes.
-    pub max_memory: usize,
+    pub max_memory_bytes: usize,
     /// The cached endpoint list, in discovery's format.
     pub cached_endpoints: Vec<u8>,
     /// The settings.
@@ -163,7 +163,7 @@
             file_discovery,
             seed: parse_seed(&file.seed),
             max_descriptors: file.limits.max_descriptors,
-            max_memory: file.limits.max_memory_mib.saturating_mul(1024 * 1024),
+            max_memory_bytes: file.limits.max_memory_mib.saturating_mul(1024 * 1024),
             cached_endpoints: serde_json::to_vec(&file.cached_endpoints)
                 .map_err(ConfigFileError::CachedEndpoints)?,
             settings,
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -53,7 +53,7 @@
     );
     assert_eq!(config.admin.map(|address| address.port()), Some(9000));
     assert_eq!(
-        (config.seed, config.max_descriptors, config.max_memory),
+        (config.seed, config.max_descriptors, config.max_memory_bytes),
         (0xff, 64, 192 * 1024 * 1024)
     );
     assert_eq!(config.cached_endpoints, br#"[{"any":"form"}]"#);
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,10 +1,11 @@
-//! The life cycle of the process as seen by its clients and operators.
+//! The life cycle of one front: its startup and its shutdown, as far as they are visible to clients
+//! and operators.
 //!
 //! Startup and shutdown are two independent state machines: a shutdown may be requested before the
-//! endpoint list is known, and a process that waits for its predecessor to exit still has to
+//! endpoint list is received, and a process that waits for its predecessor to exit still has to
 //! receive the list. The coordinator's coroutine makes the transitions, except that the discovery
-//! watch advances the startup to [`StartupPhase::EndpointsReceived`]. Client connections and the
-//! admin thread only read the phases.
+//! watch advances the startup to [`StartupPhase::EndpointsReceived`]. The coroutines of client
+//! connections and the admin endpoint's thread only read the phases.
 
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering::Relaxed};
 use thiserror::Error;
@@ -12,13 +13,15 @@
 /// A phase of the startup. Phases only advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StartupPhase {
-    /// The endpoint list has not been received.
+    /// The endpoint list has not been received. The readiness check of the fronts fails.
     Starting,
-    /// Requests are served, possibly with the endpoint list that was cached at the start.
+    /// The readiness check of the fronts succeeds. Requests may be served with the endpoint list
+    /// that was cached at the start.
     Ready,
-    /// Discovery's endpoint list is in the coordinator's inbox, ahead of all requests from now on.
+    /// Discovery's endpoint list is in the coordinator's inbox, before all requests that are
+    /// submitted from now on.
     EndpointsReceived,
-    /// The coordinator has the endpoint list, or the time to wait for it is over.
+    /// The coordinator has processed the endpoint list, or the time to wait for it is over.
     EndpointsKnown,
 }
 
@@ -30,7 +33,7 @@
     /// A shutdown was requested: the health check fails, and requests are served as before.
     Draining,
     /// A shutdown was requested, and a successor accepts at the same listening socket. This process
-    /// accepts nothing, and each response closes its connection. Returns to
+    /// accepts no connections, and each response closes its connection. The phase returns to
     /// [`ServicePhase::Draining`] if the successor exits first.
     HandedOver,
     /// The process is about to exit. Connections are still accepted, since the kernel would reset
@@ -43,11 +46,11 @@
 /// An event that moves a process from one [`ServicePhase`] to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownEvent {
-    /// A shutdown was requested, and no successor (or none any more) has the listening socket.
+    /// A shutdown was requested, and no successor accepts at the listening socket, or it has exited.
     DrainAlone,
     /// A shutdown was requested, and a successor accepts at the same listening socket.
     DrainWithSuccessor,
-    /// The time for new requests on open connections is over.
+    /// Idle connections are closed from now on.
     Close,
 }
 
@@ -61,7 +64,7 @@
         ServicePhase::ClosingHandedOver,
     ];
 
-    /// Returns the phase after an event. Every event is valid in every phase; none leads back to
+    /// Returns the phase after an event. Every event is valid in every phase. No event leads back to
     /// [`ServicePhase::Serving`] or out of the closing phases.
     #[must_use]
     pub fn next(self, event: ShutdownEvent) -> ServicePhase {
@@ -99,13 +102,13 @@
     }
 }
 
-/// The reason why the health check fails. Its text is the reply to operators.
+/// The reason why the health check fails. Its text is part of the admin endpoint's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unhealthy {
     /// A shutdown was requested.
     #[error("it is told to end")]
     Draining,
-    /// No endpoint list was received from discovery.
+    /// No endpoint list was received from discovery, and the time to wait for it is not over.
     #[error("the servers are not known yet")]
     EndpointsUnknown,
 }
@@ -117,29 +120,30 @@
     startup: AtomicU8,
     /// The [`ServicePhase`], as its discriminant.
     service: AtomicU8,
-    /// Whether another process serves beside this one, so that each has half of the limits.
+    /// Whether the predecessor or the successor runs at the same time, so that each process has half
+    /// of the limits.
     limits_shared: AtomicBool,
 }
 
 impl Lifecycle {
-    /// Advances the startup to a phase. Ignores an earlier phase.
+    /// Advances the startup to `phase`. Does nothing if the startup has reached a later phase.
     pub fn advance_startup(&self, phase: StartupPhase) {
         self.startup.fetch_max(phase as u8, Relaxed);
     }
 
-    /// Makes the transition for an event and returns the new phase.
-    pub fn shut_down(&self, event: ShutdownEvent) -> ServicePhase {
+    /// Moves the service to the phase after an event, and returns that phase.
+    pub fn handle_shutdown_event(&self, event: ShutdownEvent) -> ServicePhase {
         let next = self.service_phase().next(event);
         self.service.store(next as u8, Relaxed);
         next
     }
 
-    /// Records whether another process serves beside this one.
+    /// Records whether the predecessor or the successor runs at the same time.
     pub fn set_limits_shared(&self, shared: bool) {
         self.limits_shared.store(shared, Relaxed);
     }
 
-    /// Returns whether each of two processes has half of the limits.
+    /// Returns whether this process has half of the limits, since another one runs at the same time.
     pub fn limits_shared(&self) -> bool {
         self.limits_shared.load(Relaxed)
     }
@@ -149,8 +153,8 @@
         ServicePhase::ALL[usize::from(self.service.load(Relaxed))]
     }
 
-    /// Returns whether the startup is complete enough to serve requests and no shutdown was
-    /// requested.
+    /// Returns whether the readiness check of the front succeeds: the startup has reached
+    /// [`StartupPhase::Ready`] and no shutdown was requested.
     pub fn is_ready(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::Ready as u8
             && !self.service_phase().is_draining()
@@ -161,7 +165,8 @@
         self.startup.load(Relaxed) >= StartupPhase::EndpointsReceived as u8
     }
 
-    /// Returns whether discovery's endpoint list is known, or the time to wait for it is over.
+    /// Returns whether the coordinator has processed discovery's endpoint list, or the time to wait
+    /// for it is over.
     pub fn endpoints_known(&self) -> bool {
         self.startup.load(Relaxed) >= StartupPhase::EndpointsKnown as u8
     }
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -4,14 +4,14 @@
 use ShutdownEvent::{Close, DrainAlone, DrainWithSuccessor};
 
 #[test]
-fn each_service_phase_is_found_by_its_discriminant() {
+fn the_list_of_service_phases_is_in_the_order_of_their_discriminants() {
     for (index, phase) in ServicePhase::ALL.into_iter().enumerate() {
         assert_eq!(phase as usize, index);
     }
 }
 
 #[test]
-fn startup_moves_on_and_never_back() {
+fn the_startup_never_returns_to_an_earlier_phase() {
     let lifecycle = Lifecycle::default();
     assert!(!lifecycle.is_ready() && !lifecycle.endpoints_known());
     lifecycle.advance_startup(StartupPhase::Ready);
@@ -26,17 +26,23 @@
 }
 
 #[test]
-fn a_drain_without_successor_accepts_and_keeps_connections_until_it_closes() {
+fn a_process_that_drains_without_a_successor_accepts_and_keeps_connections_until_it_closes() {
     let lifecycle = Lifecycle::default();
     assert_eq!(lifecycle.service_phase(), ServicePhase::Serving);
-    assert_eq!(lifecycle.shut_down(DrainAlone), ServicePhase::Draining);
+    assert_eq!(
+        lifecycle.handle_shutdown_event(DrainAlone),
+        ServicePhase::Draining
+    );
     let draining = lifecycle.service_phase();
     assert!(
         draining.is_draining()
             && draining.accepts_connections()
             && !draining.closes_after_response()
     );
-    assert_eq!(lifecycle.shut_down(Close), ServicePhase::Closing);
+    assert_eq!(
+        lifecycle.handle_shutdown_event(Close),
+        ServicePhase::Closing
+    );
     let closing = lifecycle.service_phase();
     assert!(
         closing.is_draining() && closing.accepts_connections() && closing.closes_after_response()
@@ -44,17 +50,26 @@
 }
 
 #[test]
-fn a_successor_takes_the_accepting_over_and_gives_it_back_when_it_exits_first() {
+fn a_process_accepts_no_connections_while_a_successor_does_and_again_after_its_exit() {
     let lifecycle = Lifecycle::default();
-    let handed_over = lifecycle.shut_down(DrainWithSuccessor);
+    let handed_over = lifecycle.handle_shutdown_event(DrainWithSuccessor);
     assert_eq!(handed_over, ServicePhase::HandedOver);
     assert!(!handed_over.accepts_connections() && handed_over.closes_after_response());
-    assert_eq!(lifecycle.shut_down(DrainAlone), ServicePhase::Draining);
-    // Connections that are closing stay closing, whether or not the successor lives.
-    lifecycle.shut_down(DrainWithSuccessor);
-    assert_eq!(lifecycle.shut_down(Close), ServicePhase::ClosingHandedOver);
+    assert_eq!(
+        lifecycle.handle_shutdown_event(DrainAlone),
+        ServicePhase::Draining
+    );
+    // A process that closes connections continues to do so, whether or not the successor is alive.
+    lifecycle.handle_shutdown_event(DrainWithSuccessor);
+    assert_eq!(
+        lifecycle.handle_shutdown_event(Close),
+        ServicePhase::ClosingHandedOver
+    );
     assert!(!lifecycle.service_phase().accepts_connections());
-    assert_eq!(lifecycle.shut_down(DrainAlone), ServicePhase::Closing);
+    assert_eq!(
+        lifecycle.handle_shutdown_event(DrainAlone),
+        ServicePhase::Closing
+    );
     assert!(lifecycle.service_phase().closes_after_response());
 }
 
@@ -71,7 +86,7 @@
 }
 
 #[test]
-fn the_health_check_fails_while_endpoints_are_unknown_and_from_the_drain_on() {
+fn the_health_check_fails_while_endpoints_are_unknown_and_during_a_shutdown() {
     let lifecycle = Lifecycle::default();
     for phase in [StartupPhase::Ready, StartupPhase::EndpointsReceived] {
         lifecycle.advance_startup(phase);
@@ -79,10 +94,10 @@
     }
     lifecycle.advance_startup(StartupPhase::EndpointsKnown);
     assert_eq!(lifecycle.health(), Ok(()));
-    lifecycle.shut_down(DrainAlone);
+    lifecycle.handle_shutdown_event(DrainAlone);
     assert_eq!(lifecycle.health(), Err(Unhealthy::Draining));
     assert!(!lifecycle.is_ready());
-    let texts = [Unhealthy::Draining, Unhealthy::EndpointsUnknown].map(|why| why.to_string());
+    let texts = [Unhealthy::Draining, Unhealthy::EndpointsUnknown].map(|reason| reason.to_string());
     assert_eq!(
         texts,
         ["it is told to end", "the servers are not known yet"]
--- a/src/net/server/error/tests.rs
+++ b/src/net/server/error/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn startup_errors_name_the_address_or_the_resource() {
+fn startup_errors_state_the_address_or_the_resource() {
     let io_error = || io::Error::other("no more");
     let address = SocketAddr::from(([127, 0, 0, 1], 8080));
     let errors = [
--- a/src/net/server/reload/tests.rs
+++ b/src/net/server/reload/tests.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::EndpointUpdate;
 use crate::interface::EndpointListKind;
 
-/// A source without servers.
+/// A source that loads an empty inventory.
 struct EmptyInventory;
 
 impl Reload for EmptyInventory {
@@ -22,9 +22,9 @@
     }
 }
 
-/// Guards against a SIGHUP that is ignored since it comes while the process starts.
+/// Guards against a SIGHUP that is ignored because it arrives while the process starts.
 #[test]
-fn a_reload_that_was_requested_during_the_start_is_done_once() {
+fn a_reload_that_was_requested_during_the_start_is_carried_out_once() {
     let mut reloads = RequestedReloads::new(Box::new(EmptyInventory));
     let requested_during_start = 1;
     let mut reload = || {
--- a/src/net/server/signals/tests.rs
+++ b/src/net/server/signals/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Guards against a shutdown that counts from when the signal is noticed: the platform counts the
-/// time to the kill from the signal.
+/// Guards against a shutdown whose schedule starts when the signal is polled: the platform counts
+/// the time until the kill from when it sends the signal.
 #[test]
-fn a_shutdown_counts_from_the_first_signal() {
+fn the_shutdown_request_has_the_time_of_the_first_signal() {
     let signals = Signals::default();
     assert_eq!(signals.shutdown_requested_at(), None);
     signals.handle(SIGHUP, Micros(1));
--- a/src/net/server/startup/tests.rs
+++ b/src/net/server/startup/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_startup_without_discovery_is_ready_with_the_cached_list_and_later_healthy() {
+fn a_startup_without_discovery_is_ready_after_0_4_s_and_healthy_after_3_s() {
     let started_at = Micros::from_secs(1);
     let startup = Startup::new(Arc::default(), started_at);
     let phase_after = |ms| startup.phase(started_at + Micros::from_millis(ms));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_startup_ends_once_discovery_has_sent_a_list() {
+fn a_startup_ends_once_a_list_from_discovery_was_received() {
     let lifecycle: Arc<Lifecycle> = Arc::default();
     let startup = Startup::new(lifecycle.clone(), Micros::from_secs(1));
     lifecycle.advance_startup(StartupPhase::EndpointsReceived);
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -51,7 +51,7 @@
     Ok(Service::new(
         config.name.clone(),
         config.listen,
-        ClientLimits::new(config.max_descriptors, config.max_memory),
+        ClientLimits::new(config.max_descriptors, config.max_memory_bytes),
         Box::new(Platform::new(catalog)),
         lifecycle,
         inbox,
