--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting client connections.
+//! The accept loop for client connections, and the coroutine that serves each of them.
 
 use super::connection::{Connection, ConnectionState};
 use super::{ClientConnections, ConnectionId};
@@ -15,12 +15,13 @@
 /// The pause before the next attempt while no connection can be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The pause of a connection after it has discarded many bytes.
+/// The pause of a connection's coroutine after it has discarded many bytes.
 const DISCARD_PAUSE: Duration = Duration::from_millis(10);
 
 impl ClientConnections {
-    /// Accepts connections for as long as the process lives. While `predecessor_lives`, which
-    /// accepts at the same address, this process does not accept before the endpoint list is known.
+    /// Accepts connections for as long as the process runs. While `predecessor_lives` returns true,
+    /// the predecessor accepts at the same address, and this process does not accept before the
+    /// endpoint list is known.
     pub fn accept(self: &Arc<Self>, predecessor_lives: impl Fn() -> bool) {
         while predecessor_lives() && !self.lifecycle.endpoints_known() {
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
@@ -36,19 +37,19 @@
         }
     }
 
-    /// Evicts a connection, or pauses if none may be evicted.
+    /// Evicts a connection, or pauses if none can be evicted.
     fn evict_or_wait(&self) {
         if self.evict_one() {
             // The evicted connection is closed by its own coroutine.
             coroutine::yield_now();
         } else {
-            // New connections wait in the backlog. The kernel has completed them, so they must not
-            // be closed.
+            // New connections stay in the backlog. The kernel has already established them, so they
+            // must not be closed.
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
         }
     }
 
-    /// Accepts a connection, or waits until there is one.
+    /// Accepts a connection, or waits until there is one to accept.
     fn accept_one(self: &Arc<Self>) {
         match self.listener.inner().accept() {
             Ok((stream, _)) => {
@@ -59,7 +60,8 @@
                 self.listener.wait_io();
             }
             Err(e) => {
-                // Most likely no descriptor is left (EMFILE): evicting a connection frees one.
+                // The most likely reason is that no descriptor is left (EMFILE). Evicting a
+                // connection frees one.
                 log_throttled(
                     &COUNTERS.accept_errors,
                     || tracing::warn!(error = %e, "accepting a client connection failed"),
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Serves a connection on a coroutine of its own.
+    /// Serves a connection on its own coroutine.
     fn serve(self: &Arc<Self>, stream: TcpStream) {
         COUNTERS.connections_accepted.increment();
         let _ = stream.set_nodelay(true);
@@ -107,7 +109,8 @@
         state
     }
 
-    /// Starts the coroutine of a connection, which removes the connection at its end.
+    /// Starts the coroutine of a connection, which drives the connection and finally removes it from
+    /// the open connections.
     fn spawn_connection(
         self: &Arc<Self>,
         id: ConnectionId,
@@ -124,15 +127,16 @@
                     stream.wait_io();
                 }
             }
-            clients.release(&connection);
+            clients.report_disconnect(&connection);
             let _ = stream.inner().shutdown(Shutdown::Both);
             sync::lock(&clients.connections).remove(&id);
         })
         .map(drop)
     }
 
-    /// Returns whether the backlog of the listening socket is empty. A connection in it is
-    /// accepted, since the kernel would reset it when the process exits.
+    /// Returns whether the backlog of the listening socket is empty. If it is not, accepts a
+    /// connection from it, since the kernel would reset that connection when the process exits.
+    /// Also returns true if a successor accepts at the same socket.
     pub fn backlog_is_empty(self: &Arc<Self>) -> bool {
         if !self.lifecycle.service_phase().accepts_connections() {
             return true;
--- a/src/net/clients/activity.rs
+++ b/src/net/clients/activity.rs
@@ -1,8 +1,8 @@
-//! A snapshot of a client connection, from which evictions and timeouts are decided.
+//! A snapshot of a client connection, by which evictions and timeouts are decided.
 
 use crate::time::Micros;
 
-/// The activity of one client connection at one time.
+/// The state of one client connection at one time, as far as evictions and timeouts depend on it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectionActivity {
     /// The time of the accept.
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -14,11 +14,11 @@
 
 /// The maximum length of the input that is discarded after an error response, in bytes.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
-/// The number of bytes behind a request in progress that are discarded between two pauses. A client
-/// that sends without end takes a small share of the worker's time.
+/// The number of bytes after a request in progress that are discarded between two pauses. The pauses
+/// limit the worker's time that a client takes by sending without end.
 const MAX_DISCARDED_BYTES: usize = 2 * 1024 * 1024;
 
-/// A client connection, shared by its coroutine and the callers that answer or close it.
+/// A client connection, shared by its own coroutine and those that answer its requests or close it.
 #[derive(Default)]
 pub(super) struct Connection {
     state: Mutex<ConnectionState>,
@@ -66,7 +66,7 @@
 pub(super) struct ConnectionState {
     /// The state of the HTTP protocol, with input and output.
     pub(super) http: ServerConnection,
-    /// The waker of the connection's coroutine; `None` once that has ended.
+    /// The waker of the connection's coroutine; `None` once the coroutine has ended.
     pub(super) waker: Option<WaitIoWaker>,
     /// The request that awaits the coordinator's answer.
     pub(super) awaited: Option<AwaitedResponse>,
@@ -74,23 +74,23 @@
     pub(super) request_started_at: Option<Micros>,
     /// The time of the last read, write or response.
     pub(super) last_activity_at: Micros,
-    /// The time of the last write, or of the accept before the first.
+    /// The time of the last write; before the first write, that of the accept.
     pub(super) last_write_at: Micros,
     /// The time of the accept.
     pub(super) accepted_at: Micros,
-    /// Whether a read found nothing: further input arrives later than that read.
+    /// Whether a read has found no input, so that all later input arrived after that read.
     pub(super) waited_for_input: bool,
     /// Whether at least one complete request was received.
     pub(super) received_request: bool,
     /// Whether at least one request was submitted to the coordinator as a query.
     pub(super) submitted_query: bool,
-    /// The lingering close, once it has begun.
+    /// The lingering close; `None` until it begins.
     pub(super) linger: Option<Linger>,
     /// The memory for input and output when last counted, in bytes.
     pub(super) buffered_bytes: usize,
     /// Whether the connection closes now, even with a request in progress.
     pub(super) abort_requested: bool,
-    /// Whether reading goes on after a pause, since many bytes were discarded at a time.
+    /// Whether reading continues only after a pause, since many bytes were discarded.
     pub(super) discard_paused: bool,
 }
 
@@ -151,8 +151,8 @@
         self.wake();
     }
 
-    /// Closes the connection to make room. A request that is in the socket but not read yet is
-    /// still served.
+    /// Closes the connection so that another one can be accepted. A request that is in the socket
+    /// but not read yet is still served.
     pub(super) fn evict(&mut self) {
         COUNTERS.connections_evicted.increment();
         if self.received_request && self.http.is_idle() {
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Takes back the activity of a read that brought only empty lines, which are ignored before a
-    /// request (RFC 9112, section 2.2): they keep no connection open.
+    /// Resets the time of the last activity if a read returned only empty lines, which are ignored
+    /// before a request (RFC 9112, section 2.2) and must not keep a connection open.
     pub(super) fn ignore_empty_lines(&mut self) {
         if self.http.is_idle() {
             self.last_activity_at = self.last_write_at;
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Restarts the time of the current request after a response: a request that was received
-    /// behind the answered one counts from the last activity.
+    /// Sets the start of the current request after a response. If part of the next request was
+    /// received before the response, that request counts from the last activity.
     pub(super) fn restart_request_time(&mut self) {
         self.request_started_at = self
             .http
@@ -180,9 +180,10 @@
             .then_some(self.last_activity_at);
     }
 
-    /// Returns whether input is to be read now. Makes room for it by discarding bytes behind a
-    /// request in progress, which are added to `discarded_bytes`; pauses if that are too many.
-    pub(super) fn wants_input(&mut self, discarded_bytes: &mut usize) -> bool {
+    /// Prepares a read. Returns whether input can be read now. If no more input can be buffered, makes
+    /// room by discarding bytes after the request in progress, and adds their number to
+    /// `discarded_bytes`. Requests a pause if that number has reached [`MAX_DISCARDED_BYTES`].
+    pub(super) fn prepare_read(&mut self, discarded_bytes: &mut usize) -> bool {
         self.discard_paused = *discarded_bytes >= MAX_DISCARDED_BYTES;
         if self.discard_paused {
             return false;
@@ -207,8 +208,9 @@
         outcome
     }
 
-    /// Returns the time at which the client sent the request that is complete now, as near as can
-    /// be known: that of the last read, or of the accept if the request may have arrived with it.
+    /// Returns an estimate of the time at which the client sent the request that is complete now:
+    /// the time of the last read, or that of the accept if the request may have arrived before the
+    /// first read.
     pub(super) fn request_sent_at(&self) -> Micros {
         if self.waited_for_input {
             self.last_activity_at
@@ -217,8 +219,8 @@
         }
     }
 
-    /// Writes output until none is left or the socket would block. Returns whether the connection
-    /// is intact.
+    /// Writes output until none is left or the socket would block. Returns false if the connection
+    /// is broken.
     pub(super) fn write_output(&mut self, socket: &TcpStream, clock: &Clock) -> bool {
         while !self.http.output().is_empty() {
             match try_write(socket, self.http.output()) {
@@ -236,7 +238,7 @@
 
     /// Starts a lingering close after the last response, if necessary. Returns whether input has to
     /// be discarded: closing a socket with unread input sends a reset, which can destroy the
-    /// response on its way.
+    /// response in transit.
     pub(super) fn begin_linger(&mut self, socket: &TcpStream, clock: &Clock) -> bool {
         if self.is_lingering() {
             return true;
@@ -251,8 +253,8 @@
         true
     }
 
-    /// Discards input after the last response. Returns whether more may come: not after the client
-    /// has closed, or has sent more than the maximum.
+    /// Discards input after the last response. Returns whether more may arrive. Returns false once
+    /// the client has closed the connection or has sent more than [`MAX_LINGER_BYTES`].
     pub(super) fn discard_input(&mut self, socket: &TcpStream) -> bool {
         let Some(mut linger) = self.linger else {
             return false;
--- a/src/net/clients/eviction.rs
+++ b/src/net/clients/eviction.rs
@@ -1,16 +1,17 @@
-//! The choice of client connections to evict when connections or memory are short. Pure functions,
-//! without sockets and clocks.
+//! The choice of client connections to evict when the limits on connections or memory are reached.
+//! Pure functions, without sockets and clocks.
 
 use super::activity::ConnectionActivity;
 use crate::time::Micros;
 
-/// The time after its last activity in which a connection without a query is not evicted, since its
-/// client may be about to send one. Short, since clients in the backlog wait for it.
+/// The time in which a connection without a query is not evicted, since its client may be about to
+/// send one. It counts from the accept or, once a request was received, from the last activity.
+/// Short, since connections in the backlog may be waiting for the eviction.
 const EVICTION_GRACE_PERIOD: Micros = Micros::from_millis(30);
 
 /// The kinds of connections that may be evicted, in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EvictionClass {
+pub enum ConnectionKind {
     /// A connection whose last response was an error; its client may still be sending.
     Failed,
     /// A connection that has submitted no query.
@@ -19,17 +20,17 @@
     BetweenQueries,
 }
 
-/// The order of evictions: by kind, then by the time spent in that state. The smallest is evicted
-/// first.
+/// The order of evictions: by kind, then by the time of the last change. The connection with the
+/// smallest value is evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     /// The kind of connection.
-    pub class: EvictionClass,
-    /// The time at which the connection entered that state.
+    pub kind: ConnectionKind,
+    /// The time of the last response, of the last activity, or of the accept, depending on the kind.
     pub since: Micros,
 }
 
-/// Returns the priority of a connection. Returns `None` if it must not be evicted.
+/// Returns the priority of a connection; `None` if it must not be evicted.
 #[must_use]
 pub fn eviction_priority(connection: &ConnectionActivity, now: Micros) -> Option<EvictionPriority> {
     if connection.aborted || connection.closing || connection.busy {
@@ -37,7 +38,7 @@
     }
     if let Some(since) = connection.lingering_since {
         return Some(EvictionPriority {
-            class: EvictionClass::Failed,
+            kind: ConnectionKind::Failed,
             since,
         });
     }
@@ -48,18 +49,19 @@
             connection.accepted_at
         };
         let priority = EvictionPriority {
-            class: EvictionClass::WithoutQuery,
+            kind: ConnectionKind::WithoutQuery,
             since,
         };
         return (now.since(since) > EVICTION_GRACE_PERIOD).then_some(priority);
     }
     connection.idle.then_some(EvictionPriority {
-        class: EvictionClass::BetweenQueries,
+        kind: ConnectionKind::BetweenQueries,
         since: connection.last_activity_at,
     })
 }
 
-/// Returns the connection to evict so that another one can be accepted.
+/// Returns the connection to evict so that another one can be accepted; `None` if none may be
+/// evicted.
 pub fn first_to_evict<C>(
     connections: impl Iterator<Item = C>,
     now: Micros,
@@ -71,7 +73,8 @@
         .map(|(_, connection)| connection)
 }
 
-/// Returns the connections between queries beyond `max_idle`: those idle longest.
+/// Returns the connections between queries that exceed `max_idle`: those that have been idle
+/// longest.
 pub fn excess_idle<C>(
     connections: impl Iterator<Item = C>,
     now: Micros,
@@ -80,7 +83,7 @@
 ) -> Vec<C> {
     let between_queries = |connection: &C| {
         eviction_priority(&activity(connection), now)
-            .filter(|p| p.class == EvictionClass::BetweenQueries)
+            .filter(|p| p.kind == ConnectionKind::BetweenQueries)
     };
     let mut idle: Vec<_> = connections
         .filter_map(|c| Some((between_queries(&c)?.since, c)))
@@ -93,7 +96,8 @@
     idle.into_iter().map(|(_, connection)| connection).collect()
 }
 
-/// Returns the connection that holds the most memory, among those that await no response.
+/// Returns the connection that holds the most memory among those without a request that awaits its
+/// response.
 pub fn largest_without_response<C>(
     connections: impl Iterator<Item = C>,
     activity: impl Fn(&C) -> ConnectionActivity,
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -11,29 +11,31 @@
 pub struct ClientLimits {
     /// The maximum number of open connections.
     pub connections: usize,
-    /// The maximum number of connections between two queries. Clients that sent one query may never
-    /// send another, yet count against the connections that the platform grants to all its clients.
+    /// The maximum number of connections between two queries. A client that sent one query may never
+    /// send another, but its open connection counts against the number that the platform allows all
+    /// its clients.
     pub idle: usize,
     /// The maximum memory for requests that are not answered yet, in bytes.
     pub bytes: usize,
 }
 
 impl ClientLimits {
-    /// Creates the limits of a process with `descriptors` descriptors and `memory` bytes. Regular
-    /// clients need a third of the descriptors. Another third is for connections that send nothing
-    /// until they are evicted, and the last third for servers, the discovery watch and the runtime.
+    /// Creates the limits of a process with `descriptors` descriptors and `memory_bytes` bytes of
+    /// memory. Regular clients need a third of the descriptors. Another third is for connections
+    /// that send nothing until they are evicted, and the last third for servers, the discovery
+    /// watch and the runtime.
     #[must_use]
-    pub fn new(descriptors: usize, memory: usize) -> Self {
+    pub fn new(descriptors: usize, memory_bytes: usize) -> Self {
         let available = descriptors.saturating_sub(admin::reserved_descriptors(descriptors));
         ClientLimits {
             connections: (available * 2 / 3).max(1),
             idle: available / 6,
-            bytes: (memory.saturating_sub(BASE_MEMORY) / 3).max(MIN_REQUEST_BYTES),
+            bytes: (memory_bytes.saturating_sub(BASE_MEMORY) / 3).max(MIN_REQUEST_BYTES),
         }
     }
 
-    /// Returns the limits of each of two processes that share them. The limit on idle connections
-    /// stays, unless it exceeds half of the connections.
+    /// Returns the limits of each of two processes that share these limits. The limit on idle
+    /// connections is unchanged unless it exceeds half of the connections.
     #[must_use]
     pub fn halved(self) -> Self {
         let connections = (self.connections / 2).max(1);
--- a/src/net/clients/limits/tests.rs
+++ b/src/net/clients/limits/tests.rs
@@ -7,19 +7,20 @@
     // Clients may use half of the descriptors or more, but a quarter must be left for a burst of
     // new clients.
     let limits =
-        |descriptors, megabytes: usize| ClientLimits::new(descriptors, megabytes * 1024 * 1024);
-    for (descriptors, megabytes) in [(256, 32), (384, 48), (1024, 192)] {
-        let of_process = limits(descriptors, megabytes);
+        |descriptors, mebibytes: usize| ClientLimits::new(descriptors, mebibytes * 1024 * 1024);
+    for (descriptors, mebibytes) in [(256, 32), (384, 48), (1024, 192)] {
+        let client_limits = limits(descriptors, mebibytes);
         assert!(
-            of_process.connections > descriptors / 2
-                && of_process.connections + descriptors / 4 < descriptors
+            client_limits.connections > descriptors / 2
+                && client_limits.connections + descriptors / 4 < descriptors
         );
         // Regular clients may hold a third of the descriptors: there is always room for new ones
         // among them.
-        assert!(of_process.idle > 0 && of_process.idle < descriptors / 3 - descriptors / 8);
+        assert!(client_limits.idle > 0 && client_limits.idle < descriptors / 3 - descriptors / 8);
         assert!(
-            of_process.bytes >= 5 * 1024 * 1024 && of_process.bytes < megabytes * 1024 * 1024 / 2,
-            "{of_process:?}"
+            client_limits.bytes >= 5 * 1024 * 1024
+                && client_limits.bytes < mebibytes * 1024 * 1024 / 2,
+            "{client_limits:?}"
         );
     }
     assert_eq!(
--- a/src/net/clients/mod.rs
+++ b/src/net/clients/mod.rs
@@ -1,9 +1,9 @@
-//! The connections of one front's clients: accepts, serves, evicts and drains them. HTTP is in
-//! `proto::http`, the meaning of requests in `front`, the decisions about queries in the
-//! coordinator.
+//! The connections of one front's clients, which are accepted, served, evicted and drained here.
+//! HTTP is in `proto::http`, the meaning of requests in `front`, and the decisions about queries in
+//! the coordinator.
 //!
-//! The counters of connections, and the throttled log lines that they drive, are global, as `net`
-//! states.
+//! The counters of connections, by which log lines are throttled, are global, as the documentation
+//! of `net` explains.
 
 mod accept;
 mod activity;
@@ -41,11 +41,11 @@
     connections: Mutex<HashMap<ConnectionId, Arc<Connection>>>,
     /// The connections that await the coordinator's answer, by the tokens of their requests.
     awaiting: Mutex<HashMap<Token, Arc<Connection>>>,
-    /// The next id of a connection or token of a request.
+    /// The next number, which becomes the id of a connection or the token of a request.
     next_id: AtomicU64,
     limits: ClientLimits,
-    /// The listening socket. Kept until the process exits, since the runtime's record of a socket
-    /// that another process shares must outlive its use.
+    /// The listening socket. It is kept until the process exits: the runtime's record of a socket
+    /// that another process shares must exist for as long as the socket is in use.
     listener: Arc<CoIo<TcpListener>>,
     /// The memory that all connections hold for input and output, in bytes.
     buffered_bytes: AtomicUsize,
@@ -56,7 +56,8 @@
 }
 
 impl ClientConnections {
-    /// Creates the connections of a front: none at first, and never more than `limits` allows.
+    /// Creates the record of a front's connections, which is empty. `limits` applies to the
+    /// connections that are accepted later.
     pub fn new(
         front: Box<dyn Front>,
         listener: Arc<CoIo<TcpListener>>,
@@ -79,7 +80,7 @@
         })
     }
 
-    /// Returns the life cycle of this front, which other threads may read.
+    /// Returns the life cycle of this front.
     pub fn lifecycle(&self) -> &Arc<Lifecycle> {
         &self.lifecycle
     }
@@ -109,7 +110,8 @@
         true
     }
 
-    /// Evicts the connections that were idle longest, down to the limit on idle connections.
+    /// Evicts the connections that have been idle longest, as many as exceed the limit on idle
+    /// connections.
     fn evict_excess_idle(&self) {
         let now = self.clock.now();
         let connections = sync::lock(&self.connections);
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Ends a connection that has exceeded a time limit.
+    /// Closes a connection that has exceeded a time limit, after an error response if the client
+    /// has sent part of a request.
     fn time_out(&self, state: &mut ConnectionState, timeout: Timeout) {
         match timeout {
             Timeout::Linger => state.abort(),
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -1,5 +1,5 @@
-//! The service of one client connection: requests are read, handed to the front, submitted to the
-//! coordinator, and answered.
+//! The service of one client connection: its requests are read, passed to the front, submitted to
+//! the coordinator, and answered.
 
 use super::connection::{AwaitedResponse, Connection, ConnectionState};
 use super::ClientConnections;
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 
 impl ClientConnections {
-    /// Reads, handles and answers until the socket would block. Returns whether the connection
-    /// stays open.
+    /// Reads and handles requests and writes responses until the socket would block. Returns whether
+    /// the connection stays open.
     pub(super) fn drive(&self, connection: &Arc<Connection>, stream: &CoIo<TcpStream>) -> bool {
         let mut state = connection.lock();
-        // A first request that is in the socket when its connection is evicted is still served: its
-        // client would receive a reset in place of a response.
+        // A first request that is in the socket when its connection is evicted is still served:
+        // otherwise its client would receive a reset instead of a response.
         let may_exchange = !state.abort_requested || !state.received_request;
         let mut open = may_exchange && self.exchange(connection, &mut state, stream.inner());
         if open && state.abort_requested {
@@ -31,7 +31,7 @@
         open
     }
 
-    /// Updates the total memory with the current memory of a connection.
+    /// Updates the total memory of all connections with the current memory of this one.
     fn count_memory(&self, state: &mut ConnectionState, open: bool) {
         let bytes = if open { state.http.memory() } else { 0 };
         self.buffered_bytes.fetch_add(bytes, Relaxed);
@@ -47,7 +47,7 @@
         state: &mut ConnectionState,
         socket: &TcpStream,
     ) -> bool {
-        // Input that was received behind a request in progress.
+        // Handles input that was received while an earlier request was in progress.
         self.handle_requests(connection, state);
         if !self.read_requests(connection, state, socket)
             || !state.write_output(socket, &self.clock)
@@ -64,7 +64,7 @@
     }
 
     /// Reads and handles requests for as long as there is input. Returns false if the client closed
-    /// the connection while a request is in progress, whose response it no longer awaits.
+    /// the connection while a request was in progress, since it no longer awaits the response.
     fn read_requests(
         &self,
         connection: &Arc<Connection>,
@@ -72,7 +72,7 @@
         socket: &TcpStream,
     ) -> bool {
         let mut discarded_bytes = 0;
-        while !state.is_lingering() && state.wants_input(&mut discarded_bytes) {
+        while !state.is_lingering() && state.prepare_read(&mut discarded_bytes) {
             match state.read_input(socket, &self.clock) {
                 IoOutcome::Transferred(_) => {
                     self.handle_requests(connection, state);
@@ -147,8 +147,9 @@
         let _ = self.inbox.send(Input::Submit(request));
     }
 
-    /// Delivers the answer to a request. The connection's coroutine writes the response. Does
-    /// nothing if the client has disconnected.
+    /// Renders the answer to a request as a response, which the connection's coroutine writes, or
+    /// submits the request that follows from the answer. Does nothing if the client has
+    /// disconnected.
     pub fn deliver(&self, token: Token, answer: Answer) {
         let Some(connection) = sync::lock(&self.awaiting).remove(&token) else {
             return;
@@ -170,8 +171,8 @@
         state.wake();
     }
 
-    /// Reports to the coordinator that the client has disconnected, if a response is still awaited.
-    pub(super) fn release(&self, connection: &Connection) {
+    /// Reports to the coordinator that the client has disconnected, if an answer is still awaited.
+    pub(super) fn report_disconnect(&self, connection: &Connection) {
         let mut state = connection.lock();
         state.waker = None;
         if let Some(awaited) = state.awaited.take() {
--- a/src/net/clients/timeouts.rs
+++ b/src/net/clients/timeouts.rs
@@ -4,21 +4,22 @@
 use super::activity::ConnectionActivity;
 use crate::time::Micros;
 
-/// The time in which a request must be complete, from its first byte; for the first request of a
-/// connection, from the accept. Clients are owed an error or a close within 3 s.
+/// The time from its first byte in which a request must be complete. For the first request of a
+/// connection the time counts from the accept. Clients expect an error or a close within 3 s.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(2_200);
 /// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Micros = Micros::from_secs(30);
-/// The same while more than half of the connections are in use.
+/// The time after which an idle connection is closed while more than half of the maximum number of
+/// connections are open.
 const CROWDED_IDLE_TIMEOUT: Micros = Micros::from_millis(2_500);
-/// The time in which a client must read part of a response.
+/// The time in which a client must read at least some bytes of a response.
 const WRITE_TIMEOUT: Micros = Micros::from_secs(15);
 /// The time in which input after an error response is discarded: closing a socket with unread input
-/// sends a reset, which can destroy the response on its way.
+/// sends a reset, which can destroy the response in transit.
 const LINGER_TIMEOUT: Micros = Micros::from_secs(1);
 
-/// Returns the time after which an idle connection is closed, if `connections` of `max_connections`
-/// are in use.
+/// Returns the time after which an idle connection is closed while `connections` of at most
+/// `max_connections` are open.
 #[must_use]
 pub fn idle_timeout(connections: usize, max_connections: usize) -> Micros {
     if connections * 2 > max_connections {
@@ -31,7 +32,7 @@
 /// A time limit that a connection has exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timeout {
-    /// The client goes on sending after an error response.
+    /// The client continues to send after an error response.
     Linger,
     /// The client does not read the response.
     Response,
@@ -50,7 +51,7 @@
     now: Micros,
     idle_timeout: Micros,
 ) -> Option<Timeout> {
-    let quiet = now.since(connection.last_activity_at);
+    let inactive_for = now.since(connection.last_activity_at);
     if connection
         .lingering_since
         .is_some_and(|since| now.since(since) > LINGER_TIMEOUT)
@@ -58,19 +59,19 @@
         return Some(Timeout::Linger);
     }
     if connection.output_pending {
-        return (quiet > WRITE_TIMEOUT).then_some(Timeout::Response);
+        return (inactive_for > WRITE_TIMEOUT).then_some(Timeout::Response);
     }
     if connection.idle && !connection.received_request {
         return (now.since(connection.accepted_at) > REQUEST_TIMEOUT).then_some(Timeout::FirstByte);
     }
     if connection.idle {
-        return (quiet > idle_timeout).then_some(Timeout::Idle);
+        return (inactive_for > idle_timeout).then_some(Timeout::Idle);
     }
     if connection.busy || connection.lingering_since.is_some() {
         return None;
     }
-    // The first request counts from the accept, so that a client that sends a byte now and then
-    // gains no time.
+    // The time of the first request counts from the accept, so that a client does not extend it by
+    // sending single bytes.
     let since = if connection.received_request {
         connection
             .request_started_at
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -171,10 +171,11 @@
         self.startup.load(Relaxed) >= StartupPhase::EndpointsKnown as u8
     }
 
-    /// Checks whether client requests are served.
+    /// Runs the health check of the admin endpoint.
     ///
     /// # Errors
-    /// Fails with the reason if they are not.
+    /// Fails during a shutdown, and until the startup has reached
+    /// [`StartupPhase::EndpointsKnown`].
     pub fn health(&self) -> Result<(), Unhealthy> {
         if self.service_phase().is_draining() {
             return Err(Unhealthy::Draining);
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -5,8 +5,8 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// The time after which a process that has not received an endpoint list from discovery serves
-/// requests with the cached list.
+/// The time after which a process that has not received an endpoint list from discovery is ready
+/// with the cached list.
 const MAX_WAIT_FOR_ENDPOINTS: Micros = Micros::from_millis(400);
 /// The time after which the health check succeeds even without a list from discovery: the platform
 /// may start coordinators while discovery is down.
