--- a/src/net/clients/eviction/tests.rs
+++ b/src/net/clients/eviction/tests.rs
@@ -34,17 +34,17 @@
 
 /// Returns the indices of the connections in the order of their evictions.
 fn eviction_order(connections: &[ConnectionActivity]) -> Vec<usize> {
-    let mut left: Vec<usize> = (0..connections.len()).collect();
+    let mut remaining: Vec<usize> = (0..connections.len()).collect();
     let mut order = Vec::new();
-    while let Some(next) = first_to_evict(left.iter().copied(), NOW, |c| connections[*c]) {
-        left.retain(|c| *c != next);
+    while let Some(next) = first_to_evict(remaining.iter().copied(), NOW, |c| connections[*c]) {
+        remaining.retain(|c| *c != next);
         order.push(next);
     }
     order
 }
 
 #[test]
-fn failed_connections_go_first_then_those_without_query_then_idle_ones_by_age() {
+fn failed_connections_are_evicted_first_then_those_without_a_query_then_the_longest_idle() {
     let without_query = ConnectionActivity {
         received_request: true,
         ..idle_for(3)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn connections_with_a_request_in_progress_or_that_close_already_are_never_evicted() {
+fn connections_that_have_a_request_in_progress_or_are_closing_are_never_evicted() {
     for connection in [
         ConnectionActivity {
             busy: true,
@@ -87,21 +87,21 @@
 }
 
 #[test]
-fn a_connection_without_query_is_spared_for_30_ms_after_it_was_accepted_or_active() {
-    let fresh = |ms| ConnectionActivity {
+fn a_connection_without_a_query_is_not_evicted_for_30_ms_after_its_accept_or_last_request() {
+    let accepted_before = |ms| ConnectionActivity {
         accepted_at: NOW - Micros::from_millis(ms),
         ..idle_for(0)
     };
-    assert_eq!(eviction_priority(&fresh(30), NOW), None);
-    assert!(eviction_priority(&fresh(31), NOW).is_some());
-    // A first byte does not prolong it; a complete request does.
+    assert_eq!(eviction_priority(&accepted_before(30), NOW), None);
+    assert!(eviction_priority(&accepted_before(31), NOW).is_some());
+    // Part of a first request does not restart the 30 ms; a complete request does.
     let last_activity_at = NOW - Micros::from_millis(10);
-    let half = ConnectionActivity {
+    let partial_request = ConnectionActivity {
         last_activity_at,
         idle: false,
         ..idle_for(1)
     };
-    assert!(eviction_priority(&half, NOW).is_some());
+    assert!(eviction_priority(&partial_request, NOW).is_some());
     let answered = ConnectionActivity {
         last_activity_at,
         received_request: true,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn memory_is_reclaimed_from_the_largest_connection_that_waits_for_no_response() {
+fn memory_is_reclaimed_from_the_largest_connection_that_awaits_no_response() {
     let sized = |buffered_bytes, busy| ConnectionActivity {
         buffered_bytes,
         busy,
--- a/src/net/clients/limits/tests.rs
+++ b/src/net/clients/limits/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn client_limits_follow_the_limits_of_the_process_however_small() {
-    // Clients may use half of the descriptors or more, but a quarter must be left for a burst of
+fn client_limits_are_shares_of_the_limits_of_the_process_however_small_those_are() {
+    // Clients may use more than half of the descriptors, but a quarter must be left for a burst of
     // new clients.
     let limits =
         |descriptors, mebibytes: usize| ClientLimits::new(descriptors, mebibytes * 1024 * 1024);
@@ -14,8 +14,8 @@
             client_limits.connections > descriptors / 2
                 && client_limits.connections + descriptors / 4 < descriptors
         );
-        // Regular clients may hold a third of the descriptors: there is always room for new ones
-        // among them.
+        // Regular clients may use a third of the descriptors. Idle connections must leave room for
+        // new regular clients among them.
         assert!(client_limits.idle > 0 && client_limits.idle < descriptors / 3 - descriptors / 8);
         assert!(
             client_limits.bytes >= 5 * 1024 * 1024
@@ -32,8 +32,8 @@
         }
     );
     assert_eq!(limits(1, 32).shared(2).connections, 1);
-    // Two processes of an upgrade stay within the limits of one, and idle clients of the
-    // predecessor are not evicted.
+    // Both processes of an upgrade together stay within the limits of one, and idle connections of
+    // the predecessor are not evicted.
     let whole = limits(384, 48);
     let half = whole.halved();
     assert!(half.connections * 2 <= whole.connections && half.bytes * 2 <= whole.bytes);
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the eviction of client connections.
+//! Tests of client connections: evictions, the times of requests, and empty lines.
 
 use super::*;
 use crate::front::Reaction;
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// A front that knows no resource and records the times at which its requests were sent.
+/// A front that answers each request with status 404 and records when it was sent.
 #[derive(Clone, Default)]
 struct NotFoundFront {
     sent_at: Arc<Mutex<Vec<Micros>>>,
@@ -37,8 +37,8 @@
     limits: ClientLimits,
     states: Vec<ConnectionState>,
 ) -> (Arc<ClientConnections>, Vec<Arc<Connection>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let listener = Arc::new(CoIo::new(listener).expect("a socket of the runtime"));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let listener = Arc::new(CoIo::new(listener).expect("the runtime can poll the listener"));
     let clients = ClientConnections::new(
         Box::new(front),
         listener,
@@ -84,7 +84,8 @@
     }
 }
 
-fn are_closing(connections: &[Arc<Connection>]) -> Vec<bool> {
+/// Returns for each connection whether it is closing.
+fn closing_flags(connections: &[Arc<Connection>]) -> Vec<bool> {
     connections
         .iter()
         .map(|c| c.lock().abort_requested || c.lock().http.is_draining())
@@ -92,8 +93,8 @@
 }
 
 #[test]
-fn the_longest_idle_connections_are_evicted_beyond_the_idle_limit() {
-    // Idle clients that sent one query must not use up the connections of all clients.
+fn the_longest_idle_connections_that_exceed_the_idle_limit_are_evicted() {
+    // Idle clients that sent one query must not use up all connections.
     let limits = ClientLimits {
         connections: 100,
         idle: 2,
@@ -114,14 +115,15 @@
     let (clients, connections) = clients(limits, states);
     clients.evict_excess_idle();
     assert_eq!(
-        are_closing(&connections),
+        closing_flags(&connections),
         [true, false, false, false, false]
     );
 }
 
 #[test]
 fn connections_without_a_query_are_evicted_before_those_with_one() {
-    // Clients that only request /up must not displace regular clients, which are idle for longer.
+    // Clients that only request /up must not displace regular clients, which are idle for a longer
+    // time.
     let limits = ClientLimits {
         connections: 3,
         idle: 3,
@@ -140,14 +142,17 @@
         [true, true, true, false],
     ] {
         assert!(clients.evict_one());
-        assert_eq!(are_closing(&connections), expected);
+        assert_eq!(closing_flags(&connections), expected);
     }
-    assert!(!clients.evict_one(), "the last one was accepted just now");
+    assert!(
+        !clients.evict_one(),
+        "a connection that was just accepted is not evicted"
+    );
 }
 
 #[test]
-fn an_evicted_new_connection_is_answered_if_its_request_is_in_the_socket() {
-    // A connection that is closed with unread input sends a reset in place of the response.
+fn a_first_request_in_the_socket_is_answered_after_the_eviction_of_its_connection() {
+    // Closing a connection with unread input would send a reset instead of the response.
     let limits = ClientLimits {
         connections: 1,
         idle: 1,
@@ -156,19 +161,28 @@
     let (clients, connections) = clients(limits, vec![without_request(1)]);
     let (mut client, stream) = connect(&clients);
     send_request(&mut client, &stream);
-    let stream = CoIo::new(stream).expect("a socket of the runtime");
+    let stream = CoIo::new(stream).expect("the runtime can poll the socket");
     assert!(clients.evict_one());
-    assert!(!clients.drive(&connections[0], &stream), "it closes");
+    assert!(
+        !clients.drive(&connections[0], &stream),
+        "the connection closes"
+    );
     drop(stream);
     let mut head = [0; 12];
-    client.read_exact(&mut head).expect("a response");
+    client
+        .read_exact(&mut head)
+        .expect("the response is received");
     assert_eq!(&head, b"HTTP/1.1 404");
 }
 
 /// Connects a client and returns both ends of its connection.
 fn connect(clients: &ClientConnections) -> (TcpStream, TcpStream) {
-    let address = clients.listener.inner().local_addr().expect("bound");
-    let client = TcpStream::connect(address).expect("it listens");
+    let address = clients
+        .listener
+        .inner()
+        .local_addr()
+        .expect("the listener is bound");
+    let client = TcpStream::connect(address).expect("the connection is established");
     let stream = loop {
         match clients.listener.inner().accept() {
             Ok((stream, _)) => break stream,
@@ -181,14 +195,14 @@
 /// Sends a request and waits until it has arrived at the other end.
 fn send_request(client: &mut TcpStream, stream: &TcpStream) {
     let request = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    client.write_all(request).expect("sent");
-    stream.peek(&mut [0]).expect("the request has arrived");
+    client.write_all(request).expect("the request is sent");
+    stream.peek(&mut [0]).expect("the request arrives");
 }
 
-/// Guards against responses after the client's time: a request that waits in the socket until its
-/// new connection is first read counts from the accept.
+/// Guards against responses after the client's timeout: a request may be in the socket for some time
+/// before the first read of a new connection, so its time counts from the accept.
 #[test]
-fn a_request_that_is_there_at_the_first_read_was_sent_at_the_accept() {
+fn the_time_of_a_request_counts_from_the_accept_if_the_first_read_returns_it() {
     let limits = ClientLimits {
         connections: 2,
         idle: 2,
@@ -200,28 +214,28 @@
     let accepted_at = connections[0].lock().accepted_at;
     let (mut client, stream) = connect(&clients);
     send_request(&mut client, &stream);
-    let stream = CoIo::new(stream).expect("a socket of the runtime");
+    let stream = CoIo::new(stream).expect("the runtime can poll the socket");
     assert!(clients.drive(&connections[0], &stream));
     assert_eq!(*sync::lock(&front.sent_at), [accepted_at]);
 
     // The second client sends its request after the first read.
     let (mut client, stream) = connect(&clients);
-    let other_end = stream.try_clone().expect("a handle");
-    let stream = CoIo::new(stream).expect("a socket of the runtime");
+    let server_end = stream.try_clone().expect("the socket is duplicated");
+    let stream = CoIo::new(stream).expect("the runtime can poll the socket");
     assert!(clients.drive(&connections[1], &stream));
-    let waited_until = clients.clock.now();
+    let first_read_by = clients.clock.now();
     client
         .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        .expect("sent");
-    while other_end.peek(&mut [0]).is_err() {}
+        .expect("the request is sent");
+    while server_end.peek(&mut [0]).is_err() {}
     assert!(clients.drive(&connections[1], &stream));
-    assert!(sync::lock(&front.sent_at)[1] >= waited_until);
+    assert!(sync::lock(&front.sent_at)[1] >= first_read_by);
 }
 
-/// Guards against a connection that empty lines, which are ignored before a request, keep open for
-/// ever.
+/// Guards against a client that keeps an idle connection open forever by sending empty lines, which
+/// are ignored before a request.
 #[test]
-fn empty_lines_do_not_keep_an_idle_connection() {
+fn empty_lines_do_not_keep_an_idle_connection_open() {
     let limits = ClientLimits {
         connections: 1,
         idle: 1,
@@ -230,13 +244,18 @@
     let (clients, connections) = clients(limits, vec![without_query(10)]);
     let idle_since = connections[0].lock().last_activity_at;
     let (mut client, stream) = connect(&clients);
-    client.write_all(b"\r\n\r\n").expect("sent");
-    stream.peek(&mut [0]).expect("it has arrived");
-    let stream = CoIo::new(stream).expect("a socket of the runtime");
+    client
+        .write_all(b"\r\n\r\n")
+        .expect("the empty lines are sent");
+    stream.peek(&mut [0]).expect("the empty lines arrive");
+    let stream = CoIo::new(stream).expect("the runtime can poll the socket");
     assert!(clients.drive(&connections[0], &stream));
     assert_eq!(connections[0].lock().last_activity_at, idle_since);
-    client.write_all(b"GET").expect("sent");
+    client.write_all(b"GET").expect("the first bytes are sent");
     while connections[0].lock().last_activity_at == idle_since {
-        assert!(clients.drive(&connections[0], &stream), "a request begins");
+        assert!(
+            clients.drive(&connections[0], &stream),
+            "the connection stays open"
+        );
     }
 }
--- a/src/net/clients/timeouts/tests.rs
+++ b/src/net/clients/timeouts/tests.rs
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn a_client_that_sends_nothing_has_2_2_s_from_the_accept() {
+fn a_connection_on_which_nothing_was_received_times_out_2_2_s_after_the_accept() {
     assert_eq!(exceeded_now(idle_for(2_200)), None);
     assert_eq!(exceeded_now(idle_for(2_201)), Some(Timeout::FirstByte));
 }
 
 #[test]
-fn the_first_request_counts_from_the_accept_and_later_ones_from_their_first_byte() {
+fn the_time_of_the_first_request_counts_from_the_accept_and_of_others_from_their_first_byte() {
     let first = ConnectionActivity {
         idle: false,
         last_activity_at: NOW,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_kept_for_30_s_or_for_2_5_s_in_a_crowd() {
+fn an_idle_connection_times_out_after_30_s_or_2_5_s_if_more_than_half_are_open() {
     let idle = |ms| ConnectionActivity {
         received_request: true,
         ..idle_for(ms)
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_response_must_be_read_within_15_s_of_the_last_byte() {
+fn a_client_that_reads_no_byte_of_a_response_for_15_s_times_out() {
     let writing = |ms| ConnectionActivity {
         output_pending: true,
         idle: false,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_lingering_connection_has_1_s_and_no_other_limit() {
+fn a_lingering_connection_has_a_limit_of_1_s_and_no_other() {
     let lingering = |ms| ConnectionActivity {
         lingering_since: Some(ms_ago(ms)),
         received_request: true,
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_its_response_has_no_limit_here() {
+fn a_request_that_awaits_its_response_has_no_time_limit() {
     let busy = ConnectionActivity {
         busy: true,
         received_request: true,
