--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -9,7 +9,7 @@
 /// The reason why there is no usable configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable `NODE_CONFIG`, which names the file, is not set.
     #[error("NODE_CONFIG is not set")]
     PathNotSet,
     /// The file cannot be read.
@@ -47,7 +47,7 @@
     InvalidAddress {
         /// The key in the file.
         key: &'static str,
-        /// The address as stated.
+        /// The text that is not an address.
         text: String,
         /// The error of the parser.
         source: AddrParseError,
@@ -55,13 +55,13 @@
     /// The settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The cached endpoint list cannot be encoded again.
+    /// The cached endpoint list cannot be written as JSON.
     #[error("known: {0}")]
     CachedEndpoints(#[source] serde_json::Error),
     /// A replaced file lacks a key that the file in force has.
     #[error("{key} is missing")]
     MissingKey {
-        /// The path of the key, with dots.
+        /// The path of the key, separated by dots.
         key: String,
     },
 }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -15,7 +15,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The content of the file. `expecting` keeps the type names in the texts of JSON errors.
+/// The content of the file. `expecting` sets the type name in the texts of JSON errors, which is
+/// independent of the name in the code.
 #[derive(Deserialize)]
 #[serde(expecting = "struct File")]
 struct ConfigFile {
@@ -68,7 +69,7 @@
 }
 
 impl EnvironmentOverrides {
-    /// Reads the variables of this process.
+    /// Reads the environment variables of this process.
     fn from_env() -> Self {
         let variable = |name| std::env::var(name).ok();
         EnvironmentOverrides {
@@ -89,14 +90,15 @@
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The address of the admin protocol, if it is served.
+    /// The address of the admin endpoint; `None` if it is not served.
     pub admin: Option<SocketAddr>,
     /// The path of the file, for reloads.
     pub path: PathBuf,
     /// The file as JSON, against which a replaced file is checked for missing keys. The endpoint
-    /// list is left out, since its length and shape may change.
+    /// list is replaced by null, since its length and shape may change.
     file_shape: Value,
-    /// The address of discovery as the file states it, whatever the environment states.
+    /// The address of discovery in the file, which the environment may override; `None` if the file
+    /// has no valid one.
     pub file_discovery: Option<SocketAddr>,
     /// The seed of random generators.
     pub seed: u64,
@@ -132,12 +134,12 @@
         }
     }
 
-    /// Parses the content of a file; the path is left empty.
+    /// Parses the content of a file. The path of the returned configuration is empty.
     ///
     /// # Errors
     ///
-    /// Fails if the content is not JSON of the right shape, an address is missing or malformed, or
-    /// the settings are invalid.
+    /// Fails if the content is not JSON, if a value is missing or has the wrong type, if an address
+    /// is missing or malformed, or if the settings are invalid.
     pub fn parse(text: &[u8], environment: EnvironmentOverrides) -> Result<Self, ConfigFileError> {
         let file: ConfigFile = serde_json::from_slice(text)?;
         let settings = parse_coordinator_settings(file.settings)?;
@@ -183,7 +185,7 @@
         .map_err(|source| ConfigFileError::InvalidAddress { key, text, source })
 }
 
-/// Parses the file as JSON without its endpoint list; see [`Config`].
+/// Parses the file as JSON and replaces its endpoint list by null; see [`Config`].
 fn file_shape(text: &[u8]) -> Result<Value, ConfigFileError> {
     let mut file: Value = serde_json::from_slice(text)?;
     if let Some(cached_endpoints) = file.get_mut("known") {
@@ -192,7 +194,7 @@
     Ok(file)
 }
 
-/// Parses a hexadecimal seed. The seed of any other text is its FNV-1a hash.
+/// Parses a hexadecimal seed. For any other text the seed is the FNV-1a hash of the text.
 fn parse_seed(text: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub struct ActiveConfig {
     path: PathBuf,
-    /// The keys of the file in force; see [`Config`].
+    /// The file in force as JSON, of which only the keys are compared; see [`Config`].
     file_shape: Value,
     /// The address on which clients connect, which a reload does not change.
     listen: SocketAddr,
@@ -18,10 +18,10 @@
     startup_discovery: SocketAddr,
 }
 
-/// The values that a running program takes over from a replaced file.
+/// The values of a replaced file that apply to a running program.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// The address of discovery; `None` if the file leaves it to the environment.
+    /// The address of discovery; `None` if the file does not have one, since the environment does.
     pub discovery: Option<SocketAddr>,
     /// The settings.
     pub settings: CoordinatorSettings,
@@ -40,12 +40,12 @@
     }
 
     /// Reads the file again and makes it the one in force. The environment, which cannot have
-    /// changed, only gives the addresses that the file does not have.
+    /// changed, is used only for addresses that the file does not have.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or used, or lacks a key of the file in force, which then
-    /// stays in force.
+    /// Fails if the file cannot be read or used, or if it lacks a key of the file in force. The file
+    /// in force then stays in force.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
             path: self.path.clone(),
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-/// Returns a valid file.
+/// Returns the content of a valid file.
 fn file() -> Value {
     json!({
         "name": "node-1",
@@ -31,7 +31,7 @@
 fn error_text(change: impl FnOnce(&mut Value)) -> String {
     let mut file = file();
     change(&mut file);
-    parse(&file).expect_err("an error").to_string()
+    parse(&file).expect_err("the file is invalid").to_string()
 }
 
 #[test]
@@ -43,7 +43,7 @@
         name: Some("other".to_owned()),
     };
     let config =
-        Config::parse(file().to_string().as_bytes(), environment).expect("a configuration");
+        Config::parse(file().to_string().as_bytes(), environment).expect("the file is valid");
     assert_eq!(config.name, "other");
     assert_eq!(config.listen.to_string(), "127.0.0.2:80");
     assert_eq!(config.discovery.to_string(), "127.0.0.2:70");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn each_error_names_its_key_to_operators() {
+fn each_error_states_its_key() {
     assert_eq!(
         error_text(|file| file["listen"] = Value::Null),
         "listen: no address is set"
@@ -92,26 +92,26 @@
 }
 
 #[test]
-fn a_replaced_file_may_not_lose_a_key_but_may_change_its_endpoint_list() {
+fn a_reload_rejects_a_file_that_lacks_a_key_and_accepts_another_endpoint_list() {
     let path = std::env::temp_dir().join(format!("quinceflow-config-{}.json", std::process::id()));
     let config = Config {
         path: path.clone(),
-        ..parse(&file()).expect("a configuration")
+        ..parse(&file()).expect("the file is valid")
     };
     let mut active = ActiveConfig::from_startup(&config);
     let mut reload = |file: &Value| {
-        std::fs::write(&path, file.to_string()).expect("a file");
+        std::fs::write(&path, file.to_string()).expect("the file is written");
         let reloaded = active.reload();
-        std::fs::remove_file(&path).expect("no file");
+        std::fs::remove_file(&path).expect("the file is removed");
         reloaded
     };
     let mut replaced = file();
     replaced["known"] = json!({});
     replaced["discovery"] = json!("127.0.0.1:7001");
-    let discovery = reload(&replaced).expect("a reload").discovery;
+    let discovery = reload(&replaced).expect("the file is accepted").discovery;
     assert_eq!(discovery.map(|address| address.port()), Some(7001));
     replaced["settings"]["limits"] = json!({});
-    let error = reload(&replaced).expect_err("a lost key");
+    let error = reload(&replaced).expect_err("a key is missing");
     let ConfigError::Invalid { source, .. } = &error else {
         panic!("{error:?}");
     };
@@ -128,12 +128,14 @@
     );
 }
 
-/// Guards against reloads that are all rejected where the environment gives the addresses.
+/// Guards against a process that rejects each reload because its addresses come from the environment.
 #[test]
 fn a_file_without_addresses_is_reloaded_with_those_of_the_environment() {
     let path = std::env::temp_dir().join(format!("quinceflow-env-{}.json", std::process::id()));
     let mut without_addresses = file();
-    let keys = without_addresses.as_object_mut().expect("an object");
+    let keys = without_addresses
+        .as_object_mut()
+        .expect("the file is a JSON object");
     keys.remove("listen");
     keys.remove("discovery");
     let environment = EnvironmentOverrides {
@@ -142,14 +144,18 @@
         ..EnvironmentOverrides::default()
     };
     let text = without_addresses.to_string();
-    let started = Config::parse(text.as_bytes(), environment).expect("a configuration");
+    let started = Config::parse(text.as_bytes(), environment).expect("the file is valid");
     let config = Config {
         path: path.clone(),
         ..started
     };
     let mut active = ActiveConfig::from_startup(&config);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("the file is written");
     let reloaded = active.reload();
-    std::fs::remove_file(&path).expect("no file");
-    assert_eq!(reloaded.expect("a reload").discovery, None, "as before");
+    std::fs::remove_file(&path).expect("the file is removed");
+    assert_eq!(
+        reloaded.expect("the file is accepted").discovery,
+        None,
+        "the file has no address of discovery"
+    );
 }
