--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -109,8 +109,8 @@
         self.reply.as_ref().is_some_and(Body::is_empty)
     }
 
-    /// Writes the rest of the reply until the socket would block, and shuts down the sending side of
-    /// the connection after it. If the connection is broken, the reply is dropped.
+    /// Writes the rest of the reply until the socket would block, and shuts down the sending side
+    /// of the connection after it. If the connection is broken, the reply is dropped.
     fn write_reply(&mut self) {
         let Some(reply) = self.reply.as_mut().filter(|reply| !reply.is_empty()) else {
             return;
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause before the next attempt while no connection can be accepted.
+/// The pause before accepting a connection is retried.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The pause of a connection's coroutine after it has discarded many bytes.
@@ -20,8 +20,8 @@
 
 impl ClientConnections {
     /// Accepts connections for as long as the process runs. While `predecessor_lives` returns true,
-    /// the predecessor accepts at the same address, and this process does not accept before the
-    /// endpoint list is known.
+    /// the predecessor accepts at the same address, and this process does not accept before its
+    /// startup has ended.
     pub fn accept(self: &Arc<Self>, predecessor_lives: impl Fn() -> bool) {
         while predecessor_lives() && !self.lifecycle.endpoints_known() {
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
@@ -109,8 +109,8 @@
         state
     }
 
-    /// Starts the coroutine of a connection, which drives the connection and finally removes it from
-    /// the open connections.
+    /// Starts the coroutine of a connection, which drives the connection and finally removes it
+    /// from the open connections.
     fn spawn_connection(
         self: &Arc<Self>,
         id: ConnectionId,
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -14,8 +14,8 @@
 
 /// The maximum length of the input that is discarded after an error response, in bytes.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
-/// The number of bytes after a request in progress that are discarded between two pauses. The pauses
-/// limit the worker's time that a client takes by sending without end.
+/// The number of bytes after a request in progress that are discarded between two pauses. The
+/// pauses limit the worker's time that a client takes by sending without end.
 const MAX_DISCARDED_BYTES: usize = 2 * 1024 * 1024;
 
 /// A client connection, shared by its own coroutine and those that answer its requests or close it.
@@ -180,8 +180,8 @@
             .then_some(self.last_activity_at);
     }
 
-    /// Prepares a read. Returns whether input can be read now. If no more input can be buffered, makes
-    /// room by discarding bytes after the request in progress, and adds their number to
+    /// Prepares a read. Returns whether input can be read now. If no more input can be buffered,
+    /// makes room by discarding bytes after the request in progress, and adds their number to
     /// `discarded_bytes`. Requests a pause if that number has reached [`MAX_DISCARDED_BYTES`].
     pub(super) fn prepare_read(&mut self, discarded_bytes: &mut usize) -> bool {
         self.discard_paused = *discarded_bytes >= MAX_DISCARDED_BYTES;
--- a/src/net/clients/eviction.rs
+++ b/src/net/clients/eviction.rs
@@ -26,7 +26,8 @@
 pub struct EvictionPriority {
     /// The kind of connection.
     pub kind: ConnectionKind,
-    /// The time of the last response, of the last activity, or of the accept, depending on the kind.
+    /// The time of the last response, of the last activity, or of the accept, depending on the
+    /// kind.
     pub since: Micros,
 }
 
--- a/src/net/clients/limits.rs
+++ b/src/net/clients/limits.rs
@@ -11,9 +11,9 @@
 pub struct ClientLimits {
     /// The maximum number of open connections.
     pub connections: usize,
-    /// The maximum number of connections between two queries. A client that sent one query may never
-    /// send another, but its open connection counts against the number that the platform allows all
-    /// its clients.
+    /// The maximum number of connections between two queries. A client that sent one query may
+    /// never send another, but its open connection counts against the number that the platform
+    /// allows all its clients.
     pub idle: usize,
     /// The maximum memory for requests that are not answered yet, in bytes.
     pub bytes: usize,
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 
 impl ClientConnections {
-    /// Reads and handles requests and writes responses until the socket would block. Returns whether
-    /// the connection stays open.
+    /// Reads and handles requests and writes responses until the socket would block. Returns
+    /// whether the connection stays open.
     pub(super) fn drive(&self, connection: &Arc<Connection>, stream: &CoIo<TcpStream>) -> bool {
         let mut state = connection.lock();
         // A first request that is in the socket when its connection is evicted is still served:
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -199,8 +199,8 @@
     stream.peek(&mut [0]).expect("the request arrives");
 }
 
-/// Guards against responses after the client's timeout: a request may be in the socket for some time
-/// before the first read of a new connection, so its time counts from the accept.
+/// Guards against responses after the client's timeout: a request may be in the socket for some
+/// time before the first read of a new connection, so its time counts from the accept.
 #[test]
 fn the_time_of_a_request_counts_from_the_accept_if_the_first_read_returns_it() {
     let limits = ClientLimits {
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or used, or if it lacks a key of the file in force. The file
-    /// in force then stays in force.
+    /// Fails if the file cannot be read or used, or if it lacks a key of the file in force. The
+    /// file in force then stays in force.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
             path: self.path.clone(),
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -128,7 +128,8 @@
     );
 }
 
-/// Guards against a process that rejects each reload because its addresses come from the environment.
+/// Guards against a process that rejects each reload because its addresses come from the
+/// environment.
 #[test]
 fn a_file_without_addresses_is_reloaded_with_those_of_the_environment() {
     let path = std::env::temp_dir().join(format!("quinceflow-env-{}.json", std::process::id()));
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -46,7 +46,8 @@
 /// An event that moves a process from one [`ServicePhase`] to the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownEvent {
-    /// A shutdown was requested, and no successor accepts at the listening socket, or it has exited.
+    /// A shutdown was requested, and no successor accepts at the listening socket, or it has
+    /// exited.
     DrainAlone,
     /// A shutdown was requested, and a successor accepts at the same listening socket.
     DrainWithSuccessor,
@@ -64,8 +65,8 @@
         ServicePhase::ClosingHandedOver,
     ];
 
-    /// Returns the phase after an event. Every event is valid in every phase. No event leads back to
-    /// [`ServicePhase::Serving`] or out of the closing phases.
+    /// Returns the phase after an event. Every event is valid in every phase. No event leads back
+    /// to [`ServicePhase::Serving`] or out of the closing phases.
     #[must_use]
     pub fn next(self, event: ShutdownEvent) -> ServicePhase {
         use ServicePhase::{Closing, ClosingHandedOver, Draining, HandedOver, Serving};
@@ -120,8 +121,8 @@
     startup: AtomicU8,
     /// The [`ServicePhase`], as its discriminant.
     service: AtomicU8,
-    /// Whether the predecessor or the successor runs at the same time, so that each process has half
-    /// of the limits.
+    /// Whether the predecessor or the successor runs at the same time, so that each process has
+    /// half of the limits.
     limits_shared: AtomicBool,
 }
 
@@ -143,7 +144,8 @@
         self.limits_shared.store(shared, Relaxed);
     }
 
-    /// Returns whether this process has half of the limits, since another one runs at the same time.
+    /// Returns whether this process has half of the limits, since another one runs at the same
+    /// time.
     pub fn limits_shared(&self) -> bool {
         self.limits_shared.load(Relaxed)
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -57,8 +57,8 @@
 /// eight bytes. Deeply nested JSON needs the larger size.
 pub const LARGE_STACK_WORDS: usize = 0x8000;
 
-/// The stack of the coroutine that runs the coordinator, in words of eight bytes. The coroutine also
-/// renders responses, and compressing them needs this size in a debug build.
+/// The stack of the coroutine that runs the coordinator, in words of eight bytes. The coroutine
+/// also renders responses, and compressing them needs this size in a debug build.
 pub const COORDINATOR_STACK_WORDS: usize = 0x20000;
 
 /// Starts a coroutine with a stack of `stack_words` words of eight bytes.
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -32,7 +32,7 @@
     upstream: Box<dyn Upstream>,
     /// The receiving end of the coordinator's inbox.
     inbox_receiver: Receiver<Input>,
-    /// The source of reloads.
+    /// The source of the configuration, which reloads it.
     reload: Box<dyn Reload>,
     /// The longest deadline of a query.
     longest_deadline: Micros,
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Waits for an input until the coordinator's next turn or the next check of the shutdown is due,
-    /// but not longer than [`MAX_SLEEP`].
+    /// Waits for an input until the coordinator's next turn or the next check of the shutdown is
+    /// due, but not longer than [`MAX_SLEEP`].
     fn wait(&self) -> Option<Input> {
         let now = self.now();
         let times = [
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -99,7 +99,7 @@
             process.clock,
             self.lifecycle,
         );
-        accept(clients.clone(), process.generations.clone())?;
+        start_accepting(clients.clone(), process.generations.clone())?;
         if inherited {
             tracing::info!(
                 service = self.name,
@@ -125,7 +125,7 @@
     }
 }
 
-fn accept(
+fn start_accepting(
     clients: Arc<ClientConnections>,
     generations: Arc<ProcessGenerations>,
 ) -> Result<(), ServerError> {
--- a/src/net/server/signals.rs
+++ b/src/net/server/signals.rs
@@ -25,7 +25,7 @@
     /// reload, and SIGUSR1 logs the counters.
     pub(super) fn listen(clock: Clock) -> Result<Arc<Self>, ServerError> {
         let signals = Arc::new(Signals::default());
-        let received = signals.clone();
+        let recorder = signals.clone();
         let mut incoming = iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1, SIGHUP])
             .map_err(ServerError::Signals)?;
         // A separate thread, since waiting for a signal would block the worker of the coroutines.
@@ -34,7 +34,7 @@
             .spawn(move || {
                 incoming
                     .forever()
-                    .for_each(|signal| received.handle(signal, clock.now()))
+                    .for_each(|signal| recorder.handle(signal, clock.now()))
             })
             .map_err(ServerError::Signals)?;
         Ok(signals)
--- a/src/net/server/startup.rs
+++ b/src/net/server/startup.rs
@@ -1,5 +1,5 @@
-//! The startup of a service, which ends once the endpoint list was received or the time to wait for
-//! it is over.
+//! The startup of a service, which ends once the endpoint list was received from discovery or the
+//! time to wait for it is over.
 
 use crate::net::lifecycle::{Lifecycle, StartupPhase};
 use crate::time::Micros;
