--- a/src/net/clients/draining.rs
+++ b/src/net/clients/draining.rs
@@ -21,7 +21,7 @@
         let event = if successor_accepts {
             ShutdownEvent::DrainWithSuccessor
         } else {
-            ShutdownEvent::DrainAlone
+            ShutdownEvent::DrainWithoutSuccessor
         };
         let after = self.lifecycle.handle_shutdown_event(event);
         if before.accepts_connections() && !after.accepts_connections() {
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -58,7 +58,7 @@
     /// The cached endpoint list cannot be written as JSON.
     #[error("known: {0}")]
     CachedEndpoints(#[source] serde_json::Error),
-    /// A replaced file lacks a key that the file in force has.
+    /// A replaced file lacks a key that the active file has.
     #[error("{key} is missing")]
     MissingKey {
         /// The path of the key, separated by dots.
--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The configuration file in force, against which a replaced file is checked.
+/// The active configuration file, against which a replaced file is checked.
 #[derive(Debug)]
 pub struct ActiveConfig {
     path: PathBuf,
-    /// The file in force as JSON, of which only the keys are compared; see [`Config`].
+    /// The active file as JSON, of which only the keys are compared; see [`Config`].
     file_shape: Value,
     /// The address on which clients connect, which a reload does not change.
     listen: SocketAddr,
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Reads the file again and makes it the one in force. The environment, which cannot have
+    /// Reads the file again and makes it the active one. The environment, which cannot have
     /// changed, is used only for addresses that the file does not have.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or used, or if it lacks a key of the file in force. The
-    /// file in force then stays in force.
+    /// Fails if the file cannot be read or used, or if it lacks a key of the active file, which then
+    /// stays active.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
             path: self.path.clone(),
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Makes the file with this content the one in force.
+    /// Makes the file with this content the active one.
     fn replace(&mut self, text: &[u8]) -> Result<ReloadedConfig, ConfigFileError> {
         let file_shape = file_shape(text)?;
         if let Some(key) = find_missing_key(&self.file_shape, &file_shape) {
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -48,7 +48,7 @@
 pub enum ShutdownEvent {
     /// A shutdown was requested, and no successor accepts at the listening socket, or it has
     /// exited.
-    DrainAlone,
+    DrainWithoutSuccessor,
     /// A shutdown was requested, and a successor accepts at the same listening socket.
     DrainWithSuccessor,
     /// Idle connections are closed from now on.
@@ -71,11 +71,11 @@
     pub fn next(self, event: ShutdownEvent) -> ServicePhase {
         use ServicePhase::{Closing, ClosingHandedOver, Draining, HandedOver, Serving};
         match (self, event) {
-            (Serving | Draining | HandedOver, ShutdownEvent::DrainAlone) => Draining,
+            (Serving | Draining | HandedOver, ShutdownEvent::DrainWithoutSuccessor) => Draining,
             (Serving | Draining | HandedOver, ShutdownEvent::DrainWithSuccessor) => HandedOver,
             (Serving | Draining, ShutdownEvent::Close) => Closing,
             (HandedOver, ShutdownEvent::Close) => ClosingHandedOver,
-            (Closing | ClosingHandedOver, ShutdownEvent::DrainAlone) => Closing,
+            (Closing | ClosingHandedOver, ShutdownEvent::DrainWithoutSuccessor) => Closing,
             (Closing | ClosingHandedOver, ShutdownEvent::DrainWithSuccessor) => ClosingHandedOver,
             (Closing | ClosingHandedOver, ShutdownEvent::Close) => self,
         }
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the life cycle's transitions.
 
 use super::*;
-use ShutdownEvent::{Close, DrainAlone, DrainWithSuccessor};
+use ShutdownEvent::{Close, DrainWithSuccessor, DrainWithoutSuccessor};
 
 #[test]
 fn the_list_of_service_phases_is_in_the_order_of_their_discriminants() {
@@ -30,7 +30,7 @@
     let lifecycle = Lifecycle::default();
     assert_eq!(lifecycle.service_phase(), ServicePhase::Serving);
     assert_eq!(
-        lifecycle.handle_shutdown_event(DrainAlone),
+        lifecycle.handle_shutdown_event(DrainWithoutSuccessor),
         ServicePhase::Draining
     );
     let draining = lifecycle.service_phase();
@@ -56,7 +56,7 @@
     assert_eq!(handed_over, ServicePhase::HandedOver);
     assert!(!handed_over.accepts_connections() && handed_over.closes_after_response());
     assert_eq!(
-        lifecycle.handle_shutdown_event(DrainAlone),
+        lifecycle.handle_shutdown_event(DrainWithoutSuccessor),
         ServicePhase::Draining
     );
     // A process that closes connections continues to do so, whether or not the successor is alive.
@@ -67,7 +67,7 @@
     );
     assert!(!lifecycle.service_phase().accepts_connections());
     assert_eq!(
-        lifecycle.handle_shutdown_event(DrainAlone),
+        lifecycle.handle_shutdown_event(DrainWithoutSuccessor),
         ServicePhase::Closing
     );
     assert!(lifecycle.service_phase().closes_after_response());
@@ -76,7 +76,7 @@
 #[test]
 fn no_event_leads_back_to_serving_or_out_of_closing() {
     for phase in ServicePhase::ALL {
-        for event in [DrainAlone, DrainWithSuccessor, Close] {
+        for event in [DrainWithoutSuccessor, DrainWithSuccessor, Close] {
             let next = phase.next(event);
             assert!(next.is_draining(), "{phase:?} {event:?}");
             let closing = |p| matches!(p, ServicePhase::Closing | ServicePhase::ClosingHandedOver);
@@ -94,7 +94,7 @@
     }
     lifecycle.advance_startup(StartupPhase::EndpointsKnown);
     assert_eq!(lifecycle.health(), Ok(()));
-    lifecycle.handle_shutdown_event(DrainAlone);
+    lifecycle.handle_shutdown_event(DrainWithoutSuccessor);
     assert_eq!(lifecycle.health(), Err(Unhealthy::Draining));
     assert!(!lifecycle.is_ready());
     let texts = [Unhealthy::Draining, Unhealthy::EndpointsUnknown].map(|reason| reason.to_string());
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -136,7 +136,7 @@
     /// Adds all inputs that have arrived to `inputs`. If there are none, waits for one first.
     fn receive(&self, inputs: &mut Vec<Input>) {
         if inputs.is_empty() {
-            inputs.extend(self.wait());
+            inputs.extend(self.wait_for_input());
         }
         self.drain_inbox(inputs);
     }
@@ -149,7 +149,7 @@
 
     /// Waits for an input until the coordinator's next turn or the next check of the shutdown is
     /// due, but not longer than [`MAX_SLEEP`].
-    fn wait(&self) -> Option<Input> {
+    fn wait_for_input(&self) -> Option<Input> {
         let now = self.now();
         let times = [
             self.coordinator.next_turn_due(),
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -171,9 +171,9 @@
     services: &[Service],
     listeners: &[OpenListener],
 ) -> Vec<ListeningSocket<SharedListener>> {
-    let share = |(service, open): (&Service, &OpenListener)| ListeningSocket {
+    let share = |(service, open_listener): (&Service, &OpenListener)| ListeningSocket {
         address: service.listen_address(),
-        socket: SharedListener::new(open.listener.clone()),
+        socket: SharedListener::new(open_listener.listener.clone()),
     };
     services.iter().zip(listeners).map(share).collect()
 }
--- a/src/net/server/reload.rs
+++ b/src/net/server/reload.rs
@@ -70,7 +70,7 @@
 enum ReloadedChange {
     /// The platform's configuration file.
     Configuration {
-        /// The address of discovery in force.
+        /// The current address of discovery.
         discovery: SocketAddr,
         /// The names of the query classes, separated by spaces.
         classes: String,
@@ -96,7 +96,7 @@
 
 /// Reloads the platform's configuration file: the address of discovery and the settings.
 pub(super) struct PlatformReload {
-    /// The configuration file in force.
+    /// The active configuration file.
     file: ActiveConfig,
     /// The address of discovery in the file. At the start the environment takes precedence over the
     /// file. Once a reloaded file has a new address, that address takes precedence over the
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -79,13 +79,13 @@
     /// Starts accepting connections and running the coordinator.
     pub(super) fn start(
         self,
-        open: OpenListener,
+        open_listener: OpenListener,
         process: ProcessContext,
     ) -> Result<RunningService, ServerError> {
         let OpenListener {
             listener,
             inherited,
-        } = open;
+        } = open_listener;
         let address = listener
             .inner()
             .local_addr()
