--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -145,7 +145,7 @@
     callers: &mut Vec<CallerConnection>,
     endpoint: &AdminEndpoint,
 ) {
-    if !wait_for_input(listener, callers) {
+    if !wait_until_ready(listener, callers) {
         return;
     }
     while let Some(stream) = accept(listener) {
@@ -165,7 +165,7 @@
 
 /// Waits until a socket is ready, but not longer than [`MAX_POLL_WAIT`]. Returns whether the wait
 /// succeeded.
-fn wait_for_input(listener: &TcpListener, callers: &[CallerConnection]) -> bool {
+fn wait_until_ready(listener: &TcpListener, callers: &[CallerConnection]) -> bool {
     let mut sockets: Vec<PollFd<'_>> = vec![PollFd::new(listener, PollFlags::IN)];
     sockets.extend(
         callers
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -65,8 +65,8 @@
     ))
 }
 
-/// Returns the seed of the policy. A process with a predecessor changes the configured seed, with
-/// which both processes of the upgrade would choose the same servers at the same time.
+/// Returns the seed of the policy. A process with a predecessor modifies the configured seed, since
+/// with one seed both processes of an upgrade would choose the same servers at the same time.
 fn platform_seed(config: &Config, has_predecessor: bool) -> u64 {
     if has_predecessor {
         config.seed ^ (u64::from(std::process::id()) << 32)
