--- a/src/net/config/reload.rs
+++ b/src/net/config/reload.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The configuration file in force, against which a replaced file is checked.
+/// The active configuration file, against which a replaced file is checked.
 #[derive(Debug)]
 pub struct ActiveConfig {
     path: PathBuf,
-    /// The keys of the file in force; see [`Config`].
+    /// The active file as JSON, of which only the keys are compared; see [`Config`].
     file_shape: Value,
     /// The address on which clients connect, which a reload does not change.
     listen: SocketAddr,
@@ -18,10 +18,10 @@
     startup_discovery: SocketAddr,
 }
 
-/// The values that a running program takes over from a replaced file.
+/// The values of a replaced file that apply to a running program.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// The address of discovery; `None` if the file leaves it to the environment.
+    /// The address of discovery; `None` if the file does not have one, since the environment does.
     pub discovery: Option<SocketAddr>,
     /// The settings.
     pub settings: CoordinatorSettings,
@@ -39,13 +39,13 @@
         }
     }
 
-    /// Reads the file again and makes it the one in force. The environment, which cannot have
-    /// changed, only gives the addresses that the file does not have.
+    /// Reads the file again and makes it the active one. The environment, which cannot have
+    /// changed, is used only for addresses that the file does not have.
     ///
     /// # Errors
     ///
-    /// Fails if the file cannot be read or used, or lacks a key of the file in force, which then
-    /// stays in force.
+    /// Fails if the file cannot be read or used, or if it lacks a key of the active file, which then
+    /// stays active.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let text = std::fs::read(&self.path).map_err(|source| ConfigError::Unreadable {
             path: self.path.clone(),
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Makes the file with this content the one in force.
+    /// Makes the file with this content the active one.
     fn replace(&mut self, text: &[u8]) -> Result<ReloadedConfig, ConfigFileError> {
         let file_shape = file_shape(text)?;
         if let Some(key) = find_missing_key(&self.file_shape, &file_shape) {
--- a/src/net/server/coordinator_loop.rs
+++ b/src/net/server/coordinator_loop.rs
@@ -32,7 +32,7 @@
     upstream: Box<dyn Upstream>,
     /// The receiving end of the coordinator's inbox.
     inbox_receiver: Receiver<Input>,
-    /// The source of reloads.
+    /// The source of the configuration, which reloads it.
     reload: Box<dyn Reload>,
     /// The longest deadline of a query.
     longest_deadline: Micros,
@@ -136,7 +136,7 @@
     /// Adds all inputs that have arrived to `inputs`. If there are none, waits for one first.
     fn receive(&self, inputs: &mut Vec<Input>) {
         if inputs.is_empty() {
-            inputs.extend(self.wait());
+            inputs.extend(self.wait_for_input());
         }
         self.drain_inbox(inputs);
     }
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Waits for an input until the coordinator's next turn or the next check of the shutdown is due,
-    /// but not longer than [`MAX_SLEEP`].
-    fn wait(&self) -> Option<Input> {
+    /// Waits for an input until the coordinator's next turn or the next check of the shutdown is
+    /// due, but not longer than [`MAX_SLEEP`].
+    fn wait_for_input(&self) -> Option<Input> {
         let now = self.now();
         let times = [
             self.coordinator.next_turn_due(),
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -79,13 +79,13 @@
     /// Starts accepting connections and running the coordinator.
     pub(super) fn start(
         self,
-        open: OpenListener,
+        open_listener: OpenListener,
         process: ProcessContext,
     ) -> Result<RunningService, ServerError> {
         let OpenListener {
             listener,
             inherited,
-        } = open;
+        } = open_listener;
         let address = listener
             .inner()
             .local_addr()
@@ -99,7 +99,7 @@
             process.clock,
             self.lifecycle,
         );
-        accept(clients.clone(), process.generations.clone())?;
+        start_accepting(clients.clone(), process.generations.clone())?;
         if inherited {
             tracing::info!(
                 service = self.name,
@@ -125,7 +125,7 @@
     }
 }
 
-fn accept(
+fn start_accepting(
     clients: Arc<ClientConnections>,
     generations: Arc<ProcessGenerations>,
 ) -> Result<(), ServerError> {
--- a/src/net/server/wiring.rs
+++ b/src/net/server/wiring.rs
@@ -51,7 +51,7 @@
     Ok(Service::new(
         config.name.clone(),
         config.listen,
-        ClientLimits::new(config.max_descriptors, config.max_memory),
+        ClientLimits::new(config.max_descriptors, config.max_memory_bytes),
         Box::new(Platform::new(catalog)),
         lifecycle,
         inbox,
@@ -65,8 +65,8 @@
     ))
 }
 
-/// Returns the seed of the policy. A process with a predecessor changes the configured seed, with
-/// which both processes of the upgrade would choose the same servers at the same time.
+/// Returns the seed of the policy. A process with a predecessor modifies the configured seed, since
+/// with one seed both processes of an upgrade would choose the same servers at the same time.
 fn platform_seed(config: &Config, has_predecessor: bool) -> u64 {
     if has_predecessor {
         config.seed ^ (u64::from(std::process::id()) << 32)
