--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -24,7 +24,7 @@
     accepts_gzip: bool,
     if_none_match: Option<String>,
     /// Whether the method is `GET` or `HEAD`.
-    retrieves: bool,
+    is_get_or_head: bool,
 }
 
 impl DeliveryOptions {
@@ -34,29 +34,30 @@
         DeliveryOptions {
             accepts_gzip: accepts_gzip(accept_encoding),
             if_none_match: request.headers.get("If-None-Match").map(str::to_owned),
-            retrieves: matches!(request.method.as_str(), "GET" | "HEAD"),
+            is_get_or_head: matches!(request.method.as_str(), "GET" | "HEAD"),
         }
     }
 
     /// Applies the options to the response of a reaction, at once or when its query ends.
-    pub fn wrap(self, reaction: Reaction) -> Reaction {
+    pub fn apply_to(self, reaction: Reaction) -> Reaction {
         match reaction {
-            Reaction::Respond(response) => Reaction::Respond(self.deliver(response)),
-            Reaction::Submit(request, render) => {
-                Reaction::Submit(request, Box::new(move |answer| self.wrap(render(answer))))
-            }
+            Reaction::Respond(response) => Reaction::Respond(self.apply_to_response(response)),
+            Reaction::Submit(request, render) => Reaction::Submit(
+                request,
+                Box::new(move |answer| self.apply_to(render(answer))),
+            ),
         }
     }
 
     /// Adds the entity tag to a successful response, then replaces it if the client has this
     /// version (RFC 9110, section 13.1.2), or compresses it if the client accepts that.
-    fn deliver(&self, mut response: Response) -> Response {
+    fn apply_to_response(&self, mut response: Response) -> Response {
         if response.status != 200 || response.body.is_empty() {
             return response;
         }
         response.add_header("Vary", VARY);
         let tag = tag_of(&mut response);
-        if self.matches(&tag) && !self.retrieves {
+        if self.matches(&tag) && !self.is_get_or_head {
             return problem(PRECONDITION_FAILED, "the client has this version");
         }
         if self.matches(&tag) {
@@ -143,17 +144,17 @@
     let written = response
         .body
         .segments()
-        .try_for_each(|chunk| encoder.write_all(chunk));
+        .try_for_each(|segment| encoder.write_all(segment));
     if let (Ok(()), Ok(compressed)) = (written, encoder.finish()) {
         response.body = compressed.into();
         response.add_header("Content-Encoding", "gzip");
     }
 }
 
-/// Returns the weak entity tag of a body in chunks.
-pub(super) fn entity_tag<'a>(chunks: impl Iterator<Item = &'a [u8]>) -> String {
+/// Returns the weak entity tag of a body in segments.
+pub(super) fn entity_tag<'a>(segments: impl Iterator<Item = &'a [u8]>) -> String {
     let mut state = Sha256::new();
-    chunks.for_each(|chunk| state.update(chunk));
+    segments.for_each(|segment| state.update(segment));
     let hash = state.finalize();
     let hex: String = hash[..TAG_BYTES]
         .iter()
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -22,7 +22,7 @@
 
 /// Delivers a text of 3,500 bytes to a request with these header lines.
 fn delivered(header_lines: &str, status: u16) -> Response {
-    options(header_lines).deliver(Response::new(status, "text/plain", text().as_str()))
+    options(header_lines).apply_to_response(Response::new(status, "text/plain", text().as_str()))
 }
 
 fn text() -> String {
@@ -98,9 +98,9 @@
     let tag = delivered("", 200).header("ETag").expect("a tag").to_owned();
     let status = |method| {
         let options = options_of(method, &format!("If-None-Match: {tag}\r\n"));
-        options.deliver(response()).status
+        options.apply_to_response(response()).status
     };
     assert_eq!(["GET", "HEAD", "POST"].map(status), [304, 304, 412]);
     let other = options_of("POST", "If-None-Match: \"x\"\r\n");
-    assert_eq!(other.deliver(response()).status, 200);
+    assert_eq!(other.apply_to_response(response()).status, 200);
 }
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -76,7 +76,7 @@
             ready,
         };
         let reaction = incoming.handle().unwrap_or_else(|error| reject(&error));
-        delivery.wrap(reaction)
+        delivery.apply_to(reaction)
     }
 
     fn malformed_response(&self, error: HttpError) -> Response {
