--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -109,7 +109,7 @@
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         let envelope = || {
             self.envelope
-                .map(|box_2d| box_2d.map(|n| n.to_string()).join(","))
+                .map(|bbox| bbox.map(|n| n.to_string()).join(","))
         };
         if let Some(bbox) = params.bbox_text().or_else(envelope) {
             query.append_pair("bbox", &bbox);
@@ -148,22 +148,22 @@
 
 /// Returns whether servers with these capabilities can return features in the order of a query.
 fn can_sort(capabilities: &Capabilities, params: &Params) -> bool {
-    let known = |name: &str| capabilities.queryables.named.contains_key(name);
+    let is_queryable = |name: &str| capabilities.queryables.named.contains_key(name);
     !params.sortby.is_empty()
         && capabilities.classes.contains(SORTING_CLASS)
-        && known(ID_PROPERTY)
-        && params.sortby.iter().all(|key| known(&key.property))
+        && is_queryable(ID_PROPERTY)
+        && params.sortby.iter().all(|key| is_queryable(&key.property))
 }
 
 /// A sort key with a value.
-struct BoundKey<'a> {
+struct SortKeyValue<'a> {
     property: &'a str,
     descending: bool,
     value: Value,
 }
 
-impl BoundKey<'_> {
-    fn compare(&self, comparison: ComparisonOperator) -> Filter {
+impl SortKeyValue<'_> {
+    fn comparison_filter(&self, comparison: ComparisonOperator) -> Filter {
         Filter::Compare(
             comparison,
             Value::Property(self.property.to_owned()),
@@ -171,8 +171,8 @@
         )
     }
 
-    fn comes_after(&self) -> Filter {
-        self.compare(if self.descending {
+    fn filter_after(&self) -> Filter {
+        self.comparison_filter(if self.descending {
             ComparisonOperator::Less
         } else {
             ComparisonOperator::Greater
@@ -189,14 +189,14 @@
         .map(|key| (key.property.as_str(), key.descending));
     let pairs = sort_keys.chain([(ID_PROPERTY, false)]).zip(values);
     let bind = |((property, descending), value)| {
-        Some(BoundKey {
+        Some(SortKeyValue {
             property,
             descending,
             value: literal(value)?,
         })
     };
-    let keys: Vec<BoundKey<'_>> = pairs.map(bind).collect::<Option<_>>()?;
-    let alternatives = (0..keys.len()).filter_map(|index| after_at_key(&keys, index));
+    let keys: Vec<SortKeyValue<'_>> = pairs.map(bind).collect::<Option<_>>()?;
+    let alternatives = (0..keys.len()).filter_map(|index| after_filter_at_key(&keys, index));
     let mut alternatives: Vec<Filter> = alternatives.collect();
     Some(match alternatives.len() {
         1 => alternatives.swap_remove(0),
@@ -206,18 +206,18 @@
 
 /// Returns a filter for the features that equal the position in all keys before the one at `index`,
 /// and come after it by that key. Features without a value come last.
-fn after_at_key(keys: &[BoundKey<'_>], index: usize) -> Option<Filter> {
+fn after_filter_at_key(keys: &[SortKeyValue<'_>], index: usize) -> Option<Filter> {
     let key = &keys[index];
     let mut conditions: Vec<Filter> = keys[..index]
         .iter()
-        .map(|key| key.compare(ComparisonOperator::Equal))
+        .map(|key| key.comparison_filter(ComparisonOperator::Equal))
         .collect();
     let is_id = index + 1 == keys.len();
     conditions.push(if is_id {
-        key.comes_after()
+        key.filter_after()
     } else {
         Filter::Or(vec![
-            key.comes_after(),
+            key.filter_after(),
             Filter::IsNull(Value::Property(key.property.to_owned())),
         ])
     });
