--- a/src/front/ogc/discovery.rs
+++ b/src/front/ogc/discovery.rs
@@ -5,7 +5,7 @@
 use super::client_request::ClientContext;
 use super::cql2::Queryables;
 use super::page_request::{PageRequest, RequestKind};
-use super::round::{core_request, ShardRequest};
+use super::round::{coordinator_request, ShardRequest};
 use super::shards::{replicas, ShardSource};
 use super::state::FrontState;
 use crate::front::Reaction;
@@ -45,7 +45,7 @@
     fn requests(&self) -> [ShardRequest; 2] {
         let part = |request: &Arc<PageRequest>| ShardRequest {
             shard: self.shard,
-            request: request.clone(),
+            page_request: request.clone(),
         };
         [part(&self.conformance), part(&self.queryables)]
     }
@@ -98,7 +98,7 @@
         ..client.clone()
     };
     let parts: Vec<_> = discoveries.iter().flat_map(Discovery::requests).collect();
-    let request = core_request(&state, &client, parts.into_iter());
+    let request = coordinator_request(&state, &client, parts.into_iter());
     Reaction::Submit(
         request,
         Box::new(move |_| {
--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -6,7 +6,7 @@
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::page_request::{PageRequest, RequestKind};
 use crate::front::ogc::response::feature::{feature as feature_response, FeatureRequest};
-use crate::front::ogc::round::{core_request, count_response, ShardRequest};
+use crate::front::ogc::round::{coordinator_request, count_response, ShardRequest};
 use crate::front::ogc::shards::{shards_of, ShardSource};
 use crate::front::Reaction;
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
@@ -30,7 +30,8 @@
     let crs = crs(request)?;
     let client = incoming.client()?;
     let shard_requests = shard_requests(&shards, feature_id);
-    let core_request = core_request(incoming.state, &client, shard_requests.iter().cloned());
+    let coordinator_request =
+        coordinator_request(incoming.state, &client, shard_requests.iter().cloned());
     let feature_request = FeatureRequest {
         base_url: request.document.base_url.clone(),
         collection: collection.to_owned(),
@@ -40,7 +41,7 @@
     };
     let metrics = incoming.state.class_metrics(client.class);
     Ok(Reaction::Submit(
-        core_request,
+        coordinator_request,
         Box::new(move |answer| {
             let response = feature_response(&feature_request, answer);
             count_response(&metrics, &response);
@@ -61,10 +62,10 @@
     let escaped_id = utf8_percent_encode(feature_id, NON_ALPHANUMERIC);
     let shard_request = |source: &ShardSource| {
         let target = format!("/collections/{}/items/{escaped_id}", source.name);
-        let request = Arc::new(PageRequest::new(RequestKind::Feature, target));
+        let page_request = Arc::new(PageRequest::new(RequestKind::Feature, target));
         ShardRequest {
             shard: source.shard,
-            request,
+            page_request,
         }
     };
     shards.iter().map(shard_request).collect()
--- a/src/front/ogc/page_request.rs
+++ b/src/front/ogc/page_request.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the bytes of an attempt's HTTP request, and records that there was an attempt.
-    pub fn request(&self, host: &str) -> Vec<u8> {
+    pub fn start_attempt(&self, host: &str) -> Vec<u8> {
         self.attempted.store(true, Relaxed);
         let head = "Accept: application/geo+json, application/json\r\n";
         format!("GET {} HTTP/1.1\r\nHost: {host}\r\n{head}\r\n", self.target).into_bytes()
@@ -69,7 +69,7 @@
 
     /// Returns whether a request was sent to a server. If so, a rejection by the core does not mean
     /// a lack of capacity, but that no server could answer.
-    pub fn attempted(&self) -> bool {
+    pub fn was_attempted(&self) -> bool {
         self.attempted.load(Relaxed)
     }
 
--- a/src/front/ogc/page_request/page.rs
+++ b/src/front/ogc/page_request/page.rs
@@ -11,7 +11,7 @@
 use url::{Position, Url};
 
 /// The maximum length of a link that is followed, in bytes.
-const MAX_LINK: usize = 4 * 1024;
+const MAX_LINK_BYTES: usize = 4 * 1024;
 
 /// The members of a GeoJSON feature collection that the front reads.
 #[derive(Deserialize)]
@@ -107,5 +107,5 @@
     let has_credentials = !link.username().is_empty() || link.password().is_some();
     let path = link[Position::BeforePath..Position::AfterQuery].to_owned();
     let same_page = page[Position::BeforePath..Position::AfterQuery] == path;
-    (same_server && !has_credentials && !same_page && path.len() <= MAX_LINK).then_some(path)
+    (same_server && !has_credentials && !same_page && path.len() <= MAX_LINK_BYTES).then_some(path)
 }
--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -22,7 +22,7 @@
 use current_shard::CurrentShard;
 use features::ResponseFeatures;
 pub use limits::PagingLimits;
-use shard_state::{RequestedPage, ShardLoss, ShardState};
+use shard_state::{MissingReason, RequestedPage, ShardState};
 use std::sync::Arc;
 use usage::FetchUsage;
 
@@ -103,8 +103,8 @@
     /// Uses the page at the current position, or passes over a missing shard. Returns `None` if
     /// there may be a further page to use.
     fn use_next_page(&mut self, feature_id: &impl Fn(&[u8]) -> u64) -> Option<MergeProgress> {
-        if self.is_exhausted() {
-            return Some(MergeProgress::Complete);
+        if self.has_passed_all_shards() {
+            return Some(MergeProgress::Finished);
         }
         let shard = self.position.shard;
         if self.shards[shard].is_missing() {
@@ -131,7 +131,7 @@
             return Some(if empty {
                 MergeProgress::Failed
             } else {
-                MergeProgress::Complete
+                MergeProgress::Finished
             });
         }
         // A response has none of the features of a shard that it reports as missing.
@@ -147,11 +147,13 @@
         if self.limits.min_shard_share >= 1.0 {
             return true;
         }
-        let loss = self.shards[self.position.shard].loss;
+        let missing_reason = self.shards[self.position.shard].missing_reason;
         let has_features = self
             .features
             .has_grown_since(self.current_shard.checkpoint());
-        loss == Some(ShardLoss::PageNotFetched) && self.current_shard.is_resumed() && has_features
+        missing_reason == Some(MissingReason::PageNotFetched)
+            && self.current_shard.is_resumed()
+            && has_features
     }
 
     /// Discards the first page of a shard that was fetched ahead, if the page is too small for the
@@ -171,7 +173,7 @@
             self.features.count() as f64 >= SUFFICIENT_FILL_SHARE * self.limits.limit as f64;
         let small = size < self.limits.initial_page_size(self.limits.limit);
         if remaining == 0 || (small && filled) {
-            return Some(MergeProgress::Complete);
+            return Some(MergeProgress::Finished);
         }
         let too_small =
             (size as f64) < MIN_USEFUL_PAGE_SHARE * self.limits.initial_page_size(remaining) as f64;
@@ -204,19 +206,19 @@
         self.shards[shard].used_features += appended.new_features as u64;
         if appended.end > skip && appended.new_features == 0 && page.next_target.is_some() {
             // Pages without a new feature might never end.
-            self.shards[shard].loss = Some(ShardLoss::LinksDoNotEnd);
+            self.shards[shard].missing_reason = Some(MissingReason::LinksDoNotEnd);
             return None;
         }
         if appended.end < page.features.len() {
             // The server returned more than was requested, or the page is filtered here: the next
             // response fetches the page again.
             self.position.skip = appended.end;
-            return Some(MergeProgress::Complete);
+            return Some(MergeProgress::Finished);
         }
         if !self.move_past(page) {
             return None;
         }
-        self.is_filled().then_some(MergeProgress::Complete)
+        self.is_filled().then_some(MergeProgress::Finished)
     }
 
     /// Moves to the page after this one, or to the next shard. Returns `false` and marks the shard
@@ -228,7 +230,7 @@
         };
         let shard = self.position.shard;
         if !self.current_shard.follow_link(shard, page) {
-            self.shards[shard].loss = Some(ShardLoss::LinksDoNotEnd);
+            self.shards[shard].missing_reason = Some(MissingReason::LinksDoNotEnd);
             return false;
         }
         self.position.location = next;
@@ -237,7 +239,7 @@
 
     /// Returns whether the response is full, or could use only a part of the next page.
     fn is_filled(&self) -> bool {
-        if self.remaining() == 0 && !self.is_exhausted() {
+        if self.remaining() == 0 && !self.has_passed_all_shards() {
             return true;
         }
         let PageLocation::NextLink { page_size, .. } = &self.position.location else {
@@ -279,19 +281,19 @@
     /// Returns the progress if the page at the current position has not arrived.
     fn progress_without_page(&self) -> MergeProgress {
         if self.remaining() == 0 {
-            return MergeProgress::Complete;
+            return MergeProgress::Finished;
         }
-        match self.usage.is_exhausted(&self.limits) {
+        match self.usage.has_reached(&self.limits) {
             false => MergeProgress::NeedsPages,
             true if self.features.count() > 0 || self.limits.filtered_locally => {
-                MergeProgress::Complete
+                MergeProgress::Finished
             }
             true => MergeProgress::Failed,
         }
     }
 
     /// Returns whether the response has passed all shards.
-    fn is_exhausted(&self) -> bool {
+    fn has_passed_all_shards(&self) -> bool {
         self.position.shard >= self.shards.len()
     }
 
--- a/src/front/ogc/paging/concat_merge/features.rs
+++ b/src/front/ogc/paging/concat_merge/features.rs
@@ -21,7 +21,7 @@
 }
 
 /// The part of a page that was appended to a response.
-pub(super) struct AppendedPart {
+pub(super) struct AppendedFeatures {
     /// The index of the first feature that was not used.
     pub end: usize,
     /// The number of features appended; duplicates are left out.
@@ -39,7 +39,7 @@
         limit: usize,
         seen_ids: &mut HashSet<u64>,
         feature_id: &impl Fn(&[u8]) -> u64,
-    ) -> AppendedPart {
+    ) -> AppendedFeatures {
         let count_before = self.count;
         let mut slice_start = start;
         let mut end = start;
@@ -60,7 +60,7 @@
             end += 1;
         }
         self.append_slice(page, slice_start, end);
-        AppendedPart {
+        AppendedFeatures {
             end,
             new_features: self.count - count_before,
         }
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -13,7 +13,7 @@
     #[must_use]
     pub fn next_fetches(&self) -> Vec<PageFetch> {
         let mut fetches = Vec::new();
-        if self.is_exhausted() {
+        if self.has_passed_all_shards() {
             return fetches;
         }
         fetches.extend(self.current_fetch());
--- a/src/front/ogc/paging/concat_merge/result.rs
+++ b/src/front/ogc/paging/concat_merge/result.rs
@@ -28,7 +28,7 @@
     /// Returns the shard that was restarted and the server that failed: the shard must go to
     /// another one.
     #[must_use]
-    pub fn interrupted(&self) -> Option<&InterruptedShard> {
+    pub fn interrupted_shard(&self) -> Option<&InterruptedShard> {
         self.interrupted.as_ref()
     }
 
@@ -60,7 +60,7 @@
     /// Returns the start of the next response; `None` after the last feature.
     #[must_use]
     pub fn resume_position(&self) -> Option<&ResumePosition> {
-        (!self.is_exhausted()).then_some(&self.position)
+        (!self.has_passed_all_shards()).then_some(&self.position)
     }
 
     /// Returns the number of matching features in all shards; `None` unless each shard's server
@@ -75,7 +75,7 @@
         }
         let states = self.shards.iter().enumerate();
         states
-            .map(|(shard, state)| state.total(shard < self.position.shard))
+            .map(|(shard, state)| state.total_matched(shard < self.position.shard))
             .sum()
     }
 }
--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -14,7 +14,7 @@
 
 /// The reason why a part of a shard's features is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ShardLoss {
+pub(super) enum MissingReason {
     /// No server returned a page.
     PageNotFetched,
     /// The links lead to pages that were used before, or to features that were.
@@ -31,7 +31,7 @@
     /// Whether the server reported different numbers of matching features.
     pub inconsistent_count: bool,
     /// The reason why the shard is missing; `None` if it is not.
-    pub loss: Option<ShardLoss>,
+    pub missing_reason: Option<MissingReason>,
     /// The number of the shard's features that the response uses.
     pub used_features: u64,
 }
@@ -40,7 +40,7 @@
     /// Records a page, or that no server returned it.
     pub fn receive(&mut self, fetched: FetchedPage) {
         let Some(page) = fetched.page else {
-            self.loss = Some(ShardLoss::PageNotFetched);
+            self.missing_reason = Some(MissingReason::PageNotFetched);
             return;
         };
         let reported = page.number_matched;
@@ -55,12 +55,12 @@
 
     /// Returns whether a part of the shard's features is missing.
     pub fn is_missing(&self) -> bool {
-        self.loss.is_some()
+        self.missing_reason.is_some()
     }
 
     /// Returns the number of the shard's features that match, if it is known. `passed` is whether
     /// the response has used all of the shard's pages.
-    pub fn total(&self, passed: bool) -> Option<u64> {
+    pub fn total_matched(&self, passed: bool) -> Option<u64> {
         if self.inconsistent_count || self.is_missing() {
             return None;
         }
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -106,7 +106,7 @@
                 .all(|fetch| requested.insert(format!("{} {:?}", fetch.shard, fetch.location))),
             "{fetches:?}"
         );
-        if servers.round(&mut merge, |_| true) == MergeProgress::Complete {
+        if servers.round(&mut merge, |_| true) == MergeProgress::Finished {
             break;
         }
     }
@@ -132,7 +132,7 @@
 #[test]
 fn a_missing_shard_is_reported_and_skipped_only_above_the_minimum_share() {
     let (progress, merge) = response_without(1, 0.5);
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!(merge.count(), 20);
     assert_eq!(merge.missing_shards(), [1]);
     assert!(!merge.is_complete());
@@ -146,7 +146,7 @@
     // The features before the missing shard are a complete response, which continues at that
     // shard.
     let (progress, merge) = response_without(1, 1.0);
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!(merge.count(), 10);
     assert!(merge.is_complete());
     assert_eq!(merge.resume_position().map(|p| p.shard), Some(1));
@@ -187,7 +187,7 @@
             vec![fetched(0, 2, page("00000002", Some("x"), Some(8)))],
             id
         ),
-        MergeProgress::Complete
+        MergeProgress::Finished
     );
     // The response continues where the cycle was found: its features are in order.
     assert_eq!(
@@ -210,7 +210,7 @@
             )],
             id
         ),
-        MergeProgress::Complete
+        MergeProgress::Finished
     );
     assert_eq!(
         (merge.count(), merge.resume_position().map(|p| p.skip)),
@@ -235,7 +235,7 @@
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page("00000001", Some("y"), None))], id),
-        MergeProgress::Complete
+        MergeProgress::Finished
     );
     assert_eq!(
         (merge.count(), merge.is_complete(), merge.missing_shards()),
@@ -258,7 +258,7 @@
     let progress = servers.round(&mut merge, |_| true);
     assert_eq!(progress, MergeProgress::NeedsPages);
     let progress = servers.round(&mut merge, |_| false);
-    assert_eq!(progress, MergeProgress::Complete, "only once");
+    assert_eq!(progress, MergeProgress::Finished, "only once");
     assert_eq!(merge.count(), 500);
 }
 
@@ -274,7 +274,7 @@
     let progress = servers.round(&mut merge, |_| true);
     assert_eq!(progress, MergeProgress::NeedsPages);
     let progress = servers.round(&mut merge, |_| false);
-    assert_eq!(progress, MergeProgress::Complete, "it was interrupted");
+    assert_eq!(progress, MergeProgress::Finished, "it was interrupted");
     assert_eq!(merge.count(), 500);
 }
 
@@ -293,7 +293,7 @@
     let progress = servers.round(&mut merge, |_| true);
     assert_eq!(progress, MergeProgress::NeedsPages);
     let progress = servers.round(&mut merge, |_| false);
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!((merge.count(), merge.missing_shards()), (10, vec![0]));
 }
 
@@ -317,7 +317,7 @@
     let progress = servers.round(&mut second, |_| true);
     assert_eq!(progress, MergeProgress::NeedsPages);
     let progress = servers.round(&mut second, |_| false);
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!((second.count(), second.is_complete()), (200, true));
 
     let resume = second.resume_position().expect("more features").clone();
@@ -379,12 +379,12 @@
                 let fetches = merge.next_fetches();
                 let pages = fetches.iter().map(|fetch| {
                     let fails = failures.next().unwrap_or(false);
-                    fetch.fetched((!fails).then(|| servers.page(fetch)))
+                    fetch.fetched_page((!fails).then(|| servers.page(fetch)))
                 });
                 match merge.accept(pages.collect(), id) {
                     MergeProgress::NeedsPages => {}
                     progress => {
-                        prop_assert_eq!(progress, MergeProgress::Complete);
+                        prop_assert_eq!(progress, MergeProgress::Finished);
                         break;
                     }
                 }
@@ -450,7 +450,7 @@
     let complete = page("0000000100000002", None, Some(2));
     assert_eq!(
         merge.accept(vec![fetched(0, 10, complete)], id),
-        MergeProgress::Complete
+        MergeProgress::Finished
     );
     assert_eq!((merge.count(), merge.number_matched()), (2, Some(2)));
 }
--- a/src/front/ogc/paging/concat_merge/tests/model.rs
+++ b/src/front/ogc/paging/concat_merge/tests/model.rs
@@ -77,7 +77,7 @@
         let fetches = merge.next_fetches();
         let pages = fetches
             .iter()
-            .map(|fetch| fetch.fetched(served(fetch).then(|| self.page(fetch))))
+            .map(|fetch| fetch.fetched_page(served(fetch).then(|| self.page(fetch))))
             .collect();
         merge.accept(pages, id)
     }
@@ -86,7 +86,7 @@
     pub fn response(&mut self, limits: PagingLimits, from: ResumePosition) -> ConcatMerge {
         let mut merge = ConcatMerge::new(limits, from, self.shards.len());
         for _ in 0..10_000 {
-            if self.round(&mut merge, |_| true) == MergeProgress::Complete {
+            if self.round(&mut merge, |_| true) == MergeProgress::Finished {
                 return merge;
             }
         }
--- a/src/front/ogc/paging/concat_merge/usage.rs
+++ b/src/front/ogc/paging/concat_merge/usage.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns whether no further page may be requested.
-    pub fn is_exhausted(&self, limits: &PagingLimits) -> bool {
+    pub fn has_reached(&self, limits: &PagingLimits) -> bool {
         self.pages >= limits.max_pages || self.bytes >= limits.max_bytes
     }
 }
--- a/src/front/ogc/paging/page.rs
+++ b/src/front/ogc/paging/page.rs
@@ -99,7 +99,7 @@
 
     /// Returns the result of this fetch.
     #[must_use]
-    pub fn fetched(&self, page: Option<Arc<FeaturePage>>) -> FetchedPage {
+    pub fn fetched_page(&self, page: Option<Arc<FeaturePage>>) -> FetchedPage {
         FetchedPage {
             shard: self.shard,
             page_size: self.page_size,
--- a/src/front/ogc/paging/progress.rs
+++ b/src/front/ogc/paging/progress.rs
@@ -9,7 +9,7 @@
     /// Another round is needed.
     NeedsPages,
     /// The response is complete.
-    Complete,
+    Finished,
     /// Too many shards are missing, or there is no feature to respond with.
     Failed,
     /// More pages would have to be fetched to sort the features than the limits allow.
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -219,7 +219,7 @@
             return MergeProgress::Failed;
         }
         match self.shards.iter().any(|state| self.can_contribute(state)) {
-            false => MergeProgress::Complete,
+            false => MergeProgress::Finished,
             true if self.pages_left == 0 => MergeProgress::TooManyPages,
             true => MergeProgress::NeedsPages,
         }
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -101,7 +101,7 @@
 fn complete(merge: &mut SortedMerge, shards: &[Vec<ModelFeature>], limit: usize) -> usize {
     let serve_fetch = |fetch: &PageFetch| {
         let page = serve(&shards[fetch.shard], fetch);
-        fetch.fetched(Some(Arc::new(page)))
+        fetch.fetched_page(Some(Arc::new(page)))
     };
     let mut features_read = 0;
     loop {
@@ -112,7 +112,7 @@
         match merge.accept(pages) {
             MergeProgress::NeedsPages => {}
             progress => {
-                assert_eq!(progress, MergeProgress::Complete);
+                assert_eq!(progress, MergeProgress::Finished);
                 return features_read;
             }
         }
@@ -129,7 +129,7 @@
     loop {
         let pages = merge.next_fetches().into_iter().map(|fetch| {
             let fails = failures.next().unwrap_or(false);
-            fetch.fetched((!fails).then(|| Arc::new(serve(&shards[fetch.shard], &fetch))))
+            fetch.fetched_page((!fails).then(|| Arc::new(serve(&shards[fetch.shard], &fetch))))
         });
         match merge.accept(pages.collect()) {
             MergeProgress::NeedsPages => {}
@@ -232,7 +232,7 @@
     let fetches = merge.next_fetches();
     assert_eq!((fetches.len(), fetches[0].shard), (1, 1));
     let progress = merge.accept(vec![fetched(1, 2, features(&[3, 4], None))]);
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!(merge.missing_shards(), [0]);
     assert_eq!(sort_keys(&merge.to_page()), [3, 4]);
     assert_eq!(merge.resume_after(), None);
@@ -342,7 +342,7 @@
     let mut merge = SortedMerge::new(query(5, 10, 10, 1.0), &[true, true]);
     assert_eq!(merge.accept(one_missing()), MergeProgress::Failed);
     let mut merge = SortedMerge::new(query(5, 10, 10, 0.5), &[true, true]);
-    assert_eq!(merge.accept(one_missing()), MergeProgress::Complete);
+    assert_eq!(merge.accept(one_missing()), MergeProgress::Finished);
     assert_eq!(
         (merge.missing_shards(), merge.resume_after()),
         (vec![1], None)
@@ -369,7 +369,7 @@
     );
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(None, &[1, 2]))]),
-        MergeProgress::Complete
+        MergeProgress::Finished
     );
     assert_eq!(
         merge.resume_after().map(|values| values[0].clone()),
@@ -394,7 +394,7 @@
             break;
         }
     }
-    assert_eq!(progress, MergeProgress::Complete);
+    assert_eq!(progress, MergeProgress::Finished);
     assert_eq!(merge.missing_shards(), [0]);
     assert_eq!(sort_keys(&merge.to_page()), [2]);
 }
--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -111,7 +111,7 @@
     pub fn accept(&mut self, fetched: Vec<FetchedPage>) -> MergeProgress {
         match self {
             Merge::Concat(merge) => match merge.accept(fetched, feature_id_hash) {
-                MergeProgress::Complete if !merge.has_enough_shards() => MergeProgress::Failed,
+                MergeProgress::Finished if !merge.has_enough_shards() => MergeProgress::Failed,
                 progress => progress,
             },
             Merge::Sorted(merge) => merge.accept(fetched),
@@ -124,7 +124,7 @@
             return None;
         };
         merge
-            .interrupted()
+            .interrupted_shard()
             .filter(|interrupted| interrupted.shard == shard)
             .map(|i| &*i.server)
     }
@@ -132,7 +132,7 @@
     /// Returns whether the features so far are a valid response after an error, so that the next
     /// response can continue after them. Sorted features are not, since further shards may have
     /// features between them.
-    pub fn is_valid_when_cut(&self) -> bool {
+    pub fn can_end_early(&self) -> bool {
         match self {
             Merge::Concat(merge) => merge.count() > 0 && merge.has_enough_shards(),
             Merge::Sorted(_) => false,
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -12,7 +12,7 @@
 use super::response::feature_collection::feature_collection;
 use super::response::items_result::ItemsResult;
 use super::response::problem::error_response;
-use super::round::{core_request, count_response, ShardRequest};
+use super::round::{coordinator_request, count_response, ShardRequest};
 use super::shard_plan::ShardPlan;
 use super::shards::ShardSource;
 use super::state::FrontState;
@@ -46,7 +46,7 @@
 /// A page fetch of the current round.
 struct InFlightFetch {
     fetch: PageFetch,
-    request: ShardRequest,
+    shard_request: ShardRequest,
 }
 
 impl ItemsQuery {
@@ -94,15 +94,21 @@
         let mut unavailable = Vec::new();
         for fetch in self.merge.next_fetches() {
             match self.shard_request(&fetch) {
-                Some(request) => self.in_flight.push(InFlightFetch { fetch, request }),
-                None => unavailable.push(fetch.fetched(None)),
+                Some(shard_request) => self.in_flight.push(InFlightFetch {
+                    fetch,
+                    shard_request,
+                }),
+                None => unavailable.push(fetch.fetched_page(None)),
             }
         }
         if self.in_flight.is_empty() {
             return self.accept(unavailable, None);
         }
-        let parts = self.in_flight.iter().map(|fetch| fetch.request.clone());
-        let request = core_request(&self.state, &self.client, parts);
+        let parts = self
+            .in_flight
+            .iter()
+            .map(|fetch| fetch.shard_request.clone());
+        let request = coordinator_request(&self.state, &self.client, parts);
         let render: Render = Box::new(move |answer| self.accept_answer(answer, unavailable));
         Reaction::Submit(request, render)
     }
@@ -122,11 +128,11 @@
             }
             PageLocation::NextLink { target, .. } => target.to_string(),
         };
-        let mut request = PageRequest::new(RequestKind::Items, target);
-        request.predicate = plan.predicate.clone();
+        let mut page_request = PageRequest::new(RequestKind::Items, target);
+        page_request.predicate = plan.predicate.clone();
         Some(ShardRequest {
             shard,
-            request: Arc::new(request),
+            page_request: Arc::new(page_request),
         })
     }
 
@@ -135,9 +141,9 @@
     fn shard_to_start(&self, index: usize) -> ShardId {
         let shard = self.shards[index].shard;
         let interrupted_server = self.merge.interrupted_server(index);
-        let elsewhere = interrupted_server
+        let shard_at_other_servers = interrupted_server
             .and_then(|server| lock(&self.state.catalog).excluding_server(shard, server));
-        elsewhere.unwrap_or(shard)
+        shard_at_other_servers.unwrap_or(shard)
     }
 
     /// Returns the shard to follow a link in: at any server if all servers have the same order,
@@ -158,7 +164,7 @@
         let error = ApiError::from_answer(&answer);
         let attempted = in_flight
             .iter()
-            .any(|fetch| fetch.request.request.attempted());
+            .any(|fetch| fetch.shard_request.page_request.was_attempted());
         let mut fetched = unavailable;
         match answer {
             Answer::Served { parts, .. } => {
@@ -170,7 +176,7 @@
             Answer::Rejected { late: false, .. } if !attempted => return self.end(error),
             Answer::Rejected { .. } | Answer::Failed { .. } => {
                 let failed = in_flight.into_iter();
-                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched(None)));
+                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched_page(None)));
             }
         }
         self.accept(fetched, error)
@@ -179,14 +185,17 @@
     /// Returns the result of a fetch from the served parts of its round, and records the size of
     /// its page for the admission of further queries.
     fn fetched_page(&self, in_flight: InFlightFetch, parts: &[ServedPart]) -> FetchedPage {
-        let InFlightFetch { fetch, request } = in_flight;
-        let part = parts.iter().find(|part| part.shard == request.shard);
-        let page = part.and_then(|part| request.request.page(&part.value));
+        let InFlightFetch {
+            fetch,
+            shard_request,
+        } = in_flight;
+        let part = parts.iter().find(|part| part.shard == shard_request.shard);
+        let page = part.and_then(|part| shard_request.page_request.page(&part.value));
         if let Some(page) = &page {
             let mut admission = self.state.admission();
             admission.record_page(page.body.len(), page.returned_count, fetch.page_size);
         }
-        fetch.fetched(page)
+        fetch.fetched_page(page)
     }
 
     /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
@@ -195,9 +204,9 @@
         let timed_out = matches!(error, Some(ApiError::Timeout));
         match self.merge.accept(fetched) {
             MergeProgress::NeedsPages if !timed_out => self.next_round(),
-            MergeProgress::Complete => self.end(None),
+            MergeProgress::Finished => self.end(None),
             MergeProgress::TooManyPages => {
-                self.finish(error_response(&ApiError::TooManyFeaturesToSort))
+                self.respond(error_response(&ApiError::TooManyFeaturesToSort))
             }
             MergeProgress::NeedsPages | MergeProgress::Failed => {
                 self.end(Some(error.unwrap_or(ApiError::ServersFailed)))
@@ -208,18 +217,18 @@
     /// Ends the query with the features so far; after an error, only if they are a valid response,
     /// and otherwise with the error.
     fn end(self, error: Option<ApiError>) -> Reaction {
-        if let Some(error) = error.filter(|_| !self.merge.is_valid_when_cut()) {
-            return self.finish(error_response(&error));
+        if let Some(error) = error.filter(|_| !self.merge.can_end_early()) {
+            return self.respond(error_response(&error));
         }
         let response = match self.next_cursor() {
             Ok(next_cursor) => feature_collection(&self.result(next_cursor)),
             Err(error) => error_response(&error.into()),
         };
-        self.finish(response)
+        self.respond(response)
     }
 
     /// Counts the end of the query and responds.
-    fn finish(self, response: Response) -> Reaction {
+    fn respond(self, response: Response) -> Reaction {
         count_response(&self.state.class_metrics(self.client.class), &response);
         Reaction::Respond(response)
     }
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -50,7 +50,7 @@
             .shard_requests
             .iter()
             .find(|request| request.shard == part.shard)?;
-        shard_request.request.page(&part.value)
+        shard_request.page_request.page(&part.value)
     };
     let text = |page: Arc<FeaturePage>| Some(page.body[page.features.first()?.clone()].to_vec());
     let found = parts.iter().filter_map(page).find_map(text);
--- a/src/front/ogc/round.rs
+++ b/src/front/ogc/round.rs
@@ -18,11 +18,11 @@
     /// The identifier of the shard, or of the shard at one server.
     pub shard: ShardId,
     /// The request, and the pages that arrive for it.
-    pub request: Arc<PageRequest>,
+    pub page_request: Arc<PageRequest>,
 }
 
 /// Returns the request to the core for one round.
-pub(super) fn core_request(
+pub(super) fn coordinator_request(
     state: &FrontState,
     client: &ClientContext,
     parts: impl ExactSizeIterator<Item = ShardRequest>,
@@ -32,7 +32,7 @@
         shard: part.shard,
         weight,
         expected_work: None,
-        context: Some(RequestContext::new(part.request)),
+        context: Some(RequestContext::new(part.page_request)),
     };
     Request {
         token: client.token,
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -95,7 +95,10 @@
                 // Nothing was sent, so the attempt counts as rejected.
                 return Err(Outcome::Rejected);
             }
-            let fetch = Fetch::new(page_request.request(&address.to_string()), self.max_body);
+            let fetch = Fetch::new(
+                page_request.start_attempt(&address.to_string()),
+                self.max_body,
+            );
             let fetch_request = FetchRequest {
                 key: request.key,
                 replica,
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -123,8 +123,8 @@
             assert!(fetches
                 .iter()
                 .all(|fetch| fetch.location == PageLocation::ShardStart));
-            let fetched = |fetch: &PageFetch| fetch.fetched(Some(pages[fetch.shard].clone()));
-            if merge.accept(fetches.iter().map(fetched).collect()) == MergeProgress::Complete {
+            let fetched = |fetch: &PageFetch| fetch.fetched_page(Some(pages[fetch.shard].clone()));
+            if merge.accept(fetches.iter().map(fetched).collect()) == MergeProgress::Finished {
                 return merge.to_page().returned_count;
             }
         }
