--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -1,12 +1,14 @@
 //! The response to a query without a sort order: the features of the shards, one shard after the
 //! other.
 //!
-//! A response starts at a [`ResumePosition`] and ends at its limit. It is built in rounds:
-//! [`ConcatMerge::next_fetches`] returns the pages to fetch, and [`ConcatMerge::accept`] uses the
-//! pages that arrived. A response uses complete pages, so that each page is fetched once for a
-//! client that follows the `next` links to the end: page sizes are chosen so that a page boundary
-//! falls on the limit, and a response ends early, with a `next` link, if it could use only a part
-//! of the next page.
+//! A response starts at a [`ResumePosition`] and has at most as many features as its limit. It is
+//! built in rounds: [`ConcatMerge::next_fetches`] returns the pages to fetch, and
+//! [`ConcatMerge::accept`] uses the pages that arrived.
+//!
+//! A response normally uses whole pages. Each page is then fetched only once for a client that
+//! follows the `next` links to the end. For this reason, page sizes are chosen so that the limit
+//! falls on a page boundary, and a response ends before its limit, with a `next` link, if it could
+//! use only a part of the next page.
 
 mod current_shard;
 mod features;
@@ -26,20 +28,22 @@
 use std::sync::Arc;
 use usage::FetchUsage;
 
-/// The share of its limit from which on a response ends at the end of a shard rather than start the
-/// next shard with a small page, whose links would continue with that size. The number of requests
-/// stays under 1 / (1 - this share) times the number of pages.
+/// The share of its limit that a response must have reached to end before a shard whose first page
+/// is small. If the response used that page, all further pages of the shard would be as small,
+/// because servers repeat the page size in their links. The number of requests stays below
+/// 1 / (1 - this share) times the number of pages.
 const SUFFICIENT_FILL_SHARE: f64 = 0.15;
-/// The minimum size of a shard's first page, as a share of the suitable size. A smaller page only
-/// shows how many features match: the shard is restarted with larger pages.
+/// The minimum size of a shard's first page, as a share of the size that is suitable for the
+/// response. Of a smaller page only the number of matching features is used, and the shard is
+/// restarted with larger pages.
 const MIN_USEFUL_PAGE_SHARE: f64 = 0.25;
 
-/// A shard whose server did not return the next page.
+/// A shard that was restarted because its next page could not be fetched.
 #[derive(Debug, Clone)]
 pub struct InterruptedShard {
     /// The index of the shard.
     pub shard: usize,
-    /// The address of the server.
+    /// The address of the server that returned the link to that page.
     pub server: Arc<str>,
 }
 
@@ -47,7 +51,7 @@
 #[derive(Debug)]
 pub struct ConcatMerge {
     limits: PagingLimits,
-    /// The start of the response.
+    /// The position at which the response starts.
     start: ResumePosition,
     /// The position of the next feature to use.
     position: ResumePosition,
@@ -56,14 +60,14 @@
     features: ResponseFeatures,
     current_shard: CurrentShard,
     usage: FetchUsage,
-    /// The number of shards of unknown size to fetch ahead of the current one.
+    /// The number of shards with an unknown number of features to fetch ahead of the current one.
     lookahead: usize,
-    /// The shard that was restarted. A response restarts at most one.
+    /// The shard that was restarted. A response restarts at most one shard.
     interrupted: Option<InterruptedShard>,
 }
 
 impl ConcatMerge {
-    /// Creates an empty response at `start`, over `shards` shards.
+    /// Creates an empty response that starts at `start`, for a query of `shards` shards.
     #[must_use]
     pub fn new(limits: PagingLimits, start: ResumePosition, shards: usize) -> Self {
         let at_shard_start = start.location == PageLocation::ShardStart && start.skip == 0;
@@ -80,9 +84,9 @@
         }
     }
 
-    /// Records the pages of a round, then uses the pages that have arrived in order. `feature_id`
-    /// returns the hash of a feature's identifier, 0 if it has none. Never returns
-    /// [`MergeProgress::TooManyPages`].
+    /// Records the pages of a round, then uses the arrived pages in the order of the response, up
+    /// to the first page that has not arrived. `feature_id` returns the hash of a feature's
+    /// identifier, or 0 if the feature has none. Never returns [`MergeProgress::TooManyPages`].
     pub fn accept(
         &mut self,
         fetched_pages: Vec<FetchedPage>,
@@ -100,8 +104,8 @@
         }
     }
 
-    /// Uses the page at the current position, or passes over a missing shard. Returns `None` if
-    /// there may be a further page to use.
+    /// Uses the page at the current position, or handles a missing shard there. Returns `None` if
+    /// there may be another page to use.
     fn use_next_page(&mut self, feature_id: &impl Fn(&[u8]) -> u64) -> Option<MergeProgress> {
         if self.has_passed_all_shards() {
             return Some(MergeProgress::Finished);
@@ -120,13 +124,14 @@
     }
 
     /// Restarts the missing shard at the current position, moves past it, or ends the response.
-    /// Returns `None` if there may be a further page to use.
+    /// Returns `None` if there may be another page to use.
     fn pass_missing_shard(&mut self) -> Option<MergeProgress> {
         if self.restart_shard() {
             return Some(MergeProgress::NeedsPages);
         }
         if self.ends_at_missing_shard() {
-            // The features so far are a valid response, whose next link leads to the missing page.
+            // The features so far are a valid response, whose `next` link leads to the missing
+            // page.
             let empty = self.features.count() == 0;
             return Some(if empty {
                 MergeProgress::Failed
@@ -140,9 +145,10 @@
         None
     }
 
-    /// Returns whether the response ends before the missing shard at the current position instead
-    /// of passing over it: if no shard may be missing, or if the response continues the shard and
-    /// has features of it, to which the next response can add the missing page.
+    /// Returns whether the response ends at the missing shard at the current position instead of
+    /// moving past it. This is the case if no shard may be missing. It is also the case if an
+    /// earlier response started the shard, this one has features of it, and a page could not be
+    /// fetched: the next response can then continue with that page.
     fn ends_at_missing_shard(&self) -> bool {
         if self.limits.min_shard_share >= 1.0 {
             return true;
@@ -156,10 +162,10 @@
             && has_features
     }
 
-    /// Discards the first page of a shard that was fetched ahead, if the page is too small for the
-    /// features still needed; this response or the next restarts the shard with larger pages.
-    /// Returns the progress if the page was discarded. Shards whose parts are not idempotent
-    /// continue with the pages that they have.
+    /// Discards the first page of a shard that was fetched ahead if the page is too small for the
+    /// number of features that are still needed. Either this response or the next one restarts the
+    /// shard with larger pages. Returns the progress if the page was discarded, otherwise `None`.
+    /// If the parts of the query are not idempotent, the page is used whatever its size.
     fn discard_small_first_page(&self, requested: &RequestedPage) -> Option<MergeProgress> {
         let started = self.position.location != PageLocation::ShardStart
             || self.position.shard == self.start.shard;
@@ -181,15 +187,15 @@
     }
 
     /// Appends the features of the page at the current position and moves past it. Returns `None`
-    /// if there may be a further page to use.
+    /// if there may be another page to use.
     fn use_page(
         &mut self,
         page: &Arc<FeaturePage>,
         feature_id: &impl Fn(&[u8]) -> u64,
     ) -> Option<MergeProgress> {
         let shard = self.position.shard;
-        // A page that is fetched again may be shorter than before: the next page then has the rest
-        // of the features to skip.
+        // If a page is fetched again, it may have fewer features than before. The rest of the
+        // features to skip are then at the start of the next page.
         let skip = self.position.skip.min(page.features.len());
         self.position.skip -= skip;
         let appended = self.features.append(
@@ -201,17 +207,18 @@
         );
         check_invariant(
             self.features.count() <= self.limits.limit,
-            "an answer beyond its limit",
+            "a response has more features than its limit",
         );
         self.shards[shard].used_features += appended.new_features as u64;
         if appended.end > skip && appended.new_features == 0 && page.next_target.is_some() {
-            // Pages without a new feature might never end.
+            // A server whose pages have no new features might return such pages without end.
             self.shards[shard].missing_reason = Some(MissingReason::LinksDoNotEnd);
             return None;
         }
         if appended.end < page.features.len() {
-            // The server returned more than was requested, or the page is filtered here: the next
-            // response fetches the page again.
+            // The server returned more features than requested, or the front filters the page and
+            // therefore requested more than the response needs. The next response fetches the page
+            // again and skips the features that are used now.
             self.position.skip = appended.end;
             return Some(MergeProgress::Finished);
         }
@@ -221,8 +228,8 @@
         self.is_filled().then_some(MergeProgress::Finished)
     }
 
-    /// Moves to the page after this one, or to the next shard. Returns `false` and marks the shard
-    /// as missing if the link was followed before.
+    /// Moves to the page after this one, or to the next shard if this is the last page. If the link
+    /// to the next page was followed before, marks the shard as missing and returns `false`.
     fn move_past(&mut self, page: &FeaturePage) -> bool {
         let Some(next) = page.next_location() else {
             self.advance_shard();
@@ -248,10 +255,10 @@
         *page_size > self.remaining() && !self.limits.filtered_locally && self.features.count() > 0
     }
 
-    /// Restarts the current shard at another server, after the server that gave the link to its
-    /// next page failed. Another server may have the features in another order, so a response
-    /// restarts one shard at most, and only if no earlier response returned a feature of the shard.
-    /// Returns whether the shard was restarted.
+    /// Restarts the current shard at another server after the server that returned the link to the
+    /// next page failed. A response restarts at most one shard, and only if no earlier response
+    /// started that shard, because another server may return the features in another order. Returns
+    /// whether the shard was restarted.
     fn restart_shard(&mut self) -> bool {
         let resumed = self.current_shard.is_resumed();
         if resumed || !self.limits.idempotent || self.interrupted.is_some() {
@@ -278,7 +285,7 @@
         self.current_shard.advance(self.features.checkpoint());
     }
 
-    /// Returns the progress if the page at the current position has not arrived.
+    /// Returns the progress if there is no usable page at the current position.
     fn progress_without_page(&self) -> MergeProgress {
         if self.remaining() == 0 {
             return MergeProgress::Finished;
@@ -292,12 +299,12 @@
         }
     }
 
-    /// Returns whether the response has passed all shards.
+    /// Returns whether the position is after the last shard.
     fn has_passed_all_shards(&self) -> bool {
         self.position.shard >= self.shards.len()
     }
 
-    /// Returns the number of features until the limit.
+    /// Returns the number of features that the response may still append.
     fn remaining(&self) -> usize {
         self.limits.limit - self.features.count()
     }
--- a/src/front/ogc/paging/concat_merge/current_shard.rs
+++ b/src/front/ogc/paging/concat_merge/current_shard.rs
@@ -5,12 +5,12 @@
 use std::collections::HashSet;
 use std::hash::{BuildHasher, RandomState};
 
-/// The features and links seen so far of the current shard.
+/// The features and links of the current shard that the response has used so far.
 #[derive(Debug)]
 pub(super) struct CurrentShard {
-    /// The hashes of the identifiers of the shard's features.
+    /// The hashes of the identifiers of the shard's features that the response has.
     pub seen_ids: HashSet<u64>,
-    /// The hashes of the links followed, in this shard and in those before.
+    /// The hashes of the links followed, in this shard and in earlier ones.
     followed_links: HashSet<u64>,
     hasher: RandomState,
     /// Whether an earlier response started the shard.
@@ -55,7 +55,8 @@
         self.checkpoint
     }
 
-    /// Records that the `next` link of a page is followed. Returns whether that is the first time.
+    /// Records that the `next` link of a page is followed. Returns whether the link is followed for
+    /// the first time.
     pub fn follow_link(&mut self, shard: usize, page: &FeaturePage) -> bool {
         let link = self
             .hasher
--- a/src/front/ogc/paging/concat_merge/features.rs
+++ b/src/front/ogc/paging/concat_merge/features.rs
@@ -9,10 +9,11 @@
 pub(super) struct ResponseFeatures {
     slices: Vec<PageSlice>,
     count: usize,
+    /// The number of features that were left out because their shard returned them before.
     duplicates: usize,
 }
 
-/// The length of a response at an earlier time.
+/// The length of a response at an earlier time, in slices and in features.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FeaturesCheckpoint {
     slices: usize,
@@ -20,18 +21,19 @@
     duplicates: usize,
 }
 
-/// The part of a page that was appended to a response.
+/// The features of a page that were appended to a response.
 pub(super) struct AppendedFeatures {
-    /// The index of the first feature that was not used.
+    /// The index in the page of the first feature that was not used.
     pub end: usize,
-    /// The number of features appended; duplicates are left out.
+    /// The number of features appended, without duplicates.
     pub new_features: usize,
 }
 
 impl ResponseFeatures {
-    /// Appends the features of a page from index `start` on, until the response has `limit`
-    /// features. Leaves out those with an identifier in `seen_ids`, and adds the identifiers of
-    /// the others to it. `feature_id` returns the hash of a feature's identifier, 0 if it has none.
+    /// Appends the features of a page, starting with the one at index `start`, until the response
+    /// has `limit` features. Leaves out features whose identifiers are in `seen_ids`, and adds the
+    /// identifiers of the others to it. `feature_id` returns the hash of a feature's identifier, or
+    /// 0 if the feature has none.
     pub fn append(
         &mut self,
         page: &Arc<FeaturePage>,
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Returns the present length, to which [`truncate`](Self::truncate) can return.
+    /// Returns the current length, to which [`truncate`](Self::truncate) can shorten the response
+    /// again.
     pub fn checkpoint(&self) -> FeaturesCheckpoint {
         FeaturesCheckpoint {
             slices: self.slices.len(),
@@ -84,12 +87,13 @@
         }
     }
 
-    /// Returns whether the response has features since a checkpoint.
+    /// Returns whether features were appended since a checkpoint.
     pub fn has_grown_since(&self, checkpoint: FeaturesCheckpoint) -> bool {
         self.count > checkpoint.count
     }
 
-    /// Removes the features appended since a checkpoint, and forgets their duplicates.
+    /// Removes the features appended since a checkpoint, and no longer counts the duplicates found
+    /// since then.
     pub fn truncate(&mut self, checkpoint: FeaturesCheckpoint) {
         self.slices.truncate(checkpoint.slices);
         self.count = checkpoint.count;
@@ -106,7 +110,7 @@
         self.count
     }
 
-    /// Returns the number of features that servers returned more than once.
+    /// Returns the number of duplicates: features that a server returned again.
     pub fn duplicates(&self) -> usize {
         self.duplicates
     }
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -3,13 +3,15 @@
 use super::super::page::{PageFetch, PageLocation, ResumePosition};
 use super::ConcatMerge;
 
-/// The number of shards of unknown size that the first round fetches ahead. Doubled in each round.
+/// The number of shards with an unknown number of features that the first round fetches ahead. It
+/// doubles in each round.
 pub(super) const INITIAL_LOOKAHEAD: usize = 1;
 /// The maximum number of shards that a round fetches ahead.
 const MAX_LOOKAHEAD: usize = 32;
 
 impl ConcatMerge {
-    /// Returns the pages to fetch next; none if a page that has arrived must be used first.
+    /// Returns the pages to fetch in the next round, without those that have arrived. There are
+    /// none if the response has passed all shards.
     #[must_use]
     pub fn next_fetches(&self) -> Vec<PageFetch> {
         let mut fetches = Vec::new();
@@ -31,7 +33,7 @@
         self.lookahead = (self.lookahead * 2).min(MAX_LOOKAHEAD);
     }
 
-    /// Returns the page at the current position, unless it has arrived.
+    /// Returns the fetch of the page at the current position; `None` if the page has arrived.
     fn current_fetch(&self) -> Option<PageFetch> {
         let shard = self.position.shard;
         if self.shards[shard].unused_page.is_some() {
@@ -48,8 +50,9 @@
         })
     }
 
-    /// Adds the first pages of all further shards. After this round, small data sets are complete,
-    /// and the number of matching features is known of large ones.
+    /// Adds the first pages of all shards after the current one. After this round, the response is
+    /// complete if the collection is small; otherwise, the number of matching features is known if
+    /// the servers report it.
     fn add_initial_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let shards = self.shards.len();
         let even_share = self.limits.limit.div_ceil(shards);
@@ -63,7 +66,7 @@
         fetches.extend(further_shards.map(|shard| PageFetch::shard_start(shard, page_size)));
     }
 
-    /// Adds the first pages of further shards, until the shards are expected to fill the response.
+    /// Adds the first pages of the following shards, until they are expected to fill the response.
     fn add_lookahead_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let current = self.position.shard;
         let mut remaining = self.remaining() as u64;
--- a/src/front/ogc/paging/concat_merge/limits.rs
+++ b/src/front/ogc/paging/concat_merge/limits.rs
@@ -7,25 +7,29 @@
     pub limit: usize,
     /// The maximum number of features to request in a page.
     pub page_size: usize,
-    /// The maximum number of shards that the first response of a query starts all at once. The
-    /// response then knows how many features match in all, and which shards are missing.
+    /// The maximum number of shards of a query whose first response fetches a page of every shard
+    /// in its first round. The response can then report how many features match in all shards, and
+    /// which shards are missing.
     pub max_initial_shards: usize,
     /// The maximum number of pages to fetch for the response.
     pub max_pages: usize,
-    /// The maximum size of the response's pages, in bytes. The page that exceeds it is still used.
+    /// The maximum total size of the pages fetched for the response, in bytes. The page that
+    /// exceeds it is still used.
     pub max_bytes: usize,
-    /// Whether the front filters pages: servers then return more features than the response uses.
+    /// Whether the front evaluates a part of the filter. If so, servers return more features than
+    /// the response uses.
     pub filtered_locally: bool,
-    /// The minimum share of the shards, between 0 and 1, for a response.
+    /// The minimum share of the shards that a response needs, between 0 and 1.
     pub min_shard_share: f64,
-    /// Whether a part of the query may run more than once. If so, an interrupted shard may be
-    /// restarted, unless an earlier response returned one of its features.
+    /// Whether a part of the query may run more than once. If so, a shard may be restarted if no
+    /// earlier response started it.
     pub idempotent: bool,
 }
 
 impl PagingLimits {
-    /// Returns the page size for a shard that is started when `needed` features are missing from
-    /// the response: complete pages then add up to that number.
+    /// Returns the page size for a shard that is started when the response needs `needed` more
+    /// features. Whole pages of this size add up to that number or slightly more. If the front
+    /// filters pages, the size is the maximum.
     pub(super) fn initial_page_size(&self, needed: usize) -> usize {
         if self.filtered_locally {
             return self.page_size;
--- a/src/front/ogc/paging/concat_merge/result.rs
+++ b/src/front/ogc/paging/concat_merge/result.rs
@@ -1,5 +1,5 @@
-//! The result of a [`ConcatMerge`]: the features so far, the shards missing, and the position of
-//! the next response.
+//! The result of a [`ConcatMerge`]: the features so far, the missing shards, and the position at
+//! which the next response starts.
 
 use super::super::page::{PageSlice, ResumePosition};
 use super::super::progress::{has_min_share, missing_indexes};
@@ -19,14 +19,14 @@
         self.features.count()
     }
 
-    /// Returns the number of features that servers returned more than once.
+    /// Returns the number of duplicates that were left out: features that a server returned again.
     #[must_use]
     pub fn duplicates(&self) -> usize {
         self.features.duplicates()
     }
 
-    /// Returns the shard that was restarted and the server that failed: the shard must go to
-    /// another one.
+    /// Returns the shard that was restarted, if there is one, and the server that failed. The shard
+    /// must be requested from another server.
     #[must_use]
     pub fn interrupted_shard(&self) -> Option<&InterruptedShard> {
         self.interrupted.as_ref()
@@ -39,8 +39,8 @@
         missing_indexes(self.shards.iter().map(ShardState::is_missing))
     }
 
-    /// Returns whether the response has the minimum share of the shards. Missing shards that the
-    /// response passed count, the one that it ends at does not.
+    /// Returns whether the response has the minimum share of the shards. Missing shards count only
+    /// if the response passed them: the one at which it ends does not count as missing.
     #[must_use]
     pub fn has_enough_shards(&self) -> bool {
         let missing = self.missing_shards();
@@ -57,14 +57,16 @@
             .all(|shard| *shard >= self.position.shard)
     }
 
-    /// Returns the start of the next response; `None` after the last feature.
+    /// Returns the position at which the next response starts; `None` if the response has passed
+    /// all shards.
     #[must_use]
     pub fn resume_position(&self) -> Option<&ResumePosition> {
         (!self.has_passed_all_shards()).then_some(&self.position)
     }
 
-    /// Returns the number of matching features in all shards; `None` unless each shard's server
-    /// reported its number or returned all of its features.
+    /// Returns the number of matching features in all shards. Returns `None` unless the response is
+    /// the first one of its query, is not filtered by the front, has no duplicates and no missing
+    /// shards, and each shard's server reported a consistent number or returned all features.
     #[must_use]
     pub fn number_matched(&self) -> Option<u64> {
         if self.start != ResumePosition::START
--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -3,7 +3,7 @@
 use super::super::page::{FeaturePage, FetchedPage};
 use std::sync::Arc;
 
-/// A page that has arrived, and the number of features requested.
+/// A page that has arrived, and the number of features that were requested.
 #[derive(Debug)]
 pub(super) struct RequestedPage {
     /// The page.
@@ -12,19 +12,20 @@
     pub page_size: usize,
 }
 
-/// The reason why a part of a shard's features is missing.
+/// The reason why a shard is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MissingReason {
     /// No server returned a page.
     PageNotFetched,
-    /// The links lead to pages that were used before, or to features that were.
+    /// A `next` link was followed before, or led to a page without new features, so the pages might
+    /// never end.
     LinksDoNotEnd,
 }
 
 /// The state of a shard while a response is built.
 #[derive(Debug, Default)]
 pub(super) struct ShardState {
-    /// The page that has arrived and is not used yet.
+    /// The page that has arrived and has not been used yet.
     pub unused_page: Option<RequestedPage>,
     /// The number of matching features that the server reported last.
     pub number_matched: Option<u64>,
@@ -53,13 +54,13 @@
         });
     }
 
-    /// Returns whether a part of the shard's features is missing.
+    /// Returns whether the shard is missing: some of its features could not be fetched.
     pub fn is_missing(&self) -> bool {
         self.missing_reason.is_some()
     }
 
-    /// Returns the number of the shard's features that match, if it is known. `passed` is whether
-    /// the response has used all of the shard's pages.
+    /// Returns the number of matching features in the shard, if it is known. `passed` is whether
+    /// the response has used all pages of the shard.
     pub fn total_matched(&self, passed: bool) -> Option<u64> {
         if self.inconsistent_count || self.is_missing() {
             return None;
--- a/src/front/ogc/paging/concat_merge/usage.rs
+++ b/src/front/ogc/paging/concat_merge/usage.rs
@@ -1,14 +1,14 @@
-//! The pages and bytes that a response has fetched.
+//! The number of pages and bytes that were fetched for a response.
 
 use super::super::page::FetchedPage;
 use super::PagingLimits;
 
-/// The pages and bytes that a response has fetched, which its limits bound.
+/// The number of pages and bytes that were fetched for a response. [`PagingLimits`] limits both.
 #[derive(Debug, Default)]
 pub(super) struct FetchUsage {
     /// The number of pages requested, including those that no server returned.
     pages: usize,
-    /// The bytes of the pages that arrived.
+    /// The total size of the pages that arrived, in bytes.
     bytes: usize,
 }
 
@@ -20,12 +20,12 @@
         self.bytes += arrived.map(|page| page.body.len()).sum::<usize>();
     }
 
-    /// Returns whether no page was requested yet.
+    /// Returns whether no page has been requested yet.
     pub fn is_empty(&self) -> bool {
         self.pages == 0
     }
 
-    /// Returns whether no further page may be requested.
+    /// Returns whether one of the limits is reached, so that no more pages may be requested.
     pub fn has_reached(&self, limits: &PagingLimits) -> bool {
         self.pages >= limits.max_pages || self.bytes >= limits.max_bytes
     }
--- a/src/front/ogc/paging/mod.rs
+++ b/src/front/ogc/paging/mod.rs
@@ -1,9 +1,10 @@
-//! The merge of the pages of a query's shards into responses, without input and output.
+//! Merges the pages of a query's shards into responses. This module sends no requests itself.
 //!
-//! A response is built in rounds. A merge returns the pages to fetch next ([`PageFetch`]), accepts
-//! the result of each ([`FetchedPage`]), and returns whether it needs another round
-//! ([`MergeProgress`]). Without a sort order, [`ConcatMerge`] appends the shards one after the
-//! other; with one, [`SortedMerge`] selects the first features over all shards.
+//! A response is built in rounds. In each round, a merge returns the pages to fetch
+//! ([`PageFetch`]), accepts the result of each fetch ([`FetchedPage`]), and returns whether it
+//! needs another round ([`MergeProgress`]). Without a sort order, [`ConcatMerge`] appends the
+//! features of one shard after the other; with a sort order, [`SortedMerge`] selects the first
+//! features of all shards.
 
 mod concat_merge;
 mod page;
--- a/src/front/ogc/paging/page.rs
+++ b/src/front/ogc/paging/page.rs
@@ -1,4 +1,4 @@
-//! Pages of features, positions in the pages of a shard, and the page fetches of a merge.
+//! Pages of features, positions within the pages of a shard, and the page fetches of a merge.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 /// A page of features as a server returned it.
 #[derive(Debug, Default)]
 pub struct FeaturePage {
-    /// The server's address.
+    /// The address of the server.
     pub server: Arc<str>,
     /// The response body.
     pub body: Vec<u8>,
-    /// The byte ranges in `body` of the features that pass the filter evaluated by the front.
+    /// The byte ranges in `body` of the features, without those that the front filtered out.
     pub features: Vec<Range<usize>>,
-    /// The number of features in the page, including those that do not pass the filter.
+    /// The number of features that the server returned, with those that the front filtered out.
     pub returned_count: usize,
     /// The path and query of the `next` link, which leads to the same server.
     pub next_target: Option<String>,
@@ -21,9 +21,9 @@
 }
 
 impl FeaturePage {
-    /// Returns the location of the next page; `None` after the last. Its size is the number of
-    /// features in this page, whatever was requested, since servers repeat the page size that they
-    /// applied in their links.
+    /// Returns the location of the next page; `None` if this is the last page. The page size of the
+    /// location is the number of features that the server returned in this page, not the number
+    /// requested, because servers repeat the page size that they applied in their links.
     #[must_use]
     pub fn next_location(&self) -> Option<PageLocation> {
         let target = self.next_target.as_deref()?.into();
@@ -40,9 +40,9 @@
 pub enum PageLocation {
     /// The first page of the shard.
     ShardStart,
-    /// The target of the `next` link of the page before.
+    /// The target of the `next` link of the previous page.
     NextLink {
-        /// The address of the server that gave the link.
+        /// The address of the server that returned the link.
         server: Arc<str>,
         /// The path and query of the request.
         target: Arc<str>,
@@ -59,7 +59,7 @@
     pub shard: usize,
     /// The page within the shard.
     pub location: PageLocation,
-    /// The number of features of that page that earlier responses returned.
+    /// The number of features of that page to skip because earlier responses returned them.
     pub skip: usize,
 }
 
@@ -135,7 +135,7 @@
         &self.page.features[self.features.clone()]
     }
 
-    /// Returns the features as their server wrote them.
+    /// Returns the features as the JSON texts that their server sent.
     pub fn texts(&self) -> impl Iterator<Item = &[u8]> {
         self.ranges()
             .iter()
--- a/src/front/ogc/paging/sort_key.rs
+++ b/src/front/ogc/paging/sort_key.rs
@@ -1,4 +1,4 @@
-//! The sort order of features: sort keys, and the values of a feature for them.
+//! The sort order of features: the sort keys of a query and the values that a feature has for them.
 
 use crate::front::ogc::cql2::Feature;
 use serde_json::Value as Json;
@@ -15,8 +15,9 @@
     pub descending: bool,
 }
 
-/// Sort keys in the text that cursors are bound to. Cursors that clients hold contain its hash, so
-/// the text must not change with the names of the type and its fields.
+/// Sort keys whose `Debug` text is a part of the text that binds a cursor to its query. Cursors
+/// that clients hold contain the hash of that text, so it must stay the same when [`SortKey`] or
+/// its fields are renamed.
 pub(in crate::front::ogc) struct BoundSortKeys<'a>(pub &'a [SortKey]);
 
 impl fmt::Debug for BoundSortKeys<'_> {
@@ -42,13 +43,13 @@
     }
 }
 
-/// The position of a feature in the order: the values of the sort keys, then its identifier and
-/// shard, so that no two features have the same position.
+/// The position of a feature in the sort order: the values of its sort keys, followed by its
+/// identifier and its shard, so that no two features have the same position.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct SortValues {
-    /// The values of the sort keys, the identifier last.
+    /// The values of the sort keys, followed by the identifier.
     pub values: Vec<Json>,
-    /// For each key, whether the largest value comes first.
+    /// For each sort key, whether the largest value comes first.
     pub descending: Arc<[bool]>,
     /// The index of the feature's shard.
     pub shard: usize,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns an identifier as text, since 7 and "7" are the same in a link.
+/// Returns an identifier as text, because the identifiers 7 and "7" are the same in a URL.
 fn identifier(id: &Json) -> Json {
     match id {
         Json::Null => Json::Null,
@@ -98,7 +99,7 @@
         let orders = pairs.map(|(index, (left, right))| {
             let order = compare_values(left, right);
             let descending = self.descending.get(index).copied().unwrap_or(false);
-            // A missing value comes last in either direction.
+            // Missing values come last in both directions.
             if descending && !left.is_null() && !right.is_null() {
                 order.reverse()
             } else {
@@ -111,8 +112,8 @@
     }
 }
 
-/// Compares two values: numbers come first, then texts by code points, then booleans with false
-/// before true, then arrays and objects, which have no order, and null last.
+/// Compares two values. Numbers come first, then texts in the order of their code points, then
+/// booleans with false before true, then arrays and objects, which all compare as equal, then null.
 fn compare_values(left: &Json, right: &Json) -> Ordering {
     match (left, right) {
         (Json::Number(left), Json::Number(right)) => {
@@ -126,6 +127,7 @@
     }
 }
 
+/// Returns the rank of a value's type in the sort order.
 fn kind_rank(value: &Json) -> u8 {
     match value {
         Json::Number(_) => 0,
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -1,10 +1,10 @@
-//! The response to a query with a sort order: the first features after a position in the order,
-//! over all shards, in bounded memory.
+//! The response to a query with a sort order: the first features of all shards after a position in
+//! the sort order. At most as many features as the limit of the response are kept in memory.
 //!
 //! Like a [`ConcatMerge`](super::ConcatMerge), the response is built in rounds. If the servers of a
-//! shard return its features in order, fetching stops when no further feature of the shard can be
+//! shard return its features in order, fetching stops when no other feature of the shard can be
 //! among the first. Otherwise the shard is read to its end, and features that are not among the
-//! first are dropped at once.
+//! first ones so far are dropped immediately.
 
 use super::page::{FeaturePage, FetchedPage, PageFetch, PageLocation};
 use super::progress::{has_min_share, missing_indexes, MergeProgress};
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
-/// The maximum number of shards fetched at a time.
+/// The maximum number of shards from which a round fetches pages.
 const MAX_CONCURRENT_SHARDS: usize = 8;
 
 /// The sort order and the limits of a response.
@@ -27,28 +27,29 @@
     pub page_size: usize,
     /// The maximum number of pages to fetch.
     pub max_pages: usize,
-    /// The minimum share of the shards, between 0 and 1, for a response.
+    /// The minimum share of the shards that a response needs, between 0 and 1.
     pub min_shard_share: f64,
-    /// Whether a part of the query may run more than once. If so, shards may be read again after
-    /// another one is lost.
+    /// Whether a part of the query may run more than once. If so, shards may be read again when
+    /// another shard is missing.
     pub idempotent: bool,
-    /// The values of the last feature of the response before, its identifier last; `None` in the
-    /// first response.
+    /// The values of the sort keys of the last feature in the previous response, followed by the
+    /// identifier of that feature; `None` in the first response.
     pub after_values: Option<Vec<Json>>,
 }
 
 /// The state of a shard while a response is built.
 #[derive(Debug)]
 struct ShardState {
-    /// The next page; `None` after the last.
+    /// The next page to fetch; `None` after the last page.
     location: Option<PageLocation>,
-    /// The pages that were read or are to be read next.
+    /// The pages that have been read or will be read next.
     visited: HashSet<PageLocation>,
-    /// Whether the server has returned the shard's features in order so far.
+    /// Whether the server returns the shard's features in order. Becomes `false` when it returns a
+    /// feature out of order.
     sorted: bool,
     /// The values of the feature that the server returned last.
     last_seen: Option<SortValues>,
-    /// Whether the shard's pages could not be fetched, or did not end.
+    /// Whether a page of the shard could not be fetched, or its links form a cycle.
     missing: bool,
 }
 
@@ -76,7 +77,7 @@
     }
 
     /// Moves to the next page. Marks the shard as missing if the link leads to a page that was read
-    /// before, since such pages never end.
+    /// before, because such links never end.
     fn move_to(&mut self, next: Option<PageLocation>) {
         let is_cycle = |next: &PageLocation| !self.visited.insert(next.clone());
         if next.as_ref().is_some_and(is_cycle) {
@@ -98,7 +99,7 @@
 #[derive(Debug)]
 pub struct SortedMerge {
     keys: Vec<SortKey>,
-    /// For each key, whether the largest value comes first.
+    /// For each sort key, whether the largest value comes first.
     descending: Arc<[bool]>,
     limit: usize,
     page_size: usize,
@@ -113,19 +114,19 @@
     shards: Vec<ShardState>,
     /// The first features in the order so far, at most `limit`.
     selected: BTreeMap<SortValues, Arc<[u8]>>,
-    /// The first in the order of the features that were dropped, which come after all selected
-    /// ones; `None` if there is none.
+    /// The position of the first feature in the order of those that were dropped, which all come
+    /// after the selected ones; `None` if no feature was dropped.
     first_dropped: Option<SortValues>,
 }
 
 impl SortedMerge {
-    /// Creates an empty response. `sorted_shards` has an entry per shard: whether its servers
-    /// return features in this order.
+    /// Creates an empty response. `sorted_shards` has an entry for each shard: whether its servers
+    /// return features in the order of the query.
     #[must_use]
     pub fn new(query: SortedQuery, sorted_shards: &[bool]) -> Self {
         let descending: Arc<[bool]> = query.keys.iter().map(|key| key.descending).collect();
-        // The response before returned all features with these values, whichever shard they were
-        // in.
+        // The previous response returned all features with these values, whichever shards they are
+        // in. With the maximum index, none of them comes after the position.
         let after = query.after_values.map(|values| SortValues {
             values,
             descending: descending.clone(),
@@ -163,7 +164,7 @@
             .collect()
     }
 
-    /// Returns the fetch of a shard's next page; `None` after its last.
+    /// Returns the fetch of a shard's next page; `None` after its last page.
     fn next_fetch(&self, shard: usize, state: &ShardState) -> Option<PageFetch> {
         let location = state.location.clone()?;
         let page_size = match &location {
@@ -178,7 +179,8 @@
         })
     }
 
-    /// Returns whether a further page of the shard can have one of the first features.
+    /// Returns whether a page of the shard that has not been read can contain one of the first
+    /// features.
     fn can_contribute(&self, state: &ShardState) -> bool {
         if state.location.is_none() {
             return false;
@@ -186,7 +188,8 @@
         !(state.sorted && self.is_beyond_selected(state))
     }
 
-    /// Returns whether no feature can be selected after the last one seen of a shard.
+    /// Returns whether none of the features that follow the last one seen of a sorted shard can be
+    /// selected.
     fn is_beyond_selected(&self, state: &ShardState) -> bool {
         let Some(seen) = &state.last_seen else {
             return false;
@@ -198,14 +201,14 @@
         after_dropped || self.last_if_full().is_some_and(|last| seen >= last)
     }
 
-    /// Returns the last selected feature if the response has no room for a further one.
+    /// Returns the values of the last selected feature if the limit of the response is reached.
     fn last_if_full(&self) -> Option<&SortValues> {
         let full = self.selected.len() >= self.limit;
         let last = self.selected.last_key_value().filter(|_| full);
         last.map(|(values, _)| values)
     }
 
-    /// Accepts the pages of a round.
+    /// Selects features from the pages of a round, and returns the progress.
     pub fn accept(&mut self, fetched_pages: Vec<FetchedPage>) -> MergeProgress {
         self.pages_left = self.pages_left.saturating_sub(fetched_pages.len());
         for fetched in fetched_pages {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Selects features from a page, and moves its shard to the next one.
+    /// Selects features from a page, and moves its shard to the next page.
     fn accept_page(&mut self, shard: usize, page: &FeaturePage) {
         for feature in &page.features {
             self.insert(shard, &page.body[feature.clone()]);
@@ -234,8 +237,8 @@
     }
 
     /// Removes the selected features of missing shards: a response has none of the features of a
-    /// shard that it reports as missing. If no feature is left of the others, although some were
-    /// dropped, their shards are read again.
+    /// shard that it reports as missing. If features were dropped and no selected one remains, the
+    /// other shards are read again, provided that parts of the query may run more than once.
     fn remove_missing_shards(&mut self) {
         let shards = &self.shards;
         self.selected
@@ -244,24 +247,24 @@
             return;
         }
         self.first_dropped = None;
-        let left = self.shards.iter_mut().filter(|state| !state.missing);
-        left.for_each(ShardState::restart);
+        let available = self.shards.iter_mut().filter(|state| !state.missing);
+        available.for_each(ShardState::restart);
     }
 
-    /// Returns whether the first features are still selected: a response cannot start with those
-    /// that were dropped.
+    /// Returns whether the first features in the order are available. They are not if features were
+    /// dropped and no selected one remains: the dropped ones would come first.
     fn has_first_feature(&self) -> bool {
         self.first_dropped.is_none() || !self.selected.is_empty()
     }
 
-    /// Returns whether less than the minimum share of the shards is left.
+    /// Returns whether the share of the shards that are not missing is below the minimum.
     fn has_too_few_shards(&self) -> bool {
         let missing = self.shards.iter().filter(|state| state.missing).count();
         let total = self.shards.len().max(1);
         !has_min_share(total - missing, total, self.min_shard_share)
     }
 
-    /// Selects a feature if it is among the first. Features that are not JSON are left out.
+    /// Selects a feature if it is among the first so far. Ignores features that are not valid JSON.
     fn insert(&mut self, shard: usize, feature: &[u8]) {
         let Some(values) = SortValues::of(feature, &self.keys, &self.descending, shard) else {
             return;
@@ -297,7 +300,8 @@
         page
     }
 
-    /// Returns the values after which the next response starts; `None` if no feature follows.
+    /// Returns the values after which the next response starts; `None` if this is the last
+    /// response.
     #[must_use]
     pub fn resume_after(&self) -> Option<Vec<Json>> {
         let more_follows = self.first_dropped.is_some()
@@ -306,7 +310,7 @@
         last.map(|(values, _)| values.values.clone())
     }
 
-    /// Returns the indexes of the shards that could not be fetched.
+    /// Returns the indexes of the missing shards.
     #[must_use]
     pub fn missing_shards(&self) -> Vec<usize> {
         missing_indexes(self.shards.iter().map(|state| state.missing))
