--- a/src/front/ogc/query/merge.rs
+++ b/src/front/ogc/query/merge.rs
@@ -11,7 +11,7 @@
 use serde_json::Value as Json;
 use std::sync::Arc;
 
-/// The effect in the edge file of a class whose parts must not run twice.
+/// The value of `effect` in the edge file for a class whose parts must not run more than once.
 const UNSAFE_EFFECT: &str = "unsafe";
 
 /// The merge of a query's pages.
@@ -28,24 +28,25 @@
     pub slices: Vec<PageSlice>,
     /// The number of features in the response.
     pub number_returned: usize,
-    /// Whether the response has the features of all shards that it passed.
+    /// Whether the response has the features of all shards that it covers.
     pub complete: bool,
-    /// The indexes of the missing shards.
+    /// The indexes of the missing shards that the response covers.
     pub missing_shards: Vec<usize>,
     /// The number of matching features in all shards, if it is known.
     pub number_matched: Option<u64>,
 }
 
-/// The start of a response within the features of its query.
+/// The point in the features of a query at which a response starts.
 pub(super) enum ResponseStart {
-    /// A position in a shard, in a response without a sort order.
+    /// A position in a shard, for a response without a sort order.
     Position(ResumePosition),
-    /// The values of the last feature of the response before, in a sorted response.
+    /// The values of the last feature in the previous response, for a sorted response.
     AfterValues(Vec<Json>),
 }
 
 impl ResponseStart {
-    /// Returns the position in a shard; the first one if the response is sorted.
+    /// Returns the position in a shard. For a sorted response, this is the start of the first
+    /// shard.
     pub fn position(&self) -> ResumePosition {
         match self {
             ResponseStart::Position(position) => position.clone(),
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Returns the values of the last feature of the response before, if the response is sorted.
+    /// Returns the values of the last feature in the previous response if the response is sorted
+    /// and not the first one.
     pub fn after_values(&self) -> Option<&[Json]> {
         match self {
             ResponseStart::Position(_) => None,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Accepts the pages of a round.
+    /// Merges the pages of a round and returns the progress.
     pub fn accept(&mut self, fetched: Vec<FetchedPage>) -> MergeProgress {
         match self {
             Merge::Concat(merge) => match merge.accept(fetched, feature_id_hash) {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Returns the address of the server at which this shard was interrupted, if it was.
+    /// Returns the address of the server that failed if this shard was interrupted.
     pub fn interrupted_server(&self, shard: usize) -> Option<&str> {
         let Merge::Concat(merge) = self else {
             return None;
@@ -126,12 +128,12 @@
         merge
             .interrupted_shard()
             .filter(|interrupted| interrupted.shard == shard)
-            .map(|i| &*i.server)
+            .map(|interrupted| &*interrupted.server)
     }
 
-    /// Returns whether the features so far are a valid response after an error, so that the next
-    /// response can continue after them. Sorted features are not, since further shards may have
-    /// features between them.
+    /// Returns whether the query may end after an error with the features so far, so that the next
+    /// response continues after them. A sorted query may not, because the pages that are not
+    /// fetched may have features that come between them.
     pub fn can_end_early(&self) -> bool {
         match self {
             Merge::Concat(merge) => merge.count() > 0 && merge.has_enough_shards(),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns the start of the next response; `None` after the last.
+    /// Returns the start of the next response; `None` if this is the last response.
     pub fn next_start(&self) -> Option<ResponseStart> {
         match self {
             Merge::Concat(merge) => merge
@@ -160,7 +162,7 @@
 }
 
 fn concat_result(merge: &ConcatMerge) -> MergedItems {
-    // Shards from the start of the next response on are not missing from this one.
+    // Shards that the next response starts with, or reaches later, are not missing from this one.
     let end = merge
         .resume_position()
         .map_or(usize::MAX, |position| position.shard);
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -1,5 +1,5 @@
-//! A query for the features of a collection: rounds of page requests until its response is
-//! complete. The choice of the pages is left to [`paging`](super::paging).
+//! Runs a query for the features of a collection: rounds of page requests until the merge of its
+//! pages is finished. The module [`paging`](super::paging) chooses the pages.
 
 mod merge;
 mod resume;
@@ -34,27 +34,27 @@
     shards: Vec<ShardSource>,
     /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
-    /// The response so far.
+    /// The merge of the pages received so far.
     merge: Merge,
-    /// The page fetches of the current round.
+    /// The page fetches of the current round that were submitted.
     in_flight: Vec<InFlightFetch>,
     resume_point: ResumePoint,
-    /// The reservations of the query.
+    /// The capacity that is reserved for the query.
     admitted: AdmittedQuery,
 }
 
-/// A page fetch of the current round.
+/// A page fetch of the current round, with its request.
 struct InFlightFetch {
     fetch: PageFetch,
     shard_request: ShardRequest,
 }
 
 impl ItemsQuery {
-    /// Starts a query, at its cursor if it has one.
+    /// Starts a query, at the position of its cursor if it has one.
     ///
     /// # Errors
     ///
-    /// If the cursor cannot be used.
+    /// Returns an error if the cursor cannot be used.
     pub fn start(
         state: Arc<FrontState>,
         client: ClientContext,
@@ -89,7 +89,7 @@
         Ok(query.next_round())
     }
 
-    /// Sends the requests of the next round.
+    /// Submits the requests of the next round.
     fn next_round(mut self) -> Reaction {
         let mut unavailable = Vec::new();
         for fetch in self.merge.next_fetches() {
@@ -114,7 +114,7 @@
     }
 
     /// Returns the request for a page; `None` if the only server that can return the page was
-    /// removed.
+    /// removed or does not accept new work.
     fn shard_request(&self, fetch: &PageFetch) -> Option<ShardRequest> {
         let plan = &self.plans[fetch.shard];
         let shard = match &fetch.location {
@@ -136,8 +136,8 @@
         })
     }
 
-    /// Returns the shard to request the first page from. An interrupted shard is restarted at
-    /// another server, if there is one.
+    /// Returns the identifier of the shard for the request of its first page. An interrupted shard
+    /// is restarted at another server if there is one.
     fn shard_to_start(&self, index: usize) -> ShardId {
         let shard = self.shards[index].shard;
         let interrupted_server = self.merge.interrupted_server(index);
@@ -146,9 +146,9 @@
         shard_at_other_servers.unwrap_or(shard)
     }
 
-    /// Returns the shard to follow a link in: at any server if all servers have the same order,
-    /// otherwise at the server that gave the link, since others may have the features in another
-    /// order.
+    /// Returns the identifier of the shard for the request that follows a link. It stands for all
+    /// servers of the shard if they return the features in the same order, and otherwise for the
+    /// server that returned the link.
     fn shard_of_link(&self, index: usize, server: &str) -> Option<ShardId> {
         let shard = self.shards[index].shard;
         if self.state.has_same_order(&self.request.collection) {
@@ -157,8 +157,8 @@
         lock(&self.state.catalog).sticky_shard(shard, server)
     }
 
-    /// Handles the core's answer to a round. `unavailable` are the fetches of the round that could
-    /// not be sent.
+    /// Handles the coordinator's answer to a round. `unavailable` has the results of the fetches
+    /// that could not be submitted.
     fn accept_answer(mut self, answer: Answer, unavailable: Vec<FetchedPage>) -> Reaction {
         let in_flight = std::mem::take(&mut self.in_flight);
         let error = ApiError::from_answer(&answer);
@@ -172,7 +172,7 @@
                 fetched.extend(pages.map(|fetch| self.fetched_page(fetch, &parts)));
             }
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
-            // Rejected for load: the servers were not asked, so no shard counts as missing.
+            // Rejected because of overload before any request was sent: no shard counts as missing.
             Answer::Rejected { late: false, .. } if !attempted => return self.end(error),
             Answer::Rejected { .. } | Answer::Failed { .. } => {
                 let failed = in_flight.into_iter();
@@ -183,7 +183,7 @@
     }
 
     /// Returns the result of a fetch from the served parts of its round, and records the size of
-    /// its page for the admission of further queries.
+    /// its page for the admission of later queries.
     fn fetched_page(&self, in_flight: InFlightFetch, parts: &[ServedPart]) -> FetchedPage {
         let InFlightFetch {
             fetch,
@@ -199,7 +199,7 @@
     }
 
     /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
-    /// reason why the round failed.
+    /// reason why the round failed, or `None` if it succeeded.
     fn accept(mut self, fetched: Vec<FetchedPage>, error: Option<ApiError>) -> Reaction {
         let timed_out = matches!(error, Some(ApiError::Timeout));
         match self.merge.accept(fetched) {
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Ends the query with the features so far; after an error, only if they are a valid response,
-    /// and otherwise with the error.
+    /// Ends the query with the features so far. After an error, ends it with the error unless the
+    /// features so far are a valid response.
     fn end(self, error: Option<ApiError>) -> Reaction {
         if let Some(error) = error.filter(|_| !self.merge.can_end_early()) {
             return self.respond(error_response(&error));
@@ -227,13 +227,13 @@
         self.respond(response)
     }
 
-    /// Counts the end of the query and responds.
+    /// Counts the response in the metrics of the class and returns it.
     fn respond(self, response: Response) -> Reaction {
         count_response(&self.state.class_metrics(self.client.class), &response);
         Reaction::Respond(response)
     }
 
-    /// Returns the result that the response is written from.
+    /// Returns the result from which the response is rendered.
     fn result(&self, next_cursor: Option<String>) -> ItemsResult<'_> {
         let merged = self.merge.result();
         let name = |shard: usize| self.shards[shard].name.as_str();
@@ -251,7 +251,7 @@
 }
 
 /// Returns the plan for each shard. Only queries with a filter or a sort order depend on the
-/// capabilities of the servers, and only for those were they discovered.
+/// capabilities of the servers, and the capabilities are discovered only for these queries.
 fn plans(
     state: &FrontState,
     request: &ItemsRequest,
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -1,4 +1,5 @@
-//! The start of a response by the cursor of its request, and the cursor of the next response.
+//! The start of a response, which the cursor of its request determines, and the cursor for the next
+//! response.
 
 use super::merge::ResponseStart;
 use super::ItemsQuery;
@@ -22,12 +23,12 @@
 }
 
 impl ResumePoint {
-    /// Returns the point at which a request resumes: that of its cursor, otherwise the start of the
-    /// query.
+    /// Returns the point at which a request resumes: the position of its cursor, or the start of
+    /// the query if it has no cursor.
     ///
     /// # Errors
     ///
-    /// If the cursor cannot be used, or its shard or server was removed.
+    /// Returns an error if the cursor cannot be used, or if its shard or server was removed.
     pub fn of(
         state: &FrontState,
         request: &ItemsRequest,
@@ -58,8 +59,7 @@
         })
     }
 
-    /// Returns the shard that continues with pages that an earlier response started, if there is
-    /// one.
+    /// Returns the shard that continues after pages of an earlier response, if there is one.
     pub fn resumed_shard(&self) -> Option<ResumedShard> {
         let cursor = self
             .cursor
@@ -73,11 +73,11 @@
 }
 
 impl ItemsQuery {
-    /// Returns the token of the next response's cursor; `None` after the last response.
+    /// Returns the token of the cursor for the next response; `None` if this is the last response.
     ///
     /// # Errors
     ///
-    /// [`CursorError::LinkCycle`] if the position occurred before.
+    /// Returns [`CursorError::LinkCycle`] if the position occurred before.
     pub(super) fn next_cursor(&self) -> Result<Option<String>, CursorError> {
         let mut cursor = Cursor::new(query_hash(&self.request), unix_seconds());
         match self.merge.next_start() {
@@ -113,6 +113,7 @@
     }
 }
 
+/// Returns the current Unix time, in seconds.
 fn unix_seconds() -> u64 {
     unix_ms() / 1_000
 }
@@ -125,11 +126,12 @@
     ])
 }
 
-/// Returns the position of a cursor in the present inventory.
+/// Returns the position of a cursor in the current inventory.
 ///
 /// # Errors
 ///
-/// [`ApiError::ShardRemoved`], or the error of [`link_location`].
+/// Returns [`ApiError::ShardRemoved`] if the inventory no longer has the shard, or the error of
+/// [`link_location`].
 fn position(
     state: &FrontState,
     collection: &str,
@@ -149,12 +151,13 @@
     })
 }
 
-/// Returns the location of a cursor's link at the present address of its server.
+/// Returns the location of a cursor's link at the current address of its server.
 ///
 /// # Errors
 ///
-/// [`ApiError::ServerRemoved`] if the server no longer serves the shard and another one may have
-/// the features in another order; [`ApiError::ServerDraining`] if it may serve the shard again.
+/// Unless all servers return the features in the same order, returns [`ApiError::ServerRemoved`] if
+/// the server no longer serves the shard, and [`ApiError::ServerDraining`] if it is draining and
+/// may therefore serve the shard again.
 fn link_location(
     state: &FrontState,
     collection: &str,
@@ -170,7 +173,7 @@
         if catalog.is_draining(&link.server) {
             return Err(ApiError::ServerDraining);
         }
-        // Another server may have the features in another order.
+        // Another server may return the features in another order.
         return Err(ApiError::ServerRemoved);
     }
     let server = address.unwrap_or_else(|| link.server.clone());
