--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -1,5 +1,5 @@
 //! The admission of queries by their estimated cost, and the reservations of admitted queries. The
-//! estimate and the admission control itself are in [`crate::limits`].
+//! estimate and the admission controller are in [`crate::limits`].
 
 use super::client_request::{ClientContext, ItemsRequest};
 use super::cql2::Filter;
@@ -10,8 +10,8 @@
 use crate::time::Micros;
 use std::sync::Arc;
 
-/// The reservation of the pages that an admitted query has in flight, released when the query ends
-/// or is dropped.
+/// The reservation of the pages that an admitted query has in flight. It is released when the query
+/// ends or is dropped.
 pub(super) struct PageReservation {
     state: Arc<FrontState>,
     cost: QueryCost,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The memory reserved for a response; released once the response is written.
+/// The reservation of the memory for a response. It is released once the response is written.
 pub(super) struct MemoryReservation {
     state: Arc<FrontState>,
     bytes: f64,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Admits a query over `shards` shards and reserves its cost. Without admission control,
-    /// nothing is reserved.
+    /// Admits a query of `shards` shards and reserves its cost. If admission control is disabled,
+    /// reserves nothing.
     ///
     /// # Errors
     ///
-    /// [`ApiError::Overloaded`], with the time after which to retry, if the servers or the memory
-    /// have no capacity for the query.
+    /// Returns [`ApiError::Overloaded`], with the time after which to retry, if the servers lack
+    /// the throughput or the coordinator lacks the memory for the query.
     pub fn admit(
         state: &Arc<FrontState>,
         client: &ClientContext,
--- a/src/front/ogc/cursor.rs
+++ b/src/front/ogc/cursor.rs
@@ -1,6 +1,6 @@
-//! Cursors: the position at which the next response of a query starts, in a token that the client
-//! sends back. A token is opaque to clients, bound to its query, and authenticated, so that only
-//! tokens issued by this service are accepted.
+//! Cursors. A cursor is the position at which the next response of a query starts. Clients receive
+//! it as a token, which they send back with the next request. A token is opaque to clients, bound
+//! to its query, and authenticated, so that only tokens issued by this service are accepted.
 //!
 //! A token is the base64url form of a version byte, the fields as JSON, and the first 16 bytes of
 //! the HMAC-SHA-256 (RFC 2104) over both.
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 use sha2::Sha256;
 
-/// The version of the serialized fields; a token of another version counts as expired.
+/// The version of the serialized fields. A token with another version counts as expired.
 const VERSION: u8 = 1;
 /// The length of the authentication code at the end of a token, in bytes.
 const CODE_BYTES: usize = 16;
@@ -26,24 +26,24 @@
     /// The hash of the query that the cursor continues.
     #[serde(rename = "q")]
     pub query_hash: u64,
-    /// The Unix time of the query's first response, in seconds. The age of the cursor counts from
-    /// it.
+    /// The Unix time of the query's first response, in seconds, from which the age of the cursor is
+    /// counted.
     #[serde(rename = "a")]
     pub issued_at_s: u64,
-    /// The shard, by the name that the servers use for it.
+    /// The name that the servers use for the shard.
     #[serde(rename = "s")]
     pub shard: String,
-    /// The number of features of the page that earlier responses returned.
+    /// The number of features of the page to skip because earlier responses returned them.
     #[serde(rename = "k", default, skip_serializing_if = "is_zero")]
     pub skip: usize,
     /// The page within the shard; `None` for its first page.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub link: Option<CursorLink>,
-    /// Whether a part of the filter is evaluated by the front on the features of this shard.
+    /// Whether the front evaluates a part of the filter on the features of this shard.
     #[serde(rename = "f", default, skip_serializing_if = "std::ops::Not::not")]
     pub filtered_locally: bool,
-    /// The values of the sort keys of the last feature and its identifier; `None` unless the
-    /// response is sorted.
+    /// The values of the sort keys of the last feature, followed by its identifier; `None` unless
+    /// the response is sorted.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub after_values: Option<Vec<serde_json::Value>>,
     /// The number of responses so far.
@@ -59,13 +59,13 @@
     *n == 0
 }
 
-/// The `next` link of a server's page. Serialized as an array of its fields.
+/// The `next` link of a server's page. It is serialized as an array of its fields.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, String, usize)")]
 pub struct CursorLink {
     /// The name of the server.
     pub server: String,
-    /// The path and query of the request.
+    /// The path and query of the link.
     pub target: String,
     /// The number of features in a page that the link leads to.
     pub page_size: usize,
@@ -93,16 +93,16 @@
     }
 }
 
-/// The reason why a cursor cannot be used. Clients read the messages.
+/// The reason why a cursor cannot be used. The messages are sent to clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CursorError {
-    /// The token was not sealed with this key, or was altered.
+    /// The token was not sealed with this key or was altered.
     #[error("cursor: it was not made by this service, or was altered")]
     NotAuthentic,
     /// The cursor belongs to another query.
     #[error("cursor: it belongs to another query")]
     WrongQuery,
-    /// The cursor is too old, or has a version that is no longer read.
+    /// The cursor is too old, or the version of its token is not supported.
     #[error("cursor: it is too old; begin anew without it")]
     Expired,
     /// The `next` links of the server lead back to an earlier page.
@@ -124,7 +124,7 @@
     /// Creates a key from bytes of any length.
     #[must_use]
     pub fn new(bytes: &[u8]) -> Self {
-        // HMAC accepts keys of any length: this never fails.
+        // HMAC accepts keys of any length, so this never fails.
         let mac = Hmac::<Sha256>::new_from_slice(bytes);
         CursorKey(mac.unwrap_or_else(|_| Hmac::new(&Default::default())))
     }
@@ -145,7 +145,8 @@
     ///
     /// # Errors
     ///
-    /// If the token was not sealed with this key, belongs to another query, or is too old.
+    /// Returns an error if the token was not sealed with this key, belongs to another query, or is
+    /// too old.
     pub fn open(
         &self,
         token: &str,
@@ -176,6 +177,7 @@
         Ok(cursor)
     }
 
+    /// Returns the authentication code of these bytes: the first bytes of their HMAC.
     fn authentication_code(&self, bytes: &[u8]) -> [u8; CODE_BYTES] {
         let full = self.0.clone().chain_update(bytes).finalize().into_bytes();
         let mut code = [0; CODE_BYTES];
@@ -215,16 +217,17 @@
         }
     }
 
-    /// Returns this cursor as the successor of `previous`, at which its response started; `None`
-    /// for the first response of a query.
+    /// Returns this cursor with the issue time, response count and link checkpoint that follow from
+    /// `previous`, the cursor at which the response started; `None` for the first response of a
+    /// query.
     ///
     /// Cycles of links are detected by Brent's algorithm: the cursor keeps the hash of the position
-    /// after response 1, 2, 4, 8 and so on, and a position that occurs again means that no new
-    /// feature will follow.
+    /// after responses 1, 2, 4, 8 and so on. If that position occurs again, no new feature will
+    /// follow.
     ///
     /// # Errors
     ///
-    /// [`CursorError::LinkCycle`] if the position occurred before.
+    /// Returns [`CursorError::LinkCycle`] if the position occurred before.
     pub fn advanced_from(mut self, previous: Option<&Cursor>) -> Result<Self, CursorError> {
         let position = self.position_hash();
         let Some(previous) = previous else {
@@ -248,8 +251,8 @@
         Ok(self)
     }
 
-    /// Returns the hash of the position. Tokens that clients hold contain it, so the hashed text
-    /// must not change.
+    /// Returns the hash of the position. Tokens that clients hold contain this hash, so the hashed
+    /// text must not change.
     fn position_hash(&self) -> u64 {
         let link = self.link.as_ref().map(CursorLink::as_tuple);
         let text = format!("{link:?} {} {:?}", self.skip, self.after_values);
--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -1,4 +1,5 @@
-//! The last step of every response: conditional requests (RFC 9110, 13) and compression.
+//! The last step before a response is sent: conditional requests (RFC 9110, section 13) and
+//! compression.
 
 use super::response::problem::problem;
 use crate::front::Reaction;
@@ -9,26 +10,27 @@
 use sha2::{Digest, Sha256};
 use std::io::Write;
 
-/// The minimum size of a body that is compressed, in bytes: about that of a response's head.
+/// The minimum size of a body that is compressed, in bytes. It is about the size of a response's
+/// head.
 const MIN_GZIP_BYTES: usize = 1_024;
-/// The status of a request whose condition does not hold.
+/// The status of the response to a request whose condition is false.
 const PRECONDITION_FAILED: u16 = 412;
 /// The length of the hash in an entity tag, in bytes.
 const TAG_BYTES: usize = 12;
-/// The request headers that a response depends on.
+/// The value of `Vary`: the request headers that a response depends on.
 const VARY: &str = "Accept, Accept-Encoding, X-Qos";
 
-/// The options of a request for the delivery of its response.
+/// The properties of a request that determine whether and how the body of its response is sent.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DeliveryOptions {
     accepts_gzip: bool,
+    /// The value of `If-None-Match`.
     if_none_match: Option<String>,
-    /// Whether the method is `GET` or `HEAD`.
     is_get_or_head: bool,
 }
 
 impl DeliveryOptions {
-    /// Returns the options of a request by its headers.
+    /// Returns the options of a request, from its method and headers.
     pub fn of(request: &HttpRequest) -> Self {
         let accept_encoding = request.headers.get("Accept-Encoding").unwrap_or_default();
         DeliveryOptions {
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Applies the options to the response of a reaction, at once or when its query ends.
+    /// Applies the options to the response of a reaction. If the reaction submits a request, the
+    /// options apply to the response that is rendered from its answer.
     pub fn apply_to(self, reaction: Reaction) -> Reaction {
         match reaction {
             Reaction::Respond(response) => Reaction::Respond(self.apply_to_response(response)),
@@ -49,8 +52,9 @@
         }
     }
 
-    /// Adds the entity tag to a successful response, then replaces it if the client has this
-    /// version (RFC 9110, section 13.1.2), or compresses it if the client accepts that.
+    /// Adds an entity tag to a successful response. Then replaces the response with a 304 or 412 if
+    /// the client already has this version (RFC 9110, section 13.1.2), and otherwise compresses it
+    /// if the client accepts gzip.
     fn apply_to_response(&self, mut response: Response) -> Response {
         if response.status != 200 || response.body.is_empty() {
             return response;
@@ -74,8 +78,8 @@
         response
     }
 
-    /// Returns whether the client has the version with this tag, by the weak comparison of RFC
-    /// 9110, 8.8.3.2.
+    /// Returns whether the client has the version with this entity tag, by the weak comparison (RFC
+    /// 9110, section 8.8.3.2).
     fn matches(&self, tag: &str) -> bool {
         let opaque = |tag: &str| tag.trim().trim_start_matches("W/").to_owned();
         let matches_one = |listed: &str| listed.trim() == "*" || opaque(listed) == opaque(tag);
@@ -85,8 +89,8 @@
     }
 }
 
-/// Returns whether an `Accept-Encoding` allows gzip. `*` stands for the codings that are not listed
-/// (RFC 9110, section 12.5.3).
+/// Returns whether the value of an `Accept-Encoding` header allows gzip. `*` stands for all codings
+/// that are not listed (RFC 9110, section 12.5.3).
 fn accepts_gzip(accept_encoding: &str) -> bool {
     let elements: Vec<AcceptedCoding> =
         accept_encoding.split(',').map(AcceptedCoding::of).collect();
@@ -95,10 +99,10 @@
     listed.is_some_and(|element| !element.excluded)
 }
 
-/// An element of `Accept-Encoding`.
+/// An element of an `Accept-Encoding` header.
 struct AcceptedCoding<'a> {
     name: &'a str,
-    /// Whether the weight is 0.
+    /// Whether the weight is 0, which means that the coding is not acceptable.
     excluded: bool,
 }
 
@@ -125,7 +129,7 @@
     }
 }
 
-/// Returns the entity tag of a response, after adding that of its body if there is none.
+/// Returns the entity tag of a response. If the response has none, adds one computed from its body.
 fn tag_of(response: &mut Response) -> String {
     if let Some(tag) = response.header("ETag") {
         return tag.to_owned();
@@ -151,7 +155,7 @@
     }
 }
 
-/// Returns the weak entity tag of a body in segments.
+/// Returns the weak entity tag of a body that consists of these segments.
 pub(super) fn entity_tag<'a>(segments: impl Iterator<Item = &'a [u8]>) -> String {
     let mut state = Sha256::new();
     segments.for_each(|segment| state.update(segment));
--- a/src/front/ogc/page_request.rs
+++ b/src/front/ogc/page_request.rs
@@ -1,5 +1,5 @@
-//! Requests to feature servers, and the interpretation of their responses. The exchange itself is
-//! left to the client of the servers.
+//! Requests to feature servers, and the interpretation of their responses. The module
+//! [`feature_client`](crate::net::feature_client) sends and receives them.
 
 mod page;
 
@@ -19,14 +19,15 @@
 pub enum RequestKind {
     /// A page of features.
     Items,
-    /// One feature by its identifier. That a server does not have it is an answer too.
+    /// One feature by its identifier. A response that the server does not have it counts as
+    /// success.
     Feature,
     /// A JSON document about the server.
     Document,
 }
 
-/// A function that returns whether a feature, as the bytes that its server sent, belongs in the
-/// answer.
+/// A function that returns whether a feature matches. Its argument is the JSON text that the server
+/// sent.
 pub type FeaturePredicate = Arc<dyn Fn(&[u8]) -> bool + Send + Sync>;
 
 /// A request to a feature server.
@@ -37,9 +38,10 @@
     pub target: String,
     /// The part of the query's filter that the front evaluates rather than the server.
     pub predicate: Option<FeaturePredicate>,
-    /// Whether an attempt was dispatched, or was about to be.
+    /// Whether an attempt was started.
     attempted: AtomicBool,
-    /// The pages of the successful attempts. The core refers to a page by its index.
+    /// The pages of the successful attempts. The values in the coordinator's answer are indexes of
+    /// these pages.
     pages: Mutex<Vec<Arc<FeaturePage>>>,
 }
 
@@ -60,21 +62,22 @@
         lock(&self.pages)
     }
 
-    /// Returns the bytes of an attempt's HTTP request, and records that there was an attempt.
+    /// Records that an attempt was started, and returns the bytes of its HTTP request.
     pub fn start_attempt(&self, host: &str) -> Vec<u8> {
         self.attempted.store(true, Relaxed);
         let head = "Accept: application/geo+json, application/json\r\n";
         format!("GET {} HTTP/1.1\r\nHost: {host}\r\n{head}\r\n", self.target).into_bytes()
     }
 
-    /// Returns whether a request was sent to a server. If so, a rejection by the core does not mean
-    /// a lack of capacity, but that no server could answer.
+    /// Returns whether an attempt was started. If so, a rejection by the coordinator does not mean
+    /// that capacity is lacking, but that no server could answer.
     pub fn was_attempted(&self) -> bool {
         self.attempted.load(Relaxed)
     }
 
-    /// Returns the outcome of an attempt by its response, and stores its page for
-    /// [`page`](PageRequest::page).
+    /// Returns the outcome of an attempt from its response. If it is successful, stores its page,
+    /// which [`page`](PageRequest::page) returns. `server` is the address of the server, and `host`
+    /// the value of `Host` in the request.
     pub fn interpret(&self, server: &str, host: &str, fetched: FetchedResponse) -> AttemptEnd {
         let page = match (fetched.status, self.kind) {
             (200, RequestKind::Items) => {
@@ -86,11 +89,11 @@
                 ..FeaturePage::default()
             }),
             (404, RequestKind::Feature) => Some(FeaturePage::default()),
-            // The absence of a document is an answer too: it must not end the discoveries at other
-            // servers.
+            // A missing document counts as success, because a failure would also end the
+            // discoveries at other servers.
             (status, RequestKind::Document) if status != 429 => Some(FeaturePage::default()),
-            // Only this status means that the request was not started; after any other failure it
-            // may have run.
+            // Only status 429 means that the server did not start the request; after any other
+            // failure, the request may have run.
             (429, _) => return AttemptEnd::Failed(Outcome::Rejected),
             _ => None,
         };
@@ -106,12 +109,12 @@
         AttemptEnd::Served(Value::from(index.to_be_bytes().as_slice()))
     }
 
-    /// Returns the page that arrived last, whatever the core's answer was.
+    /// Returns the page that arrived last, even if the coordinator's answer does not refer to it.
     pub fn last_page(&self) -> Option<Arc<FeaturePage>> {
         self.pages().last().cloned()
     }
 
-    /// Returns the page that a value of the core refers to.
+    /// Returns the page that a value in the coordinator's answer refers to.
     pub fn page(&self, value: &Value) -> Option<Arc<FeaturePage>> {
         let index: [u8; 4] = value.as_ref().try_into().ok()?;
         self.pages()
--- a/src/front/ogc/page_request/page.rs
+++ b/src/front/ogc/page_request/page.rs
@@ -1,5 +1,5 @@
-//! The parsing of a server's pages. Features are not copied or changed: they stay ranges of the
-//! body.
+//! Parses the pages of feature servers. Features are not copied or changed: they are represented by
+//! their byte ranges in the body.
 
 use super::super::paging::FeaturePage;
 use super::FeaturePredicate;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use url::{Position, Url};
 
-/// The maximum length of a link that is followed, in bytes.
+/// The maximum length of the path and query of a link that is followed, in bytes.
 const MAX_LINK_BYTES: usize = 4 * 1024;
 
-/// The members of a GeoJSON feature collection that the front reads.
+/// The members of a GeoJSON feature collection that the front uses.
 #[derive(Deserialize)]
 struct FeatureCollection<'a> {
     #[serde(borrow)]
@@ -33,9 +33,10 @@
     rel: Cow<'a, str>,
 }
 
-/// Parses a page of features and leaves out those that `predicate` does not hold for. Returns
-/// `None` if the body is no feature collection (a server may send HTML with status 200), or if its
-/// `next` link does not lead to the same server.
+/// Parses a page of features and leaves out those that do not match `predicate`. `host` and
+/// `target` are those of the request. Returns `None` if the body is not a feature collection (a
+/// server may send HTML with status 200), or if its `next` link is invalid, too long, or leads to
+/// another server or to the same page.
 #[must_use]
 pub fn parse_page(
     body: Vec<u8>,
@@ -73,7 +74,8 @@
     })
 }
 
-/// Parses a single feature as a page of one. Returns `None` if the body is no JSON object.
+/// Parses a single feature as a page with one feature. Returns `None` if the body is not a JSON
+/// object.
 pub(super) fn parse_feature(body: Vec<u8>) -> Option<FeaturePage> {
     let range = {
         let feature: &RawValue = serde_json::from_slice(&body).ok()?;
@@ -97,8 +99,9 @@
     start..start + value.get().len()
 }
 
-/// Returns the path and query of a link on the page of `target`; `None` if the link is invalid,
-/// leads to another server, or leads to the same page again.
+/// Returns the path and query of a link in the page at `target`. Returns `None` if the link is
+/// invalid, has credentials, is longer than [`MAX_LINK_BYTES`], leads to another server, or leads
+/// to the same page.
 fn resolve_link(host: &str, target: &str, href: &str) -> Option<String> {
     let page = Url::parse(&format!("http://{host}{target}")).ok()?;
     let link = page.join(href).ok()?;
--- a/src/front/ogc/round.rs
+++ b/src/front/ogc/round.rs
@@ -1,4 +1,4 @@
-//! Requests to the core for one round of a query, and the metrics of a query's end.
+//! Requests to the coordinator for the rounds of a query, and the metrics of responses.
 
 use super::client_request::ClientContext;
 use super::page_request::PageRequest;
@@ -9,19 +9,19 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// The number of rounds in this process, for unique request identifiers.
+/// The number of rounds that this process has started, which makes request identifiers unique.
 static ROUNDS: AtomicU64 = AtomicU64::new(0);
 
-/// The request of a round to a shard.
+/// The request of a round for a page of a shard.
 #[derive(Clone)]
 pub(super) struct ShardRequest {
-    /// The identifier of the shard, or of the shard at one server.
+    /// The identifier of the shard at any of its servers, at all but one of them, or at only one.
     pub shard: ShardId,
-    /// The request, and the pages that arrive for it.
+    /// The HTTP request, which also stores the pages that arrive for it.
     pub page_request: Arc<PageRequest>,
 }
 
-/// Returns the request to the core for one round.
+/// Returns the request to the coordinator for one round of a query.
 pub(super) fn coordinator_request(
     state: &FrontState,
     client: &ClientContext,
@@ -36,8 +36,8 @@
     };
     Request {
         token: client.token,
-        // Each round has its own identifier: late parts of a round may be in flight when the next
-        // one starts.
+        // Each round has its own identifier, because parts of a round may still be in flight when
+        // the next round starts.
         request_id: format!("q{}.{}", client.token.0, ROUNDS.fetch_add(1, Relaxed)).into(),
         class: state.edge.classes[client.class].name.as_str().into(),
         tenant: TenantId(0),
@@ -49,7 +49,8 @@
     }
 }
 
-/// Counts the end of a query. The core does not count its rounds.
+/// Counts the response to a query in the metrics of its class. The coordinator does not count the
+/// rounds.
 pub(super) fn count_response(metrics: &ClassMetrics, response: &Response) {
     let counter = match response.status {
         200..=399 | 404 => &metrics.served,
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a query for each shard: the parts of the filter and of the sort order that the
-//! shard's servers evaluate, and those that the front evaluates.
+//! The plan of a query for each shard: which parts of the filter the shard's servers evaluate and
+//! which the front evaluates, and whether the servers sort the features.
 
 use super::cql2::{
     flatten, split, Capabilities, ComparisonOperator, Filter, Junction, Matcher, Value,
@@ -12,9 +12,9 @@
 use serde_json::Value as Json;
 use std::sync::Arc;
 
-/// The conformance class of servers that sort (OGC API - Features, Part 8).
+/// The conformance class of servers that can sort features (OGC API - Features, Part 8).
 const SORTING_CLASS: &str = "sorting";
-/// The property that breaks ties in a sort order.
+/// The property by which features with equal sort keys are ordered.
 const ID_PROPERTY: &str = "id";
 
 /// The plan of a query for a shard.
@@ -24,24 +24,25 @@
     pushed_down: Option<String>,
     /// The part of the filter that the front evaluates.
     pub predicate: Option<FeaturePredicate>,
-    /// The box that contains all features that can match: west, south, east, north, in degrees.
+    /// The bounding box of all features that can match the filter: west, south, east and north, in
+    /// degrees.
     envelope: Option<[f64; 4]>,
     /// Whether the servers return the features in the order of the query.
     pub sorted: bool,
 }
 
-/// The shard that continues with pages that an earlier response started.
+/// The shard that continues after pages of an earlier response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ResumedShard {
     /// The index of the shard.
     pub index: usize,
-    /// Whether the front evaluates a part of the filter, from the start of the shard on.
+    /// Whether the front has evaluated a part of the filter since the start of the shard.
     pub filtered_locally: bool,
 }
 
 impl ShardPlan {
-    /// Returns the plans for the shards of a query. `after_values` are the values of the last
-    /// feature of the response before, in a sorted response.
+    /// Returns the plans for the shards of a query. For a sorted response that is not the first
+    /// one, `after_values` has the values of the last feature in the previous response.
     pub fn for_shards(
         state: &FrontState,
         params: &Params,
@@ -61,9 +62,9 @@
         replicas.iter().enumerate().map(plan).collect()
     }
 
-    /// Returns the plan for a shard that continues with pages started before. If the front
-    /// evaluated a part of the filter, it now evaluates all of it, since the link may contain less
-    /// of the filter than would be pushed down now.
+    /// Returns the plan for a shard that continues after pages of an earlier response. If the front
+    /// evaluated a part of the filter then, it now evaluates the whole filter, because the link may
+    /// contain less of the filter than would be pushed down now.
     fn resumed(params: &Params, resumed: ResumedShard) -> Self {
         let filter = params.filter.as_ref().filter(|_| resumed.filtered_locally);
         ShardPlan {
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Returns the plan for a shard that is requested from its first feature on, or from the one
-    /// after the last returned.
+    /// Returns the plan for a shard that is requested from its start, or from the first feature
+    /// after `after_values`.
     fn from_start(
         params: &Params,
         capabilities: &Capabilities,
@@ -88,8 +89,8 @@
             .filter(|_| plan.sorted)
             .and_then(|values| after_filter(params, values));
         if let Some(after) = after {
-            // Pushed down only if servers can evaluate all of it: the merge leaves out features
-            // before the position in any case.
+            // The filter is pushed down only if the servers can evaluate all of it. Otherwise it is
+            // not needed, because the merge leaves out features before the position in any case.
             if split(&after, capabilities).residual.is_none() {
                 filter = Filter::all(filter.into_iter().chain([after]).collect());
             }
@@ -104,7 +105,7 @@
     }
 
     /// Returns the path and query of the request for the first page of a shard. `source` is the
-    /// servers' name for the shard.
+    /// name that the servers use for the shard.
     pub fn target(&self, source: &str, params: &Params, page_size: usize) -> String {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         let envelope = || {
@@ -130,12 +131,13 @@
     }
 }
 
+/// Returns a predicate that is true for the features that match a filter.
 fn predicate(filter: &Filter) -> FeaturePredicate {
     let matcher = Matcher::new(filter.clone());
     Arc::new(move |feature: &[u8]| matcher.matches_text(feature))
 }
 
-/// Returns the value of `sortby` for servers: the sort keys, then the identifier.
+/// Returns the value of the servers' parameter `sortby`: the sort keys, followed by the identifier.
 fn sortby(keys: &[SortKey]) -> String {
     let key = |key: &SortKey| format!("{}{}", if key.descending { "-" } else { "+" }, key.property);
     let keys: Vec<String> = keys
@@ -155,7 +157,7 @@
         && params.sortby.iter().all(|key| is_queryable(&key.property))
 }
 
-/// A sort key with a value.
+/// A sort key and a value for it.
 struct SortKeyValue<'a> {
     property: &'a str,
     descending: bool,
@@ -163,6 +165,7 @@
 }
 
 impl SortKeyValue<'_> {
+    /// Returns a filter that compares the property of a feature with the value.
     fn comparison_filter(&self, comparison: ComparisonOperator) -> Filter {
         Filter::Compare(
             comparison,
@@ -171,6 +174,7 @@
         )
     }
 
+    /// Returns a filter for the features whose property comes after the value in the sort order.
     fn filter_after(&self) -> Filter {
         self.comparison_filter(if self.descending {
             ComparisonOperator::Less
@@ -180,8 +184,8 @@
     }
 }
 
-/// Returns a filter for the features that come after these values in the order of a query; `None`
-/// if one of the values is missing or has no literal.
+/// Returns a filter for the features that come after these values in the order of a query. Returns
+/// `None` if a value is missing or cannot be written as a literal in a filter.
 fn after_filter(params: &Params, values: &[Json]) -> Option<Filter> {
     let sort_keys = params
         .sortby
@@ -204,8 +208,8 @@
     })
 }
 
-/// Returns a filter for the features that equal the position in all keys before the one at `index`,
-/// and come after it by that key. Features without a value come last.
+/// Returns a filter for the features that equal the position in all keys before the one at `index`
+/// and come after it in the key at `index`. Features without a value come last.
 fn after_filter_at_key(keys: &[SortKeyValue<'_>], index: usize) -> Option<Filter> {
     let key = &keys[index];
     let mut conditions: Vec<Filter> = keys[..index]
@@ -224,6 +228,7 @@
     Filter::all(conditions)
 }
 
+/// Returns the literal for a JSON value in a filter; `None` unless it is a string or a number.
 fn literal(value: &Json) -> Option<Value> {
     match value {
         Json::String(text) => Some(Value::Text(text.clone())),
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -13,13 +13,13 @@
 pub(super) struct ShardSource {
     /// The identifier of the shard at any of its servers.
     pub shard: ShardId,
-    /// The servers' name for the shard.
+    /// The name that the servers use for the shard.
     pub name: String,
 }
 
-/// A shard at a server that accepts new work.
+/// A replica of a shard at a server that accepts new work.
 pub(super) struct ShardReplica {
-    /// The identifier of the shard at this server alone.
+    /// The identifier of the shard at only this server.
     pub sticky_shard: ShardId,
     /// The key of the replica's cached capabilities.
     pub key: ReplicaKey,
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// [`ApiError::NoSuchCollection`] if there is no such collection.
+/// Returns [`ApiError::NoSuchCollection`] if there is no such collection.
 pub(super) fn shards_of(
     state: &FrontState,
     collection: &str,
@@ -44,7 +44,7 @@
     Ok(shards.iter().map(source).collect())
 }
 
-/// Returns the replicas of each shard that can return its pages.
+/// Returns the replicas of each shard, in the order of `shards`, at servers that accept new work.
 pub(super) fn replicas(state: &FrontState, shards: &[ShardSource]) -> Vec<Vec<ShardReplica>> {
     let catalog = lock(&state.catalog);
     let replicas_of = |source: &ShardSource| {
--- a/src/front/ogc/state.rs
+++ b/src/front/ogc/state.rs
@@ -11,24 +11,24 @@
 use crate::time::Micros;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The share of the memory beyond [`BASE_MEMORY_BYTES`] that responses may reserve; another third
-/// is for the input of clients.
+/// The share of the memory beyond [`BASE_MEMORY_BYTES`] that responses may reserve. A third of that
+/// memory is for the input of clients.
 const RESPONSE_MEMORY_SHARE: f64 = 0.45;
 
-/// The catalog, shared by the front, the driver and reloads of the inventory.
+/// The catalog, which the front shares with the reloads of the inventory.
 pub type SharedCatalog = Arc<Mutex<Catalog>>;
 
 /// The settings of a front and the objects that it shares with the rest of the program.
 pub struct FrontDependencies {
     /// The settings of the edge file.
     pub edge: EdgeConfig,
-    /// The catalog, shared with the driver.
+    /// The catalog, which reloads of the inventory update.
     pub catalog: SharedCatalog,
     /// The key that authenticates cursors.
     pub cursor_key: CursorKey,
     /// The metrics of the classes.
     pub metrics: Arc<Metrics>,
-    /// The pages per second that the servers together can return.
+    /// The number of pages per second that all servers together can return.
     pub server_capacity: Arc<ServerCapacity>,
 }
 
@@ -36,11 +36,12 @@
 pub(super) struct FrontState {
     /// The settings of the edge file.
     pub edge: EdgeConfig,
-    /// The catalog, shared with the driver.
+    /// The catalog, which reloads of the inventory update.
     pub catalog: SharedCatalog,
     /// The key that authenticates cursors.
     pub cursor_key: CursorKey,
-    /// The pages per second that the servers together can return, by which queries are admitted.
+    /// The number of pages per second that all servers together can return. The admission of
+    /// queries depends on it.
     pub server_capacity: Arc<ServerCapacity>,
     metrics: Arc<Metrics>,
     capabilities: Mutex<CapabilityCache>,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Locks and returns the admission control of queries.
+    /// Locks and returns the admission controller.
     pub fn admission(&self) -> MutexGuard<'_, AdmissionController> {
         lock(&self.admission)
     }
@@ -81,7 +82,7 @@
         lock(&self.capabilities)
     }
 
-    /// Returns the queryables that the edge file declares for a collection.
+    /// Returns the queryables that the edge file declares for a collection, if it declares any.
     pub fn declared_queryables(&self, collection: &str) -> Option<Queryables> {
         self.edge
             .collections
@@ -96,7 +97,7 @@
     }
 
     /// Returns whether all servers of a collection return its features in the same order, with
-    /// links that lead to the same page at each server.
+    /// links that lead to the same page at every server.
     pub fn has_same_order(&self, collection: &str) -> bool {
         self.edge
             .collections
