--- a/src/front/ogc/cursor/tests.rs
+++ b/src/front/ogc/cursor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that cursors are accepted as issued, and no others.
+//! Tests that only cursors that the service issued are accepted, and that cycles are detected.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns tokens that an earlier release sealed with the key of these tests, with their cursors.
+/// Returns tokens that an earlier release sealed with the key of these tests, and their cursors.
 fn earlier_tokens() -> [(&'static str, Cursor); 2] {
     let full = Cursor {
         query_hash: 7,
@@ -94,12 +94,12 @@
     for n in 0..token.len() {
         let mut altered = token.clone().into_bytes();
         altered[n] = if altered[n] == b'A' { b'B' } else { b'A' };
-        let altered = String::from_utf8(altered).expect("text");
-        // The last character has unused bits: other texts may stand for the same bytes.
-        let found = key.open(&altered, 7, 1_010, 60);
+        let altered = String::from_utf8(altered).expect("a token is ASCII");
+        // The last character has unused bits, so another text may stand for the same bytes.
+        let result = key.open(&altered, 7, 1_010, 60);
         assert!(
-            found == Err(CursorError::NotAuthentic) || found == Ok(cursor("/x?offset=50")),
-            "{n}: {found:?}"
+            result == Err(CursorError::NotAuthentic) || result == Ok(cursor("/x?offset=50")),
+            "character {n}: {result:?}"
         );
     }
     for text in ["", "A", "no token!", &"A".repeat(100), &"A".repeat(10_000)] {
@@ -108,21 +108,21 @@
 }
 
 #[test]
-fn cycles_of_links_are_found() {
+fn cycles_of_links_are_detected() {
     for length in [1_usize, 2, 3, 7, 30] {
         let mut previous: Option<Cursor> = None;
-        let found = (0..10 * length + 10).position(|n| {
+        let detected_at = (0..10 * length + 10).position(|n| {
             match cursor(&format!("/x?offset={}", n % length)).advanced_from(previous.as_ref()) {
                 Ok(next) => {
                     previous = Some(next);
                     false
                 }
-                Err(e) => e == CursorError::LinkCycle,
+                Err(error) => error == CursorError::LinkCycle,
             }
         });
         assert!(
-            found.is_some_and(|n| n <= 4 * length + 4),
-            "{length}: {found:?}"
+            detected_at.is_some_and(|n| n <= 4 * length + 4),
+            "cycle of {length} links: {detected_at:?}"
         );
     }
     let mut previous: Option<Cursor> = None;
@@ -130,12 +130,12 @@
         previous = Some(
             cursor(&format!("/x?offset={n}"))
                 .advanced_from(previous.as_ref())
-                .expect("no cycle"),
+                .expect("there is no cycle"),
         );
     }
     assert_eq!(
         previous.map(|c| (c.response_count, c.issued_at_s)),
         Some((1_000, 1_000)),
-        "age counts from the first answer"
+        "the age is counted from the first response"
     );
 }
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -15,12 +15,13 @@
     DeliveryOptions::of(
         &server
             .next_request()
-            .expect("complete")
-            .expect("well formed"),
+            .expect("the request is complete")
+            .expect("the request is valid"),
     )
 }
 
-/// Delivers a text of 3,500 bytes to a request with these header lines.
+/// Returns the response to a `GET` request with these header lines: a text of 3,500 bytes, unless
+/// the options replace it.
 fn delivered(header_lines: &str, status: u16) -> Response {
     options(header_lines).apply_to_response(Response::new(status, "text/plain", text().as_str()))
 }
@@ -34,14 +35,14 @@
     let mut decompressed = String::new();
     flate2::read::GzDecoder::new(bytes.as_slice())
         .read_to_string(&mut decompressed)
-        .expect("gzip");
+        .expect("the body is gzip");
     decompressed
 }
 
 #[test]
-fn current_versions_are_not_sent_and_large_bodies_are_compressed() {
+fn unchanged_bodies_are_not_sent_and_large_bodies_are_compressed() {
     let plain = delivered("", 200);
-    let tag = plain.header("ETag").expect("a tag");
+    let tag = plain.header("ETag").expect("an entity tag");
     assert_eq!(plain.body.len(), text().len());
     assert_eq!(plain.header("Content-Encoding"), None);
 
@@ -50,10 +51,10 @@
     assert_eq!(compressed.header("ETag"), Some(tag));
 
     for etag in [tag, &format!("\"x\", {}", &tag[2..]), "*"] {
-        let known = delivered(&format!("If-None-Match: {etag}\r\n"), 200);
-        assert_eq!(known.status, 304, "{etag}");
-        assert_eq!(known.body.len(), 0, "{etag}");
-        assert_eq!(known.header("ETag"), Some(tag));
+        let not_modified = delivered(&format!("If-None-Match: {etag}\r\n"), 200);
+        assert_eq!(not_modified.status, 304, "{etag}");
+        assert_eq!(not_modified.body.len(), 0, "{etag}");
+        assert_eq!(not_modified.header("ETag"), Some(tag));
     }
 
     let other = delivered("If-None-Match: \"x\"\r\nAccept-Encoding: gzip;q=0\r\n", 200);
@@ -65,8 +66,8 @@
     assert_eq!(error.header("ETag"), None);
 }
 
-/// Guards against a coding that the client excluded: `*` matches only codings that are not listed
-/// (RFC 9110, section 12.5.3).
+/// Guards against the use of gzip although the client excluded it: `*` matches only codings that
+/// are not listed (RFC 9110, section 12.5.3).
 #[test]
 fn an_excluded_coding_is_not_used() {
     let excluded = [
@@ -90,12 +91,15 @@
     }
 }
 
-/// Guards against a 304 that answers another method than GET or HEAD: their condition fails with
-/// 412 (RFC 9110, section 13.1.2).
+/// Guards against the status 304 for a method other than GET and HEAD: if the entity tag matches,
+/// the status for other methods is 412 (RFC 9110, section 13.1.2).
 #[test]
-fn a_known_version_answers_only_get_and_head_with_304() {
+fn a_matching_entity_tag_results_in_304_for_get_and_head_only() {
     let response = || Response::new(200, "text/plain", text().as_str());
-    let tag = delivered("", 200).header("ETag").expect("a tag").to_owned();
+    let tag = delivered("", 200)
+        .header("ETag")
+        .expect("an entity tag")
+        .to_owned();
     let status = |method| {
         let options = options_of(method, &format!("If-None-Match: {tag}\r\n"));
         options.apply_to_response(response()).status
--- a/src/front/ogc/page_request/tests.rs
+++ b/src/front/ogc/page_request/tests.rs
@@ -10,42 +10,47 @@
 fn a_page_is_parsed_in_place_and_filtered() {
     let body = br#" {"features": [ {"id":1} ,{"id":22}],"numberMatched":9,
         "links":[{"rel":"next","href":"?offset=2"}]}"#;
-    let read = |predicate: Option<&FeaturePredicate>| {
+    let parse = |predicate: Option<&FeaturePredicate>| {
         parse_page(body.to_vec(), "a:1", "/c/items?limit=2", predicate)
     };
-    let page = read(None).expect("a page");
+    let page = parse(None).expect("the body is a page");
     let texts: Vec<_> = page
         .features
         .iter()
-        .map(|r| &page.body[r.clone()])
+        .map(|range| &page.body[range.clone()])
         .collect();
     assert_eq!(texts, [b"{\"id\":1}".as_slice(), b"{\"id\":22}"]);
     assert_eq!((page.returned_count, page.number_matched), (2, Some(9)));
     assert_eq!(page.next_target.as_deref(), Some("/c/items?offset=2"));
-    let predicate: FeaturePredicate = Arc::new(|f| f.len() > 8);
+    let predicate: FeaturePredicate = Arc::new(|feature| feature.len() > 8);
     assert_eq!(
-        read(Some(&predicate)).map(|p| (p.features.len(), p.returned_count)),
+        parse(Some(&predicate)).map(|page| (page.features.len(), page.returned_count)),
         Some((1, 2))
     );
 }
 
 #[test]
-fn a_body_that_is_no_page_or_links_elsewhere_is_rejected() {
-    let with =
+fn bodies_without_a_page_and_links_to_other_servers_are_not_parsed() {
+    let body_with_link =
         |href: &str| format!(r#"{{"features":[],"links":[{{"rel":"next","href":"{href}"}}]}}"#);
-    let read = |body: &str| parse_page(body.into(), "a:1", "/c/items?limit=2", None).is_some();
-    assert!(read(&with("http://a:1/c/items?offset=2")) && read(r#"{"features":[]}"#));
-    let away = [
+    let is_parsed = |body: &str| parse_page(body.into(), "a:1", "/c/items?limit=2", None).is_some();
+    assert!(
+        is_parsed(&body_with_link("http://a:1/c/items?offset=2"))
+            && is_parsed(r#"{"features":[]}"#)
+    );
+    let invalid_links = [
         "http://b:1/c/items",
         "https://a:1/c/items?o=2",
         "http://u@a:1/c?o",
         "/c/items?limit=2",
         "",
     ];
-    assert!(away.iter().all(|href| !read(&with(href))));
+    assert!(invalid_links
+        .iter()
+        .all(|href| !is_parsed(&body_with_link(href))));
     assert!(
-        !read(&with(&format!("?x={}", "y".repeat(5_000)))),
-        "a link without end"
+        !is_parsed(&body_with_link(&format!("?x={}", "y".repeat(5_000)))),
+        "a link longer than the maximum is accepted"
     );
     for body in [
         "",
@@ -56,7 +61,7 @@
         r#"{"features":{}}"#,
         r#"{"features":[{}"#,
     ] {
-        assert!(!read(body), "{body}");
+        assert!(!is_parsed(body), "{body}");
     }
 }
 
@@ -68,14 +73,14 @@
     }
 }
 
-/// Interprets the response to a request of this kind.
+/// Returns the outcome of a request of this kind from its response.
 fn outcome(kind: RequestKind, status: u16, body: &str) -> AttemptEnd {
     let request = PageRequest::new(kind, "/x".into());
     request.interpret("s", "a:1", fetched(status, body))
 }
 
 #[test]
-fn each_status_has_its_outcome() {
+fn the_outcome_depends_on_the_kind_the_status_and_the_body() {
     let failures = [
         (RequestKind::Items, 429, "", Outcome::Rejected),
         (RequestKind::Items, 503, "", Outcome::Error),
@@ -93,9 +98,9 @@
 
     let request = PageRequest::new(RequestKind::Feature, "/x".into());
     let AttemptEnd::Served(value) = request.interpret("s", "a:1", fetched(200, "{}")) else {
-        panic!("served")
+        panic!("the attempt failed")
     };
-    let page = request.page(&value).expect("a page");
+    let page = request.page(&value).expect("the value refers to a page");
     assert_eq!(&*page.server, "s");
     assert_eq!(page.returned_count, 1);
 }
--- a/src/front/ogc/paging/concat_merge/tests/model.rs
+++ b/src/front/ogc/paging/concat_merge/tests/model.rs
@@ -1,25 +1,26 @@
-//! Modelled servers, whose pages a response is built from.
+//! Model servers, from whose pages the tests build responses.
 
 use crate::front::ogc::paging::{
     ConcatMerge, FeaturePage, MergeProgress, PageFetch, PageLocation, PagingLimits, ResumePosition,
 };
 use std::sync::Arc;
 
-/// The servers of some shards. The text of a feature is its number in eight digits.
-pub struct Model {
+/// The model servers of some shards. The text of a feature is its number in eight digits: the index
+/// of its shard times a million, plus its index in the shard.
+pub struct ModelServers {
     /// The number of features in each shard.
     pub shards: Vec<usize>,
     /// Whether the servers report the number of matching features.
     pub reports_count: bool,
-    /// The maximum number of features in a page, whatever is requested.
+    /// The maximum number of features in a page, even if more are requested.
     pub max_page_size: usize,
     /// The number of pages requested so far.
     pub requests: usize,
 }
 
-/// Returns servers of shards with these numbers of features each.
-pub fn model(shards: &[usize]) -> Model {
-    Model {
+/// Returns servers of shards with these numbers of features.
+pub fn servers_with(shards: &[usize]) -> ModelServers {
+    ModelServers {
         shards: shards.to_vec(),
         reports_count: true,
         max_page_size: 10_000,
@@ -27,26 +28,26 @@
     }
 }
 
-/// Returns the number of a feature plus one, as its identifier's hash.
+/// Returns the hash of a feature's identifier, which is its number plus one.
 pub fn id(bytes: &[u8]) -> u64 {
     std::str::from_utf8(bytes)
-        .expect("text")
+        .expect("a feature is UTF-8")
         .parse::<u64>()
-        .expect("a number")
+        .expect("a feature is a number")
         + 1
 }
 
-impl Model {
-    /// Returns the page of a fetch.
+impl ModelServers {
+    /// Returns the page that a fetch requests.
     pub fn page(&mut self, fetch: &PageFetch) -> Arc<FeaturePage> {
         self.requests += 1;
         let (from, size) = match &fetch.location {
             PageLocation::ShardStart => (0, fetch.page_size.min(self.max_page_size)),
             PageLocation::NextLink { target, .. } => {
-                let (from, size) = target.split_once(' ').expect("a link");
+                let (from, size) = target.split_once(' ').expect("a link has two numbers");
                 (
-                    from.parse().expect("a number"),
-                    size.parse().expect("a number"),
+                    from.parse().expect("the first feature is a number"),
+                    size.parse().expect("the page size is a number"),
                 )
             }
         };
@@ -68,21 +69,21 @@
         })
     }
 
-    /// Fetches the pages of a round, except those for which `served` returns `false`.
+    /// Runs a round. The fetches for which `is_served` returns `false` fail.
     pub fn round(
         &mut self,
         merge: &mut ConcatMerge,
-        served: impl Fn(&PageFetch) -> bool,
+        is_served: impl Fn(&PageFetch) -> bool,
     ) -> MergeProgress {
         let fetches = merge.next_fetches();
         let pages = fetches
             .iter()
-            .map(|fetch| fetch.fetched_page(served(fetch).then(|| self.page(fetch))))
+            .map(|fetch| fetch.fetched_page(is_served(fetch).then(|| self.page(fetch))))
             .collect();
         merge.accept(pages, id)
     }
 
-    /// Fetches the pages of a response until it is complete.
+    /// Runs the rounds of a response until it is finished.
     pub fn response(&mut self, limits: PagingLimits, from: ResumePosition) -> ConcatMerge {
         let mut merge = ConcatMerge::new(limits, from, self.shards.len());
         for _ in 0..10_000 {
@@ -90,25 +91,25 @@
                 return merge;
             }
         }
-        panic!("a response without end");
+        panic!("the response did not finish within 10,000 rounds");
     }
 
-    /// Follows the responses to the end. Returns their features and the number of responses.
-    pub fn all(&mut self, limits: PagingLimits) -> (Vec<u64>, usize) {
+    /// Builds all responses of a query. Returns their features and the number of responses.
+    pub fn all_responses(&mut self, limits: PagingLimits) -> (Vec<u64>, usize) {
         let mut features = Vec::new();
         let mut responses = 0;
-        let mut at = Some(ResumePosition::START);
-        while let Some(from) = at {
+        let mut position = Some(ResumePosition::START);
+        while let Some(from) = position {
             let merge = self.response(limits, from);
             assert!(merge.count() <= limits.limit && merge.is_complete());
             for slice in merge.slices() {
                 features.extend(slice.texts().map(|text| id(text) - 1));
             }
             responses += 1;
-            at = merge.resume_position().cloned();
+            position = merge.resume_position().cloned();
             assert!(
-                at.is_none() || merge.count() > 0,
-                "an empty response that continues"
+                position.is_none() || merge.count() > 0,
+                "a response without features has a next response"
             );
         }
         (features, responses)
--- a/src/front/ogc/paging/sorted_merge/tests.rs
+++ b/src/front/ogc/paging/sorted_merge/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of sorted merges over modelled shards, some of which return their features in order.
+//! Tests of sorted merges of model shards, some of which return their features in order.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A feature of a modelled shard.
+/// A feature of a model shard.
 #[derive(Debug, Clone, Copy)]
 struct ModelFeature {
     key: Option<i64>,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Returns the position in the order. Features without a key come last in either direction.
+    /// Returns the position in the order. Features without a key come last in both directions.
     fn sort_key(&self, descending: bool) -> (bool, Option<i64>, usize) {
         (
             self.key.is_none(),
@@ -29,8 +29,9 @@
     }
 }
 
-/// The features of all responses, and the number of features that the servers returned.
-struct Run {
+/// The identifiers of the features in all responses, and the number of features that the servers
+/// returned.
+struct QueryResult {
     ids: Vec<usize>,
     features_read: usize,
 }
@@ -70,12 +71,14 @@
     page
 }
 
-/// Returns a modelled server's page. The target of its `next` link is the index of the feature that
-/// follows.
+/// Returns the page of a model server. The target of its `next` link is the index of the next
+/// feature.
 fn serve(features: &[ModelFeature], fetch: &PageFetch) -> FeaturePage {
     let start = match &fetch.location {
         PageLocation::ShardStart => 0,
-        PageLocation::NextLink { target, .. } => target.parse::<usize>().expect("a number"),
+        PageLocation::NextLink { target, .. } => {
+            target.parse::<usize>().expect("the target is a number")
+        }
     };
     let rest = &features[start.min(features.len())..];
     let count = fetch.page_size.min(rest.len());
@@ -88,17 +91,18 @@
 
 fn ids(page: &FeaturePage) -> Vec<usize> {
     let id = |range: &std::ops::Range<usize>| {
-        let json: Json = serde_json::from_slice(&page.body[range.clone()]).expect("JSON");
-        json["id"].as_str().expect("an id")[1..]
+        let json: Json =
+            serde_json::from_slice(&page.body[range.clone()]).expect("a feature is valid JSON");
+        json["id"].as_str().expect("the id is a string")[1..]
             .parse::<usize>()
-            .expect("a number")
+            .expect("the id ends with a number")
     };
     page.features.iter().map(id).collect()
 }
 
-/// Serves the rounds of a response until it is complete. Returns the number of features that the
+/// Runs the rounds of a response until it is finished. Returns the number of features that the
 /// servers returned.
-fn complete(merge: &mut SortedMerge, shards: &[Vec<ModelFeature>], limit: usize) -> usize {
+fn finish(merge: &mut SortedMerge, shards: &[Vec<ModelFeature>], limit: usize) -> usize {
     let serve_fetch = |fetch: &PageFetch| {
         let page = serve(&shards[fetch.shard], fetch);
         fetch.fetched_page(Some(Arc::new(page)))
@@ -119,9 +123,9 @@
     }
 }
 
-/// Serves the rounds of a response until it ends; the next of `failures` is whether a page fails,
-/// and none fails after the last.
-fn complete_with_failures(
+/// Runs the rounds of a response until it ends. `failures` has an entry for each fetch: whether it
+/// fails. Fetches after the last entry succeed.
+fn finish_with_failures(
     merge: &mut SortedMerge,
     shards: &[Vec<ModelFeature>],
     failures: &mut impl Iterator<Item = bool>,
@@ -138,9 +142,9 @@
     }
 }
 
-/// Follows the responses to the end.
-fn run(shards: &[Vec<ModelFeature>], sorted: &[bool], query: &SortedQuery) -> Run {
-    let mut run = Run {
+/// Builds all responses of a query.
+fn run(shards: &[Vec<ModelFeature>], sorted: &[bool], query: &SortedQuery) -> QueryResult {
+    let mut result = QueryResult {
         ids: Vec::new(),
         features_read: 0,
     };
@@ -152,13 +156,13 @@
         };
         let limit = query.limit;
         let mut merge = SortedMerge::new(query, sorted);
-        run.features_read += complete(&mut merge, shards, limit);
+        result.features_read += finish(&mut merge, shards, limit);
         let page = merge.to_page();
         assert!(page.returned_count <= limit);
-        run.ids.extend(ids(&page));
+        result.ids.extend(ids(&page));
         after_values = merge.resume_after();
         if after_values.is_none() {
-            return run;
+            return result;
         }
     }
 }
@@ -174,7 +178,7 @@
     all.into_iter().map(|feature| feature.id).collect()
 }
 
-/// Returns shards of features with these keys, numbered from 1 on.
+/// Returns shards of features with these keys. The identifiers count up from 1.
 fn shards_with(keys: Vec<Vec<Option<i64>>>) -> Vec<Vec<ModelFeature>> {
     let mut id = 0;
     let mut feature = |key| {
@@ -185,7 +189,7 @@
     keys.into_iter().map(shard).collect()
 }
 
-/// Returns a strategy for the keys of a shard's features; some features have none.
+/// Returns a strategy for the sort keys of a shard's features. Some features have no key.
 fn shard_keys() -> impl Strategy<Value = Vec<Option<i64>>> {
     proptest::collection::vec(proptest::option::weighted(0.9, -5_i64..5), 0..40)
 }
@@ -211,15 +215,15 @@
         }
         let keys = vec![SortKey { property: "k".into(), descending }];
         let query = SortedQuery { keys, ..query(limit, page_size, 100_000, 1.0) };
-        let run = run(&shards, &sorted[..shards.len()], &query);
-        prop_assert_eq!(run.ids, sorted_ids(&shards, descending));
+        let result = run(&shards, &sorted[..shards.len()], &query);
+        prop_assert_eq!(result.ids, sorted_ids(&shards, descending));
     }
 }
 
-/// Guards against features of a shard that is reported as missing, where they displaced those of
-/// another shard.
+/// Guards against a response that has features of a shard that it reports as missing, instead of
+/// features of another shard that were dropped because of them.
 #[test]
-fn a_shard_that_is_missing_contributes_no_features() {
+fn a_missing_shard_contributes_no_features() {
     let features = |keys: &[i64], next| page(next, keys);
     let mut merge = SortedMerge::new(query(2, 2, 10, 0.5), &[false, false]);
     let first_pages = vec![
@@ -241,8 +245,11 @@
 /// Returns the sort keys of a page's features.
 fn sort_keys(page: &FeaturePage) -> Vec<i64> {
     let key = |range: &std::ops::Range<usize>| {
-        let json: Json = serde_json::from_slice(&page.body[range.clone()]).expect("JSON");
-        json["properties"]["k"].as_i64().expect("a key")
+        let json: Json =
+            serde_json::from_slice(&page.body[range.clone()]).expect("a feature is valid JSON");
+        json["properties"]["k"]
+            .as_i64()
+            .expect("the key is an integer")
     };
     page.features.iter().map(key).collect()
 }
@@ -254,8 +261,8 @@
         ..ProptestConfig::with_cases(500)
     })]
 
-    /// Guards against features of a shard that is reported as missing, and against gaps in the
-    /// features of the others.
+    /// Guards against responses that have features of a shard that they report as missing, or that
+    /// omit features of the other shards.
     #[test]
     fn missing_shards_contribute_no_features(
         keys in proptest::collection::vec(shard_keys(), 1..5),
@@ -275,17 +282,17 @@
         loop {
             let query = SortedQuery { idempotent, after_values, ..query(limit, page_size, 100_000, 0.0) };
             let mut merge = SortedMerge::new(query, &sorted[..shards.len()]);
-            let progress = complete_with_failures(&mut merge, &shards, &mut failures);
+            let progress = finish_with_failures(&mut merge, &shards, &mut failures);
             if progress == MergeProgress::Failed {
-                prop_assert!(!idempotent, "the other shards can be read again");
+                prop_assert!(!idempotent, "the query failed although the other shards could be read again");
                 break;
             }
             let missing = merge.missing_shards();
-            let left: Vec<Vec<ModelFeature>> = shards.iter().enumerate()
+            let available: Vec<Vec<ModelFeature>> = shards.iter().enumerate()
                 .filter(|(shard, _)| !missing.contains(shard))
                 .map(|(_, features)| features.clone())
                 .collect();
-            let all = sorted_features(&left, false);
+            let all = sorted_features(&available, false);
             let follows = |feature: &&ModelFeature| last_returned < Some(feature.sort_key(false));
             let expected: Vec<usize> = all.iter().filter(follows).map(|feature| feature.id).collect();
             let returned = ids(&merge.to_page());
@@ -295,8 +302,8 @@
                 prop_assert_eq!(returned, expected);
                 break;
             };
-            let last = returned.last().expect("a response that continues has features");
-            let last = all.iter().find(|feature| feature.id == *last).expect("a feature");
+            let last = returned.last().expect("a response before the last has features");
+            let last = all.iter().find(|feature| feature.id == *last).expect("the last feature is in an available shard");
             last_returned = Some(last.sort_key(false));
             after_values = Some(values);
         }
@@ -304,7 +311,7 @@
 }
 
 #[test]
-fn sorted_shards_are_read_no_further_than_needed() {
+fn pages_of_sorted_shards_are_fetched_only_while_needed() {
     let feature = |shard: usize, n: usize| ModelFeature {
         key: Some(n as i64 * 4 + shard as i64),
         id: shard * 1_000 + n,
@@ -321,11 +328,11 @@
             .sum::<usize>(),
         80
     );
-    let run = run(&shards, &[true; 4], &query(4_000, 500, 100_000, 1.0));
-    assert_eq!((run.ids.len(), run.features_read), (4_000, 4_000));
+    let result = run(&shards, &[true; 4], &query(4_000, 500, 100_000, 1.0));
+    assert_eq!((result.ids.len(), result.features_read), (4_000, 4_000));
 }
 
-/// Returns a page of features with these keys, which are their identifiers too.
+/// Returns a page of features with these keys, which are also their identifiers.
 fn page(next: Option<&str>, keys: &[i64]) -> Option<Arc<FeaturePage>> {
     let texts = keys
         .iter()
@@ -337,7 +344,7 @@
 }
 
 #[test]
-fn missing_shards_endless_pages_and_unsorted_pages_are_handled() {
+fn missing_shards_too_many_pages_and_unsorted_pages_are_handled() {
     let one_missing = || vec![fetched(0, 5, page(None, &[1])), fetched(1, 5, None)];
     let mut merge = SortedMerge::new(query(5, 10, 10, 1.0), &[true, true]);
     assert_eq!(merge.accept(one_missing()), MergeProgress::Failed);
@@ -360,8 +367,8 @@
         merge.accept(vec![fetched(0, 5, page(Some("c"), &[1]))]),
         MergeProgress::TooManyPages
     );
-    // The server declares that it returns features in order and does not: its shard is read to its
-    // end.
+    // The server declares that it returns features in order but does not do so. Its shard is read
+    // to the end.
     let mut merge = SortedMerge::new(query(2, 10, 9, 1.0), &[true]);
     assert_eq!(
         merge.accept(vec![fetched(0, 2, page(Some("a"), &[5, 4]))]),
@@ -377,10 +384,10 @@
     );
 }
 
-/// Guards against a cycle of links that is followed until the limit of pages, which clients see as
-/// too many features.
+/// Guards against a cycle of links that is followed until the maximum number of pages is reached,
+/// so that the client receives the error that there are too many features to sort.
 #[test]
-fn a_cycle_of_two_links_ends_its_shard() {
+fn a_shard_with_a_cycle_of_two_links_is_missing() {
     let mut merge = SortedMerge::new(query(5, 10, 100, 0.5), &[false, false]);
     let first_pages = vec![
         fetched(0, 5, page(Some("a"), &[1])),
