--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -139,7 +139,7 @@
     tag
 }
 
-/// Compresses the body of a response at the fastest level, since one thread serves all requests.
+/// Compresses the body of a response at the fastest level, because one thread serves all requests.
 fn compress(response: &mut Response) {
     let mut encoder = GzEncoder::new(
         Vec::with_capacity(response.body.len() / 4),
--- a/src/front/ogc/page_request.rs
+++ b/src/front/ogc/page_request.rs
@@ -19,15 +19,15 @@
 pub enum RequestKind {
     /// A page of features.
     Items,
-    /// One feature by its identifier. A response that the server does not have it counts as
-    /// success.
+    /// One feature by its identifier. Status 404 counts as a successful response without the
+    /// feature.
     Feature,
     /// A JSON document about the server.
     Document,
 }
 
-/// A function that returns whether a feature matches. Its argument is the JSON text that the server
-/// sent.
+/// A function that returns whether a feature matches a filter. Its argument is the JSON text of the
+/// feature as the server sent it.
 pub type FeaturePredicate = Arc<dyn Fn(&[u8]) -> bool + Send + Sync>;
 
 /// A request to a feature server.
--- a/src/front/ogc/paging/concat_merge.rs
+++ b/src/front/ogc/paging/concat_merge.rs
@@ -29,7 +29,7 @@
 use usage::FetchUsage;
 
 /// The share of its limit that a response must have reached to end before a shard whose first page
-/// is small. If the response used that page, all further pages of the shard would be as small,
+/// is small. If the response used that page, all later pages of the shard would be as small,
 /// because servers repeat the page size in their links. The number of requests stays below
 /// 1 / (1 - this share) times the number of pages.
 const SUFFICIENT_FILL_SHARE: f64 = 0.15;
@@ -165,7 +165,8 @@
     /// Discards the first page of a shard that was fetched ahead if the page is too small for the
     /// number of features that are still needed. Either this response or the next one restarts the
     /// shard with larger pages. Returns the progress if the page was discarded, otherwise `None`.
-    /// If the parts of the query are not idempotent, the page is used whatever its size.
+    /// A page is not discarded if the front filters pages, or if the parts of the query are not
+    /// idempotent, so that the page must not be requested twice.
     fn discard_small_first_page(&self, requested: &RequestedPage) -> Option<MergeProgress> {
         let started = self.position.location != PageLocation::ShardStart
             || self.position.shard == self.start.shard;
--- a/src/front/ogc/paging/concat_merge/fetch_planning.rs
+++ b/src/front/ogc/paging/concat_merge/fetch_planning.rs
@@ -56,14 +56,14 @@
     fn add_initial_fetches(&self, fetches: &mut Vec<PageFetch>) {
         let shards = self.shards.len();
         let even_share = self.limits.limit.div_ceil(shards);
-        let wanted = if self.limits.filtered_locally {
+        let preferred_size = if self.limits.filtered_locally {
             self.limits.page_size
         } else {
             even_share
         };
-        let page_size = wanted.min(self.limits.page_size);
-        let further_shards = self.position.shard + 1..shards;
-        fetches.extend(further_shards.map(|shard| PageFetch::shard_start(shard, page_size)));
+        let page_size = preferred_size.min(self.limits.page_size);
+        let following_shards = self.position.shard + 1..shards;
+        fetches.extend(following_shards.map(|shard| PageFetch::shard_start(shard, page_size)));
     }
 
     /// Adds the first pages of the following shards, until they are expected to fill the response.
--- a/src/front/ogc/paging/progress.rs
+++ b/src/front/ogc/paging/progress.rs
@@ -9,7 +9,7 @@
 pub enum MergeProgress {
     /// Another round is needed.
     NeedsPages,
-    /// The response has all the features that it can have.
+    /// No more pages are needed: the response ends with the features so far.
     Finished,
     /// Too many shards are missing, or there is no feature to respond with.
     Failed,
