--- a/src/front/ogc/paging/concat_merge/shard_state.rs
+++ b/src/front/ogc/paging/concat_merge/shard_state.rs
@@ -3,7 +3,7 @@
 use super::super::page::{FeaturePage, FetchedPage};
 use std::sync::Arc;
 
-/// A page that has arrived, and the number of features requested.
+/// A page that has arrived, and the number of features that were requested.
 #[derive(Debug)]
 pub(super) struct RequestedPage {
     /// The page.
@@ -12,26 +12,27 @@
     pub page_size: usize,
 }
 
-/// The reason why a part of a shard's features is missing.
+/// The reason why a shard is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ShardLoss {
+pub(super) enum MissingReason {
     /// No server returned a page.
     PageNotFetched,
-    /// The links lead to pages that were used before, or to features that were.
+    /// A `next` link was followed before, or led to a page without new features, so the pages might
+    /// never end.
     LinksDoNotEnd,
 }
 
 /// The state of a shard while a response is built.
 #[derive(Debug, Default)]
 pub(super) struct ShardState {
-    /// The page that has arrived and is not used yet.
+    /// The page that has arrived and has not been used yet.
     pub unused_page: Option<RequestedPage>,
     /// The number of matching features that the server reported last.
     pub number_matched: Option<u64>,
     /// Whether the server reported different numbers of matching features.
     pub inconsistent_count: bool,
     /// The reason why the shard is missing; `None` if it is not.
-    pub loss: Option<ShardLoss>,
+    pub missing_reason: Option<MissingReason>,
     /// The number of the shard's features that the response uses.
     pub used_features: u64,
 }
@@ -40,7 +41,7 @@
     /// Records a page, or that no server returned it.
     pub fn receive(&mut self, fetched: FetchedPage) {
         let Some(page) = fetched.page else {
-            self.loss = Some(ShardLoss::PageNotFetched);
+            self.missing_reason = Some(MissingReason::PageNotFetched);
             return;
         };
         let reported = page.number_matched;
@@ -53,14 +54,14 @@
         });
     }
 
-    /// Returns whether a part of the shard's features is missing.
+    /// Returns whether the shard is missing: some of its features could not be fetched.
     pub fn is_missing(&self) -> bool {
-        self.loss.is_some()
+        self.missing_reason.is_some()
     }
 
-    /// Returns the number of the shard's features that match, if it is known. `passed` is whether
-    /// the response has used all of the shard's pages.
-    pub fn total(&self, passed: bool) -> Option<u64> {
+    /// Returns the number of matching features in the shard, if it is known. `passed` is whether
+    /// the response has used all pages of the shard.
+    pub fn total_matched(&self, passed: bool) -> Option<u64> {
         if self.inconsistent_count || self.is_missing() {
             return None;
         }
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -1,5 +1,5 @@
-//! A query for the features of a collection: rounds of page requests until its response is
-//! complete. The choice of the pages is left to [`paging`](super::paging).
+//! Runs a query for the features of a collection: rounds of page requests until the merge of its
+//! pages is finished. The module [`paging`](super::paging) chooses the pages.
 
 mod merge;
 mod resume;
@@ -12,7 +12,7 @@
 use super::response::feature_collection::feature_collection;
 use super::response::items_result::ItemsResult;
 use super::response::problem::error_response;
-use super::round::{core_request, count_response, ShardRequest};
+use super::round::{coordinator_request, count_response, ShardRequest};
 use super::shard_plan::ShardPlan;
 use super::shards::ShardSource;
 use super::state::FrontState;
@@ -34,27 +34,27 @@
     shards: Vec<ShardSource>,
     /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
-    /// The response so far.
+    /// The merge of the pages received so far.
     merge: Merge,
-    /// The page fetches of the current round.
+    /// The page fetches of the current round that were submitted.
     in_flight: Vec<InFlightFetch>,
     resume_point: ResumePoint,
-    /// The reservations of the query.
+    /// The capacity that is reserved for the query.
     admitted: AdmittedQuery,
 }
 
-/// A page fetch of the current round.
+/// A page fetch of the current round, with its request.
 struct InFlightFetch {
     fetch: PageFetch,
-    request: ShardRequest,
+    shard_request: ShardRequest,
 }
 
 impl ItemsQuery {
-    /// Starts a query, at its cursor if it has one.
+    /// Starts a query, at the position of its cursor if it has one.
     ///
     /// # Errors
     ///
-    /// If the cursor cannot be used.
+    /// Returns an error if the cursor cannot be used.
     pub fn start(
         state: Arc<FrontState>,
         client: ClientContext,
@@ -89,26 +89,32 @@
         Ok(query.next_round())
     }
 
-    /// Sends the requests of the next round.
+    /// Submits the requests of the next round.
     fn next_round(mut self) -> Reaction {
         let mut unavailable = Vec::new();
         for fetch in self.merge.next_fetches() {
             match self.shard_request(&fetch) {
-                Some(request) => self.in_flight.push(InFlightFetch { fetch, request }),
-                None => unavailable.push(fetch.fetched(None)),
+                Some(shard_request) => self.in_flight.push(InFlightFetch {
+                    fetch,
+                    shard_request,
+                }),
+                None => unavailable.push(fetch.fetched_page(None)),
             }
         }
         if self.in_flight.is_empty() {
             return self.accept(unavailable, None);
         }
-        let parts = self.in_flight.iter().map(|fetch| fetch.request.clone());
-        let request = core_request(&self.state, &self.client, parts);
+        let parts = self
+            .in_flight
+            .iter()
+            .map(|fetch| fetch.shard_request.clone());
+        let request = coordinator_request(&self.state, &self.client, parts);
         let render: Render = Box::new(move |answer| self.accept_answer(answer, unavailable));
         Reaction::Submit(request, render)
     }
 
     /// Returns the request for a page; `None` if the only server that can return the page was
-    /// removed.
+    /// removed or does not accept new work.
     fn shard_request(&self, fetch: &PageFetch) -> Option<ShardRequest> {
         let plan = &self.plans[fetch.shard];
         let shard = match &fetch.location {
@@ -122,27 +128,27 @@
             }
             PageLocation::NextLink { target, .. } => target.to_string(),
         };
-        let mut request = PageRequest::new(RequestKind::Items, target);
-        request.predicate = plan.predicate.clone();
+        let mut page_request = PageRequest::new(RequestKind::Items, target);
+        page_request.predicate = plan.predicate.clone();
         Some(ShardRequest {
             shard,
-            request: Arc::new(request),
+            page_request: Arc::new(page_request),
         })
     }
 
-    /// Returns the shard to request the first page from. An interrupted shard is restarted at
-    /// another server, if there is one.
+    /// Returns the identifier of the shard for the request of its first page. An interrupted shard
+    /// is restarted at another server if there is one.
     fn shard_to_start(&self, index: usize) -> ShardId {
         let shard = self.shards[index].shard;
         let interrupted_server = self.merge.interrupted_server(index);
-        let elsewhere = interrupted_server
+        let shard_at_other_servers = interrupted_server
             .and_then(|server| lock(&self.state.catalog).excluding_server(shard, server));
-        elsewhere.unwrap_or(shard)
+        shard_at_other_servers.unwrap_or(shard)
     }
 
-    /// Returns the shard to follow a link in: at any server if all servers have the same order,
-    /// otherwise at the server that gave the link, since others may have the features in another
-    /// order.
+    /// Returns the identifier of the shard for the request that follows a link. It stands for all
+    /// servers of the shard if they return the features in the same order, and otherwise for the
+    /// server that returned the link.
     fn shard_of_link(&self, index: usize, server: &str) -> Option<ShardId> {
         let shard = self.shards[index].shard;
         if self.state.has_same_order(&self.request.collection) {
@@ -151,14 +157,14 @@
         lock(&self.state.catalog).sticky_shard(shard, server)
     }
 
-    /// Handles the core's answer to a round. `unavailable` are the fetches of the round that could
-    /// not be sent.
+    /// Handles the coordinator's answer to a round. `unavailable` has the results of the fetches
+    /// that could not be submitted.
     fn accept_answer(mut self, answer: Answer, unavailable: Vec<FetchedPage>) -> Reaction {
         let in_flight = std::mem::take(&mut self.in_flight);
         let error = ApiError::from_answer(&answer);
         let attempted = in_flight
             .iter()
-            .any(|fetch| fetch.request.request.attempted());
+            .any(|fetch| fetch.shard_request.page_request.was_attempted());
         let mut fetched = unavailable;
         match answer {
             Answer::Served { parts, .. } => {
@@ -166,38 +172,41 @@
                 fetched.extend(pages.map(|fetch| self.fetched_page(fetch, &parts)));
             }
             Answer::DuplicateRequestId | Answer::UnknownClass => return self.end(error),
-            // Rejected for load: the servers were not asked, so no shard counts as missing.
+            // Rejected because of overload before any request was sent: no shard counts as missing.
             Answer::Rejected { late: false, .. } if !attempted => return self.end(error),
             Answer::Rejected { .. } | Answer::Failed { .. } => {
                 let failed = in_flight.into_iter();
-                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched(None)));
+                fetched.extend(failed.map(|in_flight| in_flight.fetch.fetched_page(None)));
             }
         }
         self.accept(fetched, error)
     }
 
     /// Returns the result of a fetch from the served parts of its round, and records the size of
-    /// its page for the admission of further queries.
+    /// its page for the admission of later queries.
     fn fetched_page(&self, in_flight: InFlightFetch, parts: &[ServedPart]) -> FetchedPage {
-        let InFlightFetch { fetch, request } = in_flight;
-        let part = parts.iter().find(|part| part.shard == request.shard);
-        let page = part.and_then(|part| request.request.page(&part.value));
+        let InFlightFetch {
+            fetch,
+            shard_request,
+        } = in_flight;
+        let part = parts.iter().find(|part| part.shard == shard_request.shard);
+        let page = part.and_then(|part| shard_request.page_request.page(&part.value));
         if let Some(page) = &page {
             let mut admission = self.state.admission();
             admission.record_page(page.body.len(), page.returned_count, fetch.page_size);
         }
-        fetch.fetched(page)
+        fetch.fetched_page(page)
     }
 
     /// Merges the pages of a round, then starts the next round or ends the query. `error` is the
-    /// reason why the round failed.
+    /// reason why the round failed, or `None` if it succeeded.
     fn accept(mut self, fetched: Vec<FetchedPage>, error: Option<ApiError>) -> Reaction {
         let timed_out = matches!(error, Some(ApiError::Timeout));
         match self.merge.accept(fetched) {
             MergeProgress::NeedsPages if !timed_out => self.next_round(),
-            MergeProgress::Complete => self.end(None),
+            MergeProgress::Finished => self.end(None),
             MergeProgress::TooManyPages => {
-                self.finish(error_response(&ApiError::TooManyFeaturesToSort))
+                self.respond(error_response(&ApiError::TooManyFeaturesToSort))
             }
             MergeProgress::NeedsPages | MergeProgress::Failed => {
                 self.end(Some(error.unwrap_or(ApiError::ServersFailed)))
@@ -205,26 +214,26 @@
         }
     }
 
-    /// Ends the query with the features so far; after an error, only if they are a valid response,
-    /// and otherwise with the error.
+    /// Ends the query with the features so far. After an error, ends it with the error unless the
+    /// features so far are a valid response.
     fn end(self, error: Option<ApiError>) -> Reaction {
-        if let Some(error) = error.filter(|_| !self.merge.is_valid_when_cut()) {
-            return self.finish(error_response(&error));
+        if let Some(error) = error.filter(|_| !self.merge.can_end_early()) {
+            return self.respond(error_response(&error));
         }
         let response = match self.next_cursor() {
             Ok(next_cursor) => feature_collection(&self.result(next_cursor)),
             Err(error) => error_response(&error.into()),
         };
-        self.finish(response)
+        self.respond(response)
     }
 
-    /// Counts the end of the query and responds.
-    fn finish(self, response: Response) -> Reaction {
+    /// Counts the response in the metrics of the class and returns it.
+    fn respond(self, response: Response) -> Reaction {
         count_response(&self.state.class_metrics(self.client.class), &response);
         Reaction::Respond(response)
     }
 
-    /// Returns the result that the response is written from.
+    /// Returns the result from which the response is rendered.
     fn result(&self, next_cursor: Option<String>) -> ItemsResult<'_> {
         let merged = self.merge.result();
         let name = |shard: usize| self.shards[shard].name.as_str();
@@ -242,7 +251,7 @@
 }
 
 /// Returns the plan for each shard. Only queries with a filter or a sort order depend on the
-/// capabilities of the servers, and only for those were they discovered.
+/// capabilities of the servers, and the capabilities are discovered only for these queries.
 fn plans(
     state: &FrontState,
     request: &ItemsRequest,
