--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -22,9 +22,9 @@
     for write_input in write_inputs {
         let write_started = write_input.is_some();
         let mut now = START;
-        let mut core = coordinator();
+        let mut coordinator = coordinator();
         let mut commands = Vec::new();
-        core.turn(
+        coordinator.turn(
             now,
             [fleet(), submit(1, NON_IDEMPOTENT, 1, now)],
             &mut commands,
@@ -33,7 +33,7 @@
         let mut inputs = Vec::from_iter(key.zip(write_input).map(|(key, input)| input(key)));
         while !commands.iter().any(|command| answer(command).is_some()) {
             now = now + Micros::from_millis(5);
-            core.turn(now, inputs.drain(..), &mut commands);
+            coordinator.turn(now, inputs.drain(..), &mut commands);
         }
         match commands.iter().find_map(answer).expect("found") {
             Answer::Rejected { late, .. } => assert!(*late && !write_started),
@@ -49,15 +49,15 @@
     settings.classes[usize::from(IDEMPOTENT)].effect = Effect::Deduplicated(100 * MS);
     for write_started in [false, true] {
         let mut now = START;
-        let mut core = coordinator_with(settings.clone());
+        let mut coordinator = coordinator_with(settings.clone());
         let mut commands = Vec::new();
-        core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
+        coordinator.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
         let first = commands
             .drain(..)
             .find_map(|command| dispatched(&command))
             .expect("dispatched");
         now = now + Micros::from_millis(20);
-        core.turn(
+        coordinator.turn(
             now,
             [Input::FullyWritten(first), failed(first, Outcome::Reset)],
             &mut commands,
@@ -67,19 +67,19 @@
             .find_map(|command| dispatched(&command))
             .expect("within its window");
         if write_started {
-            core.turn(now, [Input::WriteStarted(retry)], &mut commands);
+            coordinator.turn(now, [Input::WriteStarted(retry)], &mut commands);
         }
         let window_end = now + Micros::from_millis(80);
         while now < window_end {
             now = now + Micros::from_millis(5);
-            core.turn(now, [], &mut commands);
+            coordinator.turn(now, [], &mut commands);
         }
         let is_cancelled = commands
             .iter()
             .filter_map(cancelled)
             .any(|key| key == retry);
         assert_eq!(is_cancelled, !write_started, "at the end of its window");
-        assert_eq!(core.is_in_flight(retry), write_started);
+        assert_eq!(coordinator.is_in_flight(retry), write_started);
     }
 }
 
@@ -95,29 +95,32 @@
 impl QueryEnd {
     /// Checks the replies and the cancelled attempts.
     fn check(self) {
-        let mut core = coordinator_with(Settings {
+        let mut coordinator = coordinator_with(Settings {
             cancellation: false,
             ..settings()
         });
         let mut commands = Vec::new();
         let inputs = [fleet(), submit(1, PARTIAL, 2, START)];
-        core.turn(START, inputs, &mut commands);
+        coordinator.turn(START, inputs, &mut commands);
         let dispatches = commands.drain(..);
         let keys: Vec<AttemptKey> = dispatches.filter_map(|c| dispatched(&c)).collect();
         assert_eq!(keys.len(), 2);
 
         let mut now = START + Micros::from_millis(1);
-        core.turn(now, self.inputs(&keys), &mut commands);
-        while core.pending_queries() > 0 {
+        coordinator.turn(now, self.inputs(&keys), &mut commands);
+        while coordinator.pending_queries() > 0 {
             now = now + Micros::from_millis(1);
-            core.turn(now, [], &mut commands);
+            coordinator.turn(now, [], &mut commands);
         }
 
         let replies = commands.iter().filter_map(answer).count();
         assert_eq!(replies, usize::from(!self.client_leaves), "{self:?}");
         let cancelled: Vec<AttemptKey> = commands.iter().filter_map(cancelled).collect();
         assert_eq!(cancelled, self.expected_cancels(&keys), "{self:?}");
-        assert_eq!(core.attempts_in_flight(), usize::from(self.write_started));
+        assert_eq!(
+            coordinator.attempts_in_flight(),
+            usize::from(self.write_started)
+        );
     }
 
     /// Returns the inputs of the end.
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoint lists: readiness, stale lists and the removal of servers.
 
 use crate::support::{
-    coordinator, endpoint_list, fleet, node, node_number, submit, IDEMPOTENT, START,
+    coordinator, endpoint_list, fleet, server, server_number, submit, IDEMPOTENT, START,
 };
 use quinceflow::coordinator::{Answer, Command, Coordinator, Input, ServerEndpoint, Token};
 use quinceflow::time::Micros;
@@ -10,11 +10,11 @@
 
 /// Returns the number of dispatches to a server.
 fn dispatches_to(commands: &[Command], number: u8) -> usize {
-    let to_node = |command: &&Command| match command {
-        Command::Dispatch { replica, .. } => node_number(*replica) == number,
+    let to_server = |command: &&Command| match command {
+        Command::Dispatch { replica, .. } => server_number(*replica) == number,
         _ => false,
     };
-    commands.iter().filter(to_node).count()
+    commands.iter().filter(to_server).count()
 }
 
 /// Returns the number of rejections of a request.
@@ -32,19 +32,19 @@
 fn removed_servers_are_forgotten_and_their_ids_not_reused() {
     // Names, addresses and connections of servers that have left are not kept.
     let mut now = START;
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
     let mut seen = BTreeSet::new();
     let mut open: BTreeSet<ReplicaId> = BTreeSet::new();
     for number in 0..400 {
         now = now + Micros::from_secs(1);
-        let nodes = [
-            node(number, EndpointState::Removed),
-            node(number + 1, EndpointState::Ready),
+        let servers = [
+            server(number, EndpointState::Removed),
+            server(number + 1, EndpointState::Ready),
         ];
-        core.turn(
+        coordinator.turn(
             now,
-            [endpoint_list(EndpointListKind::Delta, None, nodes)],
+            [endpoint_list(EndpointListKind::Delta, None, servers)],
             &mut commands,
         );
         for command in commands.drain(..) {
@@ -62,26 +62,26 @@
                 _ => {}
             }
         }
-        let known = core.known_endpoints();
+        let known = coordinator.known_endpoints();
         assert!(known <= 35 && open.len() <= 35, "{known} known");
     }
 }
 
 #[test]
 fn list_with_a_duplicate_or_no_endpoint_causes_no_dispatch_that_it_forbids() {
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
-    let full = |nodes: Vec<ServerEndpoint>| endpoint_list(EndpointListKind::Full, None, nodes);
-    core.turn(START, [fleet()], &mut commands);
+    let full = |servers: Vec<ServerEndpoint>| endpoint_list(EndpointListKind::Full, None, servers);
+    coordinator.turn(START, [fleet()], &mut commands);
     let duplicate = vec![
-        node(0, EndpointState::Ready),
-        node(0, EndpointState::Draining),
-        node(1, EndpointState::Ready),
-        node(2, EndpointState::Ready),
+        server(0, EndpointState::Ready),
+        server(0, EndpointState::Draining),
+        server(1, EndpointState::Ready),
+        server(2, EndpointState::Ready),
     ];
-    core.turn(START, [full(duplicate)], &mut commands);
+    coordinator.turn(START, [full(duplicate)], &mut commands);
     for token in 0..4 {
-        core.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands);
+        coordinator.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands);
     }
     let dispatches = [0, 1, 2].map(|number| dispatches_to(&commands, number));
     assert_eq!(dispatches[0], 0, "its last line says that it drains");
@@ -90,9 +90,9 @@
     commands.clear();
     let later = START + Micros::from_secs(1);
     let inputs = [full(Vec::new()), submit(9, IDEMPOTENT, 2, later)];
-    core.turn(later, inputs, &mut commands);
+    coordinator.turn(later, inputs, &mut commands);
     for ms in (0..1_000).step_by(10) {
-        core.turn(later + Micros::from_millis(ms), [], &mut commands);
+        coordinator.turn(later + Micros::from_millis(ms), [], &mut commands);
     }
     let dispatches: usize = (0..3).map(|number| dispatches_to(&commands, number)).sum();
     assert_eq!(dispatches, 0, "no server is listed");
@@ -102,27 +102,33 @@
 /// A change of a server's readiness: its number, and whether it is ready.
 #[derive(Debug, PartialEq)]
 struct Readiness {
-    node: u8,
+    server: u8,
     ready: bool,
 }
 
 /// Returns the change of a server that becomes ready.
-fn ready(node: u8) -> Readiness {
-    Readiness { node, ready: true }
+fn ready(server: u8) -> Readiness {
+    Readiness {
+        server,
+        ready: true,
+    }
 }
 
 /// Returns the change of a server that is ready no more.
-fn not_ready(node: u8) -> Readiness {
-    Readiness { node, ready: false }
+fn not_ready(server: u8) -> Readiness {
+    Readiness {
+        server,
+        ready: false,
+    }
 }
 
 /// Applies an endpoint update and returns what it changes.
-fn apply(core: &mut Coordinator, update: Input) -> Vec<Readiness> {
+fn apply(coordinator: &mut Coordinator, update: Input) -> Vec<Readiness> {
     let mut commands = Vec::new();
-    core.turn(START, [update], &mut commands);
+    coordinator.turn(START, [update], &mut commands);
     let changes = commands.into_iter().filter_map(|command| match command {
         Command::UpdateServer { replica, ready, .. } => Some(Readiness {
-            node: node_number(replica),
+            server: server_number(replica),
             ready,
         }),
         _ => None,
@@ -131,15 +137,15 @@
 }
 
 /// Returns a list of this version.
-fn list(version: u64, kind: EndpointListKind, nodes: Vec<ServerEndpoint>) -> Input {
-    endpoint_list(kind, Some(version), nodes)
+fn list(version: u64, kind: EndpointListKind, servers: Vec<ServerEndpoint>) -> Input {
+    endpoint_list(kind, Some(version), servers)
 }
 
 /// Returns a server that started at this time.
 fn started(number: u16, state: EndpointState, seconds: u64) -> ServerEndpoint {
     ServerEndpoint {
         started_at: Some(Micros::from_secs(seconds)),
-        ..node(number, state)
+        ..server(number, state)
     }
 }
 
@@ -148,48 +154,54 @@
     vec![
         first,
         started(1, EndpointState::Ready, 50),
-        node(2, EndpointState::Ready),
+        server(2, EndpointState::Ready),
     ]
 }
 
 /// Returns a coordinator whose list has version 8: of three servers, the first drains.
 fn coordinator_with_drain() -> Coordinator {
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let first = fleet_with(started(0, EndpointState::Ready, 50));
-    let changes = apply(&mut core, list(7, EndpointListKind::Full, first));
+    let changes = apply(&mut coordinator, list(7, EndpointListKind::Full, first));
     assert_eq!(changes, [ready(0), ready(1), ready(2)]);
     let drain = vec![started(0, EndpointState::Draining, 50)];
-    let changes = apply(&mut core, list(8, EndpointListKind::Delta, drain));
+    let changes = apply(&mut coordinator, list(8, EndpointListKind::Delta, drain));
     assert_eq!(changes, [not_ready(0)]);
-    core
+    coordinator
 }
 
 #[test]
 fn stale_list_reverts_no_drain_and_removes_no_server() {
     // Discovery that has moved, or was restored from an older copy, calls servers ready that drain,
     // and does not know newer ones: the first get no parts again, the second keep their work.
-    let mut core = coordinator_with_drain();
+    let mut coordinator = coordinator_with_drain();
 
     let before_the_drain = vec![started(0, EndpointState::Ready, 50)];
-    let changes = apply(&mut core, list(6, EndpointListKind::Full, before_the_drain));
+    let changes = apply(
+        &mut coordinator,
+        list(6, EndpointListKind::Full, before_the_drain),
+    );
     assert_eq!(changes, [], "the drain stands, and so do unlisted servers");
     let mut commands = Vec::new();
-    core.turn(START, [submit(1, IDEMPOTENT, 2, START)], &mut commands);
+    coordinator.turn(START, [submit(1, IDEMPOTENT, 2, START)], &mut commands);
     let to_draining = dispatches_to(&commands, 0);
     assert_eq!(to_draining, 0, "nothing is sent to the draining server");
 
     let restarted = fleet_with(started(0, EndpointState::Ready, 90));
-    let changes = apply(&mut core, list(6, EndpointListKind::Full, restarted));
+    let changes = apply(&mut coordinator, list(6, EndpointListKind::Full, restarted));
     assert_eq!(changes, [ready(0)], "it has restarted since");
     let earlier_drain = vec![started(0, EndpointState::Draining, 50)];
-    let changes = apply(&mut core, list(5, EndpointListKind::Delta, earlier_drain));
+    let changes = apply(
+        &mut coordinator,
+        list(5, EndpointListKind::Delta, earlier_drain),
+    );
     assert_eq!(changes, [], "that drain was of the earlier incarnation");
 
     let drain = vec![started(1, EndpointState::Draining, 50)];
-    let changes = apply(&mut core, list(5, EndpointListKind::Delta, drain));
+    let changes = apply(&mut coordinator, list(5, EndpointListKind::Delta, drain));
     assert_eq!(changes, [not_ready(1)], "an old list's drain is believed");
     let current = fleet_with(started(0, EndpointState::Draining, 90));
-    let changes = apply(&mut core, list(8, EndpointListKind::Full, current));
+    let changes = apply(&mut coordinator, list(8, EndpointListKind::Full, current));
     let expected = [not_ready(0), ready(1)];
     assert_eq!(changes, expected, "the newest list is applied as it is");
 }
@@ -198,16 +210,16 @@
 /// those to the present one: a start is told with a tolerance, and again in each list.
 #[test]
 fn connections_end_once_for_each_restart_that_a_list_tells_of() {
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
     let mut ended_at = |start_ms: Option<u64>| {
         let started_at = start_ms.map(|ms| START + Micros::from_millis(ms));
         let restarted = ServerEndpoint {
             started_at,
-            ..node(0, EndpointState::Ready)
+            ..server(0, EndpointState::Ready)
         };
         let list = endpoint_list(EndpointListKind::Delta, None, vec![restarted]);
-        core.turn(START, [list], &mut commands);
+        coordinator.turn(START, [list], &mut commands);
         let ended = commands.drain(..).find_map(|command| match command {
             Command::EndEarlierConnections { opened_before, .. } => Some(opened_before),
             _ => None,
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn request_id_is_free_again_once_no_query_and_no_attempt_uses_it() {
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let named = |token, id: &str| submit_with_id(id, token, IDEMPOTENT, 1, START);
     let is_duplicate = |commands: &[Command], of: u64| {
         commands.iter().any(|command| {
@@ -19,7 +19,7 @@
         })
     };
     let mut commands = Vec::new();
-    core.turn(
+    coordinator.turn(
         START,
         [fleet(), named(1, "a"), named(2, "a"), named(3, "b")],
         &mut commands,
@@ -27,8 +27,8 @@
     assert!(
         is_duplicate(&commands, 2) && !is_duplicate(&commands, 1) && !is_duplicate(&commands, 3)
     );
-    core.turn(START, [Input::ClientDisconnected(Token(1))], &mut commands);
-    core.turn(
+    coordinator.turn(START, [Input::ClientDisconnected(Token(1))], &mut commands);
+    coordinator.turn(
         START + Micros::from_millis(1),
         [named(4, "a")],
         &mut commands,
@@ -42,20 +42,20 @@
 #[test]
 fn query_expired_on_arrival_and_late_turn_break_no_invariant() {
     // Neither breaks the invariant that guards against a policy that lets a query's deadline pass.
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
-    core.turn(
+    coordinator.turn(
         START,
         [fleet(), submit(1, IDEMPOTENT, 1, START)],
         &mut commands,
     );
     let late = START + Micros::from_secs(2);
-    core.turn(late, [submit(2, IDEMPOTENT, 1, START)], &mut commands);
+    coordinator.turn(late, [submit(2, IDEMPOTENT, 1, START)], &mut commands);
     let replies = commands
         .iter()
         .filter(|command| matches!(command, Command::Reply { .. }))
         .count();
-    assert_eq!((replies, core.pending_queries()), (2, 0));
+    assert_eq!((replies, coordinator.pending_queries()), (2, 0));
     assert_eq!(COUNTERS.broken_invariants.get(), 0);
 }
 
@@ -75,24 +75,24 @@
     // The policy keeps three ticks for turn, rendering and network. With a tick of 1 ms that is too
     // little time for a partial answer to arrive before the objective.
     let mut now = START;
-    let mut core = coordinator_with(Settings {
+    let mut coordinator = coordinator_with(Settings {
         tick: MS,
         ..settings()
     });
     let mut commands = Vec::new();
-    core.turn(now, [fleet(), submit(1, PARTIAL, 2, now)], &mut commands);
+    coordinator.turn(now, [fleet(), submit(1, PARTIAL, 2, now)], &mut commands);
     let first = commands
         .iter()
         .find_map(dispatched)
         .expect("both are dispatched");
-    core.turn(
+    coordinator.turn(
         now,
         [Input::FullyWritten(first), served(first)],
         &mut commands,
     );
     for ms in 1..=291 {
         now = START + Micros::from_millis(ms);
-        core.turn(now, [], &mut commands);
+        coordinator.turn(now, [], &mut commands);
         assert!(
             ms > 200 || !commands.iter().any(is_partial_answer),
             "it waits for the rest: {ms}"
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -2,8 +2,8 @@
 //! answer, and the reserved slots are bounded.
 
 use crate::support::{
-    coordinator, endpoint_list, failed, fleet, node, served, submit, MAX_IN_FLIGHT, NON_IDEMPOTENT,
-    PARTIAL, START,
+    coordinator, endpoint_list, failed, fleet, served, server, submit, MAX_IN_FLIGHT,
+    NON_IDEMPOTENT, PARTIAL, START,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
         client: usize,
     },
     Drain {
-        node: u16,
+        server: u16,
         draining: bool,
     },
 }
@@ -78,7 +78,7 @@
         }),
         4 => any::<usize>().prop_map(|attempt| Step::FullyWritten { attempt }),
         1 => any::<usize>().prop_map(|client| Step::ClientLeaves { client }),
-        1 => (0u16..3, any::<bool>()).prop_map(|(node, draining)| Step::Drain { node, draining }),
+        1 => (0u16..3, any::<bool>()).prop_map(|(server, draining)| Step::Drain { server, draining }),
     ]
 }
 
@@ -198,7 +198,7 @@
 /// A coordinator with the inputs of the steps so far.
 struct Run {
     now: Micros,
-    core: Coordinator,
+    coordinator: Coordinator,
     checker: CommandChecker,
     inputs: Vec<Input>,
     /// The highest token so far.
@@ -210,7 +210,7 @@
     fn new() -> Self {
         Run {
             now: START,
-            core: coordinator(),
+            coordinator: coordinator(),
             checker: CommandChecker::default(),
             inputs: vec![fleet()],
             tokens: 0,
@@ -240,7 +240,7 @@
                 self.inputs.push(Input::ClientDisconnected(Token(token)));
             }
             Step::Drain {
-                node: number,
+                server: number,
                 draining,
             } => {
                 let state = if draining {
@@ -251,7 +251,7 @@
                 self.inputs.push(endpoint_list(
                     EndpointListKind::Delta,
                     None,
-                    [node(number, state)],
+                    [server(number, state)],
                 ));
             }
         }
@@ -286,12 +286,16 @@
     fn settle(&mut self) {
         loop {
             let mut commands = Vec::new();
-            self.core
+            self.coordinator
                 .turn(self.now, self.inputs.drain(..), &mut commands);
             commands
                 .into_iter()
                 .for_each(|command| self.checker.check(command));
-            if self.core.next_turn_due().is_none_or(|due| due > self.now) {
+            if self
+                .coordinator
+                .next_turn_due()
+                .is_none_or(|due| due > self.now)
+            {
                 return;
             }
         }
@@ -311,10 +315,10 @@
         for step in steps.into_iter().chain(idle) {
             run.apply(&step);
             run.settle();
-            prop_assert!(run.core.pending_queries() <= MAX_IN_FLIGHT / 2);
+            prop_assert!(run.coordinator.pending_queries() <= MAX_IN_FLIGHT / 2);
         }
-        prop_assert_eq!(run.core.pending_queries(), 0);
-        prop_assert_eq!(run.core.attempts_in_flight(), 0, "every attempt has had its outcome");
+        prop_assert_eq!(run.coordinator.pending_queries(), 0);
+        prop_assert_eq!(run.coordinator.attempts_in_flight(), 0, "every attempt has had its outcome");
         for token in 1..=run.tokens {
             let ended = run.checker.answered.contains(&token) || run.left.contains(&token);
             prop_assert!(ended, "no answer to {}", token);
--- a/tests/coordinator/settings.rs
+++ b/tests/coordinator/settings.rs
@@ -61,17 +61,17 @@
 fn pending_query_keeps_its_class_over_a_reload_and_a_new_one_has_the_reloaded_class() {
     // Attempts and effects belong to the class by its name, not by its place in the file.
     let mut now = START;
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
-    core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
+    coordinator.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
     let reload = reload_with_swapped_classes();
-    core.turn(now, [reload, submit(2, IDEMPOTENT, 1, now)], &mut commands);
+    coordinator.turn(now, [reload, submit(2, IDEMPOTENT, 1, now)], &mut commands);
 
     let mut seen = Outcomes::default();
     while seen.answers.len() < 2 {
         let inputs = seen.record_and_fail_attempts(commands.drain(..));
         now = now + Micros::from_millis(5);
-        core.turn(now, inputs, &mut commands);
+        coordinator.turn(now, inputs, &mut commands);
     }
 
     assert_eq!(
--- a/tests/coordinator/shutdown.rs
+++ b/tests/coordinator/shutdown.rs
@@ -8,30 +8,30 @@
 fn query_submitted_after_the_shutdown_began_is_answered_by_the_final_deadline() {
     // After SIGTERM no query is accepted whose timeout ends after the kill.
     let mut now = START;
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let final_deadline = now + Micros::from_millis(400);
-    core.set_final_deadline(final_deadline);
+    coordinator.set_final_deadline(final_deadline);
     let mut commands = Vec::new();
-    core.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
-    while core.pending_queries() > 0 {
+    coordinator.turn(now, [fleet(), submit(1, IDEMPOTENT, 1, now)], &mut commands);
+    while coordinator.pending_queries() > 0 {
         now = now + Micros::from_millis(5);
-        core.turn(now, [], &mut commands);
+        coordinator.turn(now, [], &mut commands);
     }
     assert!(now <= final_deadline);
-    core.turn(
+    coordinator.turn(
         final_deadline,
         [submit(2, IDEMPOTENT, 1, final_deadline)],
         &mut commands,
     );
-    assert_eq!(core.pending_queries(), 0, "too late to be accepted");
+    assert_eq!(coordinator.pending_queries(), 0, "too late to be accepted");
 }
 
 #[test]
 fn query_pending_when_the_shutdown_begins_is_answered_by_the_final_deadline() {
     // Clients that wait longer than the kill takes get an answer before it, and no reset.
-    let mut core = coordinator();
+    let mut coordinator = coordinator();
     let mut commands = Vec::new();
-    core.turn(
+    coordinator.turn(
         START,
         [fleet(), submit(1, NON_IDEMPOTENT, 1, START)],
         &mut commands,
@@ -41,13 +41,13 @@
         .find_map(|command| dispatched(&command))
         .map(Input::FullyWritten);
     let final_deadline = START + Micros::from_millis(30);
-    core.turn(START + Micros::from_millis(1), written, &mut commands);
-    core.set_final_deadline(final_deadline);
+    coordinator.turn(START + Micros::from_millis(1), written, &mut commands);
+    coordinator.set_final_deadline(final_deadline);
     assert_eq!(
-        core.next_turn_due().map(|due| due <= final_deadline),
+        coordinator.next_turn_due().map(|due| due <= final_deadline),
         Some(true)
     );
-    core.turn(final_deadline, [], &mut commands);
+    coordinator.turn(final_deadline, [], &mut commands);
     let replies: Vec<&Command> = commands
         .iter()
         .filter(|command| matches!(command, Command::Reply { .. }))
@@ -62,5 +62,5 @@
         ),
         "it may have run: {replies:?}"
     );
-    assert_eq!(core.pending_queries(), 0);
+    assert_eq!(coordinator.pending_queries(), 0);
 }
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -56,7 +56,7 @@
 }
 
 /// Returns a server whose number is that of its cell and its port.
-pub fn node(number: u16, state: EndpointState) -> ServerEndpoint {
+pub fn server(number: u16, state: EndpointState) -> ServerEndpoint {
     ServerEndpoint {
         name: format!("s{number}").into(),
         address: format!("127.0.0.1:{number}").into(),
@@ -69,7 +69,7 @@
 }
 
 /// Returns the number of a server, from its id: ids are given in the order of the first list.
-pub fn node_number(replica: ReplicaId) -> u8 {
+pub fn server_number(replica: ReplicaId) -> u8 {
     replica.0[3]
 }
 
@@ -88,8 +88,8 @@
 
 /// Returns the list of all three servers.
 pub fn fleet() -> Input {
-    let nodes = (0..3).map(|number| node(number, EndpointState::Ready));
-    endpoint_list(EndpointListKind::Cached, None, nodes)
+    let servers = (0..3).map(|number| server(number, EndpointState::Ready));
+    endpoint_list(EndpointListKind::Cached, None, servers)
 }
 
 /// Returns a request of the class for the first `parts` shards. The id is `q` and the token.
--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -1,13 +1,13 @@
 //! The load of the other nodes while one drains.
 
 use crate::common::*;
-use crate::support::{site, Due, Fleet, INSTANCES, NODES};
+use crate::support::{fleet_settings, Due, Fleet, INSTANCES, NODES};
 
 #[test]
 fn the_load_of_a_draining_node_spreads_beyond_its_neighbours() {
     // The neighbours hold two shards alone and share two: without a spread over further nodes they
     // get half as much load again, which each instance meets too seldom to notice.
-    let mut fleet = Fleet::new(&site());
+    let mut fleet = Fleet::new(&fleet_settings());
     let drained = START + 2 * S;
     for n in 0..INSTANCES {
         fleet.schedule(drained - START, n, Due::Draining(10));
--- a/tests/fleet/recovery.rs
+++ b/tests/fleet/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of nodes after an outage.
 
 use crate::common::*;
-use crate::support::{site, Fleet, Outage, LOOKUP, REPORT, SEND};
+use crate::support::{fleet_settings, Fleet, Outage, LOOKUP, REPORT, SEND};
 use quinceflow::*;
 use std::ops::Range;
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn all_instances_return_to_recovered_nodes_gradually() {
-    let mut fleet = Fleet::new(&site());
+    let mut fleet = Fleet::new(&fleet_settings());
     let from = START + 5 * S;
     let back = START + 10 * S;
     let end = START + 26 * S;
@@ -57,7 +57,7 @@
 #[test]
 fn instances_with_only_non_idempotent_queries_return_to_recovered_nodes() {
     // A failed node is probed by non-idempotent parts too, where an instance has no others.
-    let mut fleet = Fleet::new(&site());
+    let mut fleet = Fleet::new(&fleet_settings());
     let back = START + 10 * S;
     let end = START + 26 * S;
     fleet.wide = 0;
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: the load of nodes that have just started.
 
 use crate::common::*;
-use crate::support::{site, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
+use crate::support::{fleet_settings, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
 use quinceflow::*;
 
 /// Asserts that the parts that all instances together send a starting node in any second stay
@@ -38,7 +38,7 @@
     };
     let mut fleet = Fleet::new(&Settings {
         slow_start: Some(rule),
-        ..site()
+        ..fleet_settings()
     });
     for n in 0..INSTANCES {
         nodes
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -20,7 +20,7 @@
 
 /// Returns settings of three classes: sends, which are not idempotent; lookups, which need all
 /// parts; reports, which need four fifths of them.
-pub fn site() -> Settings {
+pub fn fleet_settings() -> Settings {
     let of = |name: &str, effect| Class {
         name: name.to_owned(),
         latency_objective: 400 * MS,
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -21,17 +21,17 @@
 fn connections_in_the_backlog_at_sigterm_are_answered() {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
-    let (mut edge, _watch) =
-        site.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
-    let mut persistent = send_request(&edge, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    let (mut process, _watch) =
+        deployment.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
+    let mut persistent = send_request(&process, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
 
     // Stopped: the kernel has all this, and the signal, when the process continues.
-    edge.signal("STOP");
+    process.signal("STOP");
     let last_request = QueryRequest::new("kept", Class("look"), Shards(&[0])).close_connection();
     persistent
         .write_all(last_request.to_http().as_bytes())
@@ -39,13 +39,13 @@
     let send_query = |number| {
         let id = format!("q{number}");
         let request = QueryRequest::new(&id, Class("once"), Shards(&[0, 1])).close_connection();
-        send_request(&edge, &request.to_http())
+        send_request(&process, &request.to_http())
     };
     let queued: Vec<_> = (0..5).map(send_query).collect();
-    let mut half_request = send_request(&edge, "GET /up HTTP/1.1\r\nHo");
-    edge.signal("TERM");
-    edge.signal("CONT");
-    edge.wait_for_log("graceful shutdown started");
+    let mut half_request = send_request(&process, "GET /up HTTP/1.1\r\nHo");
+    process.signal("TERM");
+    process.signal("CONT");
+    process.wait_for_log("graceful shutdown started");
     half_request
         .write_all(b"st: x\r\nConnection: close\r\n\r\n")
         .expect("written");
@@ -54,18 +54,18 @@
     for client in queued.into_iter().chain([persistent]) {
         assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     }
-    assert!(edge.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "it exits by itself");
 }
 
 /// Sends four queries of each of three classes, each on a connection of its own.
-fn send_pending_queries(edge: &Process) -> Vec<TcpStream> {
+fn send_pending_queries(process: &Process) -> Vec<TcpStream> {
     let mut clients = Vec::new();
     for class in ["look", "once", "some"] {
         for number in 0..4 {
             let id = format!("{class}{number}");
             let request =
                 QueryRequest::new(&id, Class(class), Shards(&[0, 1, 2, 3])).close_connection();
-            clients.push(send_request(edge, &request.to_http()));
+            clients.push(send_request(process, &request.to_http()));
         }
     }
     clients
@@ -77,12 +77,12 @@
 
 /// Sends short queries on one connection after the other, each for as long as it stays open.
 /// Asserts that they fail, and returns the number of their answers.
-fn count_answers_until_closed(edge: &Process) -> usize {
+fn count_answers_until_closed(process: &Process) -> usize {
     let mut answers = 0;
     let mut closed = 0;
     let mut queries = 0;
     while closed < CLOSED_CONNECTIONS {
-        let mut client = BufReader::new(send_request(edge, ""));
+        let mut client = BufReader::new(send_request(process, ""));
         loop {
             queries += 1;
             let id = format!("n{queries}");
@@ -117,25 +117,25 @@
     let hanging = DataNode::hanging();
     let unreachable = UnreachableNode::new();
     let agent = ControlledDiscovery::new();
-    let (mut edge, _watch) = Deployment::ALL_EFFECTS.start_controlled(
+    let (mut process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "hung",
         &agent,
         &[hanging.address, unreachable.address()],
     );
-    let pending = send_pending_queries(&edge);
-    edge.wait_for_counter("queries_accepted", 12);
+    let pending = send_pending_queries(&process);
+    process.wait_for_counter("queries_accepted", 12);
 
     let started_at = std::time::Instant::now();
-    edge.signal("TERM");
-    edge.wait_for_log("graceful shutdown started");
-    let answers = count_answers_until_closed(&edge);
+    process.signal("TERM");
+    process.wait_for_log("graceful shutdown started");
+    let answers = count_answers_until_closed(&process);
 
     assert!(answers > 4, "{answers}");
     for client in pending {
         let text = read_until_close(client);
         assert!(text.starts_with("HTTP/1.1 50"), "{text}");
     }
-    assert!(edge.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "it exits by itself");
     assert!(
         started_at.elapsed().as_millis() < 5_500,
         "{:?}",
@@ -156,20 +156,20 @@
     let hanging = DataNode::hanging();
     let other = DataNode::hanging();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
-    let (mut edge, _watch) =
-        site.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
+    let (mut process, _watch) =
+        deployment.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
     let request = QueryRequest::new("q", Class("once"), Shards(&[0])).to_http();
-    let mut client = BufReader::new(send_request(&edge, &request));
-    edge.wait_for_counter("queries_accepted", 1);
+    let mut client = BufReader::new(send_request(&process, &request));
+    process.wait_for_counter("queries_accepted", 1);
     // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
     // here.
-    edge.signal("TERM");
-    edge.wait_for_log("graceful shutdown started");
-    reload_with_longer_deadline(&edge);
+    process.signal("TERM");
+    process.wait_for_log("graceful shutdown started");
+    reload_with_longer_deadline(&process);
     let timed_out = ResponseHead {
         status: 504,
         closes: false,
@@ -178,12 +178,12 @@
     let read = client.read(&mut [0]).expect("closed in good order");
     assert_eq!(read, 0, "shortly before the last answer");
     let last_request = QueryRequest::new("last", Class("once"), Shards(&[1])).to_http();
-    let mut last = BufReader::new(send_request(&edge, &last_request));
+    let mut last = BufReader::new(send_request(&process, &last_request));
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
     assert!(answer.status / 100 == 5 && answer.closes, "{answer:?}");
-    assert!(edge.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "it exits by itself");
     assert!(
         started_at.elapsed().as_millis() < 900,
         "{:?}: it stayed for 1 s and more",
@@ -196,10 +196,10 @@
     let agent = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
-    let (mut edge, _watch) =
+    let (mut process, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("retry-end", &agent, &addresses);
     let client = send_request(
-        &edge,
+        &process,
         &QueryRequest::new("q", Class("once"), Shards(&[0])).to_http(),
     );
     let (sender, attempts) = channel();
@@ -212,26 +212,26 @@
         });
     }
     let (ids, mut first) = attempts.recv().expect("the first attempt");
-    edge.signal("TERM");
-    edge.wait_for_log("graceful shutdown started");
+    process.signal("TERM");
+    process.wait_for_log("graceful shutdown started");
     write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("written");
     let (ids, mut second) = attempts.recv().expect("the next one");
     write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0])).expect("written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
-    assert!(edge.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "it exits by itself");
 }
 
 #[test]
 fn a_response_that_closes_its_connection_is_followed_by_no_reset() {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let agent = ControlledDiscovery::new();
-    let (edge, _watch) = Deployment::ALL_EFFECTS.start_controlled(
+    let (process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "linger-end",
         &agent,
         &nodes.each_ref().map(|n| n.address),
     );
     let mut client = send_request(
-        &edge,
+        &process,
         &QueryRequest::new("q", Class("look"), Shards(&[0]))
             .close_connection()
             .to_http(),
@@ -289,18 +289,18 @@
 fn a_request_that_trickles_in_does_not_hold_the_exit_past_the_kill() {
     let node = DataNode::serving();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
-    let (mut edge, _watch) = site.start_controlled("trickles", &agent, &[node.address]);
+    let (mut process, _watch) = deployment.start_controlled("trickles", &agent, &[node.address]);
     let request = QueryRequest::new("q", Class("look"), Shards(&[0])).to_http();
-    edge.signal("TERM");
+    process.signal("TERM");
     let signalled_at = std::time::Instant::now();
     // The longest deadline is 1 s: the kill comes 1.7 s after the signal, idle connections are
     // closed from 1.2 s on.
     std::thread::sleep(std::time::Duration::from_millis(1_000));
-    let mut client = send_request(&edge, &request[..10]);
+    let mut client = send_request(&process, &request[..10]);
     let rest = request.as_bytes()[10..40].to_vec();
     let trickle = std::thread::spawn(move || {
         for byte in rest {
@@ -310,7 +310,7 @@
             }
         }
     });
-    assert!(edge.wait_for_exit());
+    assert!(process.wait_for_exit());
     let took = signalled_at.elapsed();
     trickle.join().expect("it ends");
     // The request would hold it until 2.5 s. The soak compares exits with the kill itself, with the
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -9,34 +9,37 @@
 fn an_edge_logs_its_start_reloads_counters_and_shutdown() {
     let server = FeatureServer::healthy(0..6, 2);
     let row = inventory_row("a", &server, "devices");
-    let edge = LoggingProcess::start_edge("edge", &row);
-    let mut listening = edge.wait_for("listening for client connections");
+    let process = LoggingProcess::start_edge("edge", &row);
+    let mut listening = process.wait_for("listening for client connections");
     listening.take_bound_address("address");
     listening.assert("INFO", json!({"service": "feature queries"}));
-    let mut admin = edge.wait_for("admin endpoint listening");
+    let mut admin = process.wait_for("admin endpoint listening");
     admin.take_bound_address("address");
     admin.assert("INFO", json!({}));
     let second = FeatureServer::healthy(0..6, 2);
     write_inventory(
-        &edge.folder,
+        &process.folder,
         &(row + &inventory_row("b", &second, "devices")),
     );
-    edge.signal("HUP");
-    edge.wait_for("inventory reloaded")
+    process.signal("HUP");
+    process
+        .wait_for("inventory reloaded")
         .assert("INFO", json!({"servers": 2}));
-    write_inventory(&edge.folder, "a,nowhere,devices,\n");
-    edge.signal("HUP");
-    let mut rejected = edge.wait_for("inventory reload rejected");
+    write_inventory(&process.folder, "a,nowhere,devices,\n");
+    process.signal("HUP");
+    let mut rejected = process.wait_for("inventory reload rejected");
     rejected.take_field_containing("error", "i.csv:2: address: ");
     rejected.assert("WARN", json!({}));
-    edge.signal("USR1");
-    assert_counters(&edge.wait_for("counters"));
-    edge.signal("TERM");
-    edge.wait_for("graceful shutdown started")
+    process.signal("USR1");
+    assert_counters(&process.wait_for("counters"));
+    process.signal("TERM");
+    process
+        .wait_for("graceful shutdown started")
         .assert("INFO", json!({"pending_queries": 0}));
-    edge.wait_for("shutdown complete")
+    process
+        .wait_for("shutdown complete")
         .assert("INFO", json!({"pending_queries": 0}));
-    assert_counters(&edge.wait_for("counters"));
+    assert_counters(&process.wait_for("counters"));
 }
 
 /// Asserts that each field is a number, and the values after one reload that was applied and one
@@ -61,17 +64,17 @@
 fn a_text_line_has_the_level_the_message_and_the_fields() {
     let server = FeatureServer::healthy(0..6, 2);
     let admin = "mgmt = \"127.0.0.1:0\"";
-    let edge = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
+    let process = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
     // A SIGHUP before that line may come before the process handles it.
-    edge.management_address();
-    edge.signal("HUP");
+    process.management_address();
+    process.signal("HUP");
     assert_eq!(
-        edge.wait_for_log("inventory"),
+        process.wait_for_log("inventory"),
         "quinceflow: INFO inventory reloaded servers=1"
     );
-    edge.write_inventory("a,nowhere,devices,\n");
-    edge.signal("HUP");
-    let rejected = edge.wait_for_log("inventory");
+    process.write_inventory("a,nowhere,devices,\n");
+    process.signal("HUP");
+    let rejected = process.wait_for_log("inventory");
     assert!(
         rejected.starts_with("quinceflow: WARN inventory reload rejected error="),
         "{rejected}"
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -8,8 +8,8 @@
 
 /// Waits until the grace period of draining is over: a query to the collection `hung` times out
 /// after 400 ms.
-fn wait_for_drain_grace(edge: &Process) {
-    let timed_out = edge.get_with_headers("/collections/hung/items", "X-Qos: brief\r\n");
+fn wait_for_drain_grace(process: &Process) {
+    let timed_out = process.get_with_headers("/collections/hung/items", "X-Qos: brief\r\n");
     assert_eq!(timed_out.status, 504);
 }
 
@@ -23,17 +23,17 @@
     let rows_with_drain = inventory_row_in_state("a", &draining.server, "devices", "draining")
         + &inventory_row("b", &healthy, "devices")
         + &hung_row;
-    let edge = Process::start_edge("drain", "", &rows);
+    let process = Process::start_edge("drain", "", &rows);
 
     std::thread::scope(|scope| {
-        let client = scope.spawn(|| edge.get(ITEMS));
+        let client = scope.spawn(|| process.get(ITEMS));
         draining.wait_for_request();
-        edge.write_inventory("a,nowhere,devices,\n");
-        edge.signal("HUP");
-        let rejected = edge.wait_for_log("inventory reload rejected");
+        process.write_inventory("a,nowhere,devices,\n");
+        process.signal("HUP");
+        let rejected = process.wait_for_log("inventory reload rejected");
         assert!(rejected.contains("i.csv:2: address: "));
-        edge.reload_inventory(&rows_with_drain);
-        wait_for_drain_grace(&edge);
+        process.reload_inventory(&rows_with_drain);
+        wait_for_drain_grace(&process);
         draining.open();
         let response = client.join().expect("a response");
         assert_eq!((response.status, response.ids()), (200, expected(0..6)));
@@ -45,20 +45,20 @@
         1,
         "no page was requested after the grace period"
     );
-    assert_eq!(edge.get(ITEMS).status, 200);
+    assert_eq!(process.get(ITEMS).status, 200);
     assert_eq!(requests(), 1);
 }
 
 #[test]
 fn queries_beyond_max_in_flight_are_rejected_with_retry_after() {
     let hung = FeatureServer::start(|_| Reply::Hang);
-    let edge = Process::start_edge(
+    let process = Process::start_edge(
         "burst",
         "most_held = 4\nretry_after_ms = 1500",
         &inventory_row("a", &hung, "devices"),
     );
     let statuses = std::thread::scope(|scope| {
-        let send = || edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
+        let send = || process.get_with_headers(ITEMS, "X-Qos: brief\r\n");
         let clients: Vec<_> = (0..12).map(|_| scope.spawn(send)).collect();
         clients
             .into_iter()
@@ -82,32 +82,35 @@
 fn after_sigterm_pending_queries_are_answered_before_the_exit() {
     let gated = GatedServer::start(0..2, 2);
     let rows = inventory_row("a", &gated.server, "devices");
-    let mut edge = Process::start_edge("end", "", &rows);
+    let mut process = Process::start_edge("end", "", &rows);
     std::thread::scope(|scope| {
-        let client =
-            scope.spawn(|| edge.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
+        let client = scope
+            .spawn(|| process.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
         gated.wait_for_request();
-        edge.signal("TERM");
-        edge.wait_for_log("graceful shutdown started");
+        process.signal("TERM");
+        process.wait_for_log("graceful shutdown started");
         gated.open();
         // The connection is persistent: it ends with the program.
         assert_eq!(client.join().expect("a response").status, 200);
     });
-    assert!(edge.wait_for_exit());
+    assert!(process.wait_for_exit());
 }
 
 #[test]
 fn feature_queries_are_counted_by_class() {
     let server = FeatureServer::healthy(0..3, 2);
-    let edge = Process::start_edge(
+    let process = Process::start_edge(
         "figures",
         "mgmt = \"127.0.0.1:0\"",
         &inventory_row("a", &server, "devices"),
     );
-    let dump = |call: &str| management_call(edge.management_address(), call);
+    let dump = |call: &str| management_call(process.management_address(), call);
     while dump("HEALTH\n") != "YES\n" {}
-    assert_eq!(edge.get(ITEMS).status, 200);
-    assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: once\r\n").status, 200);
+    assert_eq!(process.get(ITEMS).status, 200);
+    assert_eq!(
+        process.get_with_headers(ITEMS, "X-Qos: once\r\n").status,
+        200
+    );
     let text = dump("DUMP\n");
     // A page is an attempt, and an answer of two pages one answer.
     for figure in [
@@ -136,9 +139,9 @@
         // A process for each: one that knows the server to hang rejects queries by itself.
         let hung = FeatureServer::start(|_| Reply::Hang);
         let test = format!("unread-{bytes}");
-        let edge = Process::start_edge(&test, "", &inventory_row("a", &hung, "devices"));
+        let process = Process::start_edge(&test, "", &inventory_row("a", &hung, "devices"));
         let request = format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n");
-        disconnect_behind(send_request(&edge, &request), bytes);
-        edge.wait_for_counter("queries_abandoned", 1);
+        disconnect_behind(send_request(&process, &request), bytes);
+        process.wait_for_counter("queries_abandoned", 1);
     }
 }
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -11,8 +11,8 @@
     let north = FeatureServer::healthy(0..7, 3);
     let south = FeatureServer::healthy(100..105, 2);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("pages", "", &rows);
-    let complete = edge.get(ITEMS);
+    let process = Process::start_edge("pages", "", &rows);
+    let complete = process.get(ITEMS);
     let all: Vec<String> = expected(0..7)
         .into_iter()
         .chain(expected(100..105))
@@ -28,7 +28,7 @@
     let mut returned = Vec::new();
     let mut next = Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9"));
     while let Some(target) = next {
-        let page = edge.get(&target);
+        let page = process.get(&target);
         assert!(page.ids().len() <= 4);
         returned.extend(page.ids());
         next = page.link("next");
@@ -50,8 +50,8 @@
         Reply::Json(body) => Reply::CloseDelimited(body),
         other => other,
     });
-    let edge = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
-    let response = edge.get(ITEMS);
+    let process = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
+    let response = process.get(ITEMS);
     assert_eq!((response.status, response.ids()), (200, expected(0..6)));
     assert_eq!(server.count_requests(|_| true), 3);
 }
@@ -100,10 +100,10 @@
         + &inventory_row("c", &endless, "endless")
         + &inventory_row("d", &large, "large");
     let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
-    let edge = Process::start_edge("links", settings, &rows);
+    let process = Process::start_edge("links", settings, &rows);
 
     for name in ["away", "round", "large"] {
-        let status = edge.get(&format!("/collections/{name}/items")).status;
+        let status = process.get(&format!("/collections/{name}/items")).status;
         assert!(status >= 500, "{name}");
     }
     assert_eq!(elsewhere.count_requests(|_| true), 0);
@@ -112,7 +112,7 @@
 
     // Endless links without a new feature: the one feature is returned once, after at most two
     // attempts of two pages.
-    let response = edge.get("/collections/endless/items");
+    let response = process.get("/collections/endless/items");
     assert_eq!((response.status, response.ids()), (200, expected(0..1)));
     let requests = endless.count_requests(|_| true);
     assert!(requests <= 4, "{requests}");
@@ -125,12 +125,12 @@
     let other = FeatureServer::healthy(0..6, 2);
     let other_row = inventory_row("b", &other, "devices");
     let rows_with = |state| inventory_row_in_state("a", &server, "devices", state) + &other_row;
-    let edge = Process::start_edge("drained-link", "", &inventory_row("a", &server, "devices"));
-    let first = edge.get(&format!("{ITEMS}?limit=2"));
+    let process = Process::start_edge("drained-link", "", &inventory_row("a", &server, "devices"));
+    let first = process.get(&format!("{ITEMS}?limit=2"));
     let next = first.link("next").expect("more features");
 
-    edge.reload_inventory(&rows_with("draining"));
-    let draining = edge.get(&next);
+    process.reload_inventory(&rows_with("draining"));
+    let draining = process.get(&next);
     assert_eq!(
         (
             draining.status,
@@ -138,11 +138,11 @@
         ),
         (503, true)
     );
-    edge.reload_inventory(&rows_with("in_service"));
-    let served = edge.get(&next);
+    process.reload_inventory(&rows_with("in_service"));
+    let served = process.get(&next);
     assert_eq!((served.status, served.ids()), (200, expected(2..4)));
-    edge.reload_inventory(&other_row);
-    assert_eq!(edge.get(&next).status, 410);
+    process.reload_inventory(&other_row);
+    assert_eq!(process.get(&next).status, 410);
 }
 
 /// Guards against a page that is requested from a server that no longer has its shard.
@@ -153,16 +153,16 @@
         inventory_row("a", &servers[0], first) + &inventory_row("b", &servers[1], "devices/n")
     };
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let edge = Process::start_edge("moved-link", settings, &rows("devices/n"));
+    let process = Process::start_edge("moved-link", settings, &rows("devices/n"));
     let mut next = None;
     while servers[0].count_requests(|_| true) == 0 {
-        next = edge.get(&format!("{ITEMS}?limit=2")).link("next");
+        next = process.get(&format!("{ITEMS}?limit=2")).link("next");
     }
     let next = next.expect("more features");
-    edge.reload_inventory(&rows("devices/m"));
+    process.reload_inventory(&rows("devices/m"));
     let requests = servers[0].count_requests(|_| true);
     for _ in 0..4 {
-        let served = edge.get(&next);
+        let served = process.get(&next);
         assert_eq!((served.status, served.ids()), (200, expected(2..4)));
     }
     assert_eq!(servers[0].count_requests(|_| true), requests);
--- a/tests/ogc/resources.rs
+++ b/tests/ogc/resources.rs
@@ -25,44 +25,44 @@
 #[test]
 fn core_resources_and_their_errors_are_served() {
     let server = FeatureServer::healthy(0..3, 10);
-    let edge = Process::start_edge("core", "", &inventory_row("a", &server, "devices"));
-    assert_resources_are_served(&edge);
-    assert_polygon_is_requested_as_its_envelope(&edge, &server);
+    let process = Process::start_edge("core", "", &inventory_row("a", &server, "devices"));
+    assert_resources_are_served(&process);
+    assert_polygon_is_requested_as_its_envelope(&process, &server);
     for target in UNKNOWN_TARGETS {
-        assert_problem_document(&edge, target, 404);
+        assert_problem_document(&process, target, 404);
     }
     for target in INVALID_TARGETS {
-        assert_problem_document(&edge, target, 400);
+        assert_problem_document(&process, target, 400);
     }
     let post = "POST / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    assert_eq!(edge.send_request(post).status, 405);
-    assert_eq!(edge.send_request("no http at all\r\n\r\n").status, 400);
+    assert_eq!(process.send_request(post).status, 405);
+    assert_eq!(process.send_request("no http at all\r\n\r\n").status, 400);
 }
 
 /// Asserts that the links of the landing page lead to resources, and that collections and features
 /// are served.
-fn assert_resources_are_served(edge: &Process) {
-    let landing = edge.get("/");
+fn assert_resources_are_served(process: &Process) {
+    let landing = process.get("/");
     for rel in ["self", "service-desc", "conformance", "data"] {
         let target = landing.link(rel).unwrap_or_else(|| panic!("no {rel}"));
-        assert_eq!(edge.get(&target).status, 200, "{rel}");
+        assert_eq!(process.get(&target).status, 200, "{rel}");
     }
-    assert_eq!(edge.get("/up").status, 200);
-    let collections = edge.get("/collections").json();
+    assert_eq!(process.get("/up").status, 200);
+    let collections = process.get("/collections").json();
     assert_eq!(collections["collections"][0]["id"], "devices");
-    let collection = edge.get("/collections/devices");
+    let collection = process.get("/collections/devices");
     assert_eq!(collection.link("items").as_deref(), Some(ITEMS));
-    let feature = edge.get("/collections/devices/items/d1");
+    let feature = process.get("/collections/devices/items/d1");
     assert_eq!(feature.status, 200);
     assert_eq!(feature.json()["id"].as_str(), Some("d1"));
 }
 
 /// Asserts that a server that does not declare filters is asked for the envelope of the polygon
 /// only.
-fn assert_polygon_is_requested_as_its_envelope(edge: &Process, server: &FeatureServer) {
+fn assert_polygon_is_requested_as_its_envelope(process: &Process, server: &FeatureServer) {
     let polygon =
         "filter=S_INTERSECTS(geometry,POLYGON((0%200,9%200,9%209,0%200)))&filter-lang=cql2-text";
-    assert_eq!(edge.get(&format!("{ITEMS}?{polygon}")).status, 200);
+    assert_eq!(process.get(&format!("{ITEMS}?{polygon}")).status, 200);
     let with_filter = server.count_requests(|target| target.contains("filter="));
     assert_eq!(with_filter, 0);
     let with_envelope = server.count_requests(|target| target.contains("bbox=0%2C0%2C9%2C9"));
@@ -70,8 +70,8 @@
 }
 
 /// Asserts that a target gets this status, in the head and in a problem document.
-fn assert_problem_document(edge: &Process, target: &str, status: u16) {
-    let response = edge.get(target);
+fn assert_problem_document(process: &Process, target: &str, status: u16) {
+    let response = process.get(target);
     assert_eq!(response.status, status, "{target}");
     let media_type = &response.headers["content-type"];
     assert_eq!(media_type, "application/problem+json", "{target}");
--- a/tests/ogc_run/faults.rs
+++ b/tests/ogc_run/faults.rs
@@ -18,7 +18,7 @@
         }
         run.inject_faults(Duration::from_secs_f64(minutes * 60.0));
     });
-    println!("{}", run.edge.log_counters());
+    println!("{}", run.process.log_counters());
     run.print_findings(minutes);
 
     let starts = run.non_idempotent_starts_per_page();
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -60,7 +60,7 @@
 
 /// The program under test with its feature servers, and the records of the run.
 pub struct Run {
-    pub edge: Process,
+    pub process: Process,
     pub servers: Vec<FeatureServer>,
     /// The fault of each server, as an index into [`FAULTS`].
     pub faults: Vec<Arc<AtomicUsize>>,
@@ -84,7 +84,7 @@
             .map(|(n, fault)| server(shards_of(n), fault.clone()))
             .collect();
         Run {
-            edge: Process::start_edge("run", SETTINGS, &inventory(&servers, None)),
+            process: Process::start_edge("run", SETTINGS, &inventory(&servers, None)),
             servers,
             faults,
             over: AtomicBool::new(false),
@@ -142,7 +142,7 @@
     pub fn request(&self, query: QueryId, target: &str) -> Response {
         let headers = format!("X-Qos: {}\r\nX-Expires-In: 1.5\r\n", query.class());
         let start = Instant::now();
-        let response = self.edge.get_with_headers(target, &headers);
+        let response = self.process.get_with_headers(target, &headers);
         let elapsed_ms = start.elapsed().as_millis();
         if elapsed_ms >= MAX_RESPONSE_MS {
             println!(
@@ -203,10 +203,10 @@
 
     /// Reloads the inventory, in which this server drains.
     pub fn reload_inventory(&self, draining: Option<usize>) {
-        self.edge
+        self.process
             .write_inventory(&inventory(&self.servers, draining));
-        self.edge.signal("HUP");
-        self.edge.wait_for_log("inventory reloaded");
+        self.process.signal("HUP");
+        self.process.wait_for_log("inventory reloaded");
     }
 
     /// Returns the starts so far of the queries that `matches` selects, over all servers.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -52,30 +52,30 @@
 fn a_reload_moves_the_watch_and_keeps_the_endpoint_list() {
     // A reload moves the watch of discovery too: a drain that the new address sends is received.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, first) = Deployment::BASIC.start("moved", &nodes);
-    edge.wait_until_ready();
-    wait_for_endpoint_updates(&edge, 2);
-    edge.write_configuration("{\"discovery\":\"nowhere\"}");
-    edge.signal("HUP");
-    edge.wait_for_log("configuration reload rejected error=");
+    let (process, first) = Deployment::BASIC.start("moved", &nodes);
+    process.wait_until_ready();
+    wait_for_endpoint_updates(&process, 2);
+    process.write_configuration("{\"discovery\":\"nowhere\"}");
+    process.signal("HUP");
+    process.wait_for_log("configuration reload rejected error=");
     assert_eq!(
-        query(&edge, "q0", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     // The new address sends a drain as a change to the version that the old one sent last.
     let new_discovery = Discovery::start(changed_endpoints(2, &[terminating(0, nodes[0].address)]));
-    edge.write_configuration(
-        &edge.configuration_with("/discovery", json!(new_discovery.address.to_string())),
+    process.write_configuration(
+        &process.configuration_with("/discovery", json!(new_discovery.address.to_string())),
     );
-    edge.signal("HUP");
-    edge.wait_for_log("configuration reloaded discovery=");
-    wait_for_endpoint_updates(&edge, 3);
+    process.signal("HUP");
+    process.wait_for_log("configuration reloaded discovery=");
+    wait_for_endpoint_updates(&process, 3);
     assert!(
         new_discovery.requests()[0].contains("since=1"),
         "it resumes from the last version"
     );
     let before = nodes[0].received_parts().len();
-    assert_lookups_are_served(&edge, 1..10);
+    assert_lookups_are_served(&process, 1..10);
     assert_eq!(nodes[0].received_parts().len(), before);
     drop(first);
 }
@@ -87,8 +87,8 @@
         _ => NodeBehaviour::Serve,
     });
     let nodes = [DataNode::serving(), fails_once];
-    let (edge, _changes) = Deployment::BASIC.start("mgmt", &nodes);
-    let address = edge.management_address();
+    let (process, _changes) = Deployment::BASIC.start("mgmt", &nodes);
+    let address = process.management_address();
     // More callers than the endpoint has places for, each with half a call.
     let mut idle: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(address).expect("accepted"))
@@ -103,8 +103,11 @@
         "a line without an end is no call"
     );
     // One part fails once and is retried; one query names an unknown class.
-    assert_lookups_are_served(&edge, 0..5);
-    assert_eq!(query(&edge, "q5", Class("none"), Shards(&[0])).status, 400);
+    assert_lookups_are_served(&process, 0..5);
+    assert_eq!(
+        query(&process, "q5", Class("none"), Shards(&[0])).status,
+        400
+    );
     let dump = management_call(address, "DUMP\r\n");
     assert!(dump.starts_with("YES\n"), "{dump}");
     assert!(dump.ends_with("\nEND\n"), "{dump}");
@@ -129,20 +132,20 @@
     let silent_discovery = bind_loopback();
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
-    let edge = Deployment::BASIC.start_with_discovery(
+    let process = Deployment::BASIC.start_with_discovery(
         "news",
         silent_discovery.local_addr().expect("bound"),
         &addresses,
     );
     assert_eq!(
-        management_call(edge.management_address(), "HEALTH\n"),
+        management_call(process.management_address(), "HEALTH\n"),
         "NO the servers are not known yet\n"
     );
     let (mut watch, _) = silent_discovery.accept().expect("a watch");
     let first_list = complete_list(1, &all_in_service(&addresses));
     write_chunked_head(&mut watch).expect("it listens");
     write_line_chunk(&mut watch, &first_list).expect("it listens");
-    while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
+    while management_call(process.management_address(), "HEALTH\n") != "YES\n" {}
 }
 
 /// Returns the configuration without one of its keys.
@@ -158,7 +161,7 @@
 }
 
 /// Returns configurations that are cut off, lack a key or have an invalid value.
-fn invalid_configurations(edge: &Process, complete: &str) -> Vec<String> {
+fn invalid_configurations(process: &Process, complete: &str) -> Vec<String> {
     vec![
         String::new(),
         complete[..complete.len() / 2].to_owned(),
@@ -167,18 +170,18 @@
         without_key(complete, "/settings", "limits"),
         without_key(complete, "/settings/limits", "max-attempts"),
         without_key(complete, "/settings/classes/2", "late-worth"),
-        edge.configuration_with("/settings/limits/max-attempts", json!(0)),
-        edge.configuration_with("/settings/limits/max-attempts", json!(-1)),
-        edge.configuration_with("/settings/classes/1/deadline", json!(0)),
-        edge.configuration_with("/settings/classes/1/deadline", json!("soon")),
-        edge.configuration_with("/settings/classes/1/name", json!("lookup")),
-        edge.configuration_with("/settings/classes", json!([])),
-        edge.configuration_with("/settings/balancers", json!(0)),
-        edge.configuration_with("/settings/tick", json!(0)),
-        edge.configuration_with("/settings/family-info/slices", json!(0)),
-        edge.configuration_with("/settings/family-info/in-a-row", json!(0)),
-        edge.configuration_with("/settings/classes/0/points", json!(-1.0)),
-        edge.configuration_with("/discovery", json!("nowhere")),
+        process.configuration_with("/settings/limits/max-attempts", json!(0)),
+        process.configuration_with("/settings/limits/max-attempts", json!(-1)),
+        process.configuration_with("/settings/classes/1/deadline", json!(0)),
+        process.configuration_with("/settings/classes/1/deadline", json!("soon")),
+        process.configuration_with("/settings/classes/1/name", json!("lookup")),
+        process.configuration_with("/settings/classes", json!([])),
+        process.configuration_with("/settings/balancers", json!(0)),
+        process.configuration_with("/settings/tick", json!(0)),
+        process.configuration_with("/settings/family-info/slices", json!(0)),
+        process.configuration_with("/settings/family-info/in-a-row", json!(0)),
+        process.configuration_with("/settings/classes/0/points", json!(-1.0)),
+        process.configuration_with("/discovery", json!("nowhere")),
     ]
 }
 
@@ -197,23 +200,29 @@
 fn a_reload_applies_a_complete_file_or_nothing() {
     // A file that parses but is not complete changes nothing, the address of discovery included.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
-    let management_address = edge.management_address();
-    edge.wait_until_ready();
-    let complete = edge.configuration_with("/name", json!("n0"));
+    let (process, _changes) = Deployment::BASIC.start("retune", &nodes);
+    let management_address = process.management_address();
+    process.wait_until_ready();
+    let complete = process.configuration_with("/name", json!("n0"));
 
-    let invalid = invalid_configurations(&edge, &complete);
+    let invalid = invalid_configurations(&process, &complete);
     for text in &invalid {
-        edge.write_configuration(text);
-        edge.signal("HUP");
-        edge.wait_for_log("configuration reload rejected error=");
+        process.write_configuration(text);
+        process.signal("HUP");
+        process.wait_for_log("configuration reload rejected error=");
     }
-    assert_eq!(query(&edge, "q0", Class("later"), Shards(&[0])).status, 400);
-    assert_eq!(query(&edge, "q1", Class("brief"), Shards(&[0])).status, 200);
+    assert_eq!(
+        query(&process, "q0", Class("later"), Shards(&[0])).status,
+        400
+    );
+    assert_eq!(
+        query(&process, "q1", Class("brief"), Shards(&[0])).status,
+        200
+    );
 
-    edge.write_configuration(&changed_configuration(&complete));
-    edge.signal("HUP");
-    let reloaded = edge.wait_for_log("configuration reloaded");
+    process.write_configuration(&changed_configuration(&complete));
+    process.signal("HUP");
+    let reloaded = process.wait_for_log("configuration reloaded");
     assert!(reloaded.ends_with("classes=\"lookup later send\""));
     for (id, class, status) in [
         ("q2", "brief", 400),
@@ -221,7 +230,7 @@
         ("q4", "later", 200),
         ("q5", "lookup", 200),
     ] {
-        let response = query(&edge, id, Class(class), Shards(&[0, 1]));
+        let response = query(&process, id, Class(class), Shards(&[0, 1]));
         assert_eq!(response.status, status, "{class}");
     }
 
@@ -322,7 +331,7 @@
 fn invalid_settings_end_the_start_with_their_key() {
     // Settings are checked at the start as at a reload: no default replaces an invalid value.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("refused", &nodes);
+    let (process, _changes) = Deployment::BASIC.start("refused", &nodes);
     for (pointer, value, key) in [
         ("/settings/limits/max-attempts", json!(0), "max-attempts"),
         (
@@ -336,20 +345,20 @@
             "quinceflow-refused-{}-{key}.json",
             std::process::id()
         ));
-        std::fs::write(&path, edge.configuration_with(pointer, value)).expect("written");
-        let mut process = std::process::Command::new(env!("CARGO_BIN_EXE_quinceflow"))
+        std::fs::write(&path, process.configuration_with(pointer, value)).expect("written");
+        let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_quinceflow"))
             .env("NODE_CONFIG", &path)
             .stderr(std::process::Stdio::piped())
             .spawn()
             .expect("it starts");
         // The first line is the error, or that the process listens; either way it is killed then.
         let mut line = String::new();
-        BufReader::new(process.stderr.take().expect("piped"))
+        BufReader::new(child.stderr.take().expect("piped"))
             .read_line(&mut line)
             .expect("a log line");
-        let _ = process.kill();
+        let _ = child.kill();
         assert!(
-            !process.wait().expect("ended").success() && line.contains(key),
+            !child.wait().expect("ended").success() && line.contains(key),
             "{line}"
         );
         let _ = std::fs::remove_file(&path);
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -47,13 +47,13 @@
 
 /// Returns all identifiers over the `next` links and the number of responses; `between` is called
 /// before each response with its number.
-fn follow(edge: &Process, first: &str, mut between: impl FnMut(usize)) -> (Vec<String>, usize) {
+fn follow(process: &Process, first: &str, mut between: impl FnMut(usize)) -> (Vec<String>, usize) {
     let mut ids = Vec::new();
     let mut next = Some(first.to_owned());
     let mut responses = 0;
     while let Some(target) = next {
         between(responses);
-        let response = edge.get(&target);
+        let response = process.get(&target);
         if response.status == 503 {
             assert!(response.headers.contains_key("retry-after"));
             next = Some(target);
@@ -89,9 +89,9 @@
     let north = server(0..20_000);
     let south = server(20_000..40_000);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("cost", "", &rows);
+    let process = Process::start_edge("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
-    let two = edge.get(&format!("{ITEMS}?limit=2"));
+    let two = process.get(&format!("{ITEMS}?limit=2"));
     assert_eq!(
         (
             two.ids().len(),
@@ -102,7 +102,7 @@
     );
     for (limit, pages) in [(500, 80), (5_000, 80)] {
         let before = requests();
-        let (ids, responses) = follow(&edge, &format!("{ITEMS}?limit={limit}"), |_| {});
+        let (ids, responses) = follow(&process, &format!("{ITEMS}?limit={limit}"), |_| {});
         each_once(ids, 40_000);
         let requests = requests() - before;
         assert!(
@@ -127,15 +127,15 @@
     let rows = inventory_row("a", &a, "devices/n")
         + &inventory_row("b", &b, "devices/n")
         + &inventory_row("c", &other, "devices/s");
-    let edge = Process::start_edge("differ", "retry_after_ms = 50", &rows);
-    let (ids, _) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
+    let process = Process::start_edge("differ", "retry_after_ms = 50", &rows);
+    let (ids, _) = follow(&process, &format!("{ITEMS}?limit=100"), |response| {
         // Each is down before one response, and both are up again at the next.
         down[0].store(response == 3, Relaxed);
         down[1].store(response == 7, Relaxed);
         if response == 5 {
             let unreachable =
                 inventory_row("d", &b, "more").replace(&b.address.to_string(), "127.0.0.1:9");
-            edge.reload_inventory(&(rows.clone() + &unreachable));
+            process.reload_inventory(&(rows.clone() + &unreachable));
         }
     });
     each_once(ids, 3_000);
@@ -148,8 +148,8 @@
 }
 
 /// Asserts that a target gets a problem document of this status, whose detail contains these words.
-fn assert_problem(edge: &Process, target: &str, status: u16, words: &str) {
-    let response = edge.get(target);
+fn assert_problem(process: &Process, target: &str, status: u16, words: &str) {
+    let response = process.get(target);
     let problem = response.json();
     let detail = problem["detail"].as_str().unwrap_or_default();
     assert_eq!(response.status, status, "{target}: {detail}");
@@ -161,23 +161,23 @@
     let north = server(0..50);
     let south = server(100..150);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("cursors", "", &rows);
-    let next = edge
+    let process = Process::start_edge("cursors", "", &rows);
+    let next = process
         .get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9"))
         .link("next")
         .expect("a next link");
-    assert_eq!(edge.get(&next).status, 200);
+    assert_eq!(process.get(&next).status, 200);
     let foreign = next.replace("bbox=0%2C0%2C9%2C9", "bbox=0%2C0%2C9%2C8");
-    assert_problem(&edge, &foreign, 400, "another query");
+    assert_problem(&process, &foreign, 400, "another query");
     let forged = format!("{ITEMS}?cursor=AAAA");
-    assert_problem(&edge, &forged, 400, "not made by this service");
+    assert_problem(&process, &forged, 400, "not made by this service");
     let longer = next.replace("limit=10", "limit=20");
-    assert_eq!(edge.get(&longer).status, 200, "the limit may change");
+    assert_eq!(process.get(&longer).status, 200, "the limit may change");
     // The server that knows how its pages continue has been removed.
     let replaced =
         inventory_row("e", &server(0..50), "devices/n") + &inventory_row("b", &south, "devices/s");
-    edge.reload_inventory(&replaced);
-    assert_problem(&edge, &next, 410, "begin anew");
+    process.reload_inventory(&replaced);
+    assert_problem(&process, &next, 410, "begin anew");
 }
 
 #[test]
@@ -186,8 +186,8 @@
     let [a, b] = [0, 1].map(|n| replica(&down[n], 0..1_000, |next| next));
     let rows = inventory_row("a", &a, "devices/n") + &inventory_row("b", &b, "devices/n");
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let edge = Process::start_edge("order", settings, &rows);
-    let (ids, responses) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
+    let process = Process::start_edge("order", settings, &rows);
+    let (ids, responses) = follow(&process, &format!("{ITEMS}?limit=100"), |response| {
         down[0].store((2..5).contains(&response), Relaxed);
         down[1].store((6..9).contains(&response), Relaxed);
     });
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -22,12 +22,12 @@
                 _ => NodeBehaviour::Serve,
             })
         });
-        let (edge, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
-        edge.wait_until_ready();
+        let (process, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
+        process.wait_until_ready();
         let seen = |node: &DataNode| node.received_parts().len();
         for n in 0..1_000 {
             assert_eq!(
-                query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
+                query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
                 200,
                 "query {n}"
             );
@@ -53,11 +53,11 @@
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
     ];
-    let (edge, _changes) = Deployment::BASIC.start("closed", &nodes);
-    edge.wait_until_ready();
+    let (process, _changes) = Deployment::BASIC.start("closed", &nodes);
+    process.wait_until_ready();
     for n in 0..10 {
         assert_eq!(
-            query(&edge, &format!("q{n}"), Class("send"), Shards(&[0])).status,
+            query(&process, &format!("q{n}"), Class("send"), Shards(&[0])).status,
             200,
             "query {n}"
         );
@@ -77,13 +77,13 @@
     // Incomplete requests and silent connections have a limit of time, and are evicted for new
     // clients.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment {
+    let (process, _changes) = Deployment {
         descriptors: 60,
         ..Deployment::BASIC
     }
     .start("silent", &nodes);
-    edge.wait_until_ready();
-    let connect = || TcpStream::connect(edge.address).expect("the machine accepts");
+    process.wait_until_ready();
+    let connect = || TcpStream::connect(process.address).expect("the machine accepts");
     let mut half = connect();
     write!(
         half,
@@ -99,7 +99,7 @@
     );
     let mut crowd: Vec<TcpStream> = (0..150).map(|_| connect()).collect();
     assert_eq!(
-        query(&edge, "q1", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q1", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     for silent in &mut crowd {
@@ -112,8 +112,8 @@
 fn an_error_response_reaches_a_client_that_keeps_sending() {
     // A close with unread input sends a reset, by which the client would lose the error.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("linger", &nodes);
-    let mut client = TcpStream::connect(edge.address).expect("it listens");
+    let (process, _changes) = Deployment::BASIC.start("linger", &nodes);
+    let mut client = TcpStream::connect(process.address).expect("it listens");
     write!(
         client,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n"
@@ -141,22 +141,22 @@
 #[test]
 fn queries_are_served_while_descriptors_are_exhausted() {
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment {
+    let (process, _changes) = Deployment {
         descriptors: 40,
         ..Deployment::BASIC
     }
     .start("descriptors", &nodes);
-    edge.wait_until_ready();
+    process.wait_until_ready();
     assert_eq!(
-        query(&edge, "q0", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     let crowd: Vec<TcpStream> = (0..100)
-        .map(|_| TcpStream::connect(edge.address).expect("the machine accepts"))
+        .map(|_| TcpStream::connect(process.address).expect("the machine accepts"))
         .collect();
     for n in 1..10 {
         assert_eq!(
-            query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
+            query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
             200
         );
     }
@@ -167,18 +167,18 @@
 fn after_sigterm_persistent_connections_are_served_before_they_are_closed() {
     // Responses after the signal do not close their connections, and new clients are accepted.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (mut edge, _changes) = Deployment {
+    let (mut process, _changes) = Deployment {
         latency_objective_ms: 1_000,
         ..Deployment::BASIC
     }
     .start("term", &nodes);
-    edge.wait_until_ready();
-    let mut kept = TcpStream::connect(edge.address).expect("it listens");
+    process.wait_until_ready();
+    let mut kept = TcpStream::connect(process.address).expect("it listens");
     // A connection with half a request is not idle.
     write!(kept, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("written");
-    edge.signal("HUP");
-    edge.signal("TERM");
-    edge.wait_for_log("graceful shutdown started");
+    process.signal("HUP");
+    process.signal("TERM");
+    process.wait_for_log("graceful shutdown started");
     write!(kept, "\r\n").expect("written");
     let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
     write!(
@@ -189,7 +189,7 @@
     )
     .expect("written");
     assert_eq!(
-        query(&edge, "q2", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q2", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     let mut text = String::new();
@@ -199,5 +199,5 @@
         "{text}"
     );
     assert!(!text.contains("Connection: close"), "{text}");
-    assert!(edge.wait_for_exit());
+    assert!(process.wait_for_exit());
 }
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -16,10 +16,15 @@
         DataNode::serving(),
         DataNode::serving(),
     ];
-    let (edge, _changes) = Deployment::BASIC.start("whole", &nodes);
-    edge.wait_until_ready();
+    let (process, _changes) = Deployment::BASIC.start("whole", &nodes);
+    process.wait_until_ready();
     for n in 0..20 {
-        let answer = query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1, 2]));
+        let answer = query(
+            &process,
+            &format!("q{n}"),
+            Class("lookup"),
+            Shards(&[0, 1, 2]),
+        );
         let cell = |s: u32| json!({"tablet": s, "cell": format!("cell{s}")});
         assert_eq!(answer.status, 200);
         assert_eq!(
@@ -60,12 +65,12 @@
             DataNode::start(first(struck.clone())),
             DataNode::start(first(struck)),
         ];
-        let (edge, _changes) =
+        let (process, _changes) =
             Deployment::BASIC.start(&format!("fault{}{class}", act as u8), &nodes);
-        edge.wait_until_ready();
-        let response = query(&edge, "q1", Class(class), Shards(&[0]));
+        process.wait_until_ready();
+        let response = query(&process, "q1", Class(class), Shards(&[0]));
         assert_eq!(response.status, status);
-        let dump = management_call(edge.management_address(), "DUMP\n");
+        let dump = management_call(process.management_address(), "DUMP\n");
         let errors = dump_value(&dump, &format!("node.responses.{class}.errors"));
         assert_eq!(errors, u64::from(status != 200), "{dump}");
         let sent: usize = nodes.iter().map(|n| n.received_parts().len()).sum();
@@ -80,17 +85,17 @@
 #[test]
 fn a_draining_node_receives_no_new_parts() {
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, changes) = Deployment::BASIC.start("drain", &nodes);
-    edge.wait_until_ready();
+    let (process, changes) = Deployment::BASIC.start("drain", &nodes);
+    process.wait_until_ready();
     assert_eq!(
-        query(&edge, "q0", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     changes.send(&changed_endpoints(2, &[terminating(0, nodes[0].address)]));
     // Until the process has counted three lists: the cached one, discovery's first, and this one.
     loop {
-        edge.signal("USR1");
-        if edge
+        process.signal("USR1");
+        if process
             .wait_for_log("counters")
             .contains(" endpoint_updates=3 ")
         {
@@ -100,7 +105,7 @@
     let before = nodes[0].received_parts().len();
     for n in 1..10 {
         assert_eq!(
-            query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
+            query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
             200
         );
     }
@@ -111,8 +116,8 @@
 fn after_an_unreadable_watch_event_the_complete_list_is_requested() {
     // A watch that resumed from the last good version would lose the change in the bad event.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, discovery) = Deployment::BASIC.start("line", &nodes);
-    edge.wait_until_ready();
+    let (process, discovery) = Deployment::BASIC.start("line", &nodes);
+    process.wait_until_ready();
     discovery.send("{no list");
     while discovery.requests().len() < 2 {
         // The stand-in notices that the watch is closed when it sends the next event.
@@ -125,7 +130,7 @@
         "{asked:?}"
     );
     assert_eq!(
-        query(&edge, "q1", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q1", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
 }
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -12,29 +12,35 @@
 #[test]
 fn expired_rejected_and_malformed_requests_get_their_status() {
     let nodes = [DataNode::hanging(), DataNode::hanging()];
-    let (edge, _changes) = Deployment::BASIC.start("hang", &nodes);
-    edge.wait_until_ready();
-    let late = query(&edge, "q0", Class("brief"), Shards(&[0]));
+    let (process, _changes) = Deployment::BASIC.start("hang", &nodes);
+    process.wait_until_ready();
+    let late = query(&process, "q0", Class("brief"), Shards(&[0]));
     assert_eq!(
         late.status, 503,
         "an idempotent class is rejected with Retry-After"
     );
     assert!(late.headers.contains_key("retry-after"));
-    assert_eq!(query(&edge, "q1", Class("none"), Shards(&[0])).status, 400);
     assert_eq!(
-        query(&edge, "q 2", Class("lookup"), Shards(&[0])).status,
+        query(&process, "q1", Class("none"), Shards(&[0])).status,
         400
     );
     assert_eq!(
-        query(&edge, "q3", Class("lookup"), Shards(&[9])).status,
+        query(&process, "q 2", Class("lookup"), Shards(&[0])).status,
         400
     );
-    assert_eq!(query(&edge, "q4", Class("lookup"), Shards(&[])).status, 400);
     assert_eq!(
-        query(&edge, "q5", Class("lookup"), Shards(&[1, 1])).status,
+        query(&process, "q3", Class("lookup"), Shards(&[9])).status,
         400
     );
-    assert_invalid_requests_are_rejected(&edge);
+    assert_eq!(
+        query(&process, "q4", Class("lookup"), Shards(&[])).status,
+        400
+    );
+    assert_eq!(
+        query(&process, "q5", Class("lookup"), Shards(&[1, 1])).status,
+        400
+    );
+    assert_invalid_requests_are_rejected(&process);
 }
 
 /// The parts of the text of a request that a test makes invalid.
@@ -95,17 +101,18 @@
 
 #[test]
 fn malformed_http_requests_get_their_status() {
-    let (edge, _changes) = Deployment::BASIC.start("malformed-http", &[DataNode::hanging()]);
-    edge.wait_until_ready();
-    assert_eq!(edge.get("/elsewhere").status, 404);
-    assert_eq!(edge.get("/api").status, 405);
+    let (process, _changes) = Deployment::BASIC.start("malformed-http", &[DataNode::hanging()]);
+    process.wait_until_ready();
+    assert_eq!(process.get("/elsewhere").status, 404);
+    assert_eq!(process.get("/api").status, 405);
     assert_eq!(
-        edge.send_request("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
+        process
+            .send_request("POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n")
             .status,
         413
     );
-    assert_eq!(edge.send_request("\u{1}\u{2}\r\n\r\n").status, 400);
-    let mut cut = TcpStream::connect(edge.address).expect("it listens");
+    assert_eq!(process.send_request("\u{1}\u{2}\r\n\r\n").status, 400);
+    let mut cut = TcpStream::connect(process.address).expect("it listens");
     write!(
         cut,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{{"
@@ -138,21 +145,21 @@
         DataNode::start(wait(gate.clone())),
         DataNode::start(wait(gate.clone())),
     ];
-    let (edge, _changes) = Deployment::BASIC.start("taken", &nodes);
-    edge.wait_until_ready();
+    let (process, _changes) = Deployment::BASIC.start("taken", &nodes);
+    process.wait_until_ready();
     std::thread::scope(|scope| {
-        let first = scope.spawn(|| query(&edge, "q1", Class("lookup"), Shards(&[0])).status);
+        let first = scope.spawn(|| query(&process, "q1", Class("lookup"), Shards(&[0])).status);
         while nodes.iter().all(|n| n.received_parts().is_empty()) {
             std::thread::yield_now();
         }
         assert_eq!(
-            query(&edge, "q1", Class("lookup"), Shards(&[0])).status,
+            query(&process, "q1", Class("lookup"), Shards(&[0])).status,
             409
         );
         drop(held);
         assert_eq!(first.join().expect("answered"), 200);
         assert_eq!(
-            query(&edge, "q1", Class("lookup"), Shards(&[0])).status,
+            query(&process, "q1", Class("lookup"), Shards(&[0])).status,
             200,
             "the id is free again"
         );
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -14,13 +14,13 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let agent = ControlledDiscovery::new();
-    let (edge, _watch) = Deployment {
+    let (process, _watch) = Deployment {
         latency_objective_ms: 8_000,
         ..Deployment::ALL_EFFECTS
     }
     .start_controlled("late", &agent, &addresses);
     let request = QueryRequest::new("late", Class("look"), Shards(&[0])).close_connection();
-    let client = send_request(&edge, &request.to_http());
+    let client = send_request(&process, &request.to_http());
     let recorder = FrameRecorder::start(nodes);
     let mut first = recorder.wait_for_frame();
     assert_eq!(first.kind, CALL);
@@ -32,10 +32,10 @@
         .expect("the next attempt");
     assert_ne!(other.node, first.node);
     write_answer(&mut first.stream, "late.0 broke 0 -\n").expect("written");
-    edge.wait_for_counter("attempts_cancelled", 1);
+    process.wait_for_counter("attempts_cancelled", 1);
     write_answer(&mut other.stream, "late.0 served 1 -\ncell").expect("written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
-    recorder.assert_no_further_call(edge);
+    recorder.assert_no_further_call(process);
 }
 
 /// Reads the ids of two parts, in one call or in two.
@@ -55,15 +55,15 @@
     let addresses = [healthy.address, listener.local_addr().expect("bound")];
     // Two shards, one on each node: the other holder is draining, so that the late part cannot be
     // retried elsewhere.
-    let (edge, mut watch) = Deployment {
+    let (process, mut watch) = Deployment {
         latency_objective_ms: 600,
         ..Deployment::ALL_EFFECTS
     }
     .start_controlled("after", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(0, addresses[0])]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     let request = QueryRequest::new("q", Class("some"), Shards(&[0, 1])).close_connection();
-    let client = send_request(&edge, &request.to_http());
+    let client = send_request(&process, &request.to_http());
     let (mut stream, _) = listener.accept().expect("a connection");
     let ids = read_two_part_ids(&mut stream);
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[0])).expect("written");
@@ -74,10 +74,10 @@
     // The late answer, then a query on the same connection.
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[1])).expect("written");
     let request = QueryRequest::new("next", Class("look"), Shards(&[1])).close_connection();
-    let next = send_request(&edge, &request.to_http());
+    let next = send_request(&process, &request.to_http());
     let next_ids = read_part_ids(&mut stream).expect("on the connection that is open");
     assert_eq!(next_ids, ["next.1"]);
     write_answer(&mut stream, "next.1 served 1 -\ncell").expect("written");
     assert!(read_until_close(next).starts_with("HTTP/1.1 200"));
-    edge.wait_for_counter("attempts_dispatched", 3);
+    process.wait_for_counter("attempts_dispatched", 3);
 }
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -27,7 +27,7 @@
 }
 
 /// Sends a query for each class and each kind of bytes behind the request.
-fn send_queries_with_trailing_bytes(edge: &Process) -> Vec<TcpStream> {
+fn send_queries_with_trailing_bytes(process: &Process) -> Vec<TcpStream> {
     let trailing_bytes = [
         String::new(),
         "POST /api HTT".to_owned(),
@@ -39,7 +39,7 @@
         for bytes in &trailing_bytes {
             let id = format!("left{}", clients.len());
             let request = QueryRequest::new(&id, Class(class), Shards(&ALL_SHARDS)).to_http();
-            let mut client = send_request(edge, &request);
+            let mut client = send_request(process, &request);
             // The process reads only part of the bytes; the rest is not waited for.
             client.set_nonblocking(true).expect("set");
             let _ = client.write(bytes.as_bytes());
@@ -54,25 +54,25 @@
     let nodes = [UnreachableNode::new(), UnreachableNode::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         cancellation,
         max_batch,
         ..Deployment::ALL_EFFECTS
     };
     let test = format!("left-{cancellation}-{max_batch}");
-    let (edge, _watch) = site.start_controlled(&test, &agent, &addresses);
+    let (process, _watch) = deployment.start_controlled(&test, &agent, &addresses);
 
-    let clients = send_queries_with_trailing_bytes(&edge);
+    let clients = send_queries_with_trailing_bytes(&process);
     let count = clients.len();
-    edge.wait_for_counter("queries_accepted", count as u64);
-    edge.wait_for_counter("attempts_dispatched", 2);
+    process.wait_for_counter("queries_accepted", count as u64);
+    process.wait_for_counter("attempts_dispatched", 2);
     drop(clients);
-    edge.wait_for_counter("queries_abandoned", count as u64);
+    process.wait_for_counter("queries_abandoned", count as u64);
 
     let recordings = nodes.map(RecordingNode::start);
-    let served = query(&edge, "stays", Class("look"), Shards(&ALL_SHARDS));
+    let served = query(&process, "stays", Class("look"), Shards(&ALL_SHARDS));
     assert_eq!(served.status, 200);
-    drop(edge);
+    drop(process);
     let received: Vec<String> = recordings
         .into_iter()
         .flat_map(RecordingNode::wait_until_closed)
@@ -115,28 +115,28 @@
     let addresses = nodes
         .each_ref()
         .map(|node| node.local_addr().expect("bound"));
-    let (edge, mut watch) =
+    let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("left-retry", &agent, &addresses);
     let request = QueryRequest::new("left", Class("look"), Shards(&[0]));
-    let client = send_request(&edge, &request.to_http());
+    let client = send_request(&process, &request.to_http());
     let recorder = FrameRecorder::start(nodes);
 
     // The node that receives the part answers once no node accepts parts, so that its retry waits.
     let mut rejected = recorder.wait_for_call();
     let draining = [0, 1].map(|index| terminating(index, addresses[index]));
     watch.send(&changed_endpoints(2, &draining));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     let rejection = format!("{} skipped 0 -\n", rejected.part_ids()[0]);
     write_answer(&mut rejected.stream, &rejection).expect("written");
-    edge.wait_for_counter("attempts_rejected", 1);
+    process.wait_for_counter("attempts_rejected", 1);
     drop(client);
-    edge.wait_for_counter("queries_abandoned", 1);
+    process.wait_for_counter("queries_abandoned", 1);
     watch.send(&changed_endpoints(3, &all_in_service(&addresses)));
-    edge.wait_for_counter("endpoint_updates", 4);
+    process.wait_for_counter("endpoint_updates", 4);
 
     // The nodes accept parts again: only that of another client is sent.
     let request = QueryRequest::new("stays", Class("look"), Shards(&[0]));
-    let other = send_request(&edge, &request.to_http());
+    let other = send_request(&process, &request.to_http());
     let mut served = recorder.wait_for_call();
     assert_eq!(served.part_ids(), ["stays.0"]);
     assert_ne!(served.node, rejected.node, "one call on each connection");
@@ -145,8 +145,8 @@
     let mut response = BufReader::new(other);
     response.read_line(&mut first).expect("an answer");
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
-    edge.wait_for_counter("attempts_dispatched", 2);
-    recorder.assert_no_further_call(edge);
+    process.wait_for_counter("attempts_dispatched", 2);
+    recorder.assert_no_further_call(process);
 }
 
 #[test]
@@ -154,15 +154,15 @@
     // When the process continues they are in the backlog, with their request and their close.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let agent = ControlledDiscovery::new();
-    let (edge, _watch) = Deployment::ALL_EFFECTS.start_controlled(
+    let (process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "unread",
         &agent,
         &nodes.each_ref().map(|n| n.address),
     );
-    edge.signal("STOP");
+    process.signal("STOP");
     for n in 0..20 {
         drop(send_request(
-            &edge,
+            &process,
             &QueryRequest::new(
                 &format!("left{n}"),
                 Class(["look", "once", "some", "key"][n % 4]),
@@ -172,14 +172,14 @@
         ));
     }
     let stays = send_request(
-        &edge,
+        &process,
         &QueryRequest::new("stays", Class("look"), Shards(&[0, 1]))
             .close_connection()
             .to_http(),
     );
-    edge.signal("CONT");
+    process.signal("CONT");
     assert!(read_until_close(stays).starts_with("HTTP/1.1 200"));
-    edge.wait_for_counter("queries_abandoned", 20);
+    process.wait_for_counter("queries_abandoned", 20);
     let mut received: Vec<_> = nodes.iter().flat_map(DataNode::received_parts).collect();
     received.sort();
     assert_eq!(received, ["stays.0", "stays.1"]);
@@ -192,12 +192,12 @@
     let nodes = [DataNode::hanging(), DataNode::hanging()];
     let agent = ControlledDiscovery::new();
     let addresses = nodes.each_ref().map(|node| node.address);
-    let (edge, _watch) =
+    let (process, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("unread-behind", &agent, &addresses);
     for (abandoned, bytes) in [(1, 1_500_000), (2, 3_000_000), (3, 60_000_000)] {
         let id = format!("left{abandoned}");
         let request = QueryRequest::new(&id, Class("look"), Shards(&[0]));
-        disconnect_behind(send_request(&edge, &request.to_http()), bytes);
-        edge.wait_for_counter("queries_abandoned", abandoned);
+        disconnect_behind(send_request(&process, &request.to_http()), bytes);
+        process.wait_for_counter("queries_abandoned", abandoned);
     }
 }
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -14,25 +14,25 @@
     let unreachable = UnreachableNode::new();
     let healthy = DataNode::serving();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         connect_timeout_ms: Some(150),
         ..Deployment::ALL_EFFECTS
     };
-    let (edge, _watch) = site.start_controlled(
+    let (process, _watch) = deployment.start_controlled(
         "late-dial",
         &agent,
         &[unreachable.address(), healthy.address],
     );
-    let clients = send_non_idempotent_queries(&edge);
+    let clients = send_non_idempotent_queries(&process);
     for client in clients {
         assert!(
             read_until_close(client).starts_with("HTTP/1.1 200"),
             "not sent there, so it may be retried"
         );
     }
-    edge.wait_for_counter("dials_failed", 1);
+    process.wait_for_counter("dials_failed", 1);
     let recording = RecordingNode::start(unreachable);
-    drop(edge);
+    drop(process);
     assert_eq!(recording.wait_until_closed(), Vec::<String>::new());
     let mut received = healthy.received_parts();
     received.sort();
@@ -48,11 +48,12 @@
     let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
     let agent = ControlledDiscovery::new();
-    let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
+    let (process, mut watch) =
+        Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
-        &edge,
+        &process,
         &QueryRequest::new("key", Class("key"), Shards(&[0]))
             .close_connection()
             .to_http(),
@@ -66,16 +67,16 @@
         3,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
-    edge.wait_for_counter("endpoint_updates", 4);
+    process.wait_for_counter("endpoint_updates", 4);
     // The part may have run; within its window it may be retried, on the node that accepts no
     // connection.
     drop(first);
-    edge.wait_for_counter("attempts_dispatched", 2);
-    edge.wait_for_counter("attempts_connect_failed", 1);
+    process.wait_for_counter("attempts_dispatched", 2);
+    process.wait_for_counter("attempts_connect_failed", 1);
     let recording = RecordingNode::start(unreachable);
     drop(client);
-    edge.wait_for_counter("queries_abandoned", 1);
-    drop(edge);
+    process.wait_for_counter("queries_abandoned", 1);
+    drop(process);
     assert_eq!(recording.wait_until_closed(), Vec::<String>::new());
 }
 
@@ -83,14 +84,20 @@
 fn an_idle_server_connection_is_closed_before_its_node_may_close_it() {
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         idle_timeout_ms: Some(600),
         ..Deployment::ALL_EFFECTS
     };
-    let (edge, _watch) = site.start_controlled("idle", &agent, &addresses);
-    assert_eq!(query(&edge, "q0", Class("once"), Shards(&[0])).status, 200);
-    edge.wait_for_counter("server_connections_idle_closed", 1);
-    assert_eq!(query(&edge, "q1", Class("once"), Shards(&[0])).status, 200);
+    let (process, _watch) = deployment.start_controlled("idle", &agent, &addresses);
+    assert_eq!(
+        query(&process, "q0", Class("once"), Shards(&[0])).status,
+        200
+    );
+    process.wait_for_counter("server_connections_idle_closed", 1);
+    assert_eq!(
+        query(&process, "q1", Class("once"), Shards(&[0])).status,
+        200
+    );
     let open: usize = nodes.iter().map(DataNode::connections).sum();
     assert_eq!(
         (
@@ -130,16 +137,17 @@
     let other = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
-    let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
+    let (process, mut watch) =
+        Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     assert_eq!(
-        query(&edge, "idle", Class("once"), Shards(&[0])).status,
+        query(&process, "idle", Class("once"), Shards(&[0])).status,
         200
     );
     let hung = QueryRequest::new("hung", Class("once"), Shards(&[0])).close_connection();
-    let hung = send_request(&edge, &hung.to_http());
-    edge.wait_for_counter("attempts_fully_written", 2);
+    let hung = send_request(&process, &hung.to_http());
+    process.wait_for_counter("attempts_fully_written", 2);
     assert_eq!(node.connections(), 1);
 
     wait_for_start_tolerance();
@@ -151,7 +159,7 @@
     assert!(started.elapsed() < Duration::from_secs(20));
     assert_eq!(node.received_parts(), ["idle.0", "hung.0"]);
 
-    let next = query(&edge, "next", Class("once"), Shards(&[0]));
+    let next = query(&process, "next", Class("once"), Shards(&[0]));
     assert_eq!((next.status, node.connections()), (200, 2));
     assert_eq!(node.received_parts(), ["idle.0", "hung.0", "next.0"]);
 }
@@ -164,28 +172,28 @@
     let other = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
-    let (edge, mut watch) =
+    let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("reborn-idle", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     for (revision, connections) in [(3, 2), (4, 3)] {
         assert_eq!(
-            query(&edge, "before", Class("once"), Shards(&[0])).status,
+            query(&process, "before", Class("once"), Shards(&[0])).status,
             200
         );
         wait_for_start_tolerance();
         let restarted = in_service(0, node.address).started_at(unix_ms());
         watch.send(&changed_endpoints(revision, &[restarted]));
-        edge.wait_for_counter("endpoint_updates", revision + 1);
+        process.wait_for_counter("endpoint_updates", revision + 1);
         assert_eq!(
-            query(&edge, "after", Class("once"), Shards(&[0])).status,
+            query(&process, "after", Class("once"), Shards(&[0])).status,
             200
         );
         assert_eq!(node.connections(), connections);
         // The same start again ends nothing.
         watch.send(&changed_endpoints(revision, &[restarted]));
         assert_eq!(
-            query(&edge, "again", Class("once"), Shards(&[0])).status,
+            query(&process, "again", Class("once"), Shards(&[0])).status,
             200
         );
         assert_eq!(node.connections(), connections);
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -16,18 +16,18 @@
         let nodes = [UnreachableNode::new(), UnreachableNode::new()];
         let addresses = [nodes[0].address(), nodes[1].address()];
         let agent = ControlledDiscovery::new();
-        let site = Deployment {
+        let deployment = Deployment {
             max_batch,
             ..Deployment::ALL_EFFECTS
         };
-        let (edge, mut watch) =
-            site.start_controlled(&format!("drain-dial-{max_batch}"), &agent, &addresses);
-        let clients = send_non_idempotent_queries(&edge);
-        edge.wait_for_counter("dials", 2);
-        edge.wait_for_counter("queries_accepted", 4);
+        let (process, mut watch) =
+            deployment.start_controlled(&format!("drain-dial-{max_batch}"), &agent, &addresses);
+        let clients = send_non_idempotent_queries(&process);
+        process.wait_for_counter("dials", 2);
+        process.wait_for_counter("queries_accepted", 4);
         watch.send(&changed_endpoints(2, &[terminating(0, addresses[0])]));
-        edge.wait_for_counter("endpoint_updates", 3);
-        edge.wait_for_counter("attempts_not_sent", 1);
+        process.wait_for_counter("endpoint_updates", 3);
+        process.wait_for_counter("attempts_not_sent", 1);
         let recordings = nodes.map(RecordingNode::start);
         for client in clients {
             assert!(
@@ -35,7 +35,7 @@
                 "the other node serves it"
             );
         }
-        drop(edge);
+        drop(process);
         let received = recordings.map(RecordingNode::wait_until_closed);
         assert_eq!(
             (received[0].len(), received[1].len()),
@@ -50,7 +50,7 @@
     let (nodes, addresses) = two_serving_nodes();
     for silent in [true, false] {
         let agent = ControlledDiscovery::new();
-        let (edge, first) = Deployment::ALL_EFFECTS.start_controlled(
+        let (process, first) = Deployment::ALL_EFFECTS.start_controlled(
             &format!("watch-{silent}"),
             &agent,
             &addresses,
@@ -76,9 +76,9 @@
             "{elapsed_ms} ms: its events count as received after 6 s"
         );
         assert!(second.request.contains("since=1"), "{}", second.request);
-        edge.wait_for_counter("endpoint_updates", 3);
+        process.wait_for_counter("endpoint_updates", 3);
         let received_before = nodes[0].received_parts().len();
-        assert_draining(&edge, &nodes[0], &[0, 1, 2, 3], received_before);
+        assert_draining(&process, &nodes[0], &[0, 1, 2, 3], received_before);
         drop(silent_watch);
     }
 }
@@ -87,7 +87,8 @@
 fn a_silent_discovery_agent_is_polled_again_and_its_recovery_is_noticed() {
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
-    let edge = Deployment::ALL_EFFECTS.start_with_discovery("agent", agent.address(), &addresses);
+    let process =
+        Deployment::ALL_EFFECTS.start_with_discovery("agent", agent.address(), &addresses);
     let started_at = std::time::Instant::now();
     // Down: polls are not answered, then or later.
     let unanswered = [agent.accept_watch(), agent.accept_watch()];
@@ -99,8 +100,8 @@
         5,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
-    edge.wait_for_counter("endpoint_updates", 2);
-    assert_draining(&edge, &nodes[0], &[0, 1], 0);
+    process.wait_for_counter("endpoint_updates", 2);
+    assert_draining(&process, &nodes[0], &[0, 1], 0);
     drop(unanswered);
 }
 
@@ -108,15 +109,15 @@
 fn an_older_endpoint_list_does_not_undo_a_drain() {
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
-    let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("back", &agent, &addresses);
+    let (process, mut watch) = Deployment::ALL_EFFECTS.start_controlled("back", &agent, &addresses);
     watch.send(&changed_endpoints(7, &[terminating(0, addresses[0])]));
     watch.send(&complete_list(6, &all_in_service(&addresses)));
-    edge.wait_for_log(
+    process.wait_for_log(
         "stale endpoint list: only its drains, removals and restarts are applied \
          version=6 current_version=7",
     );
-    edge.wait_for_counter("endpoint_updates", 4);
-    assert_draining(&edge, &nodes[0], &[0, 1, 2, 3], 0);
+    process.wait_for_counter("endpoint_updates", 4);
+    assert_draining(&process, &nodes[0], &[0, 1, 2, 3], 0);
     watch.reset();
     assert!(
         agent.accept_watch().request.contains("since=7"),
@@ -131,23 +132,23 @@
     let (nodes, addresses) = two_serving_nodes();
     let old = ControlledDiscovery::new();
     let new = ControlledDiscovery::new();
-    let edge = Deployment {
+    let process = Deployment {
         push_discovery: false,
         ..Deployment::ALL_EFFECTS
     }
     .start_with_discovery("moved", old.address(), &addresses);
     old.accept_watch().reset();
-    edge.wait_for_log("discovery watch failed");
-    edge.write_configuration(
-        &edge.configuration_with("/discovery", json!(new.address().to_string())),
+    process.wait_for_log("discovery watch failed");
+    process.write_configuration(
+        &process.configuration_with("/discovery", json!(new.address().to_string())),
     );
-    edge.signal("HUP");
+    process.signal("HUP");
     let _watch = new.answer_watch(&changed_endpoints(2, &[terminating(0, addresses[0])]));
     old.listener.set_nonblocking(true).expect("set");
     assert!(
         old.listener.accept().is_err(),
         "the old address was not polled again"
     );
-    edge.wait_for_counter("endpoint_updates", 2);
-    assert_draining(&edge, &nodes[0], &[0, 1], 0);
+    process.wait_for_counter("endpoint_updates", 2);
+    assert_draining(&process, &nodes[0], &[0, 1], 0);
 }
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -22,7 +22,7 @@
         .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let agent = ControlledDiscovery::new();
-    let (edge, _watch) = Deployment {
+    let (process, _watch) = Deployment {
         latency_objective_ms: 400,
         ..Deployment::ALL_EFFECTS
     }
@@ -31,11 +31,11 @@
         .to_string();
     let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\n\
                 X-Expires-In: 0.8\r\nConnection: close";
-    let answer = edge.send_request(&format!(
+    let answer = process.send_request(&format!(
         "{head}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ));
-    edge.wait_for_counter("attempts_dispatched", 1);
+    process.wait_for_counter("attempts_dispatched", 1);
     assert_eq!(answer.status, 504, "it may run: {answer:?}");
     let mut runs = 0;
     for listener in nodes {
@@ -58,7 +58,7 @@
 const QUERIES: usize = 90;
 
 /// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on a connection of its own.
-fn send_long_queries(edge: &Process) -> Vec<TcpStream> {
+fn send_long_queries(process: &Process) -> Vec<TcpStream> {
     let body = json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)})
         .to_string();
     let length = body.len();
@@ -69,7 +69,7 @@
         )
     };
     (0..QUERIES)
-        .map(|number| send_request(edge, &request(number)))
+        .map(|number| send_request(process, &request(number)))
         .collect()
 }
 
@@ -100,20 +100,20 @@
     let healthy = UnreachableNode::new();
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
     let agent = ControlledDiscovery::new();
-    let (edge, mut watch) =
+    let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 3);
-    let clients = send_long_queries(&edge);
-    edge.wait_for_counter("attempts_dispatched", QUERIES as u64);
-    edge.wait_for_counter("attempts_fully_written", 1);
+    process.wait_for_counter("endpoint_updates", 3);
+    let clients = send_long_queries(&process);
+    process.wait_for_counter("attempts_dispatched", QUERIES as u64);
+    process.wait_for_counter("attempts_fully_written", 1);
     watch.send(&changed_endpoints(3, &[in_service(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 4);
+    process.wait_for_counter("endpoint_updates", 4);
 
     let recording = RecordingNode::start(healthy);
     reset_connections(&stalled);
     let answers: Vec<String> = clients.into_iter().map(read_until_close).collect();
-    drop(edge);
+    drop(process);
 
     let mut retried = recording.wait_until_closed();
     retried.sort();
