--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections from clients and operators, against random bytes and cuts. Fixed seeds: the same
-//! verdict each time.
+//! Client and admin connections that receive random bytes in portions of random lengths. The seeds
+//! are fixed, so that each run has the same result.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -15,8 +15,9 @@
     }
 }
 
-/// Returns the text of requests with these bodies, each in chunks of 7 bytes if its flag is set.
-fn requests_text(bodies: &[(Vec<u8>, bool)]) -> Vec<u8> {
+/// Returns the bytes of requests with these bodies; a body whose flag is set is in chunks of 7
+/// bytes.
+fn request_bytes(bodies: &[(Vec<u8>, bool)]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for (body, chunked) in bodies {
         if !chunked {
@@ -45,137 +46,142 @@
     #![proptest_config(config())]
 
     #[test]
-    fn an_operators_call_is_known_by_its_first_line_however_it_is_cut(
+    fn an_admin_command_is_parsed_from_its_first_line_whatever_portions_arrive(
         line in prop_oneof![Just("HEALTH".to_owned()), Just("DUMP".to_owned()), "[ -~]{0,300}"],
         end in prop_oneof![Just("\n"), Just("\r\n"), Just("")],
-        cuts in vec(1usize..90, 1..20),
+        portion_lengths in vec(1usize..90, 1..20),
     ) {
         let bytes = format!("{line}{end}");
-        let mut caller = AdminConnection::default();
+        let mut connection = AdminConnection::default();
         let mut rest = bytes.as_bytes();
-        let mut cuts = cuts.into_iter().cycle();
-        let mut call = caller.command(false);
-        while call.is_none() && !rest.is_empty() {
-            let (now, later) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
-            caller.input.extend(now);
-            rest = later;
-            call = caller.command(false);
+        let mut portion_lengths = portion_lengths.into_iter().cycle();
+        let mut command = connection.command(false);
+        while command.is_none() && !rest.is_empty() {
+            let (portion, remaining) = rest.split_at(portion_lengths.next().unwrap_or(1).min(rest.len()));
+            connection.input.extend(portion);
+            rest = remaining;
+            command = connection.command(false);
         }
-        prop_assert!(call.is_some() || end.is_empty(), "a whole line is a call");
-        let known = match line.trim() {
+        prop_assert!(command.is_some() || end.is_empty(), "a complete line is a command");
+        let expected = match line.trim() {
             "HEALTH" => Some(AdminCommand::Health),
             "DUMP" => Some(AdminCommand::Dump),
             _ => Some(AdminCommand::Unknown),
         };
-        prop_assert_eq!(call.or(caller.command(true)), known.filter(|_| !bytes.is_empty()));
+        prop_assert_eq!(command.or(connection.command(true)), expected.filter(|_| !bytes.is_empty()));
     }
 
     #[test]
-    fn requests_come_out_whole_one_at_a_time_however_they_are_cut(
+    fn requests_are_parsed_completely_and_one_at_a_time_whatever_portions_arrive(
         bodies in vec((vec(any::<u8>(), 0..200), any::<bool>()), 1..5),
-        cuts in vec(1usize..120, 1..60),
-        writes in vec(1usize..150, 1..60),
+        portion_lengths in vec(1usize..120, 1..60),
+        write_lengths in vec(1usize..150, 1..60),
     ) {
-        let bytes = requests_text(&bodies);
-        let mut server = ServerConnection::default();
-        let mut got = Vec::new();
-        let mut out = Vec::new();
-        let mut cuts = cuts.into_iter().cycle();
-        let mut writes = writes.into_iter().cycle();
+        let bytes = request_bytes(&bodies);
+        let mut connection = ServerConnection::default();
+        let mut received = Vec::new();
+        let mut output = Vec::new();
+        let mut portion_lengths = portion_lengths.into_iter().cycle();
+        let mut write_lengths = write_lengths.into_iter().cycle();
         let mut rest = &bytes[..];
         loop {
-            let n = cuts.next().unwrap_or(1).min(rest.len());
-            server.input().extend(&rest[..n]);
+            let n = portion_lengths.next().unwrap_or(1).min(rest.len());
+            connection.input().extend(&rest[..n]);
             rest = &rest[n..];
-            if let Some(request) = server.next_request() {
-                got.push(request.expect("well formed").body);
-                prop_assert!(server.next_request().is_none(), "the next one waits for the answer");
-                prop_assert!(server.awaits_response() && !server.is_idle() && !server.is_finished());
-                server.respond(Response::new(200, "text/plain", got.len().to_string()), got.len() == bodies.len());
+            if let Some(request) = connection.next_request() {
+                received.push(request.expect("well formed").body);
+                prop_assert!(connection.next_request().is_none(), "the next request is not parsed before the response");
+                prop_assert!(connection.awaits_response() && !connection.is_idle() && !connection.is_finished());
+                connection.respond(Response::new(200, "text/plain", received.len().to_string()), received.len() == bodies.len());
             }
-            let n = writes.next().unwrap_or(1).min(server.output().len());
-            out.extend_from_slice(&server.output()[..n]);
-            server.advance_output(n);
-            if server.is_finished() {
+            let n = write_lengths.next().unwrap_or(1).min(connection.output().len());
+            output.extend_from_slice(&connection.output()[..n]);
+            connection.advance_output(n);
+            if connection.is_finished() {
                 break;
             }
         }
         let sent: Vec<_> = bodies.into_iter().map(|(body, _)| body).collect();
-        prop_assert_eq!(&got, &sent);
-        let out = String::from_utf8(out).expect("text");
-        prop_assert_eq!(out.matches("HTTP/1.1 200 OK").count(), sent.len());
-        prop_assert_eq!(out.matches("Connection: close").count(), 1);
+        prop_assert_eq!(&received, &sent);
+        let output = String::from_utf8(output).expect("text");
+        prop_assert_eq!(output.matches("HTTP/1.1 200 OK").count(), sent.len());
+        prop_assert_eq!(output.matches("Connection: close").count(), 1);
     }
 
     #[test]
-    fn no_bytes_make_a_connection_panic_or_grow_without_end(chunks in vec(vec(any::<u8>(), 0..400), 0..20), text in "[ -~\r\n]{0,600}") {
-        let mut server = ServerConnection::default();
+    fn arbitrary_input_causes_no_panic_and_no_unbounded_buffer(chunks in vec(vec(any::<u8>(), 0..400), 0..20), text in "[ -~\r\n]{0,600}") {
+        let mut connection = ServerConnection::default();
         for chunk in chunks.iter().map(Vec::as_slice).chain([text.as_bytes()]) {
-            server.input().extend(chunk);
-            if let Some(Err(error)) = server.next_request() {
+            connection.input().extend(chunk);
+            if let Some(Err(error)) = connection.next_request() {
                 prop_assert!((400..=501).contains(&error.status()));
-                server.respond(Response::new(error.status(), "", ""), true);
-                server.advance_output(server.output().len());
-                prop_assert!(server.is_finished());
+                connection.respond(Response::new(error.status(), "", ""), true);
+                connection.advance_output(connection.output().len());
+                prop_assert!(connection.is_finished());
             }
         }
-        server.on_end_of_stream();
-        let _ = server.next_request();
-        prop_assert!(server.awaits_response() || server.input().capacity() < 128 * 1024);
+        connection.on_end_of_stream();
+        let _ = connection.next_request();
+        prop_assert!(connection.awaits_response() || connection.input().capacity() < 128 * 1024);
     }
 }
 
 #[test]
-fn what_comes_behind_a_request_never_stops_the_reading_of_it_and_costs_it_no_answer() {
-    // A client that sends more than 80 KB behind its request is read on, so that its close is seen.
-    let mut server = ServerConnection::default();
-    server
+fn bytes_after_a_request_are_read_and_do_not_prevent_its_response() {
+    // The connection keeps reading from a client that sends more than 80 KB after its request,
+    // since only a read shows that the client has disconnected.
+    let mut connection = ServerConnection::default();
+    connection
         .input()
         .extend(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(matches!(server.next_request(), Some(Ok(_))) && server.awaits_response());
-    let mut kept = 0;
+    assert!(matches!(connection.next_request(), Some(Ok(_))) && connection.awaits_response());
+    let mut max_memory = 0;
     for _ in 0..12 {
         assert!(
-            server.accepts_input() || server.discard_excess() > 0,
-            "what is here is dropped, and reading goes on"
+            connection.accepts_input() || connection.discard_excess() > 0,
+            "the excess bytes are discarded, and reading continues"
         );
-        server.input().extend(&[b'x'; 20_000]);
-        kept = kept.max(server.memory());
+        connection.input().extend(&[b'x'; 20_000]);
+        max_memory = max_memory.max(connection.memory());
     }
-    assert!(kept < 400_000, "{kept} bytes");
-    server.respond(Response::new(200, "", "ok"), false);
+    assert!(max_memory < 400_000, "{max_memory} bytes");
+    connection.respond(Response::new(200, "", "ok"), false);
     assert!(
-        server
+        connection
             .output()
             .starts_with(b"HTTP/1.1 200 OK\r\nConnection: close\r\n"),
-        "the rest is not looked at"
+        "the bytes after the request are not parsed"
     );
-    assert!(server.next_request().is_none());
-    server.advance_output(server.output().len());
+    assert!(connection.next_request().is_none());
+    connection.advance_output(connection.output().len());
     assert!(
-        server.is_finished() && server.needs_lingering_close(),
-        "a close on unread bytes is a reset"
+        connection.is_finished() && connection.needs_lingering_close(),
+        "a close with unread bytes would send a reset"
     );
     for _ in 0..200 {
-        server.input().extend(&[b'x'; 20_000]);
-        assert_eq!(server.discard_excess(), 0, "nobody is waited for any more");
-        server.input().consume(20_000);
+        connection.input().extend(&[b'x'; 20_000]);
+        assert_eq!(
+            connection.discard_excess(),
+            0,
+            "nothing is discarded after the response"
+        );
+        connection.input().consume(20_000);
     }
 }
 
-/// Returns the status of the error that a request gets, if any. An error is reported once, and not
-/// again for the same bytes.
+/// Returns the status of the error that a request gets, if any. Asserts that the error is not
+/// reported again for the same bytes.
 fn error_status(text: &str) -> Option<u16> {
-    let mut server = ServerConnection::default();
-    server.input().extend(text.as_bytes());
-    let first = server.next_request();
-    server.on_end_of_stream();
+    let mut connection = ServerConnection::default();
+    connection.input().extend(text.as_bytes());
+    let first = connection.next_request();
+    connection.on_end_of_stream();
     let error = first
-        .or_else(|| server.next_request())
+        .or_else(|| connection.next_request())
         .and_then(Result::err)?;
-    assert!(server.next_request().is_none());
-    server.respond(Response::new(error.status(), "", ""), true);
-    assert!(server.next_request().is_none());
+    assert!(connection.next_request().is_none());
+    connection.respond(Response::new(error.status(), "", ""), true);
+    assert!(connection.next_request().is_none());
     Some(error.status())
 }
 
@@ -215,7 +221,7 @@
 ];
 
 #[test]
-fn what_is_malformed_gets_a_fitting_status() {
+fn malformed_requests_get_the_status_of_their_error() {
     for (text, status) in MALFORMED_REQUESTS {
         assert_eq!(error_status(text), Some(status), "{text:?}");
     }
@@ -231,23 +237,23 @@
         "X: y\r\n".repeat(100)
     );
     assert_eq!(error_status(&many_headers), Some(431));
-    let unended_chunk = format!(
+    let unterminated_chunk = format!(
         "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nff\r\n{}",
         "x".repeat(300)
     );
-    assert_eq!(error_status(&unended_chunk), Some(400));
+    assert_eq!(error_status(&unterminated_chunk), Some(400));
 }
 
 #[test]
-fn an_idle_connection_told_to_close_still_takes_the_request_that_is_here() {
-    // The request and the decision to close cross: the request is read and answered.
-    let mut server = ServerConnection::default();
-    server.close_when_idle();
-    server
+fn a_request_received_before_the_close_of_an_idle_connection_is_answered() {
+    // The request arrives at the same time as the decision to close the idle connection.
+    let mut connection = ServerConnection::default();
+    connection.close_when_idle();
+    connection
         .input()
         .extend(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(matches!(server.next_request(), Some(Ok(_))));
-    assert!(!server.is_finished());
-    server.respond(Response::new(200, "", ""), false);
-    assert!(String::from_utf8_lossy(server.output()).contains("Connection: close"));
+    assert!(matches!(connection.next_request(), Some(Ok(_))));
+    assert!(!connection.is_finished());
+    connection.respond(Response::new(200, "", ""), false);
+    assert!(String::from_utf8_lossy(connection.output()).contains("Connection: close"));
 }
