--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns settings of one class and three cells, with one shard a cell, each held by two of them.
+/// Returns settings with one class, three shards and three cells; each shard is in two cells.
 pub fn settings(class: Class) -> Settings {
     Settings {
         coordinators: 2,
@@ -59,7 +59,7 @@
     ReplicaId([10, 0, 0, n, 0, 80])
 }
 
-/// Returns replica `n`, in the cell of its number.
+/// Returns the endpoint of replica `n`, which is in cell `n`.
 pub fn endpoint(n: u8, state: EndpointState, started_at: Nanos) -> Endpoint {
     Endpoint {
         replica: replica(n),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the event of a query, whose group has the number of its id.
+/// Returns the event of a query; the number of its group is that of its id.
 pub fn query_event(id: u64, class: u16, tenant: u32, time_left: Nanos) -> Event {
     Event::Query {
         query: QueryId(id),
@@ -82,26 +82,26 @@
     }
 }
 
-/// A policy with the time of its next batch.
+/// A policy, and the time of its next batch of events.
 pub struct Harness {
     pub policy: DecisionPolicy,
     pub now: Nanos,
-    next: u64,
+    next_id: u64,
 }
 
 impl Harness {
-    /// Returns a harness with three ready replicas, one a cell: shard s is held by replicas s and
+    /// Returns a harness with three ready replicas, one in each cell: shard s is at replicas s and
     /// s + 1.
-    pub fn new(set: Settings) -> Self {
-        Self::with_seed(set, 7)
+    pub fn new(settings: Settings) -> Self {
+        Self::with_seed(settings, 7)
     }
 
-    /// Returns a harness as [`Harness::new`] does, with another seed for the policy's draws.
-    pub fn with_seed(set: Settings, seed: u64) -> Self {
+    /// Returns a harness as [`Harness::new`] does, with this seed for the policy's random numbers.
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let mut harness = Self {
-            policy: DecisionPolicy::new(set, seed, START),
+            policy: DecisionPolicy::new(settings, seed, START),
             now: START,
-            next: 1,
+            next_id: 1,
         };
         let members = (0..3)
             .map(|n| endpoint(n, EndpointState::Ready, 0))
@@ -121,13 +121,13 @@
         actions
     }
 
-    /// Lets time pass up to a timer and returns the actions.
+    /// Advances the time, reports a timer, and returns the actions.
     pub fn advance(&mut self, time: Nanos) -> Vec<Action> {
         self.now += time;
         self.report(vec![Event::TimerFired])
     }
 
-    /// Lets time pass in steps, as timers would, and returns all actions.
+    /// Advances the time in steps with a timer each, and returns all actions.
     pub fn run_for(&mut self, time: Nanos) -> Vec<Action> {
         let end = self.now + time;
         let mut all = Vec::new();
@@ -151,8 +151,8 @@
         tenant: u32,
         shards: &[u32],
     ) -> (QueryId, Vec<PartId>, Vec<Action>) {
-        let id = self.next;
-        self.next += 1 + shards.len() as u64;
+        let id = self.next_id;
+        self.next_id += 1 + shards.len() as u64;
         let group = GroupId(id as u32);
         let query = QueryId(id);
         let mut events = vec![query_event(id, class, tenant, 3 * S)];
@@ -203,7 +203,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Returns those of the actions that end a query, and the answers from first steps.
+/// Returns the actions that end a query, and the first answers of queries with follow-up parts.
 pub fn final_actions(actions: &[Action]) -> Vec<Action> {
     let end = |action: &&Action| {
         matches!(
@@ -214,7 +214,7 @@
     actions.iter().filter(end).cloned().collect()
 }
 
-/// Whether a query was rejected.
+/// Whether the actions reject a query.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,4 +1,5 @@
-//! Each of the rules has a case here that breaks without its guard.
+//! The rules that the policy must never break, such as one final answer to each query. Each test
+//! fails if the check of its rule is removed from the policy.
 
 mod common;
 use common::*;
@@ -55,16 +56,16 @@
         let mut harness = Harness::new(settings(class(Effect::NonIdempotent)));
         let (_, parts, _) = harness.submit(&[0]);
         harness.now += 50 * MS;
-        let again = sent_attempts(&harness.complete(parts[0], 0, outcome, 50 * MS));
-        assert_eq!(again.len(), 1, "{outcome:?}");
+        let retries = sent_attempts(&harness.complete(parts[0], 0, outcome, 50 * MS));
+        assert_eq!(retries.len(), 1, "{outcome:?}");
     }
 }
 
 #[test]
 fn a_deduplicated_part_is_retried_only_within_its_window() {
-    let mut keyed = class(Effect::Deduplicated(200 * MS));
-    keyed.latency_objective = 2 * S;
-    let mut harness = Harness::new(settings(keyed));
+    let mut deduplicated = class(Effect::Deduplicated(200 * MS));
+    deduplicated.latency_objective = 2 * S;
+    let mut harness = Harness::new(settings(deduplicated));
     let (_, parts, _) = harness.submit(&[0]);
     harness.now += 300 * MS;
     let mut after = harness.complete(parts[0], 0, Outcome::Error, 300 * MS);
@@ -102,7 +103,8 @@
     assert_eq!(sent_attempts(&actions)[0].1, replica(1));
 }
 
-/// Returns the rule of a warm-up of 20 s from a fifth of the capacity, with this overload factor.
+/// Returns a rule with this overload factor, by which a replica warms up within 20 s and starts with
+/// a fifth of its capacity.
 fn slow_start(overload_factor: f64) -> SlowStartRule {
     SlowStartRule {
         overload_factor,
@@ -126,8 +128,9 @@
     sent.iter().filter(|attempt| attempt.1 == replica).count()
 }
 
-/// Asserts that at each time at which a replica that started at [`START`] was sent a part, the work
-/// sent in the last second is within three times its capacity.
+/// Asserts that a replica that started at [`START`] was at no time sent more work within a second
+/// than three times its capacity at that time. `sent` has the times of its parts, each of which is
+/// 0.1 s of work.
 fn assert_within_capacity(sent: &[Nanos]) {
     for (n, at) in sent.iter().enumerate() {
         let age = (at - START) as f64 / (20 * S) as f64;
@@ -141,12 +144,12 @@
 }
 
 #[test]
-fn a_warming_replica_gets_no_more_than_this_instances_share() {
+fn a_warming_replica_gets_no_more_than_the_share_of_one_coordinator() {
     let mut harness = Harness::new(Settings {
         slow_start: Some(slow_start(2.0)),
         ..settings(class(Effect::Idempotent))
     });
-    // Parts take 100 ms on the warm ones.
+    // Parts take 100 ms on the replicas that are not warming up.
     for _ in 0..20 {
         let (_, parts, _) = harness.submit(&[1]);
         harness.answer(parts[0]);
@@ -160,24 +163,29 @@
         harness.now += 5 * MS;
         harness.complete(parts[0], 0, Outcome::Ok, 100 * MS);
     }
-    // 2 x 0.2 of one core for 1 s, half of it this instance's: two parts of 100 ms at the most.
+    // The replica may get 2 x 0.2 of one core for 1 s, half of it from this coordinator: at most two
+    // parts of 100 ms.
     assert!(
         (1..=2).contains(&to_warming),
         "{to_warming} parts sent to a warming replica"
     );
     harness.now += 40 * S;
-    let mut warm = 0;
+    let mut after_warm_up = 0;
     for _ in 0..10 {
         let (_, parts, actions) = harness.submit(&[0]);
-        warm += attempts_at(&actions, replica(0));
+        after_warm_up += attempts_at(&actions, replica(0));
         harness.answer(parts[0]);
     }
-    assert!(warm > 0, "a warm replica is used again");
+    assert!(
+        after_warm_up > 0,
+        "the replica is used again after its warm-up"
+    );
 }
 
 #[test]
-fn many_instances_together_do_not_overload_a_warming_replica_and_still_use_it() {
-    // An even share of the allowance is less than one part: some instances send one all the same.
+fn many_coordinators_together_do_not_overload_a_warming_replica_and_still_use_it() {
+    // An even share of the replica's allowance is less than one part for each coordinator, so some of
+    // them send one part and the others none.
     let count = 60;
     let settings = Settings {
         coordinators: count,
@@ -202,11 +210,11 @@
     }
     sent.sort();
     assert_within_capacity(&sent);
-    assert!(sent.len() > 20, "{} parts in its warm-up", sent.len());
+    assert!(sent.len() > 20, "{} parts during the warm-up", sent.len());
 }
 
 #[test]
-fn no_answer_is_given_below_the_floor_nor_marked_complete_when_partial() {
+fn no_answer_is_given_below_the_minimum_share_or_marked_complete_when_partial() {
     let mut partial = class(Effect::Idempotent);
     partial.min_share = 0.6;
     let mut harness = Harness::new(settings(partial));
@@ -216,7 +224,7 @@
     let early = harness.run_for(850 * MS);
     assert!(
         !early.iter().any(|a| matches!(a, Action::Answer { .. })),
-        "a third is under the floor"
+        "one third is below the minimum share"
     );
     harness.complete(parts[1], 0, Outcome::Ok, S);
     let answer = final_actions(&harness.run_for(3 * S));
@@ -237,14 +245,14 @@
         window: 10 * S,
     });
     let mut harness = Harness::new(settings);
-    let mut again = 0;
+    let mut retries = 0;
     for shard in [0, 1, 2, 0, 1, 2] {
         let (_, parts, _) = harness.submit(&[shard]);
         harness.now += 10 * MS;
-        again +=
+        retries +=
             sent_attempts(&harness.complete(parts[0], 0, Outcome::ConnectFailed, 10 * MS)).len();
     }
-    assert_eq!(again, 2);
+    assert_eq!(retries, 2);
 }
 
 #[test]
@@ -256,7 +264,7 @@
     assert_eq!(sent_attempts(&actions).len(), 1);
     assert!(
         sent_attempts(&harness.run_for(800 * MS)).is_empty(),
-        "the first is still out"
+        "the first attempt is still in flight"
     );
     assert_eq!(
         sent_attempts(&harness.complete(parts[0], 0, Outcome::Cancelled, 800 * MS)).len(),
@@ -271,9 +279,9 @@
 }
 
 #[test]
-fn events_that_match_nothing_are_ignored_or_failed() {
+fn events_with_unknown_ids_are_ignored_and_queries_that_cannot_be_served_end() {
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
-    let odd = |shard, weight| Event::Part {
+    let unknown_part = |shard, weight| Event::Part {
         part: PartId(900),
         group: GroupId(77),
         shard: ShardId(shard),
@@ -281,7 +289,7 @@
     };
     let events = vec![
         Event::Abandoned(QueryId(500)),
-        odd(0, 0.5),
+        unknown_part(0, 0.5),
         Event::Outcome {
             part: PartId(501),
             attempt: AttemptNo(9),
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -4,14 +4,14 @@
 use common::*;
 use quinceflow::*;
 
-/// Returns the number of seeds in 20 with which a low-priority query is sent after so long without
-/// any traffic.
-fn admitted_after(rest: Nanos, prepare: impl Fn(&mut Harness)) -> usize {
+/// Prepares a harness for each of 20 seeds, lets it idle for `idle_time`, and returns the number of
+/// seeds with which a low-priority query is then sent.
+fn count_admitted_after_idle_time(idle_time: Nanos, prepare: impl Fn(&mut Harness)) -> usize {
     let mut sent = 0;
     for seed in 0..20 {
         let mut harness = Harness::with_seed(two_priorities(), seed);
         prepare(&mut harness);
-        harness.run_for(rest);
+        harness.run_for(idle_time);
         sent += usize::from(!sent_attempts(&harness.submit_as(1, 0, &[0]).2).is_empty());
     }
     sent
@@ -26,7 +26,7 @@
         seen.push(sent_attempts(&actions)[0].1);
         harness.answer(parts[0]);
     }
-    // Which is first is drawn.
+    // The replica that comes first is chosen at random.
     let first = seen[0];
     let next = seen[1];
     assert_ne!(first, next);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn if_all_replicas_are_late_the_next_in_turn_is_used() {
+fn if_all_replicas_are_overdue_the_next_in_rotation_is_used_or_the_query_rejected() {
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     harness.submit(&[0]);
     harness.submit(&[0]);
@@ -51,14 +51,14 @@
     assert_eq!(
         sent_attempts(&actions).len() + final_actions(&actions).len(),
         1,
-        "sent, or rejected as hopeless: {actions:?}"
+        "sent, or rejected as too late: {actions:?}"
     );
 }
 
 #[test]
-fn slow_answers_of_long_ago_reject_nobody() {
-    // The coordinator has seen slow queries only. Its estimate must not reject every query, since
-    // nothing new would be observed then.
+fn slow_answers_of_long_ago_cause_no_rejection() {
+    // All answers so far were slow. If the policy rejected every query because of them, no new answer
+    // could correct its estimate.
     let slow = |harness: &mut Harness| {
         for _ in 0..40 {
             let (_, parts, _) = harness.submit(&[0, 1, 2]);
@@ -68,13 +68,13 @@
                 .for_each(|p| drop(harness.complete(*p, 0, Outcome::Ok, 950 * MS)));
         }
     };
-    assert_eq!(admitted_after(60 * S, slow), 20);
+    assert_eq!(count_admitted_after_idle_time(60 * S, slow), 20);
 }
 
 #[test]
 fn a_failure_of_long_ago_does_not_reject_non_idempotent_queries() {
-    // On a large fleet a coordinator has too few idempotent parts to probe each failed replica by
-    // them: it must send non-idempotent parts again after a while.
+    // In a large fleet a coordinator has too few idempotent parts to probe each failed replica with
+    // them, so it must send non-idempotent parts there again after a while.
     let mut sent = 0;
     for seed in 0..20 {
         let mut settings = two_priorities();
@@ -93,19 +93,23 @@
 }
 
 #[test]
-fn dropped_idle_connections_are_closed_before_use_and_count_as_no_failure() {
-    // The servers drop connections that are idle for a second; a server does not count as silent
-    // for that.
-    let closes = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
+fn idle_connections_that_servers_drop_are_closed_before_use_and_not_counted_as_failures() {
+    // The servers drop connections that are idle for a second. The policy closes idle connections
+    // then, and does not count a server as failed.
+    let closes_idle = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let mut closed = [0, 0];
     for (idle, closed) in [true, false].into_iter().zip(&mut closed) {
         let mut harness = Harness::new(settings(class(Effect::Idempotent)));
         for n in 0..200 {
             let (_, parts, actions) = harness.submit(&[0]);
-            *closed += u32::from(closes(&actions));
-            // Idle connections lose everything and new ones nothing; an overload loses half on
-            // both.
-            if if idle { !closes(&actions) } else { n % 2 == 0 } {
+            *closed += u32::from(closes_idle(&actions));
+            // In the first run all attempts on idle connections time out, and none on new ones. The
+            // second run is an overload: half of the attempts time out on either kind.
+            if if idle {
+                !closes_idle(&actions)
+            } else {
+                n % 2 == 0
+            } {
                 harness.now += S;
                 harness.complete(parts[0], 0, Outcome::TimedOut, S);
             } else {
@@ -119,18 +123,23 @@
 
 #[test]
 fn a_replica_that_rejects_is_skipped_for_a_while() {
-    // A full replica rejects in no time: it must not look fast for that and draw more parts.
+    // A full replica rejects within milliseconds. It must not count as fast for that and get more
+    // parts.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for _ in 0..20 {
         let (_, parts, actions) = harness.submit(&[0]);
-        let full = sent_attempts(&actions)[0].1 == replica(0);
+        let is_full = sent_attempts(&actions)[0].1 == replica(0);
         let again = harness.complete(
             parts[0],
             0,
-            if full { Outcome::Rejected } else { Outcome::Ok },
+            if is_full {
+                Outcome::Rejected
+            } else {
+                Outcome::Ok
+            },
             2 * MS,
         );
-        if full {
+        if is_full {
             assert_eq!(sent_attempts(&again)[0].1, replica(1));
             harness.complete(parts[0], 1, Outcome::Ok, 100 * MS);
             harness.now += 100 * MS;
@@ -138,19 +147,19 @@
             assert_eq!(
                 sent_attempts(&next)[0].1,
                 replica(1),
-                "its turn is skipped while the rejection is recent"
+                "replica 0 is skipped while its rejection is recent"
             );
             return;
         }
     }
-    panic!("replica 0 never had its turn");
+    panic!("no part was sent to replica 0");
 }
 
 #[test]
-fn a_slow_replica_is_remembered_for_the_interval_between_its_uses() {
-    // With ten seconds between two uses a slow replica is still known as slow.
+fn a_replica_counts_as_slow_over_long_intervals_between_its_uses() {
+    // A slow replica still counts as slow if ten seconds pass between two attempts at it.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
-    let mut met = 0;
+    let mut slow_attempts = 0;
     for n in 0..180 {
         let (_, parts, actions) = harness.submit(&[n % 3]);
         let took = if sent_attempts(&actions)[0].1 == replica(0) {
@@ -158,38 +167,42 @@
         } else {
             100 * MS
         };
-        met += u32::from(n >= 90 && took > 100 * MS);
+        slow_attempts += u32::from(n >= 90 && took > 100 * MS);
         harness.now += took;
         harness.complete(parts[0], 0, Outcome::Ok, took);
         harness.now += 2 * S;
     }
-    // Two of three shards could go there: by turns alone 30 of 90 would.
-    assert!(met < 20, "{met} of 90 went to the slow one");
+    // The slow replica has two of the three shards: rotation alone would send it 30 of 90 parts.
+    assert!(
+        slow_attempts < 20,
+        "{slow_attempts} of 90 parts sent to the slow replica"
+    );
 }
 
 #[test]
-fn a_part_rejected_by_all_holders_waits_before_its_retry() {
-    // With one holder left a part is not retried at once: its queue is still full.
+fn a_part_rejected_by_all_replicas_waits_before_its_retry() {
+    // A part that both replicas have rejected is not retried at once, since their queues are still
+    // full.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let (_, parts, _) = harness.submit(&[0]);
     let again = harness.complete(parts[0], 0, Outcome::Rejected, MS);
     assert_eq!(
         sent_attempts(&again).len(),
         1,
-        "the other holder is tried: {again:?}"
+        "the other replica is tried: {again:?}"
     );
     let third = harness.complete(parts[0], 1, Outcome::Rejected, MS);
     assert!(sent_attempts(&third).is_empty(), "{third:?}");
     assert_eq!(
         sent_attempts(&harness.run_for(1100 * MS)).len(),
         1,
-        "and retried once it is late anyhow"
+        "retried after the latency objective"
     );
 }
 
 #[test]
-fn resets_between_answers_count_as_no_failure() {
-    // Broken connections all over a healthy fleet must not eject its replicas.
+fn resets_between_answers_eject_no_replica() {
+    // Connection resets throughout a healthy fleet must not eject its replicas.
     let mut settings = settings(class(Effect::Idempotent));
     settings.slow_start = Some(SlowStartRule {
         overload_factor: 2.0,
@@ -215,14 +228,14 @@
 
 #[test]
 fn a_replica_that_fails_fast_gets_no_non_idempotent_parts() {
-    // A replica whose errors come fast looks idle: its errors count although its answers are
-    // recent.
+    // A replica that fails fast has few attempts in flight and seems idle. Its errors count although
+    // it has also answered recently.
     let mut settings = settings(class(Effect::Idempotent));
     settings.classes.push(class(Effect::NonIdempotent));
     let mut harness = Harness::new(settings);
-    let mut errors = |class: u16, rounds: usize, failing: bool| {
-        let mut seen = 0;
-        let mut met = 0;
+    let mut count_errors = |class: u16, rounds: usize, failing: bool| {
+        let mut errors = 0;
+        let mut attempts_at_failing = 0;
         for _ in 0..rounds {
             let (_, parts, actions) = harness.submit_as(class, 0, &[0]);
             let mut sent = sent_attempts(&actions);
@@ -230,31 +243,31 @@
             while let Some((_, to)) = sent.pop() {
                 harness.now += 10 * MS;
                 // Every other answer of replica 0 is an error.
-                met += usize::from(to == replica(0));
-                let fails = failing && to == replica(0) && met % 2 == 1;
-                seen += usize::from(fails);
+                attempts_at_failing += usize::from(to == replica(0));
+                let fails = failing && to == replica(0) && attempts_at_failing % 2 == 1;
+                errors += usize::from(fails);
                 let outcome = if fails { Outcome::Error } else { Outcome::Ok };
                 sent = sent_attempts(&harness.complete(parts[0], attempt, outcome, 10 * MS));
                 attempt += 1;
             }
         }
-        seen
+        errors
     };
-    errors(0, 20, false);
-    assert!(errors(0, 40, true) > 0, "idempotent parts find it out");
-    assert_eq!(errors(1, 40, true), 0);
+    count_errors(0, 20, false);
+    assert!(count_errors(0, 40, true) > 0, "idempotent parts get errors");
+    assert_eq!(count_errors(1, 40, true), 0);
 }
 
 #[test]
-fn replaced_replicas_are_removed_from_the_table() {
-    // The tables hold the present replicas only, however many there have been.
+fn replaced_replicas_are_removed_from_the_tables() {
+    // The tables of the policy have the present replicas only, however many have been replaced.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for n in 3..200 {
-        let gone = endpoint(n, EndpointState::Removed, 0);
+        let removed = endpoint(n, EndpointState::Removed, 0);
         let ready = endpoint(n + 1, EndpointState::Ready, 0);
         harness.report(vec![Event::Endpoints {
             kind: EndpointListKind::Delta,
-            endpoints: vec![gone, ready],
+            endpoints: vec![removed, ready],
         }]);
         harness.run_for(S);
     }
@@ -268,7 +281,7 @@
 
 #[test]
 fn a_few_slow_replicas_do_not_delay_retries_elsewhere() {
-    // Slow answers of a few replicas do not raise the wait before the other replica is tried.
+    // Slow answers of a few replicas do not lengthen the wait before the other replica is tried.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     for (answers, took) in [(200, 20), (8, 800)] {
         for _ in 0..answers {
