--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -24,7 +24,7 @@
     let recorder = FrameRecorder::start(nodes);
     let mut first = recorder.wait_for_frame();
     assert_eq!(first.kind, CALL);
-    // The part is cancelled and sent to the other node, in either order as seen here.
+    // The part is cancelled and sent to the other node; the two frames arrive in either order.
     let both = [0, 1].map(|_| recorder.wait_for_frame());
     let mut other = both
         .into_iter()
@@ -38,11 +38,11 @@
     recorder.assert_no_further_call(process);
 }
 
-/// Reads the ids of two parts, in one call or in two.
+/// Reads the ids of two parts, which arrive in one frame or in two.
 fn read_two_part_ids(stream: &mut TcpStream) -> Vec<String> {
     let mut ids = read_part_ids(stream).expect("a part");
     if ids.len() < 2 {
-        ids.extend(read_part_ids(stream).expect("the other"));
+        ids.extend(read_part_ids(stream).expect("the other part"));
     }
     ids
 }
@@ -53,8 +53,8 @@
     let healthy = DataNode::serving();
     let listener = bind_loopback();
     let addresses = [healthy.address, listener.local_addr().expect("bound")];
-    // Two shards, one on each node: the other holder is draining, so that the late part cannot be
-    // retried elsewhere.
+    // Both parts are sent to the second node, since the first one is draining. The late part can
+    // therefore not be retried elsewhere.
     let (process, mut watch) = Deployment {
         latency_objective_ms: 600,
         ..Deployment::ALL_EFFECTS
@@ -71,11 +71,11 @@
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     assert!(text.contains("\"full\":false"), "{text}");
 
-    // The late answer, then a query on the same connection.
+    // The late answer arrives, and then a query is sent on the same connection.
     write_answer(&mut stream, &format!("{} served 1 -\ncell", ids[1])).expect("written");
     let request = QueryRequest::new("next", Class("look"), Shards(&[1])).close_connection();
     let next = send_request(&process, &request.to_http());
-    let next_ids = read_part_ids(&mut stream).expect("on the connection that is open");
+    let next_ids = read_part_ids(&mut stream).expect("a part on the open connection");
     assert_eq!(next_ids, ["next.1"]);
     write_answer(&mut stream, "next.1 served 1 -\ncell").expect("written");
     assert!(read_until_close(next).starts_with("HTTP/1.1 200"));
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their query waits: nothing of it is sent afterwards.
+//! Clients that disconnect while their query is pending: no part of it is sent afterwards.
 
 use crate::standin::client::{
     disconnect_behind, query, read_until_close, send_request, Class, QueryRequest, Shards,
@@ -15,7 +15,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 
-/// The shards of each query of [`count_late_parts`].
+/// The shards of each query in [`count_late_parts`].
 const ALL_SHARDS: [u32; 6] = [0, 1, 2, 3, 4, 5];
 
 /// The result of a run in which clients disconnect before any connection to a node is established.
@@ -26,7 +26,7 @@
     late_parts: usize,
 }
 
-/// Sends a query for each class and each kind of bytes behind the request.
+/// Sends queries, one for each class and each kind of bytes that can follow a request.
 fn send_queries_with_trailing_bytes(process: &Process) -> Vec<TcpStream> {
     let trailing_bytes = [
         String::new(),
@@ -40,7 +40,7 @@
             let id = format!("left{}", clients.len());
             let request = QueryRequest::new(&id, Class(class), Shards(&ALL_SHARDS)).to_http();
             let mut client = send_request(process, &request);
-            // The process reads only part of the bytes; the rest is not waited for.
+            // The process reads only some of the bytes, so a blocking write would not return.
             client.set_nonblocking(true).expect("set");
             let _ = client.write(bytes.as_bytes());
             clients.push(client);
@@ -49,7 +49,8 @@
     clients
 }
 
-/// Lets clients disconnect while their parts wait for a connection, then makes the nodes reachable.
+/// Disconnects clients while their parts wait for a connection, then makes the nodes reachable and
+/// counts the parts of these clients that arrive.
 fn count_late_parts(cancellation: bool, max_batch: u32) -> DisconnectRun {
     let nodes = [UnreachableNode::new(), UnreachableNode::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
@@ -88,14 +89,14 @@
 
 #[test]
 fn parts_that_wait_for_a_connection_are_not_sent_after_their_client_disconnects() {
-    // Counted at the nodes: parts that arrive after their client has disconnected, in batches or
-    // alone, with cancellation and without.
+    // The nodes count the parts that arrive after their client has disconnected, with and without
+    // cancellation, and with up to one or four parts in a batch.
     let runs: Vec<DisconnectRun> = [(true, 1), (true, 4), (false, 1), (false, 4)]
         .map(|(cancellation, max_batch)| {
             std::thread::spawn(move || count_late_parts(cancellation, max_batch))
         })
         .into_iter()
-        .map(|thread| thread.join().expect("it ends"))
+        .map(|thread| thread.join().expect("the thread does not panic"))
         .collect();
     println!("clients and late parts: {runs:?}");
     assert!(
@@ -121,7 +122,8 @@
     let client = send_request(&process, &request.to_http());
     let recorder = FrameRecorder::start(nodes);
 
-    // The node that receives the part answers once no node accepts parts, so that its retry waits.
+    // The node that receives the part rejects it once both nodes are draining, so that the retry
+    // has to wait.
     let mut rejected = recorder.wait_for_call();
     let draining = [0, 1].map(|index| terminating(index, addresses[index]));
     watch.send(&changed_endpoints(2, &draining));
@@ -134,7 +136,7 @@
     watch.send(&changed_endpoints(3, &all_in_service(&addresses)));
     process.wait_for_counter("endpoint_updates", 4);
 
-    // The nodes accept parts again: only that of another client is sent.
+    // The nodes accept parts again: only the part of the other client is sent.
     let request = QueryRequest::new("stays", Class("look"), Shards(&[0]));
     let other = send_request(&process, &request.to_http());
     let mut served = recorder.wait_for_call();
@@ -143,7 +145,7 @@
     write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("written");
     let mut first = String::new();
     let mut response = BufReader::new(other);
-    response.read_line(&mut first).expect("an answer");
+    response.read_line(&mut first).expect("a response");
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
     process.wait_for_counter("attempts_dispatched", 2);
     recorder.assert_no_further_call(process);
@@ -151,7 +153,8 @@
 
 #[test]
 fn requests_of_clients_that_disconnect_before_they_are_read_are_not_forwarded() {
-    // When the process continues they are in the backlog, with their request and their close.
+    // The process is stopped until each of these clients has connected, sent its request and
+    // disconnected: when it continues, all of that is in the backlog.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let agent = ControlledDiscovery::new();
     let (process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
@@ -185,10 +188,10 @@
     assert_eq!(received, ["stays.0", "stays.1"]);
 }
 
-/// Guards against work for a client that has disconnected with more unread bytes behind its request
-/// than the process takes.
+/// Guards against work for a client that has disconnected after it sent more bytes after its request
+/// than the process buffers.
 #[test]
-fn a_client_that_disconnects_behind_many_unread_bytes_is_seen_as_gone() {
+fn the_disconnect_of_a_client_with_many_unread_bytes_is_detected() {
     let nodes = [DataNode::hanging(), DataNode::hanging()];
     let agent = ControlledDiscovery::new();
     let addresses = nodes.each_ref().map(|node| node.address);
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -27,7 +27,7 @@
     for client in clients {
         assert!(
             read_until_close(client).starts_with("HTTP/1.1 200"),
-            "not sent there, so it may be retried"
+            "the part was not sent, so it may be retried"
         );
     }
     process.wait_for_counter("dials_failed", 1);
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn a_retry_whose_connection_is_established_after_the_retry_window_is_not_sent() {
-    // The retry window is checked again when the connection is established, not at dispatch only.
+fn a_retry_whose_connection_is_established_after_the_deduplication_window_is_not_sent() {
+    // The deduplication window is checked when the connection is established, not only at dispatch.
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
@@ -117,17 +117,17 @@
     now.expect("after 1970").as_millis() as u64
 }
 
-/// Waits until the process counts a connection opened now as one of before a start that is listed
-/// next: starts are compared with a tolerance of 0.5 s.
+/// Waits for longer than the tolerance of 0.5 s with which start times are compared, so that the
+/// connections opened so far count as older than a start that is listed next.
 fn wait_for_start_tolerance() {
     std::thread::sleep(Duration::from_millis(700));
 }
 
-/// Guards against a part that is lost, or waits until its deadline, on a connection to a process of
-/// the node that is gone.
+/// Guards against a part that is lost, or waits until its deadline, on a connection to an
+/// incarnation of the node that has ended.
 #[test]
-fn connections_to_an_earlier_incarnation_carry_nothing_after_the_list_that_tells_of_the_restart() {
-    // The node answers the first part and then nothing on that connection; it has restarted.
+fn connections_to_an_earlier_incarnation_carry_nothing_after_a_list_with_its_restart() {
+    // On the first connection the node answers the first part and no other, as after a restart.
     let first_connection_hangs = |part| match part {
         1 => NodeBehaviour::Serve,
         2 => NodeBehaviour::StopResponding,
@@ -153,7 +153,8 @@
     wait_for_start_tolerance();
     let restarted = in_service(0, node.address).started_at(unix_ms());
     watch.send(&changed_endpoints(3, &[restarted]));
-    // What may have run is not sent again, and its client does not wait for the deadline of 40 s.
+    // The part may have run, so it is not sent again. Its client does not wait for the deadline of
+    // 40 s.
     let started = Instant::now();
     assert!(read_until_close(hung).starts_with("HTTP/1.1 502"));
     assert!(started.elapsed() < Duration::from_secs(20));
@@ -164,8 +165,8 @@
     assert_eq!(node.received_parts(), ["idle.0", "hung.0", "next.0"]);
 }
 
-/// Guards against the same for a connection that is idle when the list comes: a part that must not
-/// be repeated would be lost on it.
+/// Guards against a part that is sent on a connection to an earlier incarnation that is idle when
+/// the list arrives: a non-idempotent part would be lost, and could not be retried.
 #[test]
 fn an_idle_connection_to_an_earlier_incarnation_is_not_used_again() {
     let node = DataNode::serving();
@@ -190,7 +191,7 @@
             200
         );
         assert_eq!(node.connections(), connections);
-        // The same start again ends nothing.
+        // A list that repeats the start closes no connection.
         watch.send(&changed_endpoints(revision, &[restarted]));
         assert_eq!(
             query(&process, "again", Class("once"), Shards(&[0])).status,
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and watches of discovery: drains apply whatever they race with.
+//! Endpoint lists and discovery watches: drains are applied whatever other event they race with.
 
 use crate::standin::client::read_until_close;
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
@@ -62,7 +62,7 @@
             first.reset();
             None
         };
-        // The change is made while no watch is open; the next one sends it, as indented JSON.
+        // The change is made while no watch is open. The next watch sends it, as indented JSON.
         let event = serde_json::to_string_pretty(&endpoint_list_json(
             2,
             ListKind::Change,
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn a_silent_discovery_agent_is_polled_again_and_its_recovery_is_noticed() {
+fn a_silent_discovery_agent_is_polled_again_and_its_recovery_is_detected() {
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
     let process =
         Deployment::ALL_EFFECTS.start_with_discovery("agent", agent.address(), &addresses);
     let started_at = std::time::Instant::now();
-    // Down: polls are not answered, then or later.
+    // The agent is down: it never answers these polls.
     let unanswered = [agent.accept_watch(), agent.accept_watch()];
     assert!(
         started_at.elapsed().as_millis() < 2_500,
-        "an event after its recovery applies at once"
+        "the poll that the agent answers after its recovery comes soon"
     );
-    let _back = agent.answer_watch(&complete_list(
+    let _watch = agent.answer_watch(&complete_list(
         5,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
@@ -127,26 +127,26 @@
 
 #[test]
 fn a_new_discovery_address_applies_during_the_backoff_of_a_watch() {
-    // Where lists are polled the backoff is up to must-ask-in, here 600 s: a SIGHUP does not wait
-    // for its end.
+    // If lists are polled, the backoff can be as long as must-ask-in, here 600 s. A SIGHUP does not
+    // wait for its end.
     let (nodes, addresses) = two_serving_nodes();
-    let old = ControlledDiscovery::new();
-    let new = ControlledDiscovery::new();
+    let old_agent = ControlledDiscovery::new();
+    let new_agent = ControlledDiscovery::new();
     let process = Deployment {
         push_discovery: false,
         ..Deployment::ALL_EFFECTS
     }
-    .start_with_discovery("moved", old.address(), &addresses);
-    old.accept_watch().reset();
+    .start_with_discovery("moved", old_agent.address(), &addresses);
+    old_agent.accept_watch().reset();
     process.wait_for_log("discovery watch failed");
     process.write_configuration(
-        &process.configuration_with("/discovery", json!(new.address().to_string())),
+        &process.configuration_with("/discovery", json!(new_agent.address().to_string())),
     );
     process.signal("HUP");
-    let _watch = new.answer_watch(&changed_endpoints(2, &[terminating(0, addresses[0])]));
-    old.listener.set_nonblocking(true).expect("set");
+    let _watch = new_agent.answer_watch(&changed_endpoints(2, &[terminating(0, addresses[0])]));
+    old_agent.listener.set_nonblocking(true).expect("set");
     assert!(
-        old.listener.accept().is_err(),
+        old_agent.listener.accept().is_err(),
         "the old address was not polled again"
     );
     process.wait_for_counter("endpoint_updates", 2);
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that are partly written when their time-out or a reset comes.
+//! Frames that are partly written when their attempt times out or their connection is reset.
 
 use crate::standin::client::{read_until_close, send_request};
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
@@ -14,8 +14,9 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_is_not_sent_again() {
-    // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it
-    // is written later and may run: it does not count as not sent, and no other node gets it.
+    // The nodes read nothing, so a long frame is only partly written at the timeout of its attempt.
+    // The rest is written later and the part may run: the attempt does not count as not sent, and
+    // the part is not sent to the other node.
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes
         .iter()
@@ -36,13 +37,13 @@
         body.len()
     ));
     process.wait_for_counter("attempts_dispatched", 1);
-    assert_eq!(answer.status, 504, "it may run: {answer:?}");
+    assert_eq!(answer.status, 504, "the part may run: {answer:?}");
     let mut runs = 0;
     for listener in nodes {
         listener.set_nonblocking(true).expect("set");
         while let Ok((mut stream, _)) = listener.accept() {
             stream.set_nonblocking(false).expect("set");
-            // Read up to the frame that follows it, the cancellation.
+            // The cancellation follows the frame of the attempt.
             while let Ok(frame) = read_frame(&mut stream) {
                 runs += usize::from(frame.kind == CALL);
                 if frame.kind == CANCEL {
@@ -54,7 +55,7 @@
     assert_eq!(runs, 1);
 }
 
-/// The queries of the test below: more than the socket buffers hold for a node that reads nothing.
+/// The number of long queries: more than fit into the socket buffers to a node that reads nothing.
 const QUERIES: usize = 90;
 
 /// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on a connection of its own.
@@ -73,7 +74,7 @@
         .collect()
 }
 
-/// Accepts all connections that wait at a listener and resets them.
+/// Accepts and resets all connections in the backlog of a listener.
 fn reset_connections(listener: &TcpListener) {
     listener.set_nonblocking(true).expect("set");
     while let Ok((stream, _)) = listener.accept() {
@@ -91,10 +92,10 @@
 }
 
 #[test]
-fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
-    // At its reset by the node one frame is partly written and others wait behind it. These cannot
-    // have run, so they are retried whatever their class; fully written ones may have run and are
-    // not.
+fn parts_of_incompletely_written_frames_are_retried_on_the_other_node() {
+    // When the node resets the connection, one frame is partly written and others are queued after
+    // it. Their parts cannot have run, so they are retried whatever their class. The parts of fully
+    // written frames may have run and are not retried.
     let stalled = bind_loopback();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
     let healthy = UnreachableNode::new();
@@ -118,7 +119,7 @@
     let mut retried = recording.wait_until_closed();
     retried.sort();
     let served = served_parts(&answers);
-    assert_eq!(retried, served, "each once");
+    assert_eq!(retried, served, "each part is retried once");
     let count = served.len();
     assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
     assert!(answers.iter().all(|answer| {
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -1,4 +1,4 @@
-//! Data nodes, queries and assertions that several of these tests share.
+//! Data nodes, queries and assertions that several modules use.
 
 use crate::standin::client::{query, send_request, Class, QueryRequest, Shards};
 use crate::standin::data_node::DataNode;
@@ -22,8 +22,8 @@
     (0..4).map(send).collect()
 }
 
-/// Asserts that queries of these shards are answered, and that a node has received no part beyond
-/// the first ones.
+/// Asserts that queries of these shards are answered, and that the node has received no parts since
+/// it had received `received_before`.
 pub fn assert_draining(process: &Process, node: &DataNode, shards: &[u32], received_before: usize) {
     for n in 0..6 {
         assert_eq!(
@@ -34,6 +34,6 @@
     assert_eq!(
         node.received_parts().len(),
         received_before,
-        "it is draining"
+        "a draining node receives no parts"
     );
 }
