--- a/tests/node_connections/cases.rs
+++ b/tests/node_connections/cases.rs
@@ -1,4 +1,4 @@
-//! Particular cases of a connection: invalid and late answers, cancellations, restarts.
+//! Particular cases of a connection: invalid and late answers, cancellations and restarts.
 
 use super::wire::{frame, frames, key, query_payload, request};
 use quinceflow::coordinator::{AttemptEnd, AttemptKey, AttemptRequest};
@@ -55,8 +55,8 @@
 
 #[test]
 fn only_valid_answers_end_an_attempt_and_load_reports_are_ignored() {
-    // An answer with an unknown id or with a value that runs into the next frame is not usable: no
-    // part waits on for it.
+    // After an answer with an unknown id, or with a value that extends into the next frame, the
+    // connection is not usable: its attempts fail at once instead of waiting for an answer.
     for (text, usable) in UNUSUAL_ANSWERS {
         let mut connection = connection_with_written(&[&[request(0)]]);
         let (result, mut events) = receive(&mut connection, &frame('a', text));
@@ -68,12 +68,12 @@
         connection.fail_all(&mut events);
         let reset = AttemptEvent::Ended(key(0), AttemptEnd::Failed(Outcome::Reset));
         let expected = if usable { vec![] } else { vec![reset] };
-        assert_eq!(events, expected, "it may have run: {text:?}");
+        assert_eq!(events, expected, "the part may have run: {text:?}");
     }
 }
 
 #[test]
-fn duplicate_and_late_answers_are_ignored_and_a_partial_frame_is_noticed() {
+fn duplicate_and_late_answers_are_ignored_and_a_partial_frame_is_detected() {
     let mut connection = connection_with_written(&[&[request(0)], &[request(1)]]);
     connection.cancel(key(1));
     let answer = |n: usize| frame('a', &format!("9b1f.{n} served 1 -\nvalue"));
@@ -81,7 +81,7 @@
     assert_eq!(result, Ok(3));
     assert_eq!(events.len(), 1, "{events:?}");
     assert!(!connection.has_partial_frame());
-    // The length of this frame is wrong: nothing may come after it that would be taken for its end.
+    // Only the start of this frame arrives: bytes that follow must not be taken for its end.
     let (result, _) = receive(&mut connection, &answer(0)[..9]);
     assert_eq!(result, Ok(0));
     assert!(connection.has_partial_frame());
@@ -92,9 +92,10 @@
 struct CancelCase {
     /// The cancelled attempts, a bit for each.
     cancelled: usize,
-    /// Whether some bytes of the frame are written before.
+    /// Whether some bytes of the frame are written before the cancellation.
     write_started: bool,
-    /// Whether the connection ends after, and the rest is sent on another one.
+    /// Whether the connection ends after the cancellation, and the other attempts are sent on
+    /// another connection.
     restarted: bool,
 }
 
@@ -138,11 +139,11 @@
         }
         self.attempts(true).for_each(|n| connection.cancel(key(n)));
         if self.restarted {
-            let rest = self.cancelled != Self::ALL_CANCELLED;
+            let has_other_attempts = self.cancelled != Self::ALL_CANCELLED;
             assert_eq!(
                 connection.restart_unsent(),
-                rest,
-                "the rest may be sent on another connection"
+                has_other_attempts,
+                "the other attempts may be sent on another connection"
             );
             wire.clear();
         }
@@ -161,7 +162,8 @@
 
 #[test]
 fn cancelled_attempts_of_a_frame_are_not_sent_unless_its_write_has_started() {
-    // A frame may carry several attempts: each one that is cancelled in time is removed from it.
+    // A frame may carry several attempts. Those that are cancelled before its write starts are
+    // removed from it.
     for cancelled in 0..=CancelCase::ALL_CANCELLED {
         for write_started in [false, true] {
             for restarted in [false, true] {
@@ -178,8 +180,8 @@
 
 #[test]
 fn late_answer_is_not_taken_for_one_to_the_next_attempt() {
-    // All attempts at a part have one id: a late "broke" or "skipped" for the cancelled attempt
-    // must not end the one in flight, beside which the part would be sent a third time.
+    // All attempts at a part have the same id. A late "broke" or "skipped" for the cancelled attempt
+    // must not end the attempt in flight: the part would be sent a third time while that one runs.
     let retry = |n: usize| AttemptRequest {
         key: AttemptKey {
             attempt: AttemptNo(1),
@@ -194,13 +196,13 @@
     let mut connection = connection_with_written(&[&[request(0), request(1)]]);
     assert!(
         !connection.awaits_late_answer(&retry(1)),
-        "it is in flight, and not cancelled"
+        "the attempt is in flight and not cancelled"
     );
     connection.cancel(key(1));
     write_all(&mut connection);
     assert!(
         connection.awaits_late_answer(&retry(1)),
-        "it may still be answered"
+        "the cancelled attempt may still be answered"
     );
     assert!(!connection.awaits_late_answer(&other_query));
     assert!(!connection.awaits_late_answer(&request(2)));
@@ -208,13 +210,13 @@
     assert_eq!(result, Ok(1));
     assert!(
         !connection.awaits_late_answer(&retry(1)),
-        "now it is answered"
+        "the cancelled attempt has been answered"
     );
     let (result, _) = receive(&mut connection, &frame('a', "9b1f.0 skipped 1 -\n"));
     assert_eq!(result, Ok(1));
     assert!(
         !connection.awaits_late_answer(&retry(0)),
-        "answered in time"
+        "the attempt was answered before any cancellation"
     );
 }
 
@@ -231,7 +233,7 @@
     connection.cancel(key(0));
     assert!(
         connection.awaits_late_answer(&retry),
-        "it may still be answered"
+        "the cancelled attempt may still be answered"
     );
     connection.enqueue(&[request(1)]);
     assert!(
@@ -246,6 +248,6 @@
     assert_eq!(
         result,
         Err(FrameError::UnknownAttempt),
-        "it was never sent on the new connection"
+        "the attempt was never sent on the new connection"
     );
 }
--- a/tests/node_connections/model.rs
+++ b/tests/node_connections/model.rs
@@ -1,5 +1,5 @@
-//! A model of a connection's state, against which random steps are checked. Fixed seeds: the same
-//! verdict each time.
+//! A model of a connection's state, with which the connection is compared after random steps. The
+//! seeds are fixed, so that each run has the same result.
 
 use super::wire::{frame, frames, key, query_payload, request};
 use proptest::collection::vec;
@@ -58,9 +58,9 @@
     Ended,
 }
 
-/// A frame with bytes that are not written.
+/// A frame that is not fully written.
 struct QueuedFrame {
-    /// The attempt that it carries; none in one that cancels an attempt.
+    /// The attempt that the frame carries; `None` for a frame that cancels an attempt.
     attempt: Option<usize>,
     remaining: usize,
     size: usize,
@@ -90,19 +90,20 @@
     expected: Ends,
 }
 
-/// A connection beside a model of it.
+/// A connection and the model that it is compared with.
 #[derive(Default)]
 struct Model {
     connection: MultiplexedConnection,
     attempts: Vec<AttemptState>,
-    /// The bytes written on the present connection.
+    /// The bytes written on the current connection.
     wire: Vec<u8>,
     queue: Vec<QueuedFrame>,
-    /// The attempts that the data node has received on the present connection: it answers no
-    /// others.
+    /// The attempts that the data node has received on the current connection; it answers only
+    /// these.
     received: BTreeSet<usize>,
     metrics: Arc<ClassMetrics>,
-    /// Frames fully written, whatever became of their attempts: operators are told of these.
+    /// The number of attempts whose frame was fully written, including those cancelled before; the
+    /// metrics for operators count these.
     fully_written: u64,
 }
 
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Returns the attempt, unless the model has recorded its end.
+    /// Returns the attempt, unless it has ended in the model.
     fn unless_ended(&self, attempt: Option<usize>) -> Option<usize> {
         attempt.filter(|n| self.attempts[*n] != AttemptState::Ended)
     }
@@ -176,7 +177,7 @@
             let started = front.is_unstarted();
             front.remaining -= bytes;
             if front.remaining == 0 {
-                expected = self.front_fully_written().map(AttemptEvent::FullyWritten);
+                expected = self.remove_written_front().map(AttemptEvent::FullyWritten);
             } else if started {
                 let attempt = self.unless_ended(self.queue[0].attempt);
                 expected = attempt.map(|n| AttemptEvent::WriteStarted(key(n)));
@@ -187,8 +188,8 @@
     }
 
     /// Removes the front of the queue, which is fully written, and returns the attempt that it
-    /// carried, unless that has ended.
-    fn front_fully_written(&mut self) -> Option<AttemptKey> {
+    /// carried, unless that attempt has ended.
+    fn remove_written_front(&mut self) -> Option<AttemptKey> {
         let attempt = self.queue.remove(0).attempt;
         self.received.extend(attempt);
         self.fully_written += u64::from(attempt.is_some());
@@ -270,13 +271,13 @@
         Ok(result)
     }
 
-    /// Checks what holds after every step.
+    /// Checks the conditions that hold after every step.
     fn check(&self, result: StepResult) -> Result<(), TestCaseError> {
         let ends = ends(&result.events);
         prop_assert_eq!(
             ends.len(),
             result.events.len(),
-            "one end each: {:?}",
+            "each attempt has one end: {:?}",
             result.events
         );
         prop_assert_eq!(ends, result.expected);
@@ -295,7 +296,7 @@
     }
 }
 
-/// Returns the ends of attempts among events, and the attempts fully written.
+/// Returns the ends of attempts among the events.
 fn ends(events: &[AttemptEvent]) -> Ends {
     let end = |event: &AttemptEvent| match event {
         AttemptEvent::Ended(key, AttemptEnd::Served(value)) => {
@@ -323,7 +324,7 @@
     }
 
     #[test]
-    fn no_bytes_from_a_node_cause_a_panic(
+    fn arbitrary_bytes_from_a_node_cause_no_panic(
         chunks in vec(vec(any::<u8>(), 0..400), 0..20),
         text in "[ -~\r\n]{0,600}",
     ) {
--- a/tests/node_connections/wire.rs
+++ b/tests/node_connections/wire.rs
@@ -32,18 +32,13 @@
     format!("9b1f.{n} {n} d=240 8\nc41e77d0")
 }
 
-/// Returns a frame of this letter and payload.
-pub fn frame(letter: char, payload: &str) -> Vec<u8> {
+/// Returns a frame of this kind and payload.
+pub fn frame(kind: char, payload: &str) -> Vec<u8> {
     let length = (payload.len() as u32 + 1).to_be_bytes();
-    [
-        &length[..],
-        letter.to_string().as_bytes(),
-        payload.as_bytes(),
-    ]
-    .concat()
+    [&length[..], kind.to_string().as_bytes(), payload.as_bytes()].concat()
 }
 
-/// Returns the complete frames in the bytes that a data node has received, as letter and payload.
+/// Returns the kind and payload of each complete frame in the bytes that a data node has received.
 pub fn frames(mut bytes: &[u8]) -> Vec<(char, String)> {
     let mut frames = Vec::new();
     while let Some(length) = bytes.first_chunk::<4>() {
