--- a/tests/ogc_run/faults.rs
+++ b/tests/ogc_run/faults.rs
@@ -1,4 +1,4 @@
-//! The run under faults.
+//! The run, in which the feature servers have faults in turn.
 
 use crate::run::{Run, CLIENTS, MAX_RESPONSE_MS};
 use std::time::Duration;
@@ -19,12 +19,12 @@
         run.inject_faults(Duration::from_secs_f64(minutes * 60.0));
     });
     println!("{}", run.process.log_counters());
-    run.print_findings(minutes);
+    run.print_results(minutes);
 
     let starts = run.non_idempotent_starts_per_page();
     assert!(
         !starts.is_empty(),
-        "no query of the non-idempotent class was seen"
+        "no query of the non-idempotent class was started"
     );
     assert!(starts.iter().all(|count| *count <= 1));
     let drained_requests = run.drained_requests.lock().expect("drains");
@@ -32,7 +32,7 @@
     let tally = run.tally.lock().expect("tally");
     assert!(
         tally.slowest_ms < MAX_RESPONSE_MS,
-        "a response came after its client's time"
+        "a response came after its client's timeout"
     );
-    assert!(!tally.walks.keys().any(|(_, kind)| kind == "wrong"));
+    assert!(!tally.traversals.keys().any(|(_, kind)| kind == "wrong"));
 }
--- a/tests/ogc_run/main.rs
+++ b/tests/ogc_run/main.rs
@@ -1,4 +1,4 @@
-//! Some minutes of feature queries under the usual faults, outside CI:
+//! Some minutes of feature queries while their servers have faults, outside CI:
 //! `MINUTES=4 cargo test --release --test ogc_run -- --ignored --nocapture`. Results:
 //! docs/recorded-run.md.
 
@@ -7,4 +7,4 @@
 mod servers;
 #[path = "../standin/mod.rs"]
 mod standin;
-mod walk;
+mod traversal;
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -1,10 +1,12 @@
-//! The program under test, its clients, and the faults of its servers in turn.
+//! The process under test, its clients, and the faults that its servers have in turn.
 
-use crate::servers::{ids, inventory, server, shards_of, FAULTS, SERVERS, SHARDS};
+use crate::servers::{
+    feature_numbers, inventory, shards_of, start_server, FAULTS, SERVERS, SHARDS,
+};
 use crate::standin::client::Response;
 use crate::standin::feature_server::FeatureServer;
 use crate::standin::process::Process;
-use crate::walk::{QueryId, Walk, NON_IDEMPOTENT};
+use crate::traversal::{QueryId, Traversal, NON_IDEMPOTENT};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex};
@@ -12,17 +14,17 @@
 
 /// The number of clients.
 pub const CLIENTS: usize = 16;
-/// Clients that send requests all the time; the others do during bursts only.
+/// The number of clients that send requests all the time; the others send only during bursts.
 pub const STEADY_CLIENTS: usize = 5;
 /// The time for which a server has a fault.
 pub const FAULT_DURATION: Duration = Duration::from_secs(4);
-/// Time after a reload until a draining server must get no further requests.
+/// The time after a reload from which on a draining server must get no requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// The time after which a response is too late; clients wait 1.5 s.
 pub const MAX_RESPONSE_MS: u128 = 1_700;
-/// Pause of a client after each response.
+/// The pause of a client after each response.
 pub const CLIENT_PAUSE: Duration = Duration::from_millis(20);
-/// The settings of the program beside the classes of all tests.
+/// The settings of the process, which are added to the classes of all tests.
 pub const SETTINGS: &str = r#"
 most_held = 60
 [[class]]
@@ -34,23 +36,23 @@
 /// Queries by class and kind, the number of their responses, and the slowest of these.
 #[derive(Default)]
 pub struct Tally {
-    pub walks: BTreeMap<(&'static str, String), usize>,
+    pub traversals: BTreeMap<(&'static str, String), usize>,
     pub responses: usize,
     pub slowest_ms: u128,
 }
 
 impl Tally {
-    /// Counts a response that took so long.
+    /// Counts a response and records its duration.
     pub fn record_response(&mut self, elapsed_ms: u128) {
         self.responses += 1;
         self.slowest_ms = self.slowest_ms.max(elapsed_ms);
     }
 
-    /// Counts the responses to a query by class and kind.
-    pub fn record_walk(&mut self, walk: &Walk) {
+    /// Counts a query by its class and the kind of its traversal.
+    pub fn record_traversal(&mut self, traversal: &Traversal) {
         *self
-            .walks
-            .entry((walk.query.class(), walk.kind()))
+            .traversals
+            .entry((traversal.query.class(), traversal.kind()))
             .or_default() += 1;
     }
 }
@@ -58,37 +60,37 @@
 /// The number of times that a query was started at each shard, by the shard's path.
 pub type Starts = BTreeMap<String, usize>;
 
-/// The program under test with its feature servers, and the records of the run.
+/// The process under test, its feature servers, and the records of the run.
 pub struct Run {
     pub process: Process,
     pub servers: Vec<FeatureServer>,
     /// The fault of each server, as an index into [`FAULTS`].
     pub faults: Vec<Arc<AtomicUsize>>,
-    pub over: AtomicBool,
-    pub burst: AtomicBool,
+    pub is_over: AtomicBool,
+    pub is_burst: AtomicBool,
     pub tally: Mutex<Tally>,
     /// For each query of the non-idempotent class with more than one page, its starts before each
-    /// further page.
+    /// page but the first.
     pub starts_before_pages: Mutex<BTreeMap<QueryId, Vec<Starts>>>,
-    /// For each drain, the requests that the server got after the grace period.
+    /// For each drain, the number of requests that the server got after the grace period.
     pub drained_requests: Mutex<Vec<usize>>,
 }
 
 impl Run {
-    /// Starts the program and its feature servers, all healthy.
+    /// Starts the process and its feature servers, all healthy.
     pub fn start() -> Self {
         let faults: Vec<Arc<AtomicUsize>> = (0..SERVERS).map(|_| Arc::default()).collect();
         let servers: Vec<FeatureServer> = faults
             .iter()
             .enumerate()
-            .map(|(n, fault)| server(shards_of(n), fault.clone()))
+            .map(|(n, fault)| start_server(shards_of(n), fault.clone()))
             .collect();
         Run {
             process: Process::start_edge("run", SETTINGS, &inventory(&servers, None)),
             servers,
             faults,
-            over: AtomicBool::new(false),
-            burst: AtomicBool::new(false),
+            is_over: AtomicBool::new(false),
+            is_burst: AtomicBool::new(false),
             tally: Mutex::default(),
             starts_before_pages: Mutex::default(),
             drained_requests: Mutex::default(),
@@ -98,44 +100,49 @@
     /// Sends queries until the run is over, each with a `bbox` of its own.
     pub fn run_client(&self, client: usize) {
         let mut queries = 0usize;
-        while !self.over.load(Relaxed) {
-            if client >= STEADY_CLIENTS && !self.burst.load(Relaxed) {
+        while !self.is_over.load(Relaxed) {
+            if client >= STEADY_CLIENTS && !self.is_burst.load(Relaxed) {
                 std::thread::sleep(Duration::from_millis(50));
                 continue;
             }
             queries += 1;
-            let walk = self.follow_pages(QueryId {
+            let traversal = self.follow_pages(QueryId {
                 client,
                 query: queries,
             });
-            self.tally.lock().expect("tally").record_walk(&walk);
+            self.tally
+                .lock()
+                .expect("tally")
+                .record_traversal(&traversal);
         }
     }
 
-    /// Sends a query and follows the `next` links to the last page, to a failure, or to more pages
-    /// than there are features.
-    pub fn follow_pages(&self, query: QueryId) -> Walk {
-        let mut walk = Walk {
+    /// Sends a query and follows the `next` links until the last page, a failure, or more pages than
+    /// there are features.
+    pub fn follow_pages(&self, query: QueryId) -> Traversal {
+        let mut traversal = Traversal {
             query,
             pages: Vec::new(),
             failure: None,
         };
         let mut next = Some(query.first_target());
-        let features: usize = (0..SHARDS.len()).map(|shard| ids(shard).len()).sum();
-        while let Some(target) = next.filter(|_| walk.pages.len() <= features) {
-            if !walk.pages.is_empty() && query.class() == NON_IDEMPOTENT {
+        let features: usize = (0..SHARDS.len())
+            .map(|shard| feature_numbers(shard).len())
+            .sum();
+        while let Some(target) = next.filter(|_| traversal.pages.len() <= features) {
+            if !traversal.pages.is_empty() && query.class() == NON_IDEMPOTENT {
                 self.record_starts_before_page(query);
             }
             let response = self.request(query, &target);
             std::thread::sleep(CLIENT_PAUSE);
             if response.status != 200 {
-                walk.failure = Some(response.status);
+                traversal.failure = Some(response.status);
                 break;
             }
             next = response.link("next");
-            walk.pages.push(response);
+            traversal.pages.push(response);
         }
-        walk
+        traversal
     }
 
     /// Sends one request of a query and records how long its response took.
@@ -157,7 +164,7 @@
         response
     }
 
-    /// Records the starts of a query before it requests a further page.
+    /// Records the starts of a query before its next page is requested.
     pub fn record_starts_before_page(&self, query: QueryId) {
         let starts = self
             .starts(|started| started == query)
@@ -167,7 +174,7 @@
         recorded.entry(query).or_default().push(starts);
     }
 
-    /// Gives the servers their faults in turn, one at a time, until the time is over.
+    /// Sets one fault after the other, at one server at a time, until `duration` has passed.
     pub fn inject_faults(&self, duration: Duration) {
         let start = Instant::now();
         let mut round = 0usize;
@@ -175,7 +182,7 @@
             let server = (round * 5) % SERVERS;
             let fault = round % FAULTS.len();
             self.faults[server].store(fault, Relaxed);
-            self.burst.store(FAULTS[fault] == "burst", Relaxed);
+            self.is_burst.store(FAULTS[fault] == "burst", Relaxed);
             if FAULTS[fault] == "drain" {
                 self.drain(server);
             } else {
@@ -184,10 +191,10 @@
             self.faults[server].store(0, Relaxed);
             round += 1;
         }
-        self.over.store(true, Relaxed);
+        self.is_over.store(true, Relaxed);
     }
 
-    /// Drains a server for [`FAULT_DURATION`] and records the requests that it gets.
+    /// Drains a server for [`FAULT_DURATION`] and records the number of requests that it gets.
     pub fn drain(&self, server: usize) {
         self.reload_inventory(Some(server));
         std::thread::sleep(DRAIN_GRACE);
@@ -201,7 +208,7 @@
         self.reload_inventory(None);
     }
 
-    /// Reloads the inventory, in which this server drains.
+    /// Reloads the inventory with this server draining, or with none.
     pub fn reload_inventory(&self, draining: Option<usize>) {
         self.process
             .write_inventory(&inventory(&self.servers, draining));
@@ -222,8 +229,9 @@
         starts
     }
 
-    /// Returns the number of starts at a shard for each page request of the non-idempotent class: a
-    /// client's request may start each shard once, and so may its request for a further page.
+    /// Returns, for each page request of the non-idempotent class and each shard that it started, the
+    /// number of these starts. A query's first request may start each shard once, and so may its
+    /// request for each later page.
     pub fn non_idempotent_starts_per_page(&self) -> Vec<usize> {
         let mut recorded = self.starts_before_pages.lock().expect("starts").clone();
         let mut per_page = Vec::new();
@@ -247,14 +255,14 @@
         per_page
     }
 
-    /// Prints the responses, the queries by class and kind, and the requests that must not be.
-    pub fn print_findings(&self, minutes: f64) {
+    /// Prints the responses, the queries by class and kind, and the requests that break a rule.
+    pub fn print_results(&self, minutes: f64) {
         let tally = self.tally.lock().expect("tally");
         let responses = tally.responses;
         let slowest_ms = tally.slowest_ms;
         println!("{minutes} minutes; {responses} responses, slowest {slowest_ms} ms");
         println!("queries by class and kind:");
-        for ((class, kind), count) in &tally.walks {
+        for ((class, kind), count) in &tally.traversals {
             println!("  {class:6} {kind:19} {count}");
         }
         let drained_requests = self.drained_requests.lock().expect("drains");
@@ -264,6 +272,6 @@
         let repeated = starts.iter().filter(|count| **count > 1).count();
         println!("non-idempotent parts: started {started}, more than once {repeated}");
         let continued = self.starts_before_pages.lock().expect("starts").len();
-        println!("non-idempotent queries that went on to further pages: {continued}");
+        println!("non-idempotent queries with more than one page: {continued}");
     }
 }
--- a/tests/ogc_run/servers.rs
+++ b/tests/ogc_run/servers.rs
@@ -1,4 +1,4 @@
-//! The feature servers of the run, and the faults that they are given.
+//! The feature servers of the run, and their faults.
 
 use crate::standin::feature_server::{healthy_reply, inventory_row_in_state, FeatureServer, Reply};
 use std::ops::Range;
@@ -16,7 +16,7 @@
 pub const SERVERS: usize = 6;
 
 /// Returns the numbers of the features of a shard.
-pub fn ids(shard: usize) -> Range<usize> {
+pub fn feature_numbers(shard: usize) -> Range<usize> {
     shard * 1000..shard * 1000 + 40 + shard
 }
 
@@ -25,19 +25,19 @@
     [server % 3, (server + 1) % 3]
 }
 
-/// Starts a server of two shards whose fault is set from outside.
-pub fn server(shards: [usize; 2], fault: Arc<AtomicUsize>) -> FeatureServer {
+/// Starts a server of two shards; `fault` is the index of its present fault in [`FAULTS`].
+pub fn start_server(shards: [usize; 2], fault: Arc<AtomicUsize>) -> FeatureServer {
     let mut seed = 7usize;
     FeatureServer::start(move |target| {
         let shard = shards
             .into_iter()
             .find(|s| target.contains(&format!("/{}/", SHARDS[*s])))
-            .expect("its shard");
-        let reply = healthy_reply(target, ids(shard), 10);
+            .expect("a shard of this server");
+        let reply = healthy_reply(target, feature_numbers(shard), 10);
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        // About every other page fails: if all did, the fault would be met on first pages only.
+        // About every other page fails. If all failed, only first pages would meet the fault.
         let fails = (seed >> 33).is_multiple_of(2);
         match (FAULTS[fault.load(Relaxed)], reply) {
             ("errors", _) if fails => Reply::Status(500),
@@ -52,7 +52,7 @@
     })
 }
 
-/// Returns the inventory of the servers, of which one may drain.
+/// Returns the inventory of the servers, of which one may be draining.
 pub fn inventory(servers: &[FeatureServer], draining: Option<usize>) -> String {
     let row = |(n, server): (usize, &FeatureServer)| {
         let [first, second] = shards_of(n).map(|shard| SHARDS[shard]);
--- a/tests/ogc_run/walk.rs
+++ b/tests/ogc_run/traversal.rs
@@ -1,6 +1,6 @@
-//! The responses to a query over its `next` links, and whether they are right.
+//! The responses to a query over its `next` links, and the check that they are right.
 
-use crate::servers::{ids, SHARDS};
+use crate::servers::{feature_numbers, SHARDS};
 use crate::standin::client::Response;
 use crate::standin::feature_server::query_parameter;
 use std::collections::BTreeSet;
@@ -9,10 +9,11 @@
 pub const CLASSES: [&str; 3] = ["exact", "part", "once"];
 /// The class whose parts must not run twice.
 pub const NON_IDEMPOTENT: &str = "once";
-/// The last coordinate of a query's `bbox` is the query's number over this.
+/// The last coordinate of a query's `bbox` is the query's number divided by this.
 pub const BBOX_SCALE: f64 = 1e5;
 
-/// A query, by the numbers in its `bbox`: servers see no other mark.
+/// The identifier of a query. It is encoded in the `bbox`, since nothing else of a query reaches the
+/// servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryId {
     pub client: usize,
@@ -34,7 +35,7 @@
         )
     }
 
-    /// Returns the query that a request starts at a shard; `None` for the further pages of a shard.
+    /// Returns the query that a request starts at a shard; `None` if the request is for a later page.
     pub fn started_by(target: &str) -> Option<QueryId> {
         if query_parameter(target, "offset").is_some() {
             return None;
@@ -54,18 +55,18 @@
     }
 }
 
-/// The responses to a query, in order: each but the first answers the `next` link of the one
-/// before.
-pub struct Walk {
+/// The responses to a query, in order: each but the first is to the request for the `next` link of
+/// the one before.
+pub struct Traversal {
     pub query: QueryId,
     /// The responses with status 200.
     pub pages: Vec<Response>,
-    /// The status of the response that ended the walk before the last page.
+    /// The status of the response that ended the traversal before the last page.
     pub failure: Option<u16>,
 }
 
-impl Walk {
-    /// Returns the kind of a walk: whether all of its pages are right, and how it ended.
+impl Traversal {
+    /// Returns the kind of a traversal: whether all of its pages are right, and how it ended.
     pub fn kind(&self) -> String {
         let complete = self
             .pages
@@ -86,10 +87,10 @@
         }
     }
 
-    /// Whether the pages hold, in order and each once, all features of each shard that no page
-    /// calls missing. Of a missing shard they hold the features before those that are missing; the
-    /// page that calls it missing holds none. After a failure the same is true of the features
-    /// before those of the page that failed.
+    /// Whether the pages have, in order and each once, all features of each shard that no page
+    /// reports as missing. Of a missing shard they have the features before those that are missing;
+    /// the page that reports the shard as missing has none of it. After a failure the same is true
+    /// of the features before those of the page that failed.
     pub fn is_right(&self) -> bool {
         if !self.pages.iter().all(page_is_consistent) {
             return false;
@@ -98,7 +99,7 @@
         let missing: BTreeSet<usize> = self.pages.iter().flat_map(missing_shards).collect();
         let expected: Vec<String> = (0..SHARDS.len())
             .flat_map(|shard| {
-                let all = ids(shard).map(|id| format!("d{id}"));
+                let all = feature_numbers(shard).map(|id| format!("d{id}"));
                 let count = all.clone().filter(|id| returned.contains(id)).count();
                 all.take(if missing.contains(&shard) {
                     count
@@ -114,7 +115,7 @@
     }
 }
 
-/// Returns the indexes of the shards that a page calls missing.
+/// Returns the indexes of the shards that a page reports as missing.
 pub fn missing_shards(page: &Response) -> BTreeSet<usize> {
     let json = page.json();
     let names = json["missing"].as_array().into_iter().flatten();
@@ -124,15 +125,15 @@
         .collect()
 }
 
-/// Whether `X-Answer-Whole` agrees with `missing`, the page holds no feature of a shard that it
-/// calls missing, and a page that is not the last holds a feature.
+/// Whether `X-Answer-Whole` agrees with `missing`, the page has no feature of a shard that it
+/// reports as missing, and a page that is not the last has at least one feature.
 pub fn page_is_consistent(page: &Response) -> bool {
     let missing = missing_shards(page);
     let returned = page.ids();
     let is_missing = |id: &String| {
         missing
             .iter()
-            .any(|s| ids(*s).any(|number| *id == format!("d{number}")))
+            .any(|s| feature_numbers(*s).any(|number| *id == format!("d{number}")))
     };
     page.headers["x-answer-whole"] == missing.is_empty().to_string()
         && !returned.iter().any(is_missing)
