--- a/tests/ogc/faults.rs
+++ b/tests/ogc/faults.rs
@@ -4,11 +4,11 @@
     healthy_reply, inventory_row, query_parameter, FeatureServer, Reply,
 };
 use crate::standin::process::Process;
-use crate::support::{expected, ITEMS};
+use crate::support::{feature_ids, ITEMS};
 
 #[test]
 fn failed_and_truncated_pages_are_retried_elsewhere_without_duplicates() {
-    let cut = |target: &str| match (
+    let truncate_third = |target: &str| match (
         query_parameter(target, "offset"),
         healthy_reply(target, 0..6, 2),
     ) {
@@ -17,7 +17,7 @@
     };
     for (test, bad) in [
         ("errors", FeatureServer::start(|_| Reply::Status(500))),
-        ("cut", FeatureServer::start(cut)),
+        ("cut", FeatureServer::start(truncate_third)),
     ] {
         let healthy = FeatureServer::healthy(0..6, 2);
         let rows =
@@ -27,25 +27,25 @@
             let response = process.get(ITEMS);
             assert_eq!(
                 (response.status, response.ids()),
-                (200, expected(0..6)),
+                (200, feature_ids(0..6)),
                 "{test}"
             );
         }
         assert!(
             bad.count_requests(|_| true) > 0,
-            "{test}: the faulty server was asked"
+            "{test}: the faulty server received a request"
         );
     }
 }
 
 #[test]
 fn parts_of_a_non_idempotent_class_are_not_retried() {
-    let cut = |target: &str| match healthy_reply(target, 0..6, 2) {
+    let truncate = |target: &str| match healthy_reply(target, 0..6, 2) {
         Reply::Json(body) => Reply::Truncated(body),
         other => other,
     };
-    let a = FeatureServer::start(cut);
-    let b = FeatureServer::start(cut);
+    let a = FeatureServer::start(truncate);
+    let b = FeatureServer::start(truncate);
     let rows = inventory_row("a", &a, "devices") + &inventory_row("b", &b, "devices");
     let process = Process::start_edge("once", "", &rows);
     assert_eq!(
@@ -71,7 +71,7 @@
         (504, Some(504))
     );
     let partial = process.get_with_headers(ITEMS, "X-Qos: part\r\n");
-    assert_eq!((partial.status, partial.ids()), (200, expected(0..3)));
+    assert_eq!((partial.status, partial.ids()), (200, feature_ids(0..3)));
     assert_eq!(partial.headers["x-answer-whole"], "false");
     let json = partial.json();
     assert_eq!(
@@ -80,16 +80,16 @@
     );
     assert!(
         json.get("numberMatched").is_none(),
-        "an unknown number is left out"
+        "an unknown number is omitted"
     );
     let one = process.get_with_headers("/collections/devices/items/d77", "X-Qos: part\r\n");
-    assert_eq!(one.status, 502, "the hanging server may have it");
+    assert_eq!(one.status, 502, "the hanging server may have the feature");
 }
 
 #[test]
-fn a_shard_that_is_called_missing_contributes_no_features() {
-    // Both servers of shard s return its first page and fail at the next: the shard is begun anew
-    // at the second server and breaks again.
+fn a_shard_reported_as_missing_contributes_no_features() {
+    // Both servers of shard s return its first page and fail at the next one: the shard is started
+    // over at the second server and fails again.
     let first_page_only = |target: &str| match query_parameter(target, "offset") {
         Some(_) => Reply::Status(500),
         None => healthy_reply(target, 100..106, 2),
@@ -105,5 +105,5 @@
 
     assert_eq!(partial.status, 200);
     assert_eq!(partial.json()["missing"], serde_json::json!(["s"]));
-    assert_eq!(partial.ids(), expected(0..3));
+    assert_eq!(partial.ids(), feature_ids(0..3));
 }
--- a/tests/ogc/main.rs
+++ b/tests/ogc/main.rs
@@ -1,5 +1,4 @@
-//! The front for feature queries against stand-in feature servers: pages, faults, draining,
-//! rejections.
+//! The feature front with stand-in feature servers: pages, faults, draining and rejections.
 
 mod faults;
 mod operation;
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -1,10 +1,10 @@
-//! Operation of the front: draining, overload, shutdown and counters.
+//! Operation of the feature front: draining, overload, shutdown and counters.
 
 use crate::standin::client::{disconnect_behind, send_request};
 use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
 use crate::standin::management::management_call;
 use crate::standin::process::Process;
-use crate::support::{expected, GatedServer, ITEMS};
+use crate::support::{feature_ids, GatedServer, ITEMS};
 
 /// Waits until the grace period of draining is over: a query to the collection `hung` times out
 /// after 400 ms.
@@ -36,7 +36,7 @@
         wait_for_drain_grace(&process);
         draining.open();
         let response = client.join().expect("a response");
-        assert_eq!((response.status, response.ids()), (200, expected(0..6)));
+        assert_eq!((response.status, response.ids()), (200, feature_ids(0..6)));
     });
 
     let requests = || draining.server.count_requests(|_| true);
@@ -90,7 +90,7 @@
         process.signal("TERM");
         process.wait_for_log("graceful shutdown started");
         gated.open();
-        // The connection is persistent: it ends with the program.
+        // The connection is persistent: it ends when the process exits.
         assert_eq!(client.join().expect("a response").status, 200);
     });
     assert!(process.wait_for_exit());
@@ -112,8 +112,8 @@
         200
     );
     let text = dump("DUMP\n");
-    // A page is an attempt, and an answer of two pages one answer.
-    for figure in [
+    // Each page is an attempt; an answer of two pages counts as one answer.
+    for metric in [
         "exact.ok=1",
         "exact.tries=2",
         "once.ok=1",
@@ -121,8 +121,8 @@
         "part.ok=0",
     ] {
         assert!(
-            text.contains(&format!("\nnode.responses.{figure}\n")),
-            "{figure} in {text}"
+            text.contains(&format!("\nnode.responses.{metric}\n")),
+            "{metric} in {text}"
         );
     }
     assert!(
@@ -131,12 +131,13 @@
     );
 }
 
-/// Guards against work for a client that has disconnected with more unread bytes behind its request
-/// than the process takes.
+/// Guards against work for a client that has disconnected after it sent more bytes after its request
+/// than the process buffers.
 #[test]
-fn a_client_that_disconnects_behind_many_unread_bytes_is_seen_as_gone() {
+fn the_disconnect_of_a_client_with_many_unread_bytes_is_detected() {
     for bytes in [1_500_000, 3_000_000, 60_000_000] {
-        // A process for each: one that knows the server to hang rejects queries by itself.
+        // Each case has its own process, since a process that has recorded the hang would reject the
+        // next query before it is sent.
         let hung = FeatureServer::start(|_| Reply::Hang);
         let test = format!("unread-{bytes}");
         let process = Process::start_edge(&test, "", &inventory_row("a", &hung, "devices"));
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -4,7 +4,7 @@
     healthy_reply, inventory_row, inventory_row_in_state, FeatureServer, Reply,
 };
 use crate::standin::process::Process;
-use crate::support::{expected, ITEMS};
+use crate::support::{feature_ids, ITEMS};
 
 #[test]
 fn pages_of_all_shards_are_merged_and_a_limited_response_continues() {
@@ -13,9 +13,9 @@
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let process = Process::start_edge("pages", "", &rows);
     let complete = process.get(ITEMS);
-    let all: Vec<String> = expected(0..7)
+    let all: Vec<String> = feature_ids(0..7)
         .into_iter()
-        .chain(expected(100..105))
+        .chain(feature_ids(100..105))
         .collect();
     assert_eq!((complete.status, complete.ids()), (200, all.clone()));
     assert_eq!(complete.json()["numberMatched"], 12);
@@ -39,7 +39,7 @@
     );
     assert!(
         north.count_requests(|t| t.contains("bbox=0%2C0%2C9%2C9")) > 0,
-        "the box is passed on to the servers"
+        "the bounding box is passed on to the servers"
     );
 }
 
@@ -52,12 +52,12 @@
     });
     let process = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
     let response = process.get(ITEMS);
-    assert_eq!((response.status, response.ids()), (200, expected(0..6)));
+    assert_eq!((response.status, response.ids()), (200, feature_ids(0..6)));
     assert_eq!(server.count_requests(|_| true), 3);
 }
 
-/// Starts a server whose pages all have the feature d0 and a `next` link; `next_link` gives the
-/// link's target for the target of the request.
+/// Starts a server whose pages all have the feature d0 and a `next` link; `next_link` returns the
+/// target of the link for the target of a request.
 fn start_with_next_link(
     mut next_link: impl FnMut(&str) -> String + Send + 'static,
 ) -> FeatureServer {
@@ -85,42 +85,43 @@
 }
 
 #[test]
-fn next_links_are_followed_only_on_at_the_same_server() {
+fn next_links_are_followed_only_forward_and_at_the_same_server() {
     let elsewhere = FeatureServer::healthy(0..2, 1);
     let away_link = format!(
         "http://{}/collections/away/items?offset=1",
         elsewhere.address
     );
     let away = start_with_next_link(move |_| away_link.clone());
-    let round = start_with_next_link(str::to_owned);
+    let circular = start_with_next_link(str::to_owned);
     let endless = start_endless();
     let large = start_with_large_page();
     let rows = inventory_row("a", &away, "away")
-        + &inventory_row("b", &round, "round")
+        + &inventory_row("b", &circular, "circular")
         + &inventory_row("c", &endless, "endless")
         + &inventory_row("d", &large, "large");
     let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
     let process = Process::start_edge("links", settings, &rows);
 
-    for name in ["away", "round", "large"] {
+    for name in ["away", "circular", "large"] {
         let status = process.get(&format!("/collections/{name}/items")).status;
         assert!(status >= 500, "{name}");
     }
     assert_eq!(elsewhere.count_requests(|_| true), 0);
-    assert_eq!(round.count_requests(|_| true), 1);
+    assert_eq!(circular.count_requests(|_| true), 1);
     assert_eq!(large.count_requests(|_| true), 1);
 
     // Endless links without a new feature: the one feature is returned once, after at most two
     // attempts of two pages.
     let response = process.get("/collections/endless/items");
-    assert_eq!((response.status, response.ids()), (200, expected(0..1)));
+    assert_eq!((response.status, response.ids()), (200, feature_ids(0..1)));
     let requests = endless.count_requests(|_| true);
     assert!(requests <= 4, "{requests}");
 }
 
-/// Guards against a client that begins anew although the server of its next page is still listed.
+/// Guards against a client that has to restart at the first page although the server of its next
+/// page is still listed.
 #[test]
-fn a_next_link_at_a_draining_server_can_be_tried_again_until_the_server_leaves() {
+fn a_next_link_to_a_draining_server_can_be_retried_until_the_server_is_removed() {
     let server = FeatureServer::healthy(0..6, 2);
     let other = FeatureServer::healthy(0..6, 2);
     let other_row = inventory_row("b", &other, "devices");
@@ -140,14 +141,14 @@
     );
     process.reload_inventory(&rows_with("in_service"));
     let served = process.get(&next);
-    assert_eq!((served.status, served.ids()), (200, expected(2..4)));
+    assert_eq!((served.status, served.ids()), (200, feature_ids(2..4)));
     process.reload_inventory(&other_row);
     assert_eq!(process.get(&next).status, 410);
 }
 
 /// Guards against a page that is requested from a server that no longer has its shard.
 #[test]
-fn a_next_link_of_servers_with_the_same_order_goes_to_a_holder_of_its_shard() {
+fn a_next_link_of_servers_with_the_same_order_goes_to_a_server_of_its_shard() {
     let servers = [0, 1].map(|_| FeatureServer::healthy(0..6, 2));
     let rows = |first: &str| {
         inventory_row("a", &servers[0], first) + &inventory_row("b", &servers[1], "devices/n")
@@ -163,7 +164,7 @@
     let requests = servers[0].count_requests(|_| true);
     for _ in 0..4 {
         let served = process.get(&next);
-        assert_eq!((served.status, served.ids()), (200, expected(2..4)));
+        assert_eq!((served.status, served.ids()), (200, feature_ids(2..4)));
     }
     assert_eq!(servers[0].count_requests(|_| true), requests);
 }
--- a/tests/ogc/resources.rs
+++ b/tests/ogc/resources.rs
@@ -1,10 +1,10 @@
-//! The resources beside the items, and the statuses of requests that are rejected.
+//! The resources other than the items, and the statuses of requests that are rejected.
 
 use crate::standin::feature_server::{inventory_row, FeatureServer};
 use crate::standin::process::Process;
 use crate::support::ITEMS;
 
-/// Targets that name no resource.
+/// Targets at which there is no resource.
 const UNKNOWN_TARGETS: [&str; 4] = [
     "/collections/none",
     "/collections/none/items",
@@ -57,8 +57,8 @@
     assert_eq!(feature.json()["id"].as_str(), Some("d1"));
 }
 
-/// Asserts that a server that does not declare filters is asked for the envelope of the polygon
-/// only.
+/// Asserts that a server that does not declare filters is sent the envelope of the polygon instead
+/// of the filter.
 fn assert_polygon_is_requested_as_its_envelope(process: &Process, server: &FeatureServer) {
     let polygon =
         "filter=S_INTERSECTS(geometry,POLYGON((0%200,9%200,9%209,0%200)))&filter-lang=cql2-text";
@@ -69,7 +69,7 @@
     assert_eq!(with_envelope, 1);
 }
 
-/// Asserts that a target gets this status, in the head and in a problem document.
+/// Asserts that the response for a target has this status in its head and in a problem document.
 fn assert_problem_document(process: &Process, target: &str, status: u16) {
     let response = process.get(target);
     assert_eq!(response.status, status, "{target}");
--- a/tests/ogc/support.rs
+++ b/tests/ogc/support.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests of the front for feature queries.
+//! Helpers of the tests of the feature front.
 
 use crate::standin::feature_server::{healthy_reply, query_parameter, FeatureServer};
 use std::ops::Range;
@@ -9,7 +9,7 @@
 pub const ITEMS: &str = "/collections/devices/items";
 
 /// Returns the identifiers of the features with these numbers.
-pub fn expected(ids: Range<usize>) -> Vec<String> {
+pub fn feature_ids(ids: Range<usize>) -> Vec<String> {
     ids.map(|n| format!("d{n}")).collect()
 }
 
@@ -21,13 +21,16 @@
 }
 
 impl GatedServer {
-    /// Starts a server of these features, in pages of so many.
+    /// Starts a server of these features, with `page` of them on a page.
     pub fn start(ids: Range<usize>, page: usize) -> GatedServer {
         let (opener, gate) = channel::<()>();
         let gate = Mutex::new(gate);
         let server = FeatureServer::start(move |target| {
             if query_parameter(target, "offset").is_none() {
-                gate.lock().expect("gate").recv().expect("opened");
+                gate.lock()
+                    .expect("gate")
+                    .recv()
+                    .expect("the test opens the gate");
             }
             healthy_reply(target, ids.clone(), page)
         });
@@ -43,6 +46,6 @@
 
     /// Lets the server answer one request for a first page.
     pub fn open(&self) {
-        self.opener.send(()).expect("the server waits");
+        self.opener.send(()).expect("the server waits for the gate");
     }
 }
