--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -28,9 +28,10 @@
     let (mut process, _watch) =
         deployment.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
     let mut persistent = send_request(&process, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
+    assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
 
-    // Stopped: the kernel has all this, and the signal, when the process continues.
+    // The process is stopped, so that the kernel has all of these bytes and the signal when it
+    // continues.
     process.signal("STOP");
     let last_request = QueryRequest::new("kept", Class("look"), Shards(&[0])).close_connection();
     persistent
@@ -72,13 +73,13 @@
 }
 
 /// The number of connections that the process closes, by `Connection: close`, before
-/// [`count_answers_until_closed`] stops.
+/// [`count_responses_until_closed`] stops.
 const CLOSED_CONNECTIONS: usize = 4;
 
-/// Sends short queries on one connection after the other, each for as long as it stays open.
-/// Asserts that they fail, and returns the number of their answers.
-fn count_answers_until_closed(process: &Process) -> usize {
-    let mut answers = 0;
+/// Sends queries with a short timeout on one connection after the other, on each until it is
+/// closed. Asserts that they fail, and returns the number of their responses.
+fn count_responses_until_closed(process: &Process) -> usize {
+    let mut responses = 0;
     let mut closed = 0;
     let mut queries = 0;
     while closed < CLOSED_CONNECTIONS {
@@ -99,7 +100,7 @@
                 );
                 break;
             };
-            answers += 1;
+            responses += 1;
             assert!(status / 100 == 5, "{status}");
             if closes {
                 closed += 1;
@@ -107,7 +108,7 @@
             }
         }
     }
-    answers
+    responses
 }
 
 #[test]
@@ -128,9 +129,9 @@
     let started_at = std::time::Instant::now();
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
-    let answers = count_answers_until_closed(&process);
+    let responses = count_responses_until_closed(&process);
 
-    assert!(answers > 4, "{answers}");
+    assert!(responses > 4, "{responses}");
     for client in pending {
         let text = read_until_close(client);
         assert!(text.starts_with("HTTP/1.1 50"), "{text}");
@@ -165,8 +166,8 @@
     let request = QueryRequest::new("q", Class("once"), Shards(&[0])).to_http();
     let mut client = BufReader::new(send_request(&process, &request));
     process.wait_for_counter("queries_accepted", 1);
-    // Settings that are reloaded after the signal do not change the time of the kill, 1.7 s from
-    // here.
+    // Settings that are reloaded after the signal do not change the time of the kill, which is 1.7 s
+    // after the signal.
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
     reload_with_longer_deadline(&process);
@@ -175,24 +176,24 @@
         closes: false,
     };
     assert_eq!(read_response(&mut client), Some(timed_out));
-    let read = client.read(&mut [0]).expect("closed in good order");
-    assert_eq!(read, 0, "shortly before the last answer");
+    let read = client.read(&mut [0]).expect("closed without a reset");
+    assert_eq!(read, 0, "closed shortly before the last response");
     let last_request = QueryRequest::new("last", Class("once"), Shards(&[1])).to_http();
     let mut last = BufReader::new(send_request(&process, &last_request));
-    let answer = read_response(&mut last).expect("an answer, and no reset");
+    let answer = read_response(&mut last).expect("a response, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
     assert!(answer.status / 100 == 5 && answer.closes, "{answer:?}");
     assert!(process.wait_for_exit(), "it exits by itself");
     assert!(
         started_at.elapsed().as_millis() < 900,
-        "{:?}: it stayed for 1 s and more",
+        "{:?}: the kept connection delayed the exit by 1 s or more",
         started_at.elapsed()
     );
 }
 
 #[test]
-fn a_retry_that_is_due_at_sigterm_is_made() {
+fn a_retry_that_becomes_due_after_sigterm_is_sent() {
     let agent = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
@@ -208,14 +209,14 @@
         std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             let ids = read_part_ids(&mut stream).expect("a part");
-            sender.send((ids, stream)).expect("written");
+            sender.send((ids, stream)).expect("received");
         });
     }
     let (ids, mut first) = attempts.recv().expect("the first attempt");
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
     write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("written");
-    let (ids, mut second) = attempts.recv().expect("the next one");
+    let (ids, mut second) = attempts.recv().expect("the retry");
     write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0])).expect("written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     assert!(process.wait_for_exit(), "it exits by itself");
@@ -237,18 +238,21 @@
             .to_http(),
     );
     let mut text = String::new();
-    client.read_to_string(&mut text).expect("to its end");
+    client
+        .read_to_string(&mut text)
+        .expect("readable to its end");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-    // Bytes in transit do not reach a closed socket, whose reset could overtake the response.
+    // If the process closed its socket, bytes in transit would cause a reset, which could overtake
+    // the response.
     for _ in 0..50 {
         client.write_all(&[b'x'; 1_000]).expect("not reset");
     }
 }
 
 #[test]
-fn after_a_successor_dies_its_draining_predecessor_accepts_again() {
-    // The successor dies: its backlog is accepted by the predecessor, and not reset when that
-    // exits.
+fn after_a_successor_is_killed_its_draining_predecessor_accepts_connections_again() {
+    // The predecessor accepts the connections in the backlog of the killed successor, which would
+    // otherwise be reset when the predecessor exits.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
     let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
@@ -259,7 +263,7 @@
     predecessor.wait_until_ready();
     // An open connection keeps the predecessor from exiting at SIGTERM.
     let mut persistent = send_request(&predecessor, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
+    assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
     let successor = predecessor.start_successor(&temporary);
     while management_call(successor.management_address(), "HEALTH\n") != "YES\n" {}
     let predecessor_admin = predecessor.management_address();
@@ -283,10 +287,10 @@
     let _ = std::fs::remove_dir_all(&temporary);
 }
 
-/// Guards against an exit after the earliest kill: a request of which a part has arrived may be lost
-/// that late, and must not hold the process.
+/// Guards against an exit after the earliest time of the kill. A request of which only some bytes
+/// have arrived by then may be lost, and must not delay the exit.
 #[test]
-fn a_request_that_trickles_in_does_not_hold_the_exit_past_the_kill() {
+fn a_request_that_arrives_slowly_does_not_delay_the_exit_past_the_kill() {
     let node = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let deployment = Deployment {
@@ -302,7 +306,7 @@
     std::thread::sleep(std::time::Duration::from_millis(1_000));
     let mut client = send_request(&process, &request[..10]);
     let rest = request.as_bytes()[10..40].to_vec();
-    let trickle = std::thread::spawn(move || {
+    let slow_sender = std::thread::spawn(move || {
         for byte in rest {
             std::thread::sleep(std::time::Duration::from_millis(50));
             if client.write_all(&[byte]).is_err() {
@@ -312,8 +316,8 @@
     });
     assert!(process.wait_for_exit());
     let took = signalled_at.elapsed();
-    trickle.join().expect("it ends");
-    // The request would hold it until 2.5 s. The soak compares exits with the kill itself, with the
-    // delay of a busy machine.
+    slow_sender.join().expect("the thread does not panic");
+    // Waiting for the request would delay the exit until 2.5 s after the signal. The soak compares
+    // exits with the time of the kill itself, with an allowance for a busy machine.
     assert!(took.as_millis() < 2_200, "{took:?}");
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoint_list() {
-    // A reload moves the watch of discovery too: a drain that the new address sends is received.
+    // A reload moves the discovery watch too: a drain that the new address sends is applied.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, first) = Deployment::BASIC.start("moved", &nodes);
     process.wait_until_ready();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn admin_calls_are_answered_despite_callers_that_send_none() {
+fn admin_commands_are_answered_despite_callers_that_send_incomplete_ones() {
     let fails_once = DataNode::start(|part| match part {
         1 => NodeBehaviour::Fail,
         _ => NodeBehaviour::Serve,
@@ -89,18 +89,18 @@
     let nodes = [DataNode::serving(), fails_once];
     let (process, _changes) = Deployment::BASIC.start("mgmt", &nodes);
     let address = process.management_address();
-    // More callers than the endpoint has places for, each with half a call.
+    // More callers than the endpoint accepts at a time, each with half a command.
     let mut idle: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(address).expect("accepted"))
         .collect();
     for caller in &mut idle {
-        caller.write_all(b"HEAL").expect("taken");
+        caller.write_all(b"HEAL").expect("written");
     }
     while !management_call(address, "HEALTH\n").starts_with("YES") {}
     assert!(management_call(address, "health me\r\n").starts_with("NO "));
     assert!(
         management_call(address, &"x".repeat(400)).starts_with("NO "),
-        "a line without an end is no call"
+        "a line without an end is not a command"
     );
     // One part fails once and is retried; one query names an unknown class.
     assert_lookups_are_served(&process, 0..5);
@@ -127,8 +127,8 @@
 
 #[test]
 fn the_health_check_fails_until_discovery_has_sent_its_list() {
-    // The cached list may be old: queries are served from it, but the health check waits for
-    // discovery.
+    // The cached list may be old. Queries are served with it, but the health check does not succeed
+    // before discovery has sent its list.
     let silent_discovery = bind_loopback();
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
@@ -143,8 +143,8 @@
     );
     let (mut watch, _) = silent_discovery.accept().expect("a watch");
     let first_list = complete_list(1, &all_in_service(&addresses));
-    write_chunked_head(&mut watch).expect("it listens");
-    write_line_chunk(&mut watch, &first_list).expect("it listens");
+    write_chunked_head(&mut watch).expect("the process reads");
+    write_line_chunk(&mut watch, &first_list).expect("the process reads");
     while management_call(process.management_address(), "HEALTH\n") != "YES\n" {}
 }
 
@@ -156,7 +156,7 @@
         .and_then(serde_json::Value::as_object_mut);
     object
         .and_then(|object| object.remove(key))
-        .expect("it was there");
+        .expect("the key is present");
     json.to_string()
 }
 
@@ -185,8 +185,8 @@
     ]
 }
 
-/// Returns the configuration with fewer attempts for all classes, one class new, one removed, and
-/// one not idempotent.
+/// Returns the configuration with fewer attempts for all classes, one class replaced by a new one,
+/// one that is no longer idempotent, and one that now is.
 fn changed_configuration(complete: &str) -> String {
     let mut json: serde_json::Value = serde_json::from_str(complete).expect("a configuration");
     json["settings"]["limits"]["max-attempts"] = json!(2);
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_reload_applies_a_complete_file_or_nothing() {
-    // A file that parses but is not complete changes nothing, the address of discovery included.
+    // A file that parses but is not complete changes nothing, not even the address of discovery.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment::BASIC.start("retune", &nodes);
     let management_address = process.management_address();
@@ -235,11 +235,12 @@
     }
 
     let dump = management_call(management_address, "DUMP\n");
-    let of = |name: &str| dump_value(&dump, &format!("node.{name}"));
-    assert_eq!(of("config_applied"), 1);
-    assert_eq!(of("config_rejected"), invalid.len() as u64);
-    let ok = ["brief", "later", "lookup", "send"].map(|class| of(&format!("responses.{class}.ok")));
-    assert_eq!((ok, of("responses.later.tries")), ([1, 1, 1, 1], 2));
+    let value_of = |name: &str| dump_value(&dump, &format!("node.{name}"));
+    assert_eq!(value_of("config_applied"), 1);
+    assert_eq!(value_of("config_rejected"), invalid.len() as u64);
+    let ok = ["brief", "later", "lookup", "send"]
+        .map(|class| value_of(&format!("responses.{class}.ok")));
+    assert_eq!((ok, value_of("responses.later.tries")), ([1, 1, 1, 1], 2));
 }
 
 /// Sends a query on a persistent connection and returns the head of its response.
@@ -299,9 +300,12 @@
     let first = Deployment::BASIC.start_with_discovery("upgrade", address, &addresses);
     let temporary = create_folder_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
-    assert_ne!(predecessor.address, first.address, "no predecessor");
+    assert_ne!(
+        predecessor.address, first.address,
+        "the first process hands over no socket"
+    );
     let predecessor_admin = predecessor.management_address();
-    let mut persistent = TcpStream::connect(predecessor.address).expect("it listens");
+    let mut persistent = TcpStream::connect(predecessor.address).expect("the process listens");
     predecessor.wait_until_ready();
     let successor = predecessor.start_successor(&temporary);
     assert_eq!(successor.address, predecessor.address, "the same socket");
@@ -328,8 +332,9 @@
 }
 
 #[test]
-fn invalid_settings_end_the_start_with_their_key() {
-    // Settings are checked at the start as at a reload: no default replaces an invalid value.
+fn a_start_with_invalid_settings_fails_with_their_key() {
+    // Settings are checked at the start as at a reload: an invalid value is not replaced by a
+    // default.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment::BASIC.start("refused", &nodes);
     for (pointer, value, key) in [
@@ -350,8 +355,9 @@
             .env("NODE_CONFIG", &path)
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("it starts");
-        // The first line is the error, or that the process listens; either way it is killed then.
+            .expect("the program starts");
+        // The first line is the error, or the event that the process listens. The process is killed
+        // in either case.
         let mut line = String::new();
         BufReader::new(child.stderr.take().expect("piped"))
             .read_line(&mut line)
