--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn unusable_answers_of_data_nodes_are_logged_with_the_nodes_address() {
-    // The answer to any call: a frame of five bytes that is no answer.
+    // The answer to any attempt is a frame of five bytes that is not a valid answer.
     let mut open = Vec::new();
     let threads = OwnedThreads::default();
     let corrupt = accept_on_thread(&threads.0, move |mut stream| {
@@ -41,9 +41,11 @@
         let process = LoggingProcess::start_platform(test, &configuration);
         let mut listening = process.wait_for("listening for client connections");
         let address: SocketAddr = listening.take_field("address").parse().expect("an address");
-        let mut client = TcpStream::connect(address).expect("it listens");
+        let mut client = TcpStream::connect(address).expect("the process listens");
         let request = QueryRequest::new("q0", Class("lookup"), Shards(&[0])).to_http();
-        client.write_all(request.as_bytes()).expect("it reads");
+        client
+            .write_all(request.as_bytes())
+            .expect("the process reads");
         let mut closed = process.wait_for(message);
         assert_eq!(closed.take_field("address"), node.to_string());
         if test == "corrupt" {
--- a/tests/log_events/discovery.rs
+++ b/tests/log_events/discovery.rs
@@ -8,7 +8,7 @@
 use std::net::Shutdown;
 
 #[test]
-fn a_coordinator_logs_its_reloads_and_what_is_wrong_with_discovery() {
+fn a_coordinator_logs_its_reloads_and_the_failures_of_discovery() {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
     let discovery = refusing_address();
@@ -19,7 +19,7 @@
     let mut rejected_list = process.wait_for("cached endpoint list rejected");
     assert!(!rejected_list.take_field("error").is_empty());
     rejected_list.assert("WARN", json!({}));
-    // A SIGHUP before this line may come before the process handles it.
+    // A SIGHUP that is sent before this event may arrive before the process handles the signal.
     process.wait_for("admin endpoint listening");
     let mut failed = process.wait_for("discovery watch failed");
     failed.take_field_containing("error", "refused");
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -1,4 +1,4 @@
-//! Log events of the front for feature queries.
+//! Log events of the feature front.
 
 use crate::standin::feature_server::{inventory_row, FeatureServer};
 use crate::standin::process::Process;
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn an_edge_logs_its_start_reloads_counters_and_shutdown() {
+fn the_feature_front_logs_its_start_reloads_counters_and_shutdown() {
     let server = FeatureServer::healthy(0..6, 2);
     let row = inventory_row("a", &server, "devices");
     let process = LoggingProcess::start_edge("edge", &row);
@@ -42,8 +42,8 @@
     assert_counters(&process.wait_for("counters"));
 }
 
-/// Asserts that each field is a number, and the values after one reload that was applied and one
-/// that was rejected.
+/// Asserts that each field is a number, and that one reload was counted as applied and one as
+/// rejected.
 fn assert_counters(counters: &LogEvent) {
     assert_eq!(counters.level, "INFO");
     let fields = counters.fields.as_object().expect("fields");
@@ -52,9 +52,13 @@
         numbers.clone().all(|(_, value)| value.is_u64()),
         "{fields:?}"
     );
-    let of = |name: &str| fields[name].as_u64().expect("a number");
+    let value_of = |name: &str| fields[name].as_u64().expect("a number");
     assert_eq!(
-        (of("reloads"), of("bad_reloads"), of("broken_invariants")),
+        (
+            value_of("reloads"),
+            value_of("bad_reloads"),
+            value_of("broken_invariants")
+        ),
         (1, 1, 0)
     );
     assert!(numbers.count() > 30, "{fields:?}");
@@ -65,7 +69,8 @@
     let server = FeatureServer::healthy(0..6, 2);
     let admin = "mgmt = \"127.0.0.1:0\"";
     let process = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
-    // A SIGHUP before that line may come before the process handles it.
+    // A SIGHUP that is sent before the admin endpoint listens may arrive before the process handles
+    // the signal.
     process.management_address();
     process.signal("HUP");
     assert_eq!(
--- a/tests/log_events/main.rs
+++ b/tests/log_events/main.rs
@@ -1,5 +1,5 @@
 //! Log events of the process: level, message and fields of one event of each kind that a test can
-//! bring about.
+//! cause.
 
 mod connections;
 mod discovery;
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -31,7 +31,7 @@
     let _ = std::fs::remove_dir_all(&temporary);
 }
 
-/// Guards against a line that says a service received a socket that it opened itself.
+/// Guards against an event by which a service received a socket that it opened itself.
 #[test]
 fn only_a_service_whose_socket_was_handed_over_logs_it() {
     let nodes = [DataNode::serving()];
@@ -71,8 +71,8 @@
     let path = temporary.join("quinceflow-127.0.0.1-0.sock");
     let other_program = UnixListener::bind(&path).expect("bound");
     std::thread::spawn(move || {
-        // Kept open: closing one with unread input would reset it, and the process might read no
-        // version.
+        // The connections are kept open: closing one with unread input would reset it, and the
+        // process might not read the version.
         let mut open = Vec::new();
         for mut connection in other_program.incoming().flatten() {
             let _ = connection.write_all(b"another version\n");
@@ -86,10 +86,10 @@
     failed.assert("WARN", json!({}));
     process.wait_for("listening for client connections");
     let mut connection =
-        std::os::unix::net::UnixStream::connect(&path).expect("it waits for a successor");
+        std::os::unix::net::UnixStream::connect(&path).expect("the process waits for a successor");
     connection
         .write_all(b"quinceflow hand-over 0\n")
-        .expect("it reads");
+        .expect("the process reads");
     let mut failed = process.wait_for("socket hand-over to successor failed");
     failed.take_field_containing("error", "another version of the hand-over protocol");
     failed.assert("WARN", json!({}));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn faults_of_the_start_are_logged_with_their_place() {
+fn errors_at_the_start_are_logged_with_their_path_or_address() {
     let nodes = [DataNode::serving()];
     let mut configuration =
         Deployment::BASIC.configuration(refusing_address(), &addresses_of(&nodes));
@@ -114,7 +114,7 @@
     let mut not_started = process.wait_for("admin endpoint not started");
     not_started.take_field_containing("error", &format!("cannot listen on {admin_address}: "));
     not_started.assert("WARN", json!({}));
-    let _ = std::fs::remove_dir_all(temporary.parent().expect("its folder"));
+    let _ = std::fs::remove_dir_all(temporary.parent().expect("a parent folder"));
     let unusable = LoggingProcess::start_platform("unusable", &json!({"listen": "nowhere"}));
     let mut error = unusable.wait_for("exiting with an error");
     error.take_field_containing("error", "config.json: ");
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -24,7 +24,7 @@
 }
 
 impl LoggingProcess {
-    /// Starts the front for feature queries with an admin endpoint and these rows of an inventory.
+    /// Starts the feature front with an admin endpoint and these rows of an inventory.
     pub fn start_edge(test: &str, rows: &str) -> LoggingProcess {
         let folder = create_folder(test);
         write_edge_file(&folder, "mgmt = \"127.0.0.1:0\"");
@@ -38,7 +38,7 @@
         LoggingProcess::spawn(command, folder)
     }
 
-    /// Starts the platform's front with this configuration and without a folder for hand-overs.
+    /// Starts the platform front with this configuration and without a folder for hand-overs.
     pub fn start_platform(test: &str, configuration: &Value) -> LoggingProcess {
         let folder = create_folder(test);
         let mut command = platform_command(&folder, configuration);
@@ -46,7 +46,7 @@
         LoggingProcess::spawn(command, folder)
     }
 
-    /// Starts the platform's front; it hands over and receives listening sockets in `temporary`.
+    /// Starts the platform front; it hands over and receives listening sockets in `temporary`.
     pub fn start_with_hand_over(
         test: &str,
         configuration: &Value,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Returns the fields of the events up to the one with this message that comes `times` times.
+    /// Returns the fields of the events up to the one that has this message for the `times`-th time.
     pub fn collect_until(&self, message: &str, times: usize) -> Vec<Value> {
         let mut collected: Vec<Value> = Vec::new();
         let is_awaited = |fields: &&Value| fields["message"] == message;
@@ -123,12 +123,15 @@
         let _ = std::fs::remove_dir_all(&self.folder);
         let reader = self.reader.take().map(JoinHandle::join);
         if !std::thread::panicking() {
-            assert!(matches!(reader, None | Some(Ok(()))), "a line is no event");
+            assert!(
+                matches!(reader, None | Some(Ok(()))),
+                "a log line is not a valid event"
+            );
         }
     }
 }
 
-/// An event as it was logged: its message is `message` among the fields.
+/// An event as it was logged. Its message is the field `message`.
 #[derive(Debug, PartialEq)]
 pub struct LogEvent {
     pub level: String,
@@ -136,7 +139,7 @@
 }
 
 impl LogEvent {
-    /// Asserts the level and all fields beside the message.
+    /// Asserts the level and all fields other than the message.
     pub fn assert(&self, level: &str, fields: Value) {
         let mut expected = fields;
         expected["message"] = self.fields["message"].clone();
@@ -149,7 +152,7 @@
         let value = value.unwrap_or_else(|| panic!("no field {name}: {:?}", self.fields));
         value
             .as_str()
-            .unwrap_or_else(|| panic!("{name} is no text: {value}"))
+            .unwrap_or_else(|| panic!("{name} is not a text: {value}"))
             .to_owned()
     }
 
@@ -159,7 +162,7 @@
         assert_ne!(address.port(), 0);
     }
 
-    /// Asserts that the field is a text that contains this, and removes it.
+    /// Asserts that the field is a text that contains `text`, and removes it.
     pub fn take_field_containing(&mut self, name: &str, text: &str) {
         let value = self.take_field(name);
         assert!(value.contains(text), "{name}: {value}");
@@ -173,7 +176,7 @@
     command
 }
 
-/// Returns a command that starts the platform's front, and writes its configuration.
+/// Writes a configuration and returns a command that starts the platform front with it.
 pub fn platform_command(folder: &Path, configuration: &Value) -> Command {
     let file = folder.join("config.json");
     std::fs::write(&file, configuration.to_string()).expect("a configuration");
@@ -193,14 +196,14 @@
     folder
 }
 
-/// Creates a folder with a short path, since the path of a Unix socket may have 107 bytes.
+/// Creates a folder with a short path, since the path of a Unix socket has at most 107 bytes.
 pub fn create_short_folder(test: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-/// Writes the settings of the front for feature queries.
+/// Writes the settings of the feature front.
 pub fn write_edge_file(folder: &Path, settings: &str) {
     let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
     std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
@@ -212,7 +215,7 @@
     std::fs::write(folder.join("i.csv"), text).expect("an inventory");
 }
 
-/// Returns a command that runs another one with so many file descriptors at most.
+/// Returns a command that runs `command` with at most this many file descriptors.
 pub fn with_descriptors(descriptors: usize, command: &Command) -> Command {
     let mut shell = Command::new("sh");
     shell
@@ -228,7 +231,7 @@
     shell
 }
 
-/// Returns an address at which nothing listens.
+/// Returns an address that refuses connections.
 pub fn refusing_address() -> SocketAddr {
     bind_loopback().local_addr().expect("bound")
 }
