--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -9,9 +9,9 @@
 
 #[test]
 fn an_unresponsive_connection_fails_no_query_while_its_node_is_healthy() {
-    // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a
-    // connection is given up for age: it is given up for its silence, and half an answer has no end
-    // in later bytes.
+    // Answers take milliseconds, so no attempt is in flight for the 0.4 s after which a connection
+    // is closed because an attempt is too old. It is closed because nothing arrives on it, or
+    // because the bytes after half an answer do not complete the answer.
     for fault in [
         NodeBehaviour::StopResponding,
         NodeBehaviour::PartialResponse,
@@ -24,31 +24,33 @@
         });
         let (process, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
         process.wait_until_ready();
-        let seen = |node: &DataNode| node.received_parts().len();
+        let part_count = |node: &DataNode| node.received_parts().len();
         for n in 0..1_000 {
             assert_eq!(
                 query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
                 200,
                 "query {n}"
             );
-            if nodes.iter().all(|node| seen(node) > 120) {
+            if nodes.iter().all(|node| part_count(node) > 120) {
                 break;
             }
         }
-        let met = nodes
+        let counts = nodes
             .each_ref()
-            .map(|node| (seen(node), node.connections()));
+            .map(|node| (part_count(node), node.connections()));
         assert!(
-            met.iter().all(|(parts, links)| *parts > 120 && *links > 1),
-            "parts and connections: {met:?}"
+            counts
+                .iter()
+                .all(|(parts, connections)| *parts > 120 && *connections > 1),
+            "parts and connections: {counts:?}"
         );
     }
 }
 
 #[test]
 fn a_connection_closed_by_its_node_loses_no_part() {
-    // Each close has reached the process before the next part is sent; the unit tests of the node
-    // client cover a part sent before the close is seen.
+    // Each close has reached the process before the next part is sent; the unit tests of the data
+    // node client cover a part that is sent before the process has read the close.
     let nodes = [
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
         DataNode::start(|_| NodeBehaviour::ServeAndClose),
@@ -74,8 +76,8 @@
 
 #[test]
 fn silent_and_incomplete_connections_are_closed_and_do_not_block_other_clients() {
-    // Incomplete requests and silent connections have a limit of time, and are evicted for new
-    // clients.
+    // Incomplete requests and silent connections have a time limit, and are closed before it if new
+    // clients need their descriptors.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment {
         descriptors: 60,
@@ -97,13 +99,13 @@
         text.starts_with("HTTP/1.1 408 ") && text.contains("Connection: close"),
         "{text}"
     );
-    let mut crowd: Vec<TcpStream> = (0..150).map(|_| connect()).collect();
+    let mut idle_clients: Vec<TcpStream> = (0..150).map(|_| connect()).collect();
     assert_eq!(
         query(&process, "q1", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
-    for silent in &mut crowd {
-        // Closed without a response; otherwise this read would block for ever.
+    for silent in &mut idle_clients {
+        // The connection is closed without a response; otherwise this read would not return.
         assert!(matches!(silent.read(&mut [0; 1]), Ok(0) | Err(_)));
     }
 }
@@ -124,7 +126,7 @@
         lines.next().and_then(Result::ok).as_deref(),
         Some("HTTP/1.1 413 Content Too Large")
     );
-    // The response has come, and bytes that are sent after it are still read.
+    // The response has arrived, and the process still reads the bytes that are sent after it.
     for _ in 0..50 {
         client.write_all(&[b'x'; 1_000]).expect("not reset");
     }
@@ -135,7 +137,10 @@
     client
         .shutdown(std::net::Shutdown::Write)
         .expect("half closed");
-    assert!(lines.all(|l| l.is_ok()), "it closes without a reset");
+    assert!(
+        lines.all(|l| l.is_ok()),
+        "the connection closes without a reset"
+    );
 }
 
 #[test]
@@ -151,7 +156,7 @@
         query(&process, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
-    let crowd: Vec<TcpStream> = (0..100)
+    let idle_clients: Vec<TcpStream> = (0..100)
         .map(|_| TcpStream::connect(process.address).expect("the machine accepts"))
         .collect();
     for n in 1..10 {
@@ -160,7 +165,7 @@
             200
         );
     }
-    drop(crowd);
+    drop(idle_clients);
 }
 
 #[test]
@@ -173,16 +178,16 @@
     }
     .start("term", &nodes);
     process.wait_until_ready();
-    let mut kept = TcpStream::connect(process.address).expect("it listens");
+    let mut persistent = TcpStream::connect(process.address).expect("it listens");
     // A connection with half a request is not idle.
-    write!(kept, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("written");
+    write!(persistent, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("written");
     process.signal("HUP");
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
-    write!(kept, "\r\n").expect("written");
+    write!(persistent, "\r\n").expect("written");
     let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
     write!(
-        kept,
+        persistent,
         "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: q1\r\nX-Qos: lookup\r\nX-Expires-In: 1\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
@@ -193,7 +198,7 @@
         200
     );
     let mut text = String::new();
-    kept.read_to_string(&mut text).expect("read");
+    persistent.read_to_string(&mut text).expect("read");
     assert!(
         text.starts_with("HTTP/1.1 503 ") && text.contains("HTTP/1.1 200 "),
         "{text}"
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol on real sockets, with stand-ins for data nodes, discovery and clients.
+//! The platform front on real sockets, with stand-ins for data nodes, discovery and clients.
 
 mod connections;
 mod queries;
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -1,4 +1,4 @@
-//! Queries, their retries, and the discovery of nodes.
+//! Queries, their retries, and changes of the endpoint list.
 
 use crate::standin::client::{Class, Shards};
 use crate::standin::data_node::{DataNode, NodeBehaviour};
@@ -25,7 +25,7 @@
             Class("lookup"),
             Shards(&[0, 1, 2]),
         );
-        let cell = |s: u32| json!({"tablet": s, "cell": format!("cell{s}")});
+        let cell = |shard: u32| json!({"tablet": shard, "cell": format!("cell{shard}")});
         assert_eq!(answer.status, 200);
         assert_eq!(
             answer.json(),
@@ -33,8 +33,8 @@
         );
     }
     let open: Vec<usize> = nodes.iter().map(DataNode::connections).collect();
-    // Not one each: if the machine pauses, an answer is overdue, and the next parts take another
-    // connection.
+    // A node may have more than one: if the machine pauses, an answer is overdue, and the next parts
+    // are sent on another connection.
     assert!(
         open.iter().all(|n| *n <= 4),
         "connections are reused: {open:?}"
@@ -43,30 +43,30 @@
 
 #[test]
 fn failed_parts_are_retried_on_the_other_node_unless_they_may_have_run_and_are_not_idempotent() {
-    for (act, class, status) in [
+    for (fault, class, status) in [
         (NodeBehaviour::Fail, "lookup", 200),
         (NodeBehaviour::Disconnect, "lookup", 200),
         (NodeBehaviour::Reject, "send", 200),
         (NodeBehaviour::Fail, "send", 502),
         (NodeBehaviour::Disconnect, "send", 502),
     ] {
-        // The fault strikes the first part that any node receives.
-        let struck = Arc::new(Mutex::new(false));
-        let first = |struck: Arc<Mutex<bool>>| {
+        // Only the first part that any node receives has the fault.
+        let has_failed = Arc::new(Mutex::new(false));
+        let fail_first = |has_failed: Arc<Mutex<bool>>| {
             move |_| {
-                if std::mem::replace(&mut *struck.lock().expect("flag"), true) {
+                if std::mem::replace(&mut *has_failed.lock().expect("flag"), true) {
                     NodeBehaviour::Serve
                 } else {
-                    act
+                    fault
                 }
             }
         };
         let nodes = [
-            DataNode::start(first(struck.clone())),
-            DataNode::start(first(struck)),
+            DataNode::start(fail_first(has_failed.clone())),
+            DataNode::start(fail_first(has_failed)),
         ];
         let (process, _changes) =
-            Deployment::BASIC.start(&format!("fault{}{class}", act as u8), &nodes);
+            Deployment::BASIC.start(&format!("fault{}{class}", fault as u8), &nodes);
         process.wait_until_ready();
         let response = query(&process, "q1", Class(class), Shards(&[0]));
         assert_eq!(response.status, status);
@@ -92,7 +92,8 @@
         200
     );
     changes.send(&changed_endpoints(2, &[terminating(0, nodes[0].address)]));
-    // Until the process has counted three lists: the cached one, discovery's first, and this one.
+    // Waits until the process has counted three lists: the cached one, the first one of discovery,
+    // and this change.
     loop {
         process.signal("USR1");
         if process
@@ -114,20 +115,20 @@
 
 #[test]
 fn after_an_unreadable_watch_event_the_complete_list_is_requested() {
-    // A watch that resumed from the last good version would lose the change in the bad event.
+    // A watch that resumed from the last version would lose the change in the unreadable event.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, discovery) = Deployment::BASIC.start("line", &nodes);
     process.wait_until_ready();
     discovery.send("{no list");
     while discovery.requests().len() < 2 {
-        // The stand-in notices that the watch is closed when it sends the next event.
+        // The stand-in detects the close of the watch when it sends the next event.
         discovery.send("");
         std::thread::yield_now();
     }
-    let asked = discovery.requests();
+    let requests = discovery.requests();
     assert!(
-        asked[0].contains("since=0") && asked[1].contains("since=0"),
-        "{asked:?}"
+        requests[0].contains("since=0") && requests[1].contains("since=0"),
+        "{requests:?}"
     );
     assert_eq!(
         query(&process, "q1", Class("lookup"), Shards(&[0, 1])).status,
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -43,7 +43,7 @@
     assert_invalid_requests_are_rejected(&process);
 }
 
-/// The parts of the text of a request that a test makes invalid.
+/// The components of a request that a test makes invalid.
 #[derive(Clone, Copy)]
 struct RequestText<'a> {
     tablets: &'a str,
@@ -52,7 +52,7 @@
 }
 
 impl RequestText<'_> {
-    /// A request that is valid, and times out after 0.2 s.
+    /// A valid request that times out after 0.2 s.
     const VALID: RequestText<'static> = RequestText {
         tablets: "{\"tablet\":0,\"fraction\":1}",
         timeout_header: "X-Expires-In: 0.2\r\n",
@@ -72,8 +72,8 @@
     }
 }
 
-/// Asserts that a valid request reaches the nodes, which do not answer, and that others reach none:
-/// fractions add up to 1, and a query has a timeout and a statement.
+/// Asserts that a valid request is sent to the nodes, which do not answer, and that invalid ones are
+/// not: the fractions of a query must add up to 1, and it must have a timeout and a statement.
 fn assert_invalid_requests_are_rejected(process: &Process) {
     let valid = RequestText::VALID;
     assert_eq!(valid.send(process), 503);
@@ -112,38 +112,39 @@
         413
     );
     assert_eq!(process.send_request("\u{1}\u{2}\r\n\r\n").status, 400);
-    let mut cut = TcpStream::connect(process.address).expect("it listens");
+    let mut truncated = TcpStream::connect(process.address).expect("it listens");
     write!(
-        cut,
+        truncated,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{{"
     )
     .expect("written");
-    cut.shutdown(std::net::Shutdown::Write)
+    truncated
+        .shutdown(std::net::Shutdown::Write)
         .expect("half closed");
     let mut text = String::new();
-    cut.read_to_string(&mut text).expect("read");
+    truncated.read_to_string(&mut text).expect("read");
     assert_eq!(
         text.matches("HTTP/1.1 400 ").count(),
         1,
-        "cut off in the middle: one error response"
+        "one error response to a truncated request"
     );
 }
 
 #[test]
 fn a_request_with_the_id_of_a_pending_one_is_rejected_and_the_pending_one_served() {
-    // Data nodes identify parts by that id: the second request would receive the first one's
-    // answers.
+    // Data nodes identify parts by the id of their request, so the second request would receive the
+    // answers to the first one.
     let gate = Arc::new(Mutex::new(()));
-    let held = gate.lock().expect("gate");
-    let wait = |gate: Arc<Mutex<()>>| {
+    let closed_gate = gate.lock().expect("gate");
+    let wait_for_gate = |gate: Arc<Mutex<()>>| {
         move |_| {
             drop(gate.lock());
             NodeBehaviour::Serve
         }
     };
     let nodes = [
-        DataNode::start(wait(gate.clone())),
-        DataNode::start(wait(gate.clone())),
+        DataNode::start(wait_for_gate(gate.clone())),
+        DataNode::start(wait_for_gate(gate.clone())),
     ];
     let (process, _changes) = Deployment::BASIC.start("taken", &nodes);
     process.wait_until_ready();
@@ -156,7 +157,7 @@
             query(&process, "q1", Class("lookup"), Shards(&[0])).status,
             409
         );
-        drop(held);
+        drop(closed_gate);
         assert_eq!(first.join().expect("answered"), 200);
         assert_eq!(
             query(&process, "q1", Class("lookup"), Shards(&[0])).status,
--- a/tests/platform/support.rs
+++ b/tests/platform/support.rs
@@ -1,4 +1,4 @@
-//! Queries of the clients of these tests.
+//! The queries of these tests.
 
 use crate::standin::client::{send_query, Class, QueryRequest, Response, Shards};
 use crate::standin::process::Process;
