--- a/tests/degradation.rs
+++ b/tests/degradation.rs
@@ -1,12 +1,12 @@
-//! The decision policy in a degradation level: the effects of the level, which end once it is left.
+//! The decision policy in a degradation level: the effects of the level, which end with it.
 
 mod common;
 use common::{class, final_actions, sent_attempts, settings, Harness, MS, S};
 use quinceflow::degradation::Effects;
 use quinceflow::{Action, Class, ClassId, Effect, Event, Nanos, Outcome, PartId, Settings};
 
-/// Sends the settings of a level to the policy.
-fn enter(harness: &mut Harness, settings: &Settings, effects: &Effects) {
+/// Applies the effects of a level to the settings and sends them to the policy.
+fn enter_level(harness: &mut Harness, settings: &Settings, effects: &Effects) {
     let class_mapping = (0..settings.classes.len())
         .map(|class| ClassId(class as u16))
         .collect();
@@ -17,7 +17,7 @@
     }]);
 }
 
-/// A class with a high priority weight, and one with a low one.
+/// Returns settings with a class of high priority and one of low priority.
 fn two_classes() -> Settings {
     let alert = Class {
         name: "alert".to_owned(),
@@ -32,8 +32,8 @@
     settings
 }
 
-/// The number of 400 queries of a class that are admitted; each of the others must be rejected at
-/// once.
+/// Submits 400 queries of a class and returns the number of those admitted. Asserts that each of the
+/// others is rejected at once.
 fn count_admitted(harness: &mut Harness, class: u16) -> usize {
     let mut admitted = 0;
     for _ in 0..400 {
@@ -65,11 +65,11 @@
             ..Effects::default()
         };
         let mut harness = Harness::new(settings.clone());
-        enter(&mut harness, &settings, &share(0.5));
+        enter_level(&mut harness, &settings, &share(0.5));
         assert_eq!(
             count_admitted(&mut harness, other),
             400,
-            "the class that is not named"
+            "the level does not limit the other class"
         );
         let admitted = count_admitted(&mut harness, index);
         assert!(
@@ -77,20 +77,20 @@
             "{admitted} of 400 of class {index}"
         );
         let mut harness = Harness::new(settings.clone());
-        enter(&mut harness, &settings, &share(0.0));
+        enter_level(&mut harness, &settings, &share(0.0));
         assert_eq!(count_admitted(&mut harness, index), 0);
-        enter(&mut harness, &settings, &Effects::default());
+        enter_level(&mut harness, &settings, &Effects::default());
         assert_eq!(
             count_admitted(&mut harness, index),
             400,
-            "the level is left"
+            "the level has ended"
         );
     }
 }
 
 #[test]
 fn a_level_limits_attempts_and_never_allows_more_than_the_settings() {
-    // There is time for three attempts.
+    // There is time for three attempts only.
     let cases = [
         (4, None, 3),
         (4, Some(2), 2),
@@ -103,7 +103,7 @@
             ..class(Effect::Idempotent)
         });
         let mut harness = Harness::new(settings.clone());
-        enter(
+        enter_level(
             &mut harness,
             &settings,
             &Effects {
@@ -142,7 +142,7 @@
             ..Effects::default()
         };
         let mut harness = Harness::new(settings.clone());
-        enter(&mut harness, &settings, &effects);
+        enter_level(&mut harness, &settings, &effects);
         let (query, parts, _) = harness.submit(&[0, 1, 2]);
         for part in &parts[..received] {
             harness.answer(*part);
@@ -198,7 +198,7 @@
             ..class(Effect::Idempotent)
         });
         let mut harness = Harness::new(settings.clone());
-        enter(
+        enter_level(
             &mut harness,
             &settings,
             &Effects {
@@ -234,7 +234,7 @@
             retry_after_factor,
             ..Effects::default()
         };
-        enter(&mut harness, &settings, &effects);
+        enter_level(&mut harness, &settings, &effects);
         let retry_after = |_| match final_actions(&harness.submit(&[0]).2)[..] {
             [Action::Reject {
                 retry_after: Some(wait),
--- a/tests/ordinary_path/admission.rs
+++ b/tests/ordinary_path/admission.rs
@@ -1,12 +1,12 @@
-//! Which queries are admitted, rejected or shed.
+//! Which queries are admitted, and which are rejected.
 
 use crate::common::*;
 use quinceflow::*;
 
 #[test]
 fn a_query_is_admitted_whatever_time_other_queries_had_left() {
-    // A client's last retry may have more time left than its first attempt had: it must not make
-    // first attempts, or those with a short time-out, look like retries past their objective.
+    // The last retry of a client may have more time left than its first attempt had. It must not
+    // make first attempts, or those with a short timeout, look like retries past their objective.
     let mut harness = Harness::new(settings(Class {
         late_weight: 0.0,
         ..class(Effect::Idempotent)
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn low_priority_is_shed_for_late_answers_and_recovers() {
+fn low_priority_is_rejected_for_late_answers_and_recovers() {
     let mut harness = Harness::new(two_priorities());
-    // High-priority parts are answered late while their replica answers others: the share must
-    // fall.
+    // High-priority parts are answered late while their replica answers others in time, so the share
+    // of admitted low-priority queries must fall.
     let mut rejections = 0;
     for _ in 0..60 {
         let (_, late, _) = harness.submit_as(0, 0, &[0]);
@@ -71,7 +71,7 @@
         harness.complete(late[0], 0, Outcome::Ok, 1300 * MS);
     }
     assert!(rejections > 10, "{rejections} of 60 rejected");
-    // All in time again: it recovers, and does not wind up.
+    // All answers are in time again: the share recovers, and the controller does not wind up.
     for _ in 0..60 {
         let (_, parts, _) = harness.submit_as(0, 0, &[0]);
         harness.answer(parts[0]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn nothing_is_shed_without_samples() {
+fn nothing_is_rejected_without_samples() {
     let mut harness = Harness::new(two_priorities());
     for _ in 0..100 {
         let (_, parts, actions) = harness.submit_as(1, 0, &[0]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn many_attempts_in_flight_at_an_idle_fleet_reject_nobody() {
+fn many_attempts_in_flight_at_an_idle_fleet_cause_no_rejection() {
     let mut harness = Harness::new(two_priorities());
     for _ in 0..8 {
         harness.submit_as(0, 0, &[0]);
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn a_class_is_not_rejected_for_a_guess_at_its_work() {
-    // With a long objective the guess at the work of a query exceeds its client's short time-out.
-    // The class must not be rejected for that: only answers correct the guess.
+fn a_class_is_not_rejected_for_the_initial_estimate_of_its_work() {
+    // With a long objective the initial estimate of a query's work exceeds the short timeout of its
+    // client. The class must not be rejected for that, since only answers correct the estimate.
     let mut harness = Harness::new(settings(Class {
         latency_objective: 20 * S,
         deadline: 30 * S,
--- a/tests/ordinary_path/answers.rs
+++ b/tests/ordinary_path/answers.rs
@@ -1,7 +1,7 @@
 //! When queries are answered, and as complete or partial.
 
 use crate::common::*;
-use crate::support::partial;
+use crate::support::partial_class;
 use quinceflow::*;
 
 #[test]
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_partial_query_is_answered_just_before_its_objective() {
-    let mut harness = Harness::new(settings(partial(0)));
+    let mut harness = Harness::new(settings(partial_class(0)));
     let (query, parts, _) = harness.submit(&[0, 1]);
     let mut all = harness.answer(parts[0]);
     all.extend(harness.run_for(850 * MS));
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn a_query_below_its_floor_at_the_objective_is_answered_once_the_floor_is_reached() {
-    let mut harness = Harness::new(settings(partial(0)));
+fn a_query_below_its_minimum_share_at_the_objective_is_answered_once_it_reaches_it() {
+    let mut harness = Harness::new(settings(partial_class(0)));
     let (query, parts, _) = harness.submit(&[0, 1]);
     assert!(final_actions(&harness.run_for(S)).is_empty());
     assert_eq!(
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_follow_up_answer_is_complete_only_after_a_complete_first_answer() {
-    let mut harness = Harness::new(settings(partial(1)));
+    let mut harness = Harness::new(settings(partial_class(1)));
     let (query, parts, _) = harness.submit(&[0, 1]);
     let first = harness.answer(parts[0]);
     assert!(final_actions(&first).is_empty());
@@ -86,8 +86,7 @@
 
 #[test]
 fn an_answer_from_all_parts_is_complete_however_their_weights_were_rounded() {
-    // 35 parts of 0.02857 each come to 0.99995: nothing is missing, and nothing better will ever
-    // come.
+    // The weights of 35 parts of 0.02857 each add up to 0.99995, although no part is missing.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let parts: Vec<PartId> = (2..37).map(PartId).collect();
     let part = |p: &PartId| Event::Part {
--- a/tests/ordinary_path/dispatch.rs
+++ b/tests/ordinary_path/dispatch.rs
@@ -1,12 +1,12 @@
-//! Which parts are sent and omitted, and the endpoint list that they are sent by.
+//! Which parts are sent and omitted, and the polls for the endpoint list.
 
 use crate::common::*;
 use quinceflow::*;
 
 #[test]
 fn light_parts_are_omitted_when_their_replicas_are_slow() {
-    // Light parts cost as much as heavy ones: they are the first to be omitted.
-    let ask = |harness: &mut Harness, id: u64| {
+    // Light parts cost as much work as heavy ones, so they are omitted first.
+    let submit = |harness: &mut Harness, id: u64| {
         let group = GroupId(id as u32);
         let mut events = vec![query_event(id, 0, 0, 3 * S)];
         for (n, weight) in [0.5, 0.3, 0.1, 0.04, 0.03, 0.03].into_iter().enumerate() {
@@ -25,12 +25,12 @@
         ..class(Effect::Idempotent)
     }));
     assert_eq!(
-        sent_attempts(&ask(&mut harness, 100)).len(),
+        sent_attempts(&submit(&mut harness, 100)).len(),
         6,
         "all are requested while there is capacity"
     );
     harness.run_for(700 * MS);
-    let requested = sent_attempts(&ask(&mut harness, 200));
+    let requested = sent_attempts(&submit(&mut harness, 200));
     assert!((2..6).contains(&requested.len()), "{requested:?}");
     assert!(
         requested.iter().any(|s| s.0 == PartId(201)),
@@ -40,13 +40,13 @@
 
 #[test]
 fn all_parts_of_a_wide_query_are_sent_at_once() {
-    // No part waits for a probe of its node's load: the last answers tell the load as well.
+    // No part waits for a probe of the load of its node, since the latest answers show the load too.
     let wide: Vec<u32> = (0..64).map(|n| n % 3).collect();
     let (_, _, actions) = Harness::new(two_priorities()).submit_as(1, 0, &wide);
     assert_eq!(sent_attempts(&actions).len(), 64);
 }
 
-/// Returns a harness of ten cells with a shard each, for a class that needs six tenths of its
+/// Returns a harness with ten cells, one shard in each, and a class that needs six tenths of its
 /// parts.
 fn harness_of_ten_cells() -> Harness {
     let mut harness = Harness::new(Settings {
@@ -76,7 +76,7 @@
 
 #[test]
 fn parts_that_would_be_late_are_omitted_where_they_may_be_missing() {
-    // Parts of wide queries at slow nodes would be late, and would take the room of queries that
+    // Parts of wide queries at slow nodes would be late, and would take capacity from queries that
     // need their parts there.
     let mut harness = harness_of_ten_cells();
     let all: Vec<u32> = (0..10).collect();
@@ -91,11 +91,11 @@
     assert_eq!(
         requested.len(),
         8,
-        "half of what may be missing is omitted: {requested:?}"
+        "half of the parts that may be missing are omitted: {requested:?}"
     );
     assert!(
         (4..10).all(|n| requested.iter().any(|s| s.1 == replica(n))),
-        "of the slow ones only"
+        "only parts at slow replicas are omitted"
     );
 
     let parts: Vec<PartId> = requested.iter().map(|attempt| attempt.0).collect();
@@ -104,7 +104,7 @@
     assert_eq!(
         sent_attempts(&harness.submit(&all).2).len(),
         10,
-        "slow answers of long ago omit none"
+        "no part is omitted for slow answers of long ago"
     );
 }
 
--- a/tests/ordinary_path/main.rs
+++ b/tests/ordinary_path/main.rs
@@ -1,5 +1,5 @@
-//! The policy on the ordinary path: when queries are answered and admitted, quality, the
-//! controller, and parts that are omitted.
+//! The policy on the ordinary path: when queries are admitted and answered, which parts are sent or
+//! omitted, and how admission follows the measured quality.
 
 mod admission;
 mod answers;
--- a/tests/ordinary_path/support.rs
+++ b/tests/ordinary_path/support.rs
@@ -1,9 +1,10 @@
-//! Classes of these tests.
+//! The class of several of these tests.
 
 use crate::common::*;
 use quinceflow::*;
 
-pub fn partial(follow_up_parts: u32) -> Class {
+/// Returns a class that needs half of its parts, with this number of follow-up parts.
+pub fn partial_class(follow_up_parts: u32) -> Class {
     Class {
         min_share: 0.5,
         follow_up_parts,
