--- a/tests/deploy_file.rs
+++ b/tests/deploy_file.rs
@@ -1,11 +1,11 @@
-//! The deploy file against the source tree.
+//! The paths in the deploy file, compared with the source tree.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Longest line of a policy file, in characters.
+/// The maximum length of a line of a policy file, in characters.
 const MAX_COLUMNS: usize = 100;
-/// Longest policy file, in lines.
+/// The maximum length of a policy file, in lines.
 const MAX_LINES: usize = 400;
 
 fn repository() -> &'static Path {
@@ -13,7 +13,7 @@
 }
 
 /// Returns the paths that a key of the deploy file lists.
-fn listed(key: &str) -> Vec<String> {
+fn listed_paths(key: &str) -> Vec<String> {
     let text = std::fs::read_to_string(repository().join("deploy/balancer.toml"))
         .expect("the deploy file");
     let table: toml::Table = text.parse().expect("valid TOML");
@@ -28,7 +28,7 @@
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+        let path = entry.expect("a readable entry").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if !path.ends_with("tests.rs") {
@@ -40,7 +40,7 @@
 
 #[test]
 fn the_policy_key_lists_exactly_the_files_of_the_policy() {
-    let listed: BTreeSet<PathBuf> = listed("policy")
+    let listed: BTreeSet<PathBuf> = listed_paths("policy")
         .iter()
         .map(|path| repository().join(path))
         .collect();
@@ -52,7 +52,7 @@
 
 #[test]
 fn the_node_key_lists_paths_that_exist() {
-    for path in listed("node") {
+    for path in listed_paths("node") {
         assert!(repository().join(&path).exists(), "{path}");
     }
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,5 @@
-//! The tests that CI passes over: each says whether it is known to fail or run by hand, and those
-//! known to fail are the entries of `KNOWN-RED.txt`, no more and no fewer.
+//! The tests that CI ignores. The reason of each states that it is known to fail or run by hand, and
+//! `KNOWN-RED.txt` has exactly one entry for each test that is known to fail.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
 /// An ignored test.
 #[derive(Debug, PartialEq)]
 struct IgnoredTest {
-    /// The path of its file and its name, as an entry of the list starts.
+    /// The path of the test's file and its name, with which an entry of the list starts.
     id: String,
     /// The reason; empty if none is given.
     reason: String,
@@ -43,7 +43,7 @@
     indexes.map(test).collect()
 }
 
-/// Returns the path and the name of the test of each entry of the list.
+/// Returns the path and the name of the test in each entry of the list.
 fn entries(list: &str) -> Vec<String> {
     let id = |line: &str| {
         let words = line.split([' ', ';']).filter(|word| !word.is_empty());
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Returns what is wrong between the ignored tests and the list.
+/// Returns the differences between the ignored tests and the list, and the invalid reasons.
 fn problems(ignored: &[IgnoredTest], list: &str) -> Vec<String> {
     let entries = entries(list);
     let mut problems = Vec::new();
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -1,5 +1,5 @@
-//! Following the `next` links to the end: each feature is returned once, with no more requests to
-//! servers than pages.
+//! Clients that follow the `next` links to the end get each feature once, and the number of requests
+//! to servers stays close to the number of pages.
 
 mod standin;
 
@@ -10,25 +10,25 @@
 
 const ITEMS: &str = "/collections/devices/items";
 
-/// Returns a page by `limit` and `offset`; `order` gives the feature at each place of the server.
+/// Returns a page by `limit` and `offset`; `order` returns the feature at each position.
 fn page(target: &str, ids: &std::ops::Range<usize>, order: &dyn Fn(usize) -> usize) -> Reply {
     let size = query_parameter(target, "limit").unwrap_or(10).min(500);
     let from = query_parameter(target, "offset").unwrap_or(0);
     let to = (from + size).min(ids.len());
     let feature = |n: usize| format!(r#"{{"type":"Feature","id":"d{}"}}"#, ids.start + order(n));
-    let list: Vec<String> = (from..to).map(feature).collect();
+    let features: Vec<String> = (from..to).map(feature).collect();
     let path = target.split('?').next().unwrap_or_default();
     let next = format!(r#"{{"rel":"next","href":"{path}?limit={size}&offset={to}"}}"#);
     let links = if to < ids.len() { next } else { String::new() };
     Reply::Json(format!(
         r#"{{"type":"FeatureCollection","numberMatched":{},"features":[{}],"links":[{links}]}}"#,
         ids.len(),
-        list.join(",")
+        features.join(",")
     ))
 }
 
-/// Starts one of two replicas, which responds with errors while it is down.
-fn replica(
+/// Starts a server with its features in this order, which responds with errors while `down` is set.
+fn start_replica(
     down: &Arc<AtomicBool>,
     ids: std::ops::Range<usize>,
     order: impl Fn(usize) -> usize + Send + 'static,
@@ -40,19 +40,23 @@
     })
 }
 
-/// Starts a server of these features in their order.
-fn server(ids: std::ops::Range<usize>) -> FeatureServer {
+/// Starts a server with these features in ascending order.
+fn start_server(ids: std::ops::Range<usize>) -> FeatureServer {
     FeatureServer::start(move |target| page(target, &ids, &|n| n))
 }
 
-/// Returns all identifiers over the `next` links and the number of responses; `between` is called
-/// before each response with its number.
-fn follow(process: &Process, first: &str, mut between: impl FnMut(usize)) -> (Vec<String>, usize) {
+/// Follows the `next` links and returns all identifiers and the number of responses. Calls
+/// `before_request` with the number of responses so far.
+fn follow_next_links(
+    process: &Process,
+    first: &str,
+    mut before_request: impl FnMut(usize),
+) -> (Vec<String>, usize) {
     let mut ids = Vec::new();
     let mut next = Some(first.to_owned());
     let mut responses = 0;
     while let Some(target) = next {
-        between(responses);
+        before_request(responses);
         let response = process.get(&target);
         if response.status == 503 {
             assert!(response.headers.contains_key("retry-after"));
@@ -72,8 +76,8 @@
     (ids, responses)
 }
 
-/// Asserts that each of so many features is returned exactly once.
-fn each_once(mut ids: Vec<String>, all: usize) {
+/// Asserts that the identifiers are those of `all` features, each exactly once.
+fn assert_each_once(mut ids: Vec<String>, all: usize) {
     let returned = ids.len();
     ids.sort();
     ids.dedup();
@@ -86,24 +90,25 @@
 
 #[test]
 fn the_number_of_requests_follows_the_features_returned() {
-    let north = server(0..20_000);
-    let south = server(20_000..40_000);
+    let north = start_server(0..20_000);
+    let south = start_server(20_000..40_000);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let process = Process::start_edge("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
-    let two = process.get(&format!("{ITEMS}?limit=2"));
+    let first_page = process.get(&format!("{ITEMS}?limit=2"));
     assert_eq!(
         (
-            two.ids().len(),
-            two.json()["numberMatched"].as_u64(),
+            first_page.ids().len(),
+            first_page.json()["numberMatched"].as_u64(),
             requests()
         ),
         (2, Some(40_000), 2)
     );
     for (limit, pages) in [(500, 80), (5_000, 80)] {
         let before = requests();
-        let (ids, responses) = follow(&process, &format!("{ITEMS}?limit={limit}"), |_| {});
-        each_once(ids, 40_000);
+        let (ids, responses) =
+            follow_next_links(&process, &format!("{ITEMS}?limit={limit}"), |_| {});
+        assert_each_once(ids, 40_000);
         let requests = requests() - before;
         assert!(
             requests * 10 <= pages * 12,
@@ -121,14 +126,14 @@
     // Two replicas in opposite orders, each down for a while in turn: neither can continue the
     // pages of the other.
     let down: [Arc<AtomicBool>; 2] = Default::default();
-    let a = replica(&down[0], 0..2_000, |next| next);
-    let b = replica(&down[1], 0..2_000, |next| 1_999 - next);
-    let other = server(5_000..6_000);
+    let a = start_replica(&down[0], 0..2_000, |next| next);
+    let b = start_replica(&down[1], 0..2_000, |next| 1_999 - next);
+    let other = start_server(5_000..6_000);
     let rows = inventory_row("a", &a, "devices/n")
         + &inventory_row("b", &b, "devices/n")
         + &inventory_row("c", &other, "devices/s");
     let process = Process::start_edge("differ", "retry_after_ms = 50", &rows);
-    let (ids, _) = follow(&process, &format!("{ITEMS}?limit=100"), |response| {
+    let (ids, _) = follow_next_links(&process, &format!("{ITEMS}?limit=100"), |response| {
         // Each is down before one response, and both are up again at the next.
         down[0].store(response == 3, Relaxed);
         down[1].store(response == 7, Relaxed);
@@ -138,7 +143,7 @@
             process.reload_inventory(&(rows.clone() + &unreachable));
         }
     });
-    each_once(ids, 3_000);
+    assert_each_once(ids, 3_000);
     let requests =
         a.count_requests(|_| true) + b.count_requests(|_| true) + other.count_requests(|_| true);
     assert!(
@@ -147,7 +152,7 @@
     );
 }
 
-/// Asserts that a target gets a problem document of this status, whose detail contains these words.
+/// Asserts that the response is a problem document of this status whose detail contains `words`.
 fn assert_problem(process: &Process, target: &str, status: u16, words: &str) {
     let response = process.get(target);
     let problem = response.json();
@@ -158,8 +163,8 @@
 
 #[test]
 fn forged_expired_and_foreign_cursors_are_rejected() {
-    let north = server(0..50);
-    let south = server(100..150);
+    let north = start_server(0..50);
+    let south = start_server(100..150);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
     let process = Process::start_edge("cursors", "", &rows);
     let next = process
@@ -173,9 +178,9 @@
     assert_problem(&process, &forged, 400, "not made by this service");
     let longer = next.replace("limit=10", "limit=20");
     assert_eq!(process.get(&longer).status, 200, "the limit may change");
-    // The server that knows how its pages continue has been removed.
-    let replaced =
-        inventory_row("e", &server(0..50), "devices/n") + &inventory_row("b", &south, "devices/s");
+    // The server that can continue the pages has been removed.
+    let replaced = inventory_row("e", &start_server(0..50), "devices/n")
+        + &inventory_row("b", &south, "devices/s");
     process.reload_inventory(&replaced);
     assert_problem(&process, &next, 410, "begin anew");
 }
@@ -183,14 +188,14 @@
 #[test]
 fn servers_of_the_same_order_continue_the_pages_of_each_other() {
     let down: [Arc<AtomicBool>; 2] = Default::default();
-    let [a, b] = [0, 1].map(|n| replica(&down[n], 0..1_000, |next| next));
+    let [a, b] = [0, 1].map(|n| start_replica(&down[n], 0..1_000, |next| next));
     let rows = inventory_row("a", &a, "devices/n") + &inventory_row("b", &b, "devices/n");
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
     let process = Process::start_edge("order", settings, &rows);
-    let (ids, responses) = follow(&process, &format!("{ITEMS}?limit=100"), |response| {
+    let (ids, responses) = follow_next_links(&process, &format!("{ITEMS}?limit=100"), |response| {
         down[0].store((2..5).contains(&response), Relaxed);
         down[1].store((6..9).contains(&response), Relaxed);
     });
-    each_once(ids, 1_000);
+    assert_each_once(ids, 1_000);
     assert_eq!(responses, 10, "no response failed");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter as a process: frames in, frames out, and one error line for malformed
-//! input.
+//! The simulator adapter as a process: frames on its standard input and output, and one error line
+//! for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,7 +15,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may exit before it has read everything; that is for the assertions to judge.
+    // The adapter may exit before it has read everything; the assertions check its output.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -41,19 +41,19 @@
     let mut pool = vec![0, 0, 1, 0, 0, 0];
     pool.extend([10, 0, 0, 1, 0, 80, 0, 0, 0, 0, 0, 0, 1, 0, 0, 128, 63]);
     pool.extend(0u64.to_le_bytes());
-    let mut new = 9u64.to_le_bytes().to_vec();
-    new.extend((settings.len() as u32).to_le_bytes());
-    new.extend(settings.as_bytes());
+    let mut new_instance = 9u64.to_le_bytes().to_vec();
+    new_instance.extend((settings.len() as u32).to_le_bytes());
+    new_instance.extend(settings.as_bytes());
     let on = record(12, &3u16.to_le_bytes());
     vec![
         on,
-        record(1, &new),
+        record(1, &new_instance),
         record(11, &pool),
         record(2, &[2, 0, 0, 0, 0, 0, 0]),
     ]
 }
 
-/// A query, where `shard` is below 0, or a part.
+/// Returns the record of a part of this shard, or that of a query if `shard` is negative.
 fn request_record(id: u64, shard: f32) -> Vec<u8> {
     let mut fields = id.to_le_bytes().to_vec();
     fields.extend(5f32.to_le_bytes());
@@ -143,7 +143,7 @@
     assert_eq!(replies(&output.stdout).len(), 1);
 }
 
-/// Returns the records of a start and one more, as a batch.
+/// Returns a batch with the records of a start and one more.
 fn batch_with(extra: Vec<u8>) -> Vec<u8> {
     let mut records = start_records(SETTINGS);
     records.push(extra);
@@ -172,7 +172,7 @@
     }
 }
 
-/// Returns a record of a probe with this outcome that announces so many values and brings `values`.
+/// Returns the record of a probe with this outcome that announces `announced` values and has `values`.
 fn probe_record(outcome: u8, announced: u8, values: &[u8]) -> Vec<u8> {
     let head = [10, 0, 0, 1, 0, 80, outcome];
     record(8, &[&head[..], &[0; 8], &[announced], values].concat())
@@ -232,15 +232,15 @@
 #[test]
 fn malformed_input_gets_one_error_line_and_no_reply() {
     for input in malformed_records().into_iter().chain(malformed_frames()) {
-        let word = input.error;
+        let error = input.error;
         let output = run(&input.bytes);
         let error_line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{word}: {error_line}");
-        assert!(error_line.contains(word), "{word}: {error_line}");
-        assert_eq!(error_line.lines().count(), 1, "{word}: {error_line}");
+        assert_eq!(output.status.code(), Some(1), "{error}: {error_line}");
+        assert!(error_line.contains(error), "{error}: {error_line}");
+        assert_eq!(error_line.lines().count(), 1, "{error}: {error_line}");
         assert!(
             !error_line.contains("panicked") && output.stdout.is_empty(),
-            "{word}: {error_line}"
+            "{error}: {error_line}"
         );
     }
 }
