--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: when they count as run, and when they are taken back.
+//! Attempts: when they count as run, and when they are cancelled.
 
 use crate::common::MS;
 use crate::support::{
@@ -12,8 +12,8 @@
 #[test]
 fn attempt_whose_write_never_started_counts_as_not_run() {
     // An attempt that waits for its connection until its timeout has not run: its query is rejected
-    // and does not fail. An attempt whose write has started goes on to its last byte, also after
-    // its timeout: it may run.
+    // and does not fail. An attempt whose write has started is written up to its last byte, even
+    // after its timeout, so it may run.
     let write_inputs = [
         None,
         Some(Input::WriteStarted as fn(AttemptKey) -> Input),
@@ -38,7 +38,7 @@
         match commands.iter().find_map(answer).expect("found") {
             Answer::Rejected { late, .. } => assert!(*late && !write_started),
             Answer::Failed { late } => assert!(*late && write_started),
-            other => panic!("no value came: {other:?}"),
+            other => panic!("neither rejected nor failed: {other:?}"),
         }
     }
 }
@@ -83,12 +83,13 @@
     }
 }
 
-/// A query with two attempts in flight, whose client leaves or gets its answer.
+/// A query with two attempts in flight, whose client disconnects or gets its answer.
 #[derive(Debug, Clone, Copy)]
 struct QueryEnd {
-    /// Whether the client leaves; otherwise the first attempt is served, and half is enough.
-    client_leaves: bool,
-    /// Whether the write of the second attempt has started before.
+    /// Whether the client disconnects. Otherwise the first attempt is served, and half of the parts
+    /// are enough for an answer.
+    client_disconnects: bool,
+    /// Whether the write of the second attempt starts before that.
     write_started: bool,
 }
 
@@ -114,7 +115,7 @@
         }
 
         let replies = commands.iter().filter_map(answer).count();
-        assert_eq!(replies, usize::from(!self.client_leaves), "{self:?}");
+        assert_eq!(replies, usize::from(!self.client_disconnects), "{self:?}");
         let cancelled: Vec<AttemptKey> = commands.iter().filter_map(cancelled).collect();
         assert_eq!(cancelled, self.expected_cancels(&keys), "{self:?}");
         assert_eq!(
@@ -123,10 +124,10 @@
         );
     }
 
-    /// Returns the inputs of the end.
+    /// Returns the inputs that end the query.
     fn inputs(self, keys: &[AttemptKey]) -> Vec<Input> {
         let write = self.write_started.then_some(Input::WriteStarted(keys[1]));
-        let end = if self.client_leaves {
+        let end = if self.client_disconnects {
             Input::ClientDisconnected(Token(1))
         } else {
             served(keys[0])
@@ -136,21 +137,21 @@
 
     /// Returns the attempts that are in flight and whose write has not started.
     fn expected_cancels(self, keys: &[AttemptKey]) -> Vec<AttemptKey> {
-        let first = self.client_leaves.then_some(keys[0]);
+        let first = self.client_disconnects.then_some(keys[0]);
         let second = (!self.write_started).then_some(keys[1]);
         first.into_iter().chain(second).collect()
     }
 }
 
 #[test]
-fn unwritten_attempts_are_cancelled_once_the_client_has_left_or_has_its_answer() {
-    // Where the settings allow no cancellation at the servers, parts that wait for a connection are
-    // taken back all the same.
-    for (client_leaves, write_started) in
+fn unwritten_attempts_are_cancelled_once_the_client_has_disconnected_or_has_its_answer() {
+    // Parts that wait for a connection are cancelled even if the settings allow no cancellation at
+    // the servers.
+    for (client_disconnects, write_started) in
         [(true, false), (true, true), (false, false), (false, true)]
     {
         let end = QueryEnd {
-            client_leaves,
+            client_disconnects,
             write_started,
         };
         end.check();
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn removed_servers_are_forgotten_and_their_ids_not_reused() {
-    // Names, addresses and connections of servers that have left are not kept.
+fn removed_servers_are_not_kept_and_their_ids_not_reused() {
+    // The names, addresses and connections of removed servers are not kept.
     let mut now = START;
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
@@ -62,13 +62,13 @@
                 _ => {}
             }
         }
-        let known = coordinator.known_endpoints();
-        assert!(known <= 35 && open.len() <= 35, "{known} known");
+        let kept = coordinator.known_endpoints();
+        assert!(kept <= 35 && open.len() <= 35, "{kept} endpoints kept");
     }
 }
 
 #[test]
-fn list_with_a_duplicate_or_no_endpoint_causes_no_dispatch_that_it_forbids() {
+fn list_with_a_duplicate_or_no_endpoint_causes_no_dispatch_to_a_draining_or_unlisted_server() {
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
     let full = |servers: Vec<ServerEndpoint>| endpoint_list(EndpointListKind::Full, None, servers);
@@ -84,7 +84,7 @@
         coordinator.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands);
     }
     let dispatches = [0, 1, 2].map(|number| dispatches_to(&commands, number));
-    assert_eq!(dispatches[0], 0, "its last line says that it drains");
+    assert_eq!(dispatches[0], 0, "its last entry says that it drains");
     assert_eq!(dispatches[1] + dispatches[2], 8);
 
     commands.clear();
@@ -99,7 +99,7 @@
     assert_eq!(rejections_of(&commands, Token(9)), 1);
 }
 
-/// A change of a server's readiness: its number, and whether it is ready.
+/// A change of a server's readiness: the number of the server, and whether it is ready.
 #[derive(Debug, PartialEq)]
 struct Readiness {
     server: u8,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the change of a server that is ready no more.
+/// Returns the change of a server that is no longer ready.
 fn not_ready(server: u8) -> Readiness {
     Readiness {
         server,
@@ -172,8 +172,9 @@
 
 #[test]
 fn stale_list_reverts_no_drain_and_removes_no_server() {
-    // Discovery that has moved, or was restored from an older copy, calls servers ready that drain,
-    // and does not know newer ones: the first get no parts again, the second keep their work.
+    // After discovery has moved, or was restored from an older copy, its list has draining servers as
+    // ready and lacks newer servers. The former must get no parts again, and the latter must stay in
+    // use.
     let mut coordinator = coordinator_with_drain();
 
     let before_the_drain = vec![started(0, EndpointState::Ready, 50)];
@@ -189,27 +190,32 @@
 
     let restarted = fleet_with(started(0, EndpointState::Ready, 90));
     let changes = apply(&mut coordinator, list(6, EndpointListKind::Full, restarted));
-    assert_eq!(changes, [ready(0)], "it has restarted since");
+    assert_eq!(
+        changes,
+        [ready(0)],
+        "the server has restarted since the drain"
+    );
     let earlier_drain = vec![started(0, EndpointState::Draining, 50)];
     let changes = apply(
         &mut coordinator,
         list(5, EndpointListKind::Delta, earlier_drain),
     );
-    assert_eq!(changes, [], "that drain was of the earlier incarnation");
+    assert_eq!(changes, [], "the drain was that of the earlier incarnation");
 
     let drain = vec![started(1, EndpointState::Draining, 50)];
     let changes = apply(&mut coordinator, list(5, EndpointListKind::Delta, drain));
-    assert_eq!(changes, [not_ready(1)], "an old list's drain is believed");
+    assert_eq!(changes, [not_ready(1)], "a drain in an old list is applied");
     let current = fleet_with(started(0, EndpointState::Draining, 90));
     let changes = apply(&mut coordinator, list(8, EndpointListKind::Full, current));
     let expected = [not_ready(0), ready(1)];
     assert_eq!(changes, expected, "the newest list is applied as it is");
 }
 
-/// Guards against connections to an earlier incarnation that stay in use, and against the end of
-/// those to the present one: a start is told with a tolerance, and again in each list.
+/// Guards against connections to an earlier incarnation that stay in use, and against closing those
+/// to the present one: the listed start of an incarnation varies within a tolerance, and each list
+/// repeats it.
 #[test]
-fn connections_end_once_for_each_restart_that_a_list_tells_of() {
+fn connections_end_once_for_each_listed_restart() {
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
     let mut ended_at = |start_ms: Option<u64>| {
@@ -232,8 +238,8 @@
     assert_eq!(
         ended_at(Some(5_400)),
         None,
-        "the same start by other clocks"
+        "the same start as another clock measures it"
     );
-    assert_eq!(ended_at(None), None, "an older line");
+    assert_eq!(ended_at(None), None, "an entry without a start");
     assert_eq!(ended_at(Some(9_000)), Some(8_500));
 }
--- a/tests/coordinator/main.rs
+++ b/tests/coordinator/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the coordinator without sockets: inputs and turns at chosen times, and the commands
-//! that come out.
+//! Tests of the coordinator without sockets: they give it inputs and turns at chosen times, and check
+//! its commands.
 
 mod attempts;
 #[path = "../common/mod.rs"]
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -35,13 +35,13 @@
     );
     assert!(
         !is_duplicate(&commands, 4),
-        "its client has left, and its attempt was cancelled"
+        "the client has disconnected, and the attempt was cancelled"
     );
 }
 
 #[test]
-fn query_expired_on_arrival_and_late_turn_break_no_invariant() {
-    // Neither breaks the invariant that guards against a policy that lets a query's deadline pass.
+fn query_expired_on_arrival_and_late_turn_violate_no_invariant() {
+    // Neither violates the invariant that the policy lets no query's deadline pass.
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
     coordinator.turn(
@@ -72,8 +72,8 @@
 
 #[test]
 fn partial_answer_is_given_10_ms_before_the_objective() {
-    // The policy keeps three ticks for turn, rendering and network. With a tick of 1 ms that is too
-    // little time for a partial answer to arrive before the objective.
+    // The policy reserves three ticks for the turn, the rendering and the network. With a tick of
+    // 1 ms that is too little time for a partial answer to arrive before the objective.
     let mut now = START;
     let mut coordinator = coordinator_with(Settings {
         tick: MS,
@@ -95,7 +95,7 @@
         coordinator.turn(now, [], &mut commands);
         assert!(
             ms > 200 || !commands.iter().any(is_partial_answer),
-            "it waits for the rest: {ms}"
+            "the other part is still awaited after {ms} ms"
         );
     }
     assert!(
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -1,5 +1,5 @@
-//! The coordinator against random inputs: each attempt has one outcome, each query one final
-//! answer, and the reserved slots are bounded.
+//! The coordinator with random inputs: each attempt has one outcome, each query one final answer, and
+//! the reserved slots are bounded.
 
 use crate::support::{
     coordinator, endpoint_list, failed, fleet, served, server, submit, MAX_IN_FLIGHT,
@@ -32,7 +32,7 @@
     FullyWritten {
         attempt: usize,
     },
-    ClientLeaves {
+    ClientDisconnects {
         client: usize,
     },
     Drain {
@@ -77,7 +77,7 @@
             Step::AttemptEnds { attempt, end: AttemptEnds::nth(end), twice }
         }),
         4 => any::<usize>().prop_map(|attempt| Step::FullyWritten { attempt }),
-        1 => any::<usize>().prop_map(|client| Step::ClientLeaves { client }),
+        1 => any::<usize>().prop_map(|client| Step::ClientDisconnects { client }),
         1 => (0u16..3, any::<bool>()).prop_map(|(server, draining)| Step::Drain { server, draining }),
     ]
 }
@@ -94,7 +94,7 @@
     shard: u32,
 }
 
-/// Checks each command as it comes.
+/// Checks the commands of a coordinator.
 #[derive(Default)]
 struct CommandChecker {
     in_flight: BTreeMap<AttemptKey, InFlight>,
@@ -125,9 +125,12 @@
                     .for_each(|attempt| self.check_attempt(attempt));
             }
             Command::CancelAttempt { key, .. } => {
-                let attempt = self.in_flight.remove(&key).expect("in flight");
+                let attempt = self
+                    .in_flight
+                    .remove(&key)
+                    .expect("the attempt is in flight");
                 if !attempt.fully_written {
-                    self.never_ran(attempt.token);
+                    self.record_not_run(attempt.token);
                 }
             }
             Command::Reply { token, answer } => self.check_answer(token, &answer),
@@ -139,7 +142,7 @@
 
     /// Checks that an attempt is allowed, and records that the part may run.
     fn check_attempt(&mut self, attempt: &AttemptRequest) {
-        let token: u64 = attempt.request_id[1..].parse().expect("its token");
+        let token: u64 = attempt.request_id[1..].parse().expect("a token");
         assert!(
             !self.answered.contains(&token),
             "no attempt after the answer"
@@ -183,7 +186,7 @@
     }
 
     /// Records that the parts of a request have not run.
-    fn never_ran(&mut self, token: u64) {
+    fn record_not_run(&mut self, token: u64) {
         self.may_have_run.retain(|part| part.token != token);
     }
 
@@ -195,7 +198,7 @@
     }
 }
 
-/// A coordinator with the inputs of the steps so far.
+/// A coordinator, its checker, and the inputs for its next turn.
 struct Run {
     now: Micros,
     coordinator: Coordinator,
@@ -203,7 +206,7 @@
     inputs: Vec<Input>,
     /// The highest token so far.
     tokens: u64,
-    left: BTreeSet<u64>,
+    disconnected: BTreeSet<u64>,
 }
 
 impl Run {
@@ -214,7 +217,7 @@
             checker: CommandChecker::default(),
             inputs: vec![fleet()],
             tokens: 0,
-            left: BTreeSet::new(),
+            disconnected: BTreeSet::new(),
         }
     }
 
@@ -234,9 +237,9 @@
                 twice,
             } => self.end_attempt(attempt, end, twice),
             Step::FullyWritten { attempt } => self.write_attempt(attempt),
-            Step::ClientLeaves { client } => {
+            Step::ClientDisconnects { client } => {
                 let token = client as u64 % (self.tokens + 1);
-                self.left.insert(token);
+                self.disconnected.insert(token);
                 self.inputs.push(Input::ClientDisconnected(Token(token)));
             }
             Step::Drain {
@@ -261,9 +264,13 @@
         let Some(key) = self.checker.nth_attempt(attempt) else {
             return;
         };
-        let ended = self.checker.in_flight.remove(&key).expect("picked");
+        let ended = self
+            .checker
+            .in_flight
+            .remove(&key)
+            .expect("the attempt is in flight");
         if end == AttemptEnds::Rejected {
-            self.checker.never_ran(ended.token);
+            self.checker.record_not_run(ended.token);
         }
         self.inputs
             .extend([Input::FullyWritten(key), end.input(key)]);
@@ -277,12 +284,12 @@
         self.checker
             .in_flight
             .get_mut(&key)
-            .expect("picked")
+            .expect("the attempt is in flight")
             .fully_written = true;
         self.inputs.push(Input::FullyWritten(key));
     }
 
-    /// Turns until nothing is due.
+    /// Runs turns until no turn is due.
     fn settle(&mut self) {
         loop {
             let mut commands = Vec::new();
@@ -310,7 +317,7 @@
     #[test]
     fn each_query_gets_one_answer_in_time_whatever_the_inputs(steps in vec(step(), 1..80)) {
         let mut run = Run::new();
-        // After the steps, time alone must end everything.
+        // After the steps, the passing of time alone must end all queries and attempts.
         let idle = std::iter::repeat_n(Step::Wait { ms: 20 }, 100);
         for step in steps.into_iter().chain(idle) {
             run.apply(&step);
@@ -320,7 +327,7 @@
         prop_assert_eq!(run.coordinator.pending_queries(), 0);
         prop_assert_eq!(run.coordinator.attempts_in_flight(), 0, "every attempt has had its outcome");
         for token in 1..=run.tokens {
-            let ended = run.checker.answered.contains(&token) || run.left.contains(&token);
+            let ended = run.checker.answered.contains(&token) || run.disconnected.contains(&token);
             prop_assert!(ended, "no answer to {}", token);
         }
     }
--- a/tests/coordinator/settings.rs
+++ b/tests/coordinator/settings.rs
@@ -8,8 +8,8 @@
 use quinceflow::{Class, Effect, Outcome};
 use std::collections::BTreeMap;
 
-/// Returns settings in which the idempotent class is in another place, not idempotent, and has one
-/// attempt.
+/// Returns a reload of settings in which the idempotent class has another position, is not
+/// idempotent, and has one attempt.
 fn reload_with_swapped_classes() -> Input {
     let mut reloaded = settings();
     let class = &mut reloaded.classes[usize::from(IDEMPOTENT)];
@@ -27,7 +27,7 @@
     }
 }
 
-/// The attempts and answers that a coordinator's commands gave.
+/// The attempts and answers in the commands of a coordinator.
 #[derive(Default)]
 struct Outcomes {
     attempts_by_request: BTreeMap<String, usize>,
@@ -35,7 +35,7 @@
 }
 
 impl Outcomes {
-    /// Records commands and returns inputs by which each attempt is written and reset.
+    /// Records commands and returns the inputs by which each attempt is fully written and then reset.
     fn record_and_fail_attempts(&mut self, commands: impl Iterator<Item = Command>) -> Vec<Input> {
         let mut inputs = Vec::new();
         for command in commands {
@@ -59,7 +59,7 @@
 
 #[test]
 fn pending_query_keeps_its_class_over_a_reload_and_a_new_one_has_the_reloaded_class() {
-    // Attempts and effects belong to the class by its name, not by its place in the file.
+    // A class is identified by its name, not by its position in the file.
     let mut now = START;
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
@@ -80,10 +80,10 @@
     );
     assert!(
         matches!(seen.answers[&Token(1)], Answer::Rejected { .. }),
-        "idempotent when it came"
+        "idempotent when the query was submitted"
     );
     assert!(
         matches!(seen.answers[&Token(2)], Answer::Failed { .. }),
-        "not idempotent by now"
+        "not idempotent since the reload"
     );
 }
--- a/tests/coordinator/shutdown.rs
+++ b/tests/coordinator/shutdown.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn query_submitted_after_the_shutdown_began_is_answered_by_the_final_deadline() {
-    // After SIGTERM no query is accepted whose timeout ends after the kill.
+    // After SIGTERM the timeout of an accepted query must end before the process is killed.
     let mut now = START;
     let mut coordinator = coordinator();
     let final_deadline = now + Micros::from_millis(400);
@@ -28,7 +28,7 @@
 
 #[test]
 fn query_pending_when_the_shutdown_begins_is_answered_by_the_final_deadline() {
-    // Clients that wait longer than the kill takes get an answer before it, and no reset.
+    // Clients whose timeout is after the kill get an answer before it instead of a reset.
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
     coordinator.turn(
@@ -60,7 +60,7 @@
                 answer: Answer::Failed { .. }
             }]
         ),
-        "it may have run: {replies:?}"
+        "the attempt may have run: {replies:?}"
     );
     assert_eq!(coordinator.pending_queries(), 0);
 }
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -1,4 +1,4 @@
-//! A coordinator of three servers and three classes, the inputs for it, and readers of its
+//! A coordinator with three servers and three classes, its inputs, and functions that read its
 //! commands.
 
 use crate::common::{self, MS};
@@ -12,7 +12,7 @@
 };
 use std::sync::Arc;
 
-/// The most queries in flight.
+/// The maximum number of queries in flight.
 pub const MAX_IN_FLIGHT: usize = 12;
 /// The time of the first turn.
 pub const START: Micros = Micros::from_secs(100);
@@ -21,7 +21,7 @@
 pub const IDEMPOTENT: u16 = 0;
 /// The number of the class whose parts must not run twice.
 pub const NON_IDEMPOTENT: u16 = 1;
-/// The number of the class that is idempotent, and answered from half of the parts at the
+/// The number of the idempotent class whose queries are answered from half of their parts at the
 /// objective.
 pub const PARTIAL: u16 = 2;
 
@@ -55,7 +55,7 @@
     Coordinator::new(settings, MAX_IN_FLIGHT, 7, START, Arc::default())
 }
 
-/// Returns a server whose number is that of its cell and its port.
+/// Returns a server with this number, which is also its cell and its port.
 pub fn server(number: u16, state: EndpointState) -> ServerEndpoint {
     ServerEndpoint {
         name: format!("s{number}").into(),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the number of a server, from its id: ids are given in the order of the first list.
+/// Returns the number of a server from its id, since ids are assigned in the order of the list.
 pub fn server_number(replica: ReplicaId) -> u8 {
     replica.0[3]
 }
@@ -92,7 +92,7 @@
     endpoint_list(EndpointListKind::Cached, None, servers)
 }
 
-/// Returns a request of the class for the first `parts` shards. The id is `q` and the token.
+/// Returns a request of the class for the first `parts` shards. Its id is `q` followed by the token.
 pub fn submit(token: u64, class: u16, parts: u32, sent_at: Micros) -> Input {
     submit_with_id(&format!("q{token}"), token, class, parts, sent_at)
 }
