--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -1,19 +1,20 @@
-//! The load of the other nodes while one drains.
+//! The load of the other nodes while a node drains.
 
 use crate::common::*;
-use crate::support::{fleet_settings, Due, Fleet, INSTANCES, NODES};
+use crate::support::{fleet_settings, Fleet, FleetEvent, INSTANCES, NODES};
 
 #[test]
 fn the_load_of_a_draining_node_spreads_beyond_its_neighbours() {
-    // The neighbours hold two shards alone and share two: without a spread over further nodes they
-    // get half as much load again, which each instance meets too seldom to notice.
+    // Two shards have only a neighbour of the draining node left, and each neighbour shares another
+    // shard with the next node. Unless the load spreads over more nodes, the neighbours get half as
+    // much load again, which each instance encounters too rarely to detect.
     let mut fleet = Fleet::new(&fleet_settings());
-    let drained = START + 2 * S;
+    let drain_start = START + 2 * S;
     for n in 0..INSTANCES {
-        fleet.schedule(drained - START, n, Due::Draining(10));
+        fleet.schedule(drain_start - START, n, FleetEvent::Draining(10));
     }
-    let from = drained + S;
-    let end = drained + 12 * S;
+    let from = drain_start + S;
+    let end = drain_start + 12 * S;
     fleet.run(end);
     let load = |node: u8| {
         fleet
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! The full fleet in virtual time: 300 instances of the policy side by side, each with a query
-//! every two seconds.
+//! The full fleet in virtual time: 300 policy instances at the same nodes, each with a query every
+//! two seconds.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/fleet/recovery.rs
+++ b/tests/fleet/recovery.rs
@@ -5,11 +5,11 @@
 use quinceflow::*;
 use std::ops::Range;
 
-/// The length of the windows in which [`most_parts_sent`] counts.
+/// The length of the windows in which [`max_parts_sent`] counts.
 const WINDOW: Nanos = 100 * MS;
 
-/// Returns the most parts that a node was sent in any window of the period.
-fn most_parts_sent(fleet: &Fleet, node: u8, period: Range<Nanos>) -> usize {
+/// Returns the largest number of parts that a node was sent in a window of the period.
+fn max_parts_sent(fleet: &Fleet, node: u8, period: Range<Nanos>) -> usize {
     let to_node = fleet.sent.iter().filter(|part| part.node == node);
     let times: Vec<Nanos> = to_node.map(|part| part.at).collect();
     let count_from = |start: Nanos| {
@@ -24,13 +24,13 @@
 fn all_instances_return_to_recovered_nodes_gradually() {
     let mut fleet = Fleet::new(&fleet_settings());
     let from = START + 5 * S;
-    let back = START + 10 * S;
+    let recovered_at = START + 10 * S;
     let end = START + 26 * S;
-    // Two neighbours: nobody answers for the shard that both hold.
+    // Two neighbours fail: no node answers for the shard that both hold.
     fleet.outage = Outage {
         nodes: 2,
         from,
-        until: back,
+        until: recovered_at,
     };
     fleet.run(end);
     fleet.assert_one_final_answer_each(end);
@@ -39,15 +39,15 @@
             fleet.served(class, START, from - S) > 0.99,
             "class {class} before"
         );
-        let after = fleet.served(class, back + 8 * S, end - S);
+        let after = fleet.served(class, recovered_at + 8 * S, end - S);
         assert!(after > 0.95, "class {class} after: {after}");
     }
     assert!(
-        fleet.served(REPORT, from, back) > 0.9,
+        fleet.served(REPORT, from, recovered_at) > 0.9,
         "reports may lack two of twenty parts: they are served meanwhile"
     );
-    let usual = most_parts_sent(&fleet, 0, START..from);
-    let returning = most_parts_sent(&fleet, 0, back..back + 5 * S);
+    let usual = max_parts_sent(&fleet, 0, START..from);
+    let returning = max_parts_sent(&fleet, 0, recovered_at..recovered_at + 5 * S);
     assert!(
         returning <= 2 * usual,
         "{returning} parts in 100 ms, {usual} before"
@@ -56,17 +56,17 @@
 
 #[test]
 fn instances_with_only_non_idempotent_queries_return_to_recovered_nodes() {
-    // A failed node is probed by non-idempotent parts too, where an instance has no others.
+    // An instance that has only non-idempotent parts probes a failed node with these.
     let mut fleet = Fleet::new(&fleet_settings());
-    let back = START + 10 * S;
+    let recovered_at = START + 10 * S;
     let end = START + 26 * S;
-    fleet.wide = 0;
+    fleet.wide_per_ten = 0;
     fleet.outage = Outage {
         nodes: 2,
         from: START + 3 * S,
-        until: back,
+        until: recovered_at,
     };
     fleet.run(end);
-    let after = fleet.served(SEND, back + 8 * S, end - S);
+    let after = fleet.served(SEND, recovered_at + 8 * S, end - S);
     assert!(after > 0.98, "{after}");
 }
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -1,12 +1,14 @@
 //! Slow start: the load of nodes that have just started.
 
 use crate::common::*;
-use crate::support::{fleet_settings, Due, Fleet, SentPart, INSTANCES, LOOKUP, REPORT, SEND};
+use crate::support::{
+    fleet_settings, Fleet, FleetEvent, SentPart, INSTANCES, LOOKUP, REPORT, SEND,
+};
 use quinceflow::*;
 
-/// Asserts that the parts that all instances together send a starting node in any second stay
-/// within its capacity, and returns their number.
-fn parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
+/// Asserts that the parts that all instances together send to a starting node in any second are
+/// within its capacity, and returns the number of parts that it was sent.
+fn assert_parts_within_capacity(fleet: &Fleet, node: u8, started: Nanos) -> usize {
     let sent: Vec<_> = fleet
         .sent
         .iter()
@@ -28,7 +30,8 @@
     sent.len()
 }
 
-/// Returns a fleet in which these nodes start at one time, which all instances learn at once.
+/// Returns a fleet 20 s after these nodes started at the same time; the start was reported to all
+/// instances at once.
 fn fleet_with_starting(nodes: &[u8], started: Nanos) -> Fleet {
     let rule = SlowStartRule {
         overload_factor: 3.0,
@@ -43,7 +46,7 @@
     for n in 0..INSTANCES {
         nodes
             .iter()
-            .for_each(|node| fleet.schedule(started - START, n, Due::Started(*node)));
+            .for_each(|node| fleet.schedule(started - START, n, FleetEvent::Started(*node)));
     }
     fleet.run(started + 20 * S);
     fleet
@@ -53,8 +56,8 @@
 fn the_fleet_does_not_overload_a_starting_node_and_uses_it() {
     let started = START + 5 * S;
     let fleet = fleet_with_starting(&[3], started);
-    let sent = parts_within_capacity(&fleet, 3, started);
-    assert!(sent > 100, "{sent} parts in its warm-up");
+    let sent = assert_parts_within_capacity(&fleet, 3, started);
+    assert!(sent > 100, "{sent} parts during the warm-up");
     for class in [SEND, LOOKUP, REPORT] {
         assert!(
             fleet.served(class, started, started + 18 * S) > 0.99,
@@ -67,12 +70,12 @@
 fn starting_all_holders_of_a_shard_overloads_none_and_loses_no_query() {
     let started = START + 5 * S;
     let fleet = fleet_with_starting(&[3, 4], started);
-    let sent = [3, 4].map(|node| parts_within_capacity(&fleet, node, started));
+    let sent = [3, 4].map(|node| assert_parts_within_capacity(&fleet, node, started));
     assert!(
         sent.iter().all(|n| *n > 100),
-        "{sent:?} parts in their warm-up"
+        "{sent:?} parts during the warm-up"
     );
     fleet.assert_one_final_answer_each(started + 20 * S);
-    // Reports may lack a part of twenty: they are served meanwhile.
+    // Reports may lack one of twenty parts, so they are served during the start.
     assert!(fleet.served(REPORT, started, started + 18 * S) > 0.9);
 }
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -21,7 +21,7 @@
 /// Returns settings of three classes: sends, which are not idempotent; lookups, which need all
 /// parts; reports, which need four fifths of them.
 pub fn fleet_settings() -> Settings {
-    let of = |name: &str, effect| Class {
+    let class_with = |name: &str, effect| Class {
         name: name.to_owned(),
         latency_objective: 400 * MS,
         deadline: 800 * MS,
@@ -29,11 +29,11 @@
         ..class(effect)
     };
     let classes = vec![
-        of("send", Effect::NonIdempotent),
-        of("lookup", Effect::Idempotent),
+        class_with("send", Effect::NonIdempotent),
+        class_with("lookup", Effect::Idempotent),
         Class {
             min_share: 0.8,
-            ..of("report", Effect::Idempotent)
+            ..class_with("report", Effect::Idempotent)
         },
     ];
     let cells = u32::from(NODES);
@@ -46,9 +46,9 @@
     }
 }
 
-/// An occurrence at an instance.
+/// An event at an instance.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum FleetEvent {
     Query,
     Timer,
     AttemptEnd(PartId, AttemptNo, Outcome, Nanos),
@@ -58,25 +58,25 @@
     Draining(u8),
 }
 
-/// A scheduled occurrence; the order is that of time.
+/// A scheduled event; events are ordered by time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Scheduled {
     pub at: Nanos,
-    /// The order of occurrences at the same time.
+    /// The order of events at the same time.
     pub order: u64,
     pub instance: usize,
-    pub due: Due,
+    pub event: FleetEvent,
 }
 
-/// The course of a submitted query.
-pub struct Fate {
+/// A submitted query and its answers.
+pub struct QueryRecord {
     pub at: Nanos,
     pub class: u16,
     pub final_answers: usize,
     pub served: bool,
 }
 
-/// A part that a node was sent.
+/// A part that was sent to a node.
 pub struct SentPart {
     pub at: Nanos,
     pub node: u8,
@@ -91,7 +91,7 @@
     pub until: Nanos,
 }
 
-/// The instances, and the occurrences that are due at them.
+/// The policy instances, and the events that are scheduled at them.
 pub struct Fleet {
     pub policies: Vec<DecisionPolicy>,
     pub scheduled: BinaryHeap<Reverse<Scheduled>>,
@@ -101,19 +101,19 @@
     /// The number of attempts at each part so far.
     pub attempts: BTreeMap<(usize, PartId), u16>,
     pub in_flight: BTreeMap<(usize, PartId, AttemptNo), Nanos>,
-    pub fates: BTreeMap<(usize, QueryId), Fate>,
+    pub queries: BTreeMap<(usize, QueryId), QueryRecord>,
     pub sent: Vec<SentPart>,
-    /// The number of queries in ten that are not sends.
-    pub wide: usize,
+    /// The number of lookups and reports, which have several parts, in ten queries.
+    pub wide_per_ten: usize,
     pub outage: Outage,
 }
 
 impl Fleet {
     /// Returns a fleet in which each instance has a first query scheduled.
-    pub fn new(set: &Settings) -> Self {
+    pub fn new(settings: &Settings) -> Self {
         let mut fleet = Fleet {
             policies: (0..INSTANCES)
-                .map(|n| DecisionPolicy::new(set.clone(), n as u64, START))
+                .map(|n| DecisionPolicy::new(settings.clone(), n as u64, START))
                 .collect(),
             scheduled: BinaryHeap::new(),
             order: 0,
@@ -121,9 +121,9 @@
             rng: fastrand::Rng::with_seed(42),
             attempts: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            fates: BTreeMap::new(),
+            queries: BTreeMap::new(),
             sent: Vec::new(),
-            wide: 3,
+            wide_per_ten: 3,
             outage: Outage::default(),
         };
         for n in 0..INSTANCES {
@@ -138,49 +138,54 @@
                 }],
             );
             let first = fleet.rng.u64(..PAUSE);
-            fleet.schedule(first, n, Due::Query);
+            fleet.schedule(first, n, FleetEvent::Query);
         }
         fleet
     }
 
-    /// Schedules an occurrence at an instance after some time.
-    pub fn schedule(&mut self, wait: Nanos, instance: usize, due: Due) {
+    /// Schedules an event at an instance after `wait`.
+    pub fn schedule(&mut self, wait: Nanos, instance: usize, event: FleetEvent) {
         self.order += 1;
         let scheduled = Scheduled {
             at: self.now + wait,
             order: self.order,
             instance,
-            due,
+            event,
         };
         self.scheduled.push(Reverse(scheduled));
     }
 
-    /// Lets the occurrences before a time happen.
+    /// Runs the events that are scheduled before a time.
     pub fn run(&mut self, until: Nanos) {
         while self.scheduled.peek().is_some_and(|next| next.0.at < until) {
             let Some(Reverse(Scheduled {
-                at, instance, due, ..
+                at,
+                instance,
+                event,
+                ..
             })) = self.scheduled.pop()
             else {
                 return;
             };
             self.now = at;
-            match due {
-                Due::Query => self.submit(instance),
-                Due::Timer => self.report(instance, vec![Event::TimerFired]),
-                Due::AttemptEnd(part, attempt, outcome, elapsed) => {
+            match event {
+                FleetEvent::Query => self.submit(instance),
+                FleetEvent::Timer => self.report(instance, vec![Event::TimerFired]),
+                FleetEvent::AttemptEnd(part, attempt, outcome, elapsed) => {
                     self.complete(instance, part, attempt, outcome, elapsed)
                 }
-                Due::Started(node) => self.list(instance, endpoint(node, EndpointState::Ready, at)),
-                Due::Draining(node) => {
-                    self.list(instance, endpoint(node, EndpointState::Draining, 0))
+                FleetEvent::Started(node) => {
+                    self.report_endpoint(instance, endpoint(node, EndpointState::Ready, at))
+                }
+                FleetEvent::Draining(node) => {
+                    self.report_endpoint(instance, endpoint(node, EndpointState::Draining, 0))
                 }
             }
         }
     }
 
-    /// Reports a change of the endpoint list to an instance.
-    pub fn list(&mut self, instance: usize, member: Endpoint) {
+    /// Reports a changed endpoint to an instance.
+    pub fn report_endpoint(&mut self, instance: usize, member: Endpoint) {
         self.report(
             instance,
             vec![Event::Endpoints {
@@ -192,18 +197,18 @@
 
     /// Submits a random query to an instance and schedules the next one.
     pub fn submit(&mut self, instance: usize) {
-        self.schedule(PAUSE, instance, Due::Query);
+        self.schedule(PAUSE, instance, FleetEvent::Query);
         self.order += 100;
         let id = self.order;
         let class = self.draw_class();
         let shards = self.draw_shards(class);
-        let fate = Fate {
+        let query = QueryRecord {
             at: self.now,
             class,
             final_answers: 0,
             served: false,
         };
-        self.fates.insert((instance, QueryId(id)), fate);
+        self.queries.insert((instance, QueryId(id)), query);
         let weight = 1.0 / shards.len() as f64;
         let part = |(shard, part): (&u32, u64)| Event::Part {
             part: PartId(part),
@@ -219,7 +224,7 @@
     /// Returns the class of a random query.
     fn draw_class(&mut self) -> u16 {
         let number = self.rng.usize(..10);
-        if number >= self.wide {
+        if number >= self.wide_per_ten {
             SEND
         } else {
             [LOOKUP, REPORT][number % 2]
@@ -278,15 +283,15 @@
                         self.schedule(
                             0,
                             instance,
-                            Due::AttemptEnd(part, attempt, Outcome::Cancelled, elapsed),
+                            FleetEvent::AttemptEnd(part, attempt, Outcome::Cancelled, elapsed),
                         );
                     }
                 }
-                Action::Answer { query, .. } => self.answered(instance, query, true),
+                Action::Answer { query, .. } => self.record_final_answer(instance, query, true),
                 Action::Reject { query, .. } | Action::Fail(query) => {
-                    self.answered(instance, query, false)
+                    self.record_final_answer(instance, query, false)
                 }
-                Action::SetTimer(at) => self.schedule(at - self.now, instance, Due::Timer),
+                Action::SetTimer(at) => self.schedule(at - self.now, instance, FleetEvent::Timer),
                 Action::CloseIdle(_) | Action::Subscribe => {}
             }
         }
@@ -314,37 +319,37 @@
         self.schedule(
             elapsed,
             instance,
-            Due::AttemptEnd(part, attempt, outcome, elapsed),
+            FleetEvent::AttemptEnd(part, attempt, outcome, elapsed),
         );
     }
 
     /// Records the final answer to a query.
-    pub fn answered(&mut self, instance: usize, query: QueryId, served: bool) {
-        let fate = self
-            .fates
+    pub fn record_final_answer(&mut self, instance: usize, query: QueryId, served: bool) {
+        let record = self
+            .queries
             .get_mut(&(instance, query))
             .expect("a query that was submitted");
-        fate.final_answers += 1;
-        fate.served = served;
+        record.final_answers += 1;
+        record.served = served;
     }
 
-    /// Returns the share of a class's queries served, of those submitted from one time to another.
+    /// Returns the share of served queries among those of a class submitted in `from..to`.
     pub fn served(&self, class: u16, from: Nanos, to: Nanos) -> f64 {
-        let asked: Vec<&Fate> = self
-            .fates
+        let submitted: Vec<&QueryRecord> = self
+            .queries
             .values()
             .filter(|f| f.class == class && (from..to).contains(&f.at))
             .collect();
-        asked.iter().filter(|f| f.served).count() as f64 / asked.len() as f64
+        submitted.iter().filter(|f| f.served).count() as f64 / submitted.len() as f64
     }
 
-    /// Asserts that each query has one final answer; those that were submitted in the second before
-    /// `end` may have none yet.
+    /// Asserts that each query has one final answer; queries submitted in the second before `end` may
+    /// have none yet.
     pub fn assert_one_final_answer_each(&self, end: Nanos) {
-        let is_open = |fate: &Fate| fate.final_answers == 0 && fate.at + S >= end;
-        let mut fates = self.fates.values();
+        let is_open = |query: &QueryRecord| query.final_answers == 0 && query.at + S >= end;
+        let mut queries = self.queries.values();
         assert!(
-            fates.all(|fate| fate.final_answers == 1 || is_open(fate)),
+            queries.all(|query| query.final_answers == 1 || is_open(query)),
             "one final answer each"
         );
     }
