--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -35,7 +35,7 @@
             now = now + Micros::from_millis(5);
             coordinator.turn(now, inputs.drain(..), &mut commands);
         }
-        match commands.iter().find_map(answer).expect("found") {
+        match commands.iter().find_map(answer).expect("an answer") {
             Answer::Rejected { late, .. } => assert!(*late && !write_started),
             Answer::Failed { late } => assert!(*late && write_started),
             other => panic!("neither rejected nor failed: {other:?}"),
@@ -65,7 +65,7 @@
         let retry = commands
             .drain(..)
             .find_map(|command| dispatched(&command))
-            .expect("within its window");
+            .expect("a retry within the window");
         if write_started {
             coordinator.turn(now, [Input::WriteStarted(retry)], &mut commands);
         }
@@ -78,7 +78,10 @@
             .iter()
             .filter_map(cancelled)
             .any(|key| key == retry);
-        assert_eq!(is_cancelled, !write_started, "at the end of its window");
+        assert_eq!(
+            is_cancelled, !write_started,
+            "at the end of the deduplication window"
+        );
         assert_eq!(coordinator.is_in_flight(retry), write_started);
     }
 }
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -84,7 +84,10 @@
         coordinator.turn(START, [submit(token, IDEMPOTENT, 2, START)], &mut commands);
     }
     let dispatches = [0, 1, 2].map(|number| dispatches_to(&commands, number));
-    assert_eq!(dispatches[0], 0, "its last entry says that it drains");
+    assert_eq!(
+        dispatches[0], 0,
+        "the last entry of the server has it as draining"
+    );
     assert_eq!(dispatches[1] + dispatches[2], 8);
 
     commands.clear();
@@ -182,7 +185,11 @@
         &mut coordinator,
         list(6, EndpointListKind::Full, before_the_drain),
     );
-    assert_eq!(changes, [], "the drain stands, and so do unlisted servers");
+    assert_eq!(
+        changes,
+        [],
+        "the drain is kept, and so are unlisted servers"
+    );
     let mut commands = Vec::new();
     coordinator.turn(START, [submit(1, IDEMPOTENT, 2, START)], &mut commands);
     let to_draining = dispatches_to(&commands, 0);
--- a/tests/coordinator/queries.rs
+++ b/tests/coordinator/queries.rs
@@ -59,7 +59,7 @@
     assert_eq!(COUNTERS.broken_invariants.get(), 0);
 }
 
-/// Whether a command gives a partial answer.
+/// Whether a command is a reply with a partial answer.
 fn is_partial_answer(command: &Command) -> bool {
     matches!(
         answer(command),
--- a/tests/coordinator/support.rs
+++ b/tests/coordinator/support.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Returns the answer that a command gives.
+/// Returns the answer in a reply.
 pub fn answer(command: &Command) -> Option<&Answer> {
     match command {
         Command::Reply { answer, .. } => Some(answer),
--- a/tests/degradation.rs
+++ b/tests/degradation.rs
@@ -243,8 +243,8 @@
             ref other => panic!("{other:?}"),
         };
         let waits: Vec<Nanos> = (0..200).map(retry_after).collect();
-        let low = *waits.iter().min().expect("some");
-        let high = *waits.iter().max().expect("some");
+        let low = *waits.iter().min().expect("at least one wait");
+        let high = *waits.iter().max().expect("at least one wait");
         assert!(
             low >= min && high <= S,
             "{retry_after_factor}: {low} to {high}"
--- a/tests/fleet/recovery.rs
+++ b/tests/fleet/recovery.rs
@@ -26,7 +26,7 @@
     let from = START + 5 * S;
     let recovered_at = START + 10 * S;
     let end = START + 26 * S;
-    // Two neighbours fail: no node answers for the shard that both hold.
+    // Two neighbours fail: no node answers for the shard that only these two have.
     fleet.outage = Outage {
         nodes: 2,
         from,
@@ -37,20 +37,20 @@
     for class in [SEND, LOOKUP, REPORT] {
         assert!(
             fleet.served(class, START, from - S) > 0.99,
-            "class {class} before"
+            "class {class} before the outage"
         );
         let after = fleet.served(class, recovered_at + 8 * S, end - S);
-        assert!(after > 0.95, "class {class} after: {after}");
+        assert!(after > 0.95, "class {class} after the outage: {after}");
     }
     assert!(
         fleet.served(REPORT, from, recovered_at) > 0.9,
-        "reports may lack two of twenty parts: they are served meanwhile"
+        "reports may lack two of twenty parts, so they are served during the outage"
     );
     let usual = max_parts_sent(&fleet, 0, START..from);
     let returning = max_parts_sent(&fleet, 0, recovered_at..recovered_at + 5 * S);
     assert!(
         returning <= 2 * usual,
-        "{returning} parts in 100 ms, {usual} before"
+        "{returning} parts in 100 ms after the outage, {usual} before"
     );
 }
 
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn starting_all_holders_of_a_shard_overloads_none_and_loses_no_query() {
+fn starting_all_replicas_of_a_shard_overloads_none_and_loses_no_query() {
     let started = START + 5 * S;
     let fleet = fleet_with_starting(&[3, 4], started);
     let sent = [3, 4].map(|node| assert_parts_within_capacity(&fleet, node, started));
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -83,7 +83,7 @@
     pub work: Nanos,
 }
 
-/// An outage: nodes below `nodes` answer nothing from one time to another.
+/// An outage, in which the first `nodes` nodes answer nothing in `from..until`.
 #[derive(Default)]
 pub struct Outage {
     pub nodes: u8,
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -55,7 +55,7 @@
     for client in queued.into_iter().chain([persistent]) {
         assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     }
-    assert!(process.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "the process exits without a kill");
 }
 
 /// Sends four queries of each of three classes, each on a connection of its own.
@@ -136,7 +136,7 @@
         let text = read_until_close(client);
         assert!(text.starts_with("HTTP/1.1 50"), "{text}");
     }
-    assert!(process.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "the process exits without a kill");
     assert!(
         started_at.elapsed().as_millis() < 5_500,
         "{:?}",
@@ -184,7 +184,7 @@
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
     assert!(answer.status / 100 == 5 && answer.closes, "{answer:?}");
-    assert!(process.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "the process exits without a kill");
     assert!(
         started_at.elapsed().as_millis() < 900,
         "{:?}: the kept connection delayed the exit by 1 s or more",
@@ -219,7 +219,7 @@
     let (ids, mut second) = attempts.recv().expect("the retry");
     write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0])).expect("written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
-    assert!(process.wait_for_exit(), "it exits by itself");
+    assert!(process.wait_for_exit(), "the process exits without a kill");
 }
 
 #[test]
@@ -283,7 +283,10 @@
         );
     }
     drop(persistent);
-    assert!(predecessor.wait_for_exit(), "it exits by itself");
+    assert!(
+        predecessor.wait_for_exit(),
+        "the process exits without a kill"
+    );
     let _ = std::fs::remove_dir_all(&temporary);
 }
 
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -125,7 +125,7 @@
         if !std::thread::panicking() {
             assert!(
                 matches!(reader, None | Some(Ok(()))),
-                "a log line is not a valid event"
+                "a log line is not a JSON event"
             );
         }
     }
--- a/tests/ogc_run/servers.rs
+++ b/tests/ogc_run/servers.rs
@@ -37,7 +37,7 @@
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        // About every other page fails. If all failed, only first pages would meet the fault.
+        // About every other page fails. If all failed, only first pages would have the fault.
         let fails = (seed >> 33).is_multiple_of(2);
         match (FAULTS[fault.load(Relaxed)], reply) {
             ("errors", _) if fails => Reply::Status(500),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Waits until the process has applied exactly so many endpoint updates.
+/// Waits until the process has applied exactly `count` endpoint updates.
 fn wait_for_endpoint_updates(process: &Process, count: usize) {
     let counter = format!(" endpoint_updates={count} ");
     while !process.log_counters().contains(&counter) {}
@@ -72,7 +72,7 @@
     wait_for_endpoint_updates(&process, 3);
     assert!(
         new_discovery.requests()[0].contains("since=1"),
-        "it resumes from the last version"
+        "the watch resumes from the last version"
     );
     let before = nodes[0].received_parts().len();
     assert_lookups_are_served(&process, 1..10);
--- a/tests/ordinary_path/dispatch.rs
+++ b/tests/ordinary_path/dispatch.rs
@@ -27,14 +27,14 @@
     assert_eq!(
         sent_attempts(&submit(&mut harness, 100)).len(),
         6,
-        "all are requested while there is capacity"
+        "all parts are sent while there is capacity"
     );
     harness.run_for(700 * MS);
-    let requested = sent_attempts(&submit(&mut harness, 200));
-    assert!((2..6).contains(&requested.len()), "{requested:?}");
+    let sent = sent_attempts(&submit(&mut harness, 200));
+    assert!((2..6).contains(&sent.len()), "{sent:?}");
     assert!(
-        requested.iter().any(|s| s.0 == PartId(201)),
-        "the heaviest is requested"
+        sent.iter().any(|s| s.0 == PartId(201)),
+        "the heaviest part is sent"
     );
 }
 
@@ -87,18 +87,18 @@
         answer_all(&mut harness, slow, 910 * MS, 950 * MS);
     }
 
-    let requested = sent_attempts(&harness.submit(&all).2);
+    let sent = sent_attempts(&harness.submit(&all).2);
     assert_eq!(
-        requested.len(),
+        sent.len(),
         8,
-        "half of the parts that may be missing are omitted: {requested:?}"
+        "half of the parts that may be missing are omitted: {sent:?}"
     );
     assert!(
-        (4..10).all(|n| requested.iter().any(|s| s.1 == replica(n))),
+        (4..10).all(|n| sent.iter().any(|s| s.1 == replica(n))),
         "only parts at slow replicas are omitted"
     );
 
-    let parts: Vec<PartId> = requested.iter().map(|attempt| attempt.0).collect();
+    let parts: Vec<PartId> = sent.iter().map(|attempt| attempt.0).collect();
     answer_all(&mut harness, &parts, 40 * MS, 40 * MS);
     harness.run_for(60 * S);
     assert_eq!(
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -85,7 +85,7 @@
     }
     .start("silent", &nodes);
     process.wait_until_ready();
-    let connect = || TcpStream::connect(process.address).expect("the machine accepts");
+    let connect = || TcpStream::connect(process.address).expect("the kernel accepts");
     let mut half = connect();
     write!(
         half,
@@ -115,7 +115,7 @@
     // A close with unread input sends a reset, by which the client would lose the error.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment::BASIC.start("linger", &nodes);
-    let mut client = TcpStream::connect(process.address).expect("it listens");
+    let mut client = TcpStream::connect(process.address).expect("the process listens");
     write!(
         client,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n"
@@ -157,7 +157,7 @@
         200
     );
     let idle_clients: Vec<TcpStream> = (0..100)
-        .map(|_| TcpStream::connect(process.address).expect("the machine accepts"))
+        .map(|_| TcpStream::connect(process.address).expect("the kernel accepts"))
         .collect();
     for n in 1..10 {
         assert_eq!(
@@ -178,7 +178,7 @@
     }
     .start("term", &nodes);
     process.wait_until_ready();
-    let mut persistent = TcpStream::connect(process.address).expect("it listens");
+    let mut persistent = TcpStream::connect(process.address).expect("the process listens");
     // A connection with half a request is not idle.
     write!(persistent, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("written");
     process.signal("HUP");
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -112,7 +112,7 @@
         413
     );
     assert_eq!(process.send_request("\u{1}\u{2}\r\n\r\n").status, 400);
-    let mut truncated = TcpStream::connect(process.address).expect("it listens");
+    let mut truncated = TcpStream::connect(process.address).expect("the process listens");
     write!(
         truncated,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{{"
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -41,7 +41,9 @@
             let request = QueryRequest::new(&id, Class(class), Shards(&ALL_SHARDS)).to_http();
             let mut client = send_request(process, &request);
             // The process reads only some of the bytes, so a blocking write would not return.
-            client.set_nonblocking(true).expect("set");
+            client
+                .set_nonblocking(true)
+                .expect("the blocking mode is set");
             let _ = client.write(bytes.as_bytes());
             clients.push(client);
         }
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -114,7 +114,7 @@
 /// Returns the present time since the Unix epoch, in milliseconds.
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    now.expect("after 1970").as_millis() as u64
+    now.expect("the clock is after 1970").as_millis() as u64
 }
 
 /// Waits for longer than the tolerance of 0.5 s with which start times are compared, so that the
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -73,7 +73,7 @@
         let elapsed_ms = started_at.elapsed().as_millis();
         assert!(
             elapsed_ms < if silent { 5_000 } else { 1_000 },
-            "{elapsed_ms} ms: its events count as received after 6 s"
+            "{elapsed_ms} ms: a coordinator counts as notified of a change after 6 s"
         );
         assert!(second.request.contains("since=1"), "{}", second.request);
         process.wait_for_counter("endpoint_updates", 3);
@@ -144,7 +144,10 @@
     );
     process.signal("HUP");
     let _watch = new_agent.answer_watch(&changed_endpoints(2, &[terminating(0, addresses[0])]));
-    old_agent.listener.set_nonblocking(true).expect("set");
+    old_agent
+        .listener
+        .set_nonblocking(true)
+        .expect("the blocking mode is set");
     assert!(
         old_agent.listener.accept().is_err(),
         "the old address was not polled again"
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -20,7 +20,7 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes
         .iter()
-        .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
+        .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("the buffer size is set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let agent = ControlledDiscovery::new();
     let (process, _watch) = Deployment {
@@ -40,9 +40,13 @@
     assert_eq!(answer.status, 504, "the part may run: {answer:?}");
     let mut runs = 0;
     for listener in nodes {
-        listener.set_nonblocking(true).expect("set");
+        listener
+            .set_nonblocking(true)
+            .expect("the blocking mode is set");
         while let Ok((mut stream, _)) = listener.accept() {
-            stream.set_nonblocking(false).expect("set");
+            stream
+                .set_nonblocking(false)
+                .expect("the blocking mode is set");
             // The cancellation follows the frame of the attempt.
             while let Ok(frame) = read_frame(&mut stream) {
                 runs += usize::from(frame.kind == CALL);
@@ -76,9 +80,11 @@
 
 /// Accepts and resets all connections in the backlog of a listener.
 fn reset_connections(listener: &TcpListener) {
-    listener.set_nonblocking(true).expect("set");
+    listener
+        .set_nonblocking(true)
+        .expect("the blocking mode is set");
     while let Ok((stream, _)) = listener.accept() {
-        set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
+        set_socket_linger(&stream, Some(Duration::ZERO)).expect("the linger time is set");
     }
 }
 
@@ -97,7 +103,7 @@
     // it. Their parts cannot have run, so they are retried whatever their class. The parts of fully
     // written frames may have run and are not retried.
     let stalled = bind_loopback();
-    set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
+    set_socket_recv_buffer_size(&stalled, 2_048).expect("the buffer size is set");
     let healthy = UnreachableNode::new();
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
     let agent = ControlledDiscovery::new();
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -22,8 +22,8 @@
     (0..4).map(send).collect()
 }
 
-/// Asserts that queries of these shards are answered, and that the node has received no parts since
-/// it had received `received_before`.
+/// Asserts that queries of these shards are answered, and that the node has received no more than
+/// the `received_before` parts.
 pub fn assert_draining(process: &Process, node: &DataNode, shards: &[u32], received_before: usize) {
     for n in 0..6 {
         assert_eq!(
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -94,8 +94,8 @@
 
 #[test]
 fn idle_connections_that_servers_drop_are_closed_before_use_and_not_counted_as_failures() {
-    // The servers drop connections that are idle for a second. The policy closes idle connections
-    // then, and does not count a server as failed.
+    // The servers drop connections that are idle for a second. The policy must then close idle
+    // connections before it uses them, and must not count a server as failed.
     let closes_idle = |a: &[Action]| a.iter().any(|a| matches!(a, Action::CloseIdle(_)));
     let mut closed = [0, 0];
     for (idle, closed) in [true, false].into_iter().zip(&mut closed) {
