--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -58,6 +58,8 @@
         LoggingProcess::spawn(command, folder)
     }
 
+    /// Starts a command that logs JSON, and reads its log on a thread; `folder` is removed at the
+    /// end.
     pub fn spawn(mut command: Command, folder: PathBuf) -> LoggingProcess {
         let mut child = command
             .stderr(Stdio::piped())
--- a/tests/ordinary_path/answers.rs
+++ b/tests/ordinary_path/answers.rs
@@ -86,7 +86,8 @@
 
 #[test]
 fn an_answer_from_all_parts_is_complete_however_their_weights_were_rounded() {
-    // The weights of 35 parts of 0.02857 each add up to 0.99995, although no part is missing.
+    // The weights of 35 parts of 0.02857 each add up to 0.99995, although no part is missing and no
+    // better answer can follow.
     let mut harness = Harness::new(settings(class(Effect::Idempotent)));
     let parts: Vec<PartId> = (2..37).map(PartId).collect();
     let part = |p: &PartId| Event::Part {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -8,6 +8,7 @@
  "classes": [{"aim": 1000000000, "deadline": 3000000000, "effect": "read_like", "points": 1.0, "odd": null}],
  "family-info": {"cells": 1, "in-a-row": 1, "slices": 1}, "report": {"names": ["never-heard-of"], "via": "inline"}}"#;
 
+/// Runs the adapter with this standard input.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_quinceflow-sim-adapter"))
         .stdin(Stdio::piped())
@@ -20,6 +21,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// Returns a record of this code and these fields.
 fn record(code: u8, fields: &[u8]) -> Vec<u8> {
     let mut bytes = vec![code];
     bytes.extend((fields.len() as u32).to_le_bytes());
@@ -27,6 +29,7 @@
     bytes
 }
 
+/// Returns the frame of a batch with this number, time in nanoseconds, and records.
 fn batch(number: u32, now: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
     let mut bytes = (records.len() as u32).to_le_bytes().to_vec();
@@ -37,6 +40,8 @@
     bytes
 }
 
+/// Returns the records that create an instance with these settings and send it an endpoint list of
+/// one server.
 fn start_records(settings: &str) -> Vec<Vec<u8>> {
     let mut pool = vec![0, 0, 1, 0, 0, 0];
     pool.extend([10, 0, 0, 1, 0, 80, 0, 0, 0, 0, 0, 0, 1, 0, 0, 128, 63]);
@@ -68,6 +73,7 @@
     record(3, &fields)
 }
 
+/// Returns the record of the outcome of the first attempt at a part, after 0.1 s.
 fn outcome_record(id: u64) -> Vec<u8> {
     let mut fields = id.to_le_bytes().to_vec();
     fields.extend([0, 0, 10, 0, 0, 1, 0, 80, 0]);
@@ -83,6 +89,7 @@
     codes: Vec<u8>,
 }
 
+/// Returns the replies in the output of the adapter.
 fn replies(mut bytes: &[u8]) -> Vec<Reply> {
     let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
     let mut all = Vec::new();
