--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Waits until the process has applied exactly so many endpoint updates.
+/// Waits until the process has applied exactly `count` endpoint updates.
 fn wait_for_endpoint_updates(process: &Process, count: usize) {
     let counter = format!(" endpoint_updates={count} ");
     while !process.log_counters().contains(&counter) {}
@@ -50,61 +50,64 @@
 
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_endpoint_list() {
-    // A reload moves the watch of discovery too: a drain that the new address sends is received.
+    // A reload moves the discovery watch too: a drain that the new address sends is applied.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, first) = Deployment::BASIC.start("moved", &nodes);
-    edge.wait_until_ready();
-    wait_for_endpoint_updates(&edge, 2);
-    edge.write_configuration("{\"discovery\":\"nowhere\"}");
-    edge.signal("HUP");
-    edge.wait_for_log("configuration reload rejected error=");
+    let (process, first) = Deployment::BASIC.start("moved", &nodes);
+    process.wait_until_ready();
+    wait_for_endpoint_updates(&process, 2);
+    process.write_configuration("{\"discovery\":\"nowhere\"}");
+    process.signal("HUP");
+    process.wait_for_log("configuration reload rejected error=");
     assert_eq!(
-        query(&edge, "q0", Class("lookup"), Shards(&[0, 1])).status,
+        query(&process, "q0", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     // The new address sends a drain as a change to the version that the old one sent last.
     let new_discovery = Discovery::start(changed_endpoints(2, &[terminating(0, nodes[0].address)]));
-    edge.write_configuration(
-        &edge.configuration_with("/discovery", json!(new_discovery.address.to_string())),
+    process.write_configuration(
+        &process.configuration_with("/discovery", json!(new_discovery.address.to_string())),
     );
-    edge.signal("HUP");
-    edge.wait_for_log("configuration reloaded discovery=");
-    wait_for_endpoint_updates(&edge, 3);
+    process.signal("HUP");
+    process.wait_for_log("configuration reloaded discovery=");
+    wait_for_endpoint_updates(&process, 3);
     assert!(
         new_discovery.requests()[0].contains("since=1"),
-        "it resumes from the last version"
+        "the watch resumes from the last version"
     );
     let before = nodes[0].received_parts().len();
-    assert_lookups_are_served(&edge, 1..10);
+    assert_lookups_are_served(&process, 1..10);
     assert_eq!(nodes[0].received_parts().len(), before);
     drop(first);
 }
 
 #[test]
-fn admin_calls_are_answered_despite_callers_that_send_none() {
+fn admin_commands_are_answered_despite_callers_that_send_incomplete_ones() {
     let fails_once = DataNode::start(|part| match part {
         1 => NodeBehaviour::Fail,
         _ => NodeBehaviour::Serve,
     });
     let nodes = [DataNode::serving(), fails_once];
-    let (edge, _changes) = Deployment::BASIC.start("mgmt", &nodes);
-    let address = edge.management_address();
-    // More callers than the endpoint has places for, each with half a call.
+    let (process, _changes) = Deployment::BASIC.start("mgmt", &nodes);
+    let address = process.management_address();
+    // More callers than the endpoint accepts at a time, each with half a command.
     let mut idle: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(address).expect("accepted"))
         .collect();
     for caller in &mut idle {
-        caller.write_all(b"HEAL").expect("taken");
+        caller.write_all(b"HEAL").expect("written");
     }
     while !management_call(address, "HEALTH\n").starts_with("YES") {}
     assert!(management_call(address, "health me\r\n").starts_with("NO "));
     assert!(
         management_call(address, &"x".repeat(400)).starts_with("NO "),
-        "a line without an end is no call"
+        "a line without an end is not a command"
     );
     // One part fails once and is retried; one query names an unknown class.
-    assert_lookups_are_served(&edge, 0..5);
-    assert_eq!(query(&edge, "q5", Class("none"), Shards(&[0])).status, 400);
+    assert_lookups_are_served(&process, 0..5);
+    assert_eq!(
+        query(&process, "q5", Class("none"), Shards(&[0])).status,
+        400
+    );
     let dump = management_call(address, "DUMP\r\n");
     assert!(dump.starts_with("YES\n"), "{dump}");
     assert!(dump.ends_with("\nEND\n"), "{dump}");
@@ -124,25 +127,25 @@
 
 #[test]
 fn the_health_check_fails_until_discovery_has_sent_its_list() {
-    // The cached list may be old: queries are served from it, but the health check waits for
-    // discovery.
+    // The cached list may be old. Queries are served with it, but the health check does not succeed
+    // before discovery has sent its list.
     let silent_discovery = bind_loopback();
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = addresses_of(&nodes);
-    let edge = Deployment::BASIC.start_with_discovery(
+    let process = Deployment::BASIC.start_with_discovery(
         "news",
         silent_discovery.local_addr().expect("bound"),
         &addresses,
     );
     assert_eq!(
-        management_call(edge.management_address(), "HEALTH\n"),
+        management_call(process.management_address(), "HEALTH\n"),
         "NO the servers are not known yet\n"
     );
     let (mut watch, _) = silent_discovery.accept().expect("a watch");
     let first_list = complete_list(1, &all_in_service(&addresses));
-    write_chunked_head(&mut watch).expect("it listens");
-    write_line_chunk(&mut watch, &first_list).expect("it listens");
-    while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
+    write_chunked_head(&mut watch).expect("the process reads");
+    write_line_chunk(&mut watch, &first_list).expect("the process reads");
+    while management_call(process.management_address(), "HEALTH\n") != "YES\n" {}
 }
 
 /// Returns the configuration without one of its keys.
@@ -153,12 +156,12 @@
         .and_then(serde_json::Value::as_object_mut);
     object
         .and_then(|object| object.remove(key))
-        .expect("it was there");
+        .expect("the key is present");
     json.to_string()
 }
 
 /// Returns configurations that are cut off, lack a key or have an invalid value.
-fn invalid_configurations(edge: &Process, complete: &str) -> Vec<String> {
+fn invalid_configurations(process: &Process, complete: &str) -> Vec<String> {
     vec![
         String::new(),
         complete[..complete.len() / 2].to_owned(),
@@ -167,23 +170,23 @@
         without_key(complete, "/settings", "limits"),
         without_key(complete, "/settings/limits", "max-attempts"),
         without_key(complete, "/settings/classes/2", "late-worth"),
-        edge.configuration_with("/settings/limits/max-attempts", json!(0)),
-        edge.configuration_with("/settings/limits/max-attempts", json!(-1)),
-        edge.configuration_with("/settings/classes/1/deadline", json!(0)),
-        edge.configuration_with("/settings/classes/1/deadline", json!("soon")),
-        edge.configuration_with("/settings/classes/1/name", json!("lookup")),
-        edge.configuration_with("/settings/classes", json!([])),
-        edge.configuration_with("/settings/balancers", json!(0)),
-        edge.configuration_with("/settings/tick", json!(0)),
-        edge.configuration_with("/settings/family-info/slices", json!(0)),
-        edge.configuration_with("/settings/family-info/in-a-row", json!(0)),
-        edge.configuration_with("/settings/classes/0/points", json!(-1.0)),
-        edge.configuration_with("/discovery", json!("nowhere")),
+        process.configuration_with("/settings/limits/max-attempts", json!(0)),
+        process.configuration_with("/settings/limits/max-attempts", json!(-1)),
+        process.configuration_with("/settings/classes/1/deadline", json!(0)),
+        process.configuration_with("/settings/classes/1/deadline", json!("soon")),
+        process.configuration_with("/settings/classes/1/name", json!("lookup")),
+        process.configuration_with("/settings/classes", json!([])),
+        process.configuration_with("/settings/balancers", json!(0)),
+        process.configuration_with("/settings/tick", json!(0)),
+        process.configuration_with("/settings/family-info/slices", json!(0)),
+        process.configuration_with("/settings/family-info/in-a-row", json!(0)),
+        process.configuration_with("/settings/classes/0/points", json!(-1.0)),
+        process.configuration_with("/discovery", json!("nowhere")),
     ]
 }
 
-/// Returns the configuration with fewer attempts for all classes, one class new, one removed, and
-/// one not idempotent.
+/// Returns the configuration with fewer attempts for all classes, one class replaced by a new one,
+/// one that is no longer idempotent, and one that now is.
 fn changed_configuration(complete: &str) -> String {
     let mut json: serde_json::Value = serde_json::from_str(complete).expect("a configuration");
     json["settings"]["limits"]["max-attempts"] = json!(2);
@@ -195,25 +198,31 @@
 
 #[test]
 fn a_reload_applies_a_complete_file_or_nothing() {
-    // A file that parses but is not complete changes nothing, the address of discovery included.
+    // A file that parses but is not complete changes nothing, not even the address of discovery.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
-    let management_address = edge.management_address();
-    edge.wait_until_ready();
-    let complete = edge.configuration_with("/name", json!("n0"));
+    let (process, _changes) = Deployment::BASIC.start("retune", &nodes);
+    let management_address = process.management_address();
+    process.wait_until_ready();
+    let complete = process.configuration_with("/name", json!("n0"));
 
-    let invalid = invalid_configurations(&edge, &complete);
+    let invalid = invalid_configurations(&process, &complete);
     for text in &invalid {
-        edge.write_configuration(text);
-        edge.signal("HUP");
-        edge.wait_for_log("configuration reload rejected error=");
+        process.write_configuration(text);
+        process.signal("HUP");
+        process.wait_for_log("configuration reload rejected error=");
     }
-    assert_eq!(query(&edge, "q0", Class("later"), Shards(&[0])).status, 400);
-    assert_eq!(query(&edge, "q1", Class("brief"), Shards(&[0])).status, 200);
+    assert_eq!(
+        query(&process, "q0", Class("later"), Shards(&[0])).status,
+        400
+    );
+    assert_eq!(
+        query(&process, "q1", Class("brief"), Shards(&[0])).status,
+        200
+    );
 
-    edge.write_configuration(&changed_configuration(&complete));
-    edge.signal("HUP");
-    let reloaded = edge.wait_for_log("configuration reloaded");
+    process.write_configuration(&changed_configuration(&complete));
+    process.signal("HUP");
+    let reloaded = process.wait_for_log("configuration reloaded");
     assert!(reloaded.ends_with("classes=\"lookup later send\""));
     for (id, class, status) in [
         ("q2", "brief", 400),
@@ -221,16 +230,17 @@
         ("q4", "later", 200),
         ("q5", "lookup", 200),
     ] {
-        let response = query(&edge, id, Class(class), Shards(&[0, 1]));
+        let response = query(&process, id, Class(class), Shards(&[0, 1]));
         assert_eq!(response.status, status, "{class}");
     }
 
     let dump = management_call(management_address, "DUMP\n");
-    let of = |name: &str| dump_value(&dump, &format!("node.{name}"));
-    assert_eq!(of("config_applied"), 1);
-    assert_eq!(of("config_rejected"), invalid.len() as u64);
-    let ok = ["brief", "later", "lookup", "send"].map(|class| of(&format!("responses.{class}.ok")));
-    assert_eq!((ok, of("responses.later.tries")), ([1, 1, 1, 1], 2));
+    let value_of = |name: &str| dump_value(&dump, &format!("node.{name}"));
+    assert_eq!(value_of("config_applied"), 1);
+    assert_eq!(value_of("config_rejected"), invalid.len() as u64);
+    let ok = ["brief", "later", "lookup", "send"]
+        .map(|class| value_of(&format!("responses.{class}.ok")));
+    assert_eq!((ok, value_of("responses.later.tries")), ([1, 1, 1, 1], 2));
 }
 
 /// Sends a query on a persistent connection and returns the head of its response.
@@ -290,9 +300,12 @@
     let first = Deployment::BASIC.start_with_discovery("upgrade", address, &addresses);
     let temporary = create_folder_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
-    assert_ne!(predecessor.address, first.address, "no predecessor");
+    assert_ne!(
+        predecessor.address, first.address,
+        "the first process hands over no socket"
+    );
     let predecessor_admin = predecessor.management_address();
-    let mut persistent = TcpStream::connect(predecessor.address).expect("it listens");
+    let mut persistent = TcpStream::connect(predecessor.address).expect("the process listens");
     predecessor.wait_until_ready();
     let successor = predecessor.start_successor(&temporary);
     assert_eq!(successor.address, predecessor.address, "the same socket");
@@ -319,10 +332,11 @@
 }
 
 #[test]
-fn invalid_settings_end_the_start_with_their_key() {
-    // Settings are checked at the start as at a reload: no default replaces an invalid value.
+fn a_start_with_invalid_settings_fails_with_their_key() {
+    // Settings are checked at the start as at a reload: an invalid value is not replaced by a
+    // default.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let (edge, _changes) = Deployment::BASIC.start("refused", &nodes);
+    let (process, _changes) = Deployment::BASIC.start("refused", &nodes);
     for (pointer, value, key) in [
         ("/settings/limits/max-attempts", json!(0), "max-attempts"),
         (
@@ -336,20 +350,21 @@
             "quinceflow-refused-{}-{key}.json",
             std::process::id()
         ));
-        std::fs::write(&path, edge.configuration_with(pointer, value)).expect("written");
-        let mut process = std::process::Command::new(env!("CARGO_BIN_EXE_quinceflow"))
+        std::fs::write(&path, process.configuration_with(pointer, value)).expect("written");
+        let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_quinceflow"))
             .env("NODE_CONFIG", &path)
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("it starts");
-        // The first line is the error, or that the process listens; either way it is killed then.
+            .expect("the program starts");
+        // The first line is the error, or the event that the process listens. The process is killed
+        // in either case.
         let mut line = String::new();
-        BufReader::new(process.stderr.take().expect("piped"))
+        BufReader::new(child.stderr.take().expect("piped"))
             .read_line(&mut line)
             .expect("a log line");
-        let _ = process.kill();
+        let _ = child.kill();
         assert!(
-            !process.wait().expect("ended").success() && line.contains(key),
+            !child.wait().expect("ended").success() && line.contains(key),
             "{line}"
         );
         let _ = std::fs::remove_file(&path);
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -14,25 +14,25 @@
     let unreachable = UnreachableNode::new();
     let healthy = DataNode::serving();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         connect_timeout_ms: Some(150),
         ..Deployment::ALL_EFFECTS
     };
-    let (edge, _watch) = site.start_controlled(
+    let (process, _watch) = deployment.start_controlled(
         "late-dial",
         &agent,
         &[unreachable.address(), healthy.address],
     );
-    let clients = send_non_idempotent_queries(&edge);
+    let clients = send_non_idempotent_queries(&process);
     for client in clients {
         assert!(
             read_until_close(client).starts_with("HTTP/1.1 200"),
-            "not sent there, so it may be retried"
+            "the part was not sent, so it may be retried"
         );
     }
-    edge.wait_for_counter("dials_failed", 1);
+    process.wait_for_counter("dials_failed", 1);
     let recording = RecordingNode::start(unreachable);
-    drop(edge);
+    drop(process);
     assert_eq!(recording.wait_until_closed(), Vec::<String>::new());
     let mut received = healthy.received_parts();
     received.sort();
@@ -42,17 +42,18 @@
 }
 
 #[test]
-fn a_retry_whose_connection_is_established_after_the_retry_window_is_not_sent() {
-    // The retry window is checked again when the connection is established, not at dispatch only.
+fn a_retry_whose_connection_is_established_after_the_deduplication_window_is_not_sent() {
+    // The deduplication window is checked when the connection is established, not only at dispatch.
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
     let agent = ControlledDiscovery::new();
-    let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
+    let (process, mut watch) =
+        Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
-        &edge,
+        &process,
         &QueryRequest::new("key", Class("key"), Shards(&[0]))
             .close_connection()
             .to_http(),
@@ -66,16 +67,16 @@
         3,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
-    edge.wait_for_counter("endpoint_updates", 4);
+    process.wait_for_counter("endpoint_updates", 4);
     // The part may have run; within its window it may be retried, on the node that accepts no
     // connection.
     drop(first);
-    edge.wait_for_counter("attempts_dispatched", 2);
-    edge.wait_for_counter("attempts_connect_failed", 1);
+    process.wait_for_counter("attempts_dispatched", 2);
+    process.wait_for_counter("attempts_connect_failed", 1);
     let recording = RecordingNode::start(unreachable);
     drop(client);
-    edge.wait_for_counter("queries_abandoned", 1);
-    drop(edge);
+    process.wait_for_counter("queries_abandoned", 1);
+    drop(process);
     assert_eq!(recording.wait_until_closed(), Vec::<String>::new());
 }
 
@@ -83,14 +84,20 @@
 fn an_idle_server_connection_is_closed_before_its_node_may_close_it() {
     let (nodes, addresses) = two_serving_nodes();
     let agent = ControlledDiscovery::new();
-    let site = Deployment {
+    let deployment = Deployment {
         idle_timeout_ms: Some(600),
         ..Deployment::ALL_EFFECTS
     };
-    let (edge, _watch) = site.start_controlled("idle", &agent, &addresses);
-    assert_eq!(query(&edge, "q0", Class("once"), Shards(&[0])).status, 200);
-    edge.wait_for_counter("server_connections_idle_closed", 1);
-    assert_eq!(query(&edge, "q1", Class("once"), Shards(&[0])).status, 200);
+    let (process, _watch) = deployment.start_controlled("idle", &agent, &addresses);
+    assert_eq!(
+        query(&process, "q0", Class("once"), Shards(&[0])).status,
+        200
+    );
+    process.wait_for_counter("server_connections_idle_closed", 1);
+    assert_eq!(
+        query(&process, "q1", Class("once"), Shards(&[0])).status,
+        200
+    );
     let open: usize = nodes.iter().map(DataNode::connections).sum();
     assert_eq!(
         (
@@ -107,20 +114,20 @@
 /// Returns the present time since the Unix epoch, in milliseconds.
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    now.expect("after 1970").as_millis() as u64
+    now.expect("the clock is after 1970").as_millis() as u64
 }
 
-/// Waits until the process counts a connection opened now as one of before a start that is listed
-/// next: starts are compared with a tolerance of 0.5 s.
+/// Waits for longer than the tolerance of 0.5 s with which start times are compared, so that the
+/// connections opened so far count as older than a start that is listed next.
 fn wait_for_start_tolerance() {
     std::thread::sleep(Duration::from_millis(700));
 }
 
-/// Guards against a part that is lost, or waits until its deadline, on a connection to a process of
-/// the node that is gone.
+/// Guards against a part that is lost, or waits until its deadline, on a connection to an
+/// incarnation of the node that has ended.
 #[test]
-fn connections_to_an_earlier_incarnation_carry_nothing_after_the_list_that_tells_of_the_restart() {
-    // The node answers the first part and then nothing on that connection; it has restarted.
+fn connections_to_an_earlier_incarnation_carry_nothing_after_a_list_with_its_restart() {
+    // On the first connection the node answers the first part and no other, as after a restart.
     let first_connection_hangs = |part| match part {
         1 => NodeBehaviour::Serve,
         2 => NodeBehaviour::StopResponding,
@@ -130,62 +137,64 @@
     let other = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
-    let (edge, mut watch) = Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
+    let (process, mut watch) =
+        Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     assert_eq!(
-        query(&edge, "idle", Class("once"), Shards(&[0])).status,
+        query(&process, "idle", Class("once"), Shards(&[0])).status,
         200
     );
     let hung = QueryRequest::new("hung", Class("once"), Shards(&[0])).close_connection();
-    let hung = send_request(&edge, &hung.to_http());
-    edge.wait_for_counter("attempts_fully_written", 2);
+    let hung = send_request(&process, &hung.to_http());
+    process.wait_for_counter("attempts_fully_written", 2);
     assert_eq!(node.connections(), 1);
 
     wait_for_start_tolerance();
     let restarted = in_service(0, node.address).started_at(unix_ms());
     watch.send(&changed_endpoints(3, &[restarted]));
-    // What may have run is not sent again, and its client does not wait for the deadline of 40 s.
+    // The part may have run, so it is not sent again. Its client does not wait for the deadline of
+    // 40 s.
     let started = Instant::now();
     assert!(read_until_close(hung).starts_with("HTTP/1.1 502"));
     assert!(started.elapsed() < Duration::from_secs(20));
     assert_eq!(node.received_parts(), ["idle.0", "hung.0"]);
 
-    let next = query(&edge, "next", Class("once"), Shards(&[0]));
+    let next = query(&process, "next", Class("once"), Shards(&[0]));
     assert_eq!((next.status, node.connections()), (200, 2));
     assert_eq!(node.received_parts(), ["idle.0", "hung.0", "next.0"]);
 }
 
-/// Guards against the same for a connection that is idle when the list comes: a part that must not
-/// be repeated would be lost on it.
+/// Guards against a part that is sent on a connection to an earlier incarnation that is idle when
+/// the list arrives: a non-idempotent part would be lost, and could not be retried.
 #[test]
 fn an_idle_connection_to_an_earlier_incarnation_is_not_used_again() {
     let node = DataNode::serving();
     let other = DataNode::serving();
     let agent = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
-    let (edge, mut watch) =
+    let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("reborn-idle", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
-    edge.wait_for_counter("endpoint_updates", 3);
+    process.wait_for_counter("endpoint_updates", 3);
     for (revision, connections) in [(3, 2), (4, 3)] {
         assert_eq!(
-            query(&edge, "before", Class("once"), Shards(&[0])).status,
+            query(&process, "before", Class("once"), Shards(&[0])).status,
             200
         );
         wait_for_start_tolerance();
         let restarted = in_service(0, node.address).started_at(unix_ms());
         watch.send(&changed_endpoints(revision, &[restarted]));
-        edge.wait_for_counter("endpoint_updates", revision + 1);
+        process.wait_for_counter("endpoint_updates", revision + 1);
         assert_eq!(
-            query(&edge, "after", Class("once"), Shards(&[0])).status,
+            query(&process, "after", Class("once"), Shards(&[0])).status,
             200
         );
         assert_eq!(node.connections(), connections);
-        // The same start again ends nothing.
+        // A list that repeats the start closes no connection.
         watch.send(&changed_endpoints(revision, &[restarted]));
         assert_eq!(
-            query(&edge, "again", Class("once"), Shards(&[0])).status,
+            query(&process, "again", Class("once"), Shards(&[0])).status,
             200
         );
         assert_eq!(node.connections(), connections);
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that are partly written when their time-out or a reset comes.
+//! Frames that are partly written when their attempt times out or their connection is reset.
 
 use crate::standin::client::{read_until_close, send_request};
 use crate::standin::data_node::{RecordingNode, UnreachableNode};
@@ -14,15 +14,16 @@
 
 #[test]
 fn a_part_whose_frame_is_partly_written_is_not_sent_again() {
-    // The nodes read nothing, so a long frame is partly written until its timeout. The rest of it
-    // is written later and may run: it does not count as not sent, and no other node gets it.
+    // The nodes read nothing, so a long frame is only partly written at the timeout of its attempt.
+    // The rest is written later and the part may run: the attempt does not count as not sent, and
+    // the part is not sent to the other node.
     let nodes = [0, 1].map(|_| bind_loopback());
     nodes
         .iter()
-        .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("set"));
+        .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("the buffer size is set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let agent = ControlledDiscovery::new();
-    let (edge, _watch) = Deployment {
+    let (process, _watch) = Deployment {
         latency_objective_ms: 400,
         ..Deployment::ALL_EFFECTS
     }
@@ -31,18 +32,22 @@
         .to_string();
     let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\n\
                 X-Expires-In: 0.8\r\nConnection: close";
-    let answer = edge.send_request(&format!(
+    let answer = process.send_request(&format!(
         "{head}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ));
-    edge.wait_for_counter("attempts_dispatched", 1);
-    assert_eq!(answer.status, 504, "it may run: {answer:?}");
+    process.wait_for_counter("attempts_dispatched", 1);
+    assert_eq!(answer.status, 504, "the part may run: {answer:?}");
     let mut runs = 0;
     for listener in nodes {
-        listener.set_nonblocking(true).expect("set");
+        listener
+            .set_nonblocking(true)
+            .expect("the blocking mode is set");
         while let Ok((mut stream, _)) = listener.accept() {
-            stream.set_nonblocking(false).expect("set");
-            // Read up to the frame that follows it, the cancellation.
+            stream
+                .set_nonblocking(false)
+                .expect("the blocking mode is set");
+            // The cancellation follows the frame of the attempt.
             while let Ok(frame) = read_frame(&mut stream) {
                 runs += usize::from(frame.kind == CALL);
                 if frame.kind == CANCEL {
@@ -54,11 +59,11 @@
     assert_eq!(runs, 1);
 }
 
-/// The queries of the test below: more than the socket buffers hold for a node that reads nothing.
+/// The number of long queries: more than fit into the socket buffers to a node that reads nothing.
 const QUERIES: usize = 90;
 
 /// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on a connection of its own.
-fn send_long_queries(edge: &Process) -> Vec<TcpStream> {
+fn send_long_queries(process: &Process) -> Vec<TcpStream> {
     let body = json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)})
         .to_string();
     let length = body.len();
@@ -69,15 +74,17 @@
         )
     };
     (0..QUERIES)
-        .map(|number| send_request(edge, &request(number)))
+        .map(|number| send_request(process, &request(number)))
         .collect()
 }
 
-/// Accepts all connections that wait at a listener and resets them.
+/// Accepts and resets all connections in the backlog of a listener.
 fn reset_connections(listener: &TcpListener) {
-    listener.set_nonblocking(true).expect("set");
+    listener
+        .set_nonblocking(true)
+        .expect("the blocking mode is set");
     while let Ok((stream, _)) = listener.accept() {
-        set_socket_linger(&stream, Some(Duration::ZERO)).expect("set");
+        set_socket_linger(&stream, Some(Duration::ZERO)).expect("the linger time is set");
     }
 }
 
@@ -91,34 +98,34 @@
 }
 
 #[test]
-fn frames_cut_off_before_their_last_byte_are_retried_on_the_other_node() {
-    // At its reset by the node one frame is partly written and others wait behind it. These cannot
-    // have run, so they are retried whatever their class; fully written ones may have run and are
-    // not.
+fn parts_of_incompletely_written_frames_are_retried_on_the_other_node() {
+    // When the node resets the connection, one frame is partly written and others are queued after
+    // it. Their parts cannot have run, so they are retried whatever their class. The parts of fully
+    // written frames may have run and are not retried.
     let stalled = bind_loopback();
-    set_socket_recv_buffer_size(&stalled, 2_048).expect("set");
+    set_socket_recv_buffer_size(&stalled, 2_048).expect("the buffer size is set");
     let healthy = UnreachableNode::new();
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
     let agent = ControlledDiscovery::new();
-    let (edge, mut watch) =
+    let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 3);
-    let clients = send_long_queries(&edge);
-    edge.wait_for_counter("attempts_dispatched", QUERIES as u64);
-    edge.wait_for_counter("attempts_fully_written", 1);
+    process.wait_for_counter("endpoint_updates", 3);
+    let clients = send_long_queries(&process);
+    process.wait_for_counter("attempts_dispatched", QUERIES as u64);
+    process.wait_for_counter("attempts_fully_written", 1);
     watch.send(&changed_endpoints(3, &[in_service(1, addresses[1])]));
-    edge.wait_for_counter("endpoint_updates", 4);
+    process.wait_for_counter("endpoint_updates", 4);
 
     let recording = RecordingNode::start(healthy);
     reset_connections(&stalled);
     let answers: Vec<String> = clients.into_iter().map(read_until_close).collect();
-    drop(edge);
+    drop(process);
 
     let mut retried = recording.wait_until_closed();
     retried.sort();
     let served = served_parts(&answers);
-    assert_eq!(retried, served, "each once");
+    assert_eq!(retried, served, "each part is retried once");
     let count = served.len();
     assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
     assert!(answers.iter().all(|answer| {
