--- a/src/front/ogc/cql2/conformance.rs
+++ b/src/front/ogc/cql2/conformance.rs
@@ -25,7 +25,7 @@
     }
     add_operator_classes(filter, classes);
     for value in filter.values() {
-        value.each(&mut |inner| classes.extend(value_class(inner)));
+        value.for_each(&mut |inner| classes.extend(value_class(inner)));
     }
 }
 
--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -1,19 +1,19 @@
 //! Evaluation of a filter on a feature: true, false, or unknown (`None`) where a value is missing.
 
-mod operand;
 mod pattern;
 mod spatial;
 mod time_span;
+mod value;
 
 pub(super) use time_span::{parse_instant, TimeSpan};
 
 use super::geometry::parse_geojson;
 use super::{ArrayRelation, ComparisonOperator, Filter, Value};
 use geo::Geometry;
-use operand::Operand;
 use serde_json::Value as Json;
 use std::borrow::Cow;
 use std::cmp::Ordering;
+use value::EvaluatedValue;
 
 /// A feature as parsed GeoJSON.
 #[derive(Debug)]
@@ -74,17 +74,17 @@
         Filter::Not(part) => evaluate(part, feature).map(|truth| !truth),
         Filter::Constant(truth) => Some(*truth),
         Filter::Compare(operator, left, right) => {
-            let left = Operand::evaluate(left, feature)?;
-            let right = Operand::evaluate(right, feature)?;
+            let left = EvaluatedValue::evaluate(left, feature)?;
+            let right = EvaluatedValue::evaluate(right, feature)?;
             Some(satisfies(*operator, left.compare(&right)?))
         }
         Filter::Like(text, pattern) => is_like(text, pattern, feature),
         Filter::Between(value, low, high) => is_between(value, low, high, feature),
         Filter::In(value, items) => is_in(value, items, feature),
         Filter::IsNull(Value::Property(name)) => Some(feature.value(name).is_none()),
-        Filter::IsNull(value) => Some(Operand::evaluate(value, feature).is_none()),
-        Filter::Test(value) => match Operand::evaluate(value, feature)? {
-            Operand::Bool(truth) => Some(truth),
+        Filter::IsNull(value) => Some(EvaluatedValue::evaluate(value, feature).is_none()),
+        Filter::BooleanProperty(value) => match EvaluatedValue::evaluate(value, feature)? {
+            EvaluatedValue::Bool(truth) => Some(truth),
             _ => None,
         },
         Filter::Spatial(relation, left, right) => {
@@ -103,28 +103,30 @@
 
 /// Returns whether a text matches a pattern, or `None` if it is unknown.
 fn is_like(text: &Value, pattern: &Value, feature: &Feature<'_>) -> Option<bool> {
-    let text = Operand::evaluate(text, feature)?;
-    let pattern = Operand::evaluate(pattern, feature)?;
+    let text = EvaluatedValue::evaluate(text, feature)?;
+    let pattern = EvaluatedValue::evaluate(pattern, feature)?;
     match (text, pattern) {
-        (Operand::Text(text), Operand::Text(pattern)) => Some(pattern::matches(&text, &pattern)),
+        (EvaluatedValue::Text(text), EvaluatedValue::Text(pattern)) => {
+            Some(pattern::matches(&text, &pattern))
+        }
         _ => None,
     }
 }
 
 /// Returns whether a value lies between two others, both included, or `None` if it is unknown.
 fn is_between(value: &Value, low: &Value, high: &Value, feature: &Feature<'_>) -> Option<bool> {
-    let value = Operand::evaluate(value, feature)?;
-    let low = Operand::evaluate(low, feature)?;
+    let value = EvaluatedValue::evaluate(value, feature)?;
+    let low = EvaluatedValue::evaluate(low, feature)?;
     let is_above = value.compare(&low)? != Ordering::Less;
-    let high = Operand::evaluate(high, feature)?;
+    let high = EvaluatedValue::evaluate(high, feature)?;
     Some(is_above && value.compare(&high)? != Ordering::Greater)
 }
 
 /// Returns whether a value is equal to one of a list, or `None` if it is unknown.
 fn is_in(value: &Value, items: &[Value], feature: &Feature<'_>) -> Option<bool> {
-    let value = Operand::evaluate(value, feature)?;
+    let value = EvaluatedValue::evaluate(value, feature)?;
     let is_equal = |item| {
-        let item = Operand::evaluate(item, feature)?;
+        let item = EvaluatedValue::evaluate(item, feature)?;
         Some(value.compare(&item)? == Ordering::Equal)
     };
     decide(items.iter().map(is_equal), true)
@@ -137,11 +139,11 @@
     right: &Value,
     feature: &Feature<'_>,
 ) -> Option<bool> {
-    let left = Operand::evaluate(left, feature)?;
-    let right = Operand::evaluate(right, feature)?;
+    let left = EvaluatedValue::evaluate(left, feature)?;
+    let right = EvaluatedValue::evaluate(right, feature)?;
     match (left, right) {
-        (Operand::Array(left), Operand::Array(right)) => {
-            Some(operand::relates(relation, &left, &right))
+        (EvaluatedValue::Array(left), EvaluatedValue::Array(right)) => {
+            Some(value::relates(relation, &left, &right))
         }
         _ => None,
     }
--- a/src/front/ogc/cql2/eval/time_span.rs
+++ b/src/front/ogc/cql2/eval/time_span.rs
@@ -1,11 +1,11 @@
 //! Time spans and the temporal relations between them.
 
-use crate::front::ogc::cql2::{TemporalRelation, DATE_LENGTH};
+use crate::front::ogc::cql2::{TemporalRelation, DATE_LENGTH_BYTES};
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
 /// Length of a day in nanoseconds.
-const DAY: i128 = 86_400_000_000_000;
+const DAY_NS: i128 = 86_400_000_000_000;
 
 /// Time span in Unix nanoseconds, both ends included; the two ends of an instant are equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,12 +25,12 @@
 
 /// Parses a date, which is the span of its day, or an instant (RFC 3339).
 pub fn parse_instant(text: &str) -> Option<TimeSpan> {
-    if text.len() == DATE_LENGTH {
+    if text.len() == DATE_LENGTH_BYTES {
         let midnight = OffsetDateTime::parse(&format!("{text}T00:00:00Z"), &Rfc3339).ok()?;
         let from = midnight.unix_timestamp_nanos();
         return Some(TimeSpan {
             from,
-            to: from + DAY - 1,
+            to: from + DAY_NS - 1,
         });
     }
     let instant = OffsetDateTime::parse(text, &Rfc3339)
--- a/src/front/ogc/cql2/geometry.rs
+++ b/src/front/ogc/cql2/geometry.rs
@@ -1,6 +1,6 @@
 //! Geometries: their construction, GeoJSON and well-known text, and their measures.
 
-use super::{fault, FilterError};
+use super::{filter_error, FilterError};
 use geo::{
     BoundingRect, Coord, CoordsIter, Geometry, GeometryCollection, LineString, MultiLineString,
     MultiPoint, MultiPolygon, Point, Polygon, Rect,
@@ -12,7 +12,7 @@
 const MAX_COLLECTION_DEPTH: usize = 4;
 
 /// Returns the number of points of a geometry.
-pub fn points(geometry: &Geometry<f64>) -> usize {
+pub fn point_count(geometry: &Geometry<f64>) -> usize {
     geometry.coords_count()
 }
 
@@ -27,9 +27,9 @@
 /// # Errors
 ///
 /// Fails if there are fewer than four points or the last one is not the first.
-pub fn ring(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
+pub fn build_ring(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
     if points.len() < 4 || points.first() != points.last() {
-        return fault("a ring needs four points or more and must end where it began");
+        return filter_error("a ring needs four points or more and must end where it began");
     }
     Ok(LineString(points))
 }
@@ -39,10 +39,10 @@
 /// # Errors
 ///
 /// Fails without a ring.
-pub fn polygon(rings: Vec<LineString<f64>>) -> Result<Polygon<f64>, FilterError> {
+pub fn build_polygon(rings: Vec<LineString<f64>>) -> Result<Polygon<f64>, FilterError> {
     let mut rings = rings.into_iter();
     let Some(outer) = rings.next() else {
-        return fault("a polygon needs a ring");
+        return filter_error("a polygon needs a ring");
     };
     Ok(Polygon::new(outer, rings.collect()))
 }
@@ -52,39 +52,41 @@
 /// # Errors
 ///
 /// Fails if there are fewer than two points.
-pub fn line(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
+pub fn build_line(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
     if points.len() < 2 {
-        return fault("a line needs two points or more");
+        return filter_error("a line needs two points or more");
     }
     Ok(LineString(points))
 }
 
 /// Parses a position; its height, if any, is discarded.
-fn position(json: &Json) -> Result<Coord<f64>, FilterError> {
+fn parse_position(json: &Json) -> Result<Coord<f64>, FilterError> {
     let numbers: Option<Vec<f64>> = json
         .as_array()
         .and_then(|a| a.iter().map(Json::as_f64).collect());
     match numbers.as_deref() {
         // No relation here considers heights.
         Some([x, y] | [x, y, _]) => Ok(Coord { x: *x, y: *y }),
-        _ => fault("a position needs two or three numbers"),
+        _ => filter_error("a position needs two or three numbers"),
     }
 }
 
-/// Parses the items of a JSON array by `read`.
-fn list<T>(
+/// Parses the items of a JSON array by `parse_item`.
+fn parse_list<T>(
     json: &Json,
-    read: impl Fn(&Json) -> Result<T, FilterError>,
+    parse_item: impl Fn(&Json) -> Result<T, FilterError>,
 ) -> Result<Vec<T>, FilterError> {
     match json.as_array() {
-        Some(items) => items.iter().map(read).collect(),
-        None => fault("coordinates must be an array"),
+        Some(items) => items.iter().map(parse_item).collect(),
+        None => filter_error("coordinates must be an array"),
     }
 }
 
 /// Parses a polygon from the array of its rings.
-fn rings(json: &Json) -> Result<Polygon<f64>, FilterError> {
-    polygon(list(json, |r| ring(list(r, position)?))?)
+fn parse_polygon(json: &Json) -> Result<Polygon<f64>, FilterError> {
+    build_polygon(parse_list(json, |ring| {
+        build_ring(parse_list(ring, parse_position)?)
+    })?)
 }
 
 /// Parses a GeoJSON geometry (RFC 7946).
@@ -93,36 +95,45 @@
 ///
 /// Fails if the JSON is not a geometry, or collections are nested too deep.
 pub fn parse_geojson(json: &Json) -> Result<Geometry<f64>, FilterError> {
-    nested(json, 0)
+    parse_geometry(json, 0)
 }
 
 /// Parses a geometry at a depth of nested collections, counted from 0.
-fn nested(json: &Json, depth: usize) -> Result<Geometry<f64>, FilterError> {
+fn parse_geometry(json: &Json, depth: usize) -> Result<Geometry<f64>, FilterError> {
     if depth > MAX_COLLECTION_DEPTH {
-        return fault("geometry collections are nested too deep");
+        return filter_error("geometry collections are nested too deep");
     }
-    let at = &json["coordinates"];
+    let coordinates = &json["coordinates"];
     Ok(match json["type"].as_str() {
-        Some("Point") => Point(position(at)?).into(),
-        Some("MultiPoint") => {
-            MultiPoint(list(at, position)?.into_iter().map(Point).collect()).into()
-        }
-        Some("LineString") => line(list(at, position)?)?.into(),
-        Some("MultiLineString") => MultiLineString(list(at, |l| line(list(l, position)?))?).into(),
-        Some("Polygon") => rings(at)?.into(),
-        Some("MultiPolygon") => MultiPolygon(list(at, rings)?).into(),
+        Some("Point") => Point(parse_position(coordinates)?).into(),
+        Some("MultiPoint") => MultiPoint(
+            parse_list(coordinates, parse_position)?
+                .into_iter()
+                .map(Point)
+                .collect(),
+        )
+        .into(),
+        Some("LineString") => build_line(parse_list(coordinates, parse_position)?)?.into(),
+        Some("MultiLineString") => MultiLineString(parse_list(coordinates, |line| {
+            build_line(parse_list(line, parse_position)?)
+        })?)
+        .into(),
+        Some("Polygon") => parse_polygon(coordinates)?.into(),
+        Some("MultiPolygon") => MultiPolygon(parse_list(coordinates, parse_polygon)?).into(),
         Some("GeometryCollection") => {
-            let parts = list(&json["geometries"], |g| nested(g, depth + 1))?;
-            Geometry::GeometryCollection(GeometryCollection(parts))
+            let members = parse_list(&json["geometries"], |member| {
+                parse_geometry(member, depth + 1)
+            })?;
+            Geometry::GeometryCollection(GeometryCollection(members))
         }
-        _ => return fault("a geometry's type is none that is known"),
+        _ => return filter_error("a geometry's type is none that is known"),
     })
 }
 
 /// Writes a geometry as GeoJSON.
 pub fn to_geojson(geometry: &Geometry<f64>) -> Json {
-    let at = |c: &Coord<f64>| json!([c.x, c.y]);
-    let line = |l: &LineString<f64>| Json::Array(l.0.iter().map(at).collect());
+    let position = |c: &Coord<f64>| json!([c.x, c.y]);
+    let line = |l: &LineString<f64>| Json::Array(l.0.iter().map(position).collect());
     let rings = |p: &Polygon<f64>| {
         Json::Array(
             std::iter::once(p.exterior())
@@ -131,56 +142,69 @@
                 .collect(),
         )
     };
-    let of = |kind: &str, coordinates: Json| json!({"type": kind, "coordinates": coordinates});
+    let geojson = |name: &str, coordinates: Json| json!({"type": name, "coordinates": coordinates});
     match geometry {
-        Geometry::Point(p) => of("Point", at(&p.0)),
-        Geometry::MultiPoint(m) => of("MultiPoint", m.0.iter().map(|p| at(&p.0)).collect()),
-        Geometry::LineString(l) => of("LineString", line(l)),
-        Geometry::MultiLineString(m) => of("MultiLineString", m.0.iter().map(line).collect()),
-        Geometry::Polygon(p) => of("Polygon", rings(p)),
-        Geometry::MultiPolygon(m) => of("MultiPolygon", m.0.iter().map(rings).collect()),
+        Geometry::Point(p) => geojson("Point", position(&p.0)),
+        Geometry::MultiPoint(m) => {
+            geojson("MultiPoint", m.0.iter().map(|p| position(&p.0)).collect())
+        }
+        Geometry::LineString(l) => geojson("LineString", line(l)),
+        Geometry::MultiLineString(m) => geojson("MultiLineString", m.0.iter().map(line).collect()),
+        Geometry::Polygon(p) => geojson("Polygon", rings(p)),
+        Geometry::MultiPolygon(m) => geojson("MultiPolygon", m.0.iter().map(rings).collect()),
         Geometry::GeometryCollection(c) => {
-            let parts: Vec<Json> = c.0.iter().map(to_geojson).collect();
-            json!({"type": "GeometryCollection", "geometries": parts})
+            let members: Vec<Json> = c.0.iter().map(to_geojson).collect();
+            json!({"type": "GeometryCollection", "geometries": members})
         }
         // The parsers make none of these.
-        Geometry::Line(l) => of("LineString", json!([at(&l.start), at(&l.end)])),
-        Geometry::Rect(r) => of("Polygon", rings(&r.to_polygon())),
-        Geometry::Triangle(t) => of("Polygon", rings(&t.to_polygon())),
+        Geometry::Line(l) => geojson("LineString", json!([position(&l.start), position(&l.end)])),
+        Geometry::Rect(r) => geojson("Polygon", rings(&r.to_polygon())),
+        Geometry::Triangle(t) => geojson("Polygon", rings(&t.to_polygon())),
     }
 }
 
 /// Writes a geometry as well-known text.
 pub fn to_wkt(geometry: &Geometry<f64>) -> String {
-    let at = |c: &Coord<f64>| format!("{} {}", c.x, c.y);
-    let line =
-        |l: &LineString<f64>| format!("({})", l.0.iter().map(at).collect::<Vec<_>>().join(","));
+    let position = |c: &Coord<f64>| format!("{} {}", c.x, c.y);
+    let line = |l: &LineString<f64>| {
+        format!(
+            "({})",
+            l.0.iter().map(position).collect::<Vec<_>>().join(",")
+        )
+    };
     let rings = |p: &Polygon<f64>| {
-        let all: Vec<_> = std::iter::once(p.exterior())
+        let rings: Vec<_> = std::iter::once(p.exterior())
             .chain(p.interiors())
             .map(line)
             .collect();
-        format!("({})", all.join(","))
+        format!("({})", rings.join(","))
     };
-    let many = |parts: Vec<String>| format!("({})", parts.join(","));
+    let list = |items: Vec<String>| format!("({})", items.join(","));
     let mut text = String::new();
-    let (kind, inner) = match geometry {
-        Geometry::Point(p) => ("POINT", format!("({})", at(&p.0))),
+    let (name, coordinates) = match geometry {
+        Geometry::Point(p) => ("POINT", format!("({})", position(&p.0))),
         Geometry::MultiPoint(m) => (
             "MULTIPOINT",
-            many(m.0.iter().map(|p| format!("({})", at(&p.0))).collect()),
+            list(
+                m.0.iter()
+                    .map(|p| format!("({})", position(&p.0)))
+                    .collect(),
+            ),
         ),
         Geometry::LineString(l) => ("LINESTRING", line(l)),
-        Geometry::MultiLineString(m) => ("MULTILINESTRING", many(m.0.iter().map(line).collect())),
+        Geometry::MultiLineString(m) => ("MULTILINESTRING", list(m.0.iter().map(line).collect())),
         Geometry::Polygon(p) => ("POLYGON", rings(p)),
-        Geometry::MultiPolygon(m) => ("MULTIPOLYGON", many(m.0.iter().map(rings).collect())),
+        Geometry::MultiPolygon(m) => ("MULTIPOLYGON", list(m.0.iter().map(rings).collect())),
         Geometry::GeometryCollection(c) => {
-            ("GEOMETRYCOLLECTION", many(c.0.iter().map(to_wkt).collect()))
+            ("GEOMETRYCOLLECTION", list(c.0.iter().map(to_wkt).collect()))
         }
-        Geometry::Line(l) => ("LINESTRING", format!("({},{})", at(&l.start), at(&l.end))),
+        Geometry::Line(l) => (
+            "LINESTRING",
+            format!("({},{})", position(&l.start), position(&l.end)),
+        ),
         Geometry::Rect(r) => ("POLYGON", rings(&r.to_polygon())),
         Geometry::Triangle(t) => ("POLYGON", rings(&t.to_polygon())),
     };
-    let _ = write!(text, "{kind}{inner}");
+    let _ = write!(text, "{name}{coordinates}");
     text
 }
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -3,8 +3,8 @@
 use super::geometry::{parse_geojson, to_geojson};
 use super::text::{flatten, Junction};
 use super::{
-    fault, ArithmeticOperator, ArrayRelation, ComparisonOperator, Filter, FilterError,
-    SpatialRelation, TemporalRelation, Value, DATE_LENGTH, MAX_DEPTH,
+    filter_error, ArithmeticOperator, ArrayRelation, ComparisonOperator, Filter, FilterError,
+    SpatialRelation, TemporalRelation, Value, DATE_LENGTH_BYTES, MAX_DEPTH,
 };
 use serde_json::{json, Map, Value as Json};
 
@@ -27,58 +27,64 @@
 ///
 /// Fails if the JSON is not a filter, or a filter beyond the limits.
 pub fn from_json(json: &Json) -> Parsed<Filter> {
-    condition(json, 1)?.bounded()
+    parse_condition(json, 1)?.within_limits()
 }
 
 /// Checks a depth of nesting against the limit.
 fn check_depth(depth: usize) -> Parsed<()> {
     if depth > MAX_DEPTH {
-        return fault(format!("it is nested more than {MAX_DEPTH} deep"));
+        return filter_error(format!("it is nested more than {MAX_DEPTH} deep"));
     }
     Ok(())
 }
 
 /// Parses a condition at a depth of nesting, counted from 1.
-fn condition(json: &Json, depth: usize) -> Parsed<Filter> {
+fn parse_condition(json: &Json, depth: usize) -> Parsed<Filter> {
     check_depth(depth)?;
     if let Some(constant) = json.as_bool() {
         return Ok(Filter::Constant(constant));
     }
     if json.get("property").is_some() {
-        return Ok(Filter::Test(value(json, depth)?));
+        return Ok(Filter::BooleanProperty(parse_value(json, depth)?));
     }
     let Some(op) = json["op"].as_str() else {
-        return fault("a condition needs op and args");
+        return filter_error("a condition needs op and args");
     };
     let Some(args) = json["args"].as_array() else {
-        return fault(format!("{op} needs args"));
+        return filter_error(format!("{op} needs args"));
     };
-    let call = Call { op, args, depth };
+    let operation = Operation { op, args, depth };
     match op {
-        "and" => Ok(Filter::And(flatten(call.conditions()?, Junction::And))),
-        "or" => Ok(Filter::Or(flatten(call.conditions()?, Junction::Or))),
+        "and" => Ok(Filter::And(flatten(
+            operation.parse_conditions()?,
+            Junction::And,
+        ))),
+        "or" => Ok(Filter::Or(flatten(
+            operation.parse_conditions()?,
+            Junction::Or,
+        ))),
         "not" => {
-            let [inner] = call.exactly::<1>()?;
-            Ok(Filter::Not(Box::new(condition(inner, depth + 1)?)))
+            let [inner] = operation.exact_args::<1>()?;
+            Ok(Filter::Not(Box::new(parse_condition(inner, depth + 1)?)))
         }
-        "like" => call
-            .two_values()
+        "like" => operation
+            .parse_two_values()
             .map(|(text, pattern)| Filter::Like(text, pattern)),
         "isNull" => {
-            let [operand] = call.values::<1>()?;
+            let [operand] = operation.parse_values::<1>()?;
             Ok(Filter::IsNull(operand))
         }
         "between" => {
-            let [operand, low, high] = call.values::<3>()?;
+            let [operand, low, high] = operation.parse_values::<3>()?;
             Ok(Filter::Between(operand, low, high))
         }
-        "in" => call.in_list(),
-        _ => call.relation(),
+        "in" => operation.parse_in_list(),
+        _ => operation.parse_relation(),
     }
 }
 
 /// An operator and its arguments.
-struct Call<'a> {
+struct Operation<'a> {
     /// Name of the operator.
     op: &'a str,
     args: &'a [Json],
@@ -86,62 +92,62 @@
     depth: usize,
 }
 
-impl<'a> Call<'a> {
+impl<'a> Operation<'a> {
     /// Returns the arguments if there are exactly `N`.
-    fn exactly<const N: usize>(&self) -> Parsed<&'a [Json; N]> {
+    fn exact_args<const N: usize>(&self) -> Parsed<&'a [Json; N]> {
         self.args
             .try_into()
-            .or_else(|_| fault(format!("{} needs {N} args", self.op)))
+            .or_else(|_| filter_error(format!("{} needs {N} args", self.op)))
     }
 
     /// Parses the arguments as exactly `N` values.
-    fn values<const N: usize>(&self) -> Parsed<[Value; N]> {
+    fn parse_values<const N: usize>(&self) -> Parsed<[Value; N]> {
         let values = self
-            .exactly::<N>()?
+            .exact_args::<N>()?
             .iter()
-            .map(|arg| value(arg, self.depth + 1));
+            .map(|arg| parse_value(arg, self.depth + 1));
         let values = values.collect::<Parsed<Vec<_>>>()?;
         values
             .try_into()
-            .or_else(|_| fault(format!("{} needs {N} args", self.op)))
+            .or_else(|_| filter_error(format!("{} needs {N} args", self.op)))
     }
 
-    fn two_values(&self) -> Parsed<(Value, Value)> {
-        let [left, right] = self.values::<2>()?;
+    fn parse_two_values(&self) -> Parsed<(Value, Value)> {
+        let [left, right] = self.parse_values::<2>()?;
         Ok((left, right))
     }
 
     /// Parses the arguments as two conditions or more.
-    fn conditions(&self) -> Parsed<Vec<Filter>> {
+    fn parse_conditions(&self) -> Parsed<Vec<Filter>> {
         if self.args.len() < 2 {
-            return fault(format!("{} needs two args or more", self.op));
+            return filter_error(format!("{} needs two args or more", self.op));
         }
         self.args
             .iter()
-            .map(|arg| condition(arg, self.depth + 1))
+            .map(|arg| parse_condition(arg, self.depth + 1))
             .collect()
     }
 
-    fn in_list(&self) -> Parsed<Filter> {
-        let [operand, list] = self.exactly::<2>()?;
+    fn parse_in_list(&self) -> Parsed<Filter> {
+        let [operand, list] = self.exact_args::<2>()?;
         let Some(list) = list.as_array().filter(|list| !list.is_empty()) else {
-            return fault("in needs a list that is not empty");
+            return filter_error("in needs a list that is not empty");
         };
         let list = list
             .iter()
-            .map(|item| value(item, self.depth + 1))
+            .map(|item| parse_value(item, self.depth + 1))
             .collect::<Parsed<_>>()?;
-        Ok(Filter::In(value(operand, self.depth + 1)?, list))
+        Ok(Filter::In(parse_value(operand, self.depth + 1)?, list))
     }
 
     /// Parses a comparison, or a spatial, temporal or array relation.
-    fn relation(&self) -> Parsed<Filter> {
+    fn parse_relation(&self) -> Parsed<Filter> {
         if let Some(operator) = ComparisonOperator::ALL
             .iter()
             .find(|known| known.json() == self.op)
         {
             return self
-                .two_values()
+                .parse_two_values()
                 .map(|(left, right)| Filter::Compare(*operator, left, right));
         }
         if let Some(relation) = SpatialRelation::ALL
@@ -149,7 +155,7 @@
             .find(|known| known.json() == self.op)
         {
             return self
-                .two_values()
+                .parse_two_values()
                 .map(|(left, right)| Filter::Spatial(*relation, left, right));
         }
         if let Some(relation) = TemporalRelation::ALL
@@ -157,7 +163,7 @@
             .find(|known| known.json() == self.op)
         {
             return self
-                .two_values()
+                .parse_two_values()
                 .map(|(left, right)| Filter::Temporal(*relation, left, right));
         }
         if let Some(relation) = ArrayRelation::ALL
@@ -165,37 +171,37 @@
             .find(|known| known.json() == self.op)
         {
             return self
-                .two_values()
+                .parse_two_values()
                 .map(|(left, right)| Filter::Array(*relation, left, right));
         }
-        fault(format!("the operator {:?} is not known", self.op))
+        filter_error(format!("the operator {:?} is not known", self.op))
     }
 }
 
 /// Parses a value at a depth of nesting.
-fn value(json: &Json, depth: usize) -> Parsed<Value> {
+fn parse_value(json: &Json, depth: usize) -> Parsed<Value> {
     check_depth(depth)?;
     match json {
         Json::String(text) => Ok(Value::Text(text.clone())),
         Json::Bool(truth) => Ok(Value::Bool(*truth)),
         Json::Number(number) => match number.as_f64() {
             Some(number) => Ok(Value::Number(number)),
-            None => fault("a number is too large"),
+            None => filter_error("a number is too large"),
         },
         Json::Array(items) => {
-            let items = items.iter().map(|item| value(item, depth + 1));
+            let items = items.iter().map(|item| parse_value(item, depth + 1));
             items.collect::<Parsed<_>>().map(Value::Array)
         }
-        Json::Null => fault("null is no value"),
-        Json::Object(object) => object_value(json, object, depth),
+        Json::Null => filter_error("null is no value"),
+        Json::Object(object) => parse_object(json, object, depth),
     }
 }
 
 /// Parses a value that is an object, distinguished by its members.
-fn object_value(json: &Json, object: &Map<String, Json>, depth: usize) -> Parsed<Value> {
+fn parse_object(json: &Json, object: &Map<String, Json>, depth: usize) -> Parsed<Value> {
     let text = |key: &str| object.get(key).and_then(Json::as_str).map(str::to_owned);
     if let Some(name) = text("property") {
-        return property(name);
+        return parse_property(name);
     }
     if let Some(date) = text("date") {
         return Ok(Value::Date(date));
@@ -204,79 +210,83 @@
         return Ok(Value::Timestamp(timestamp));
     }
     if let Some(ends) = object.get("interval") {
-        return interval(ends, depth);
+        return parse_interval(ends, depth);
     }
     if let Some(numbers) = object.get("bbox") {
-        return bbox(numbers);
+        return parse_bbox(numbers);
     }
     if object.contains_key("type") {
         return parse_geojson(json).map(Value::Geometry);
     }
-    operation(json, depth)
+    parse_operation(json, depth)
 }
 
-fn property(name: String) -> Parsed<Value> {
+fn parse_property(name: String) -> Parsed<Value> {
     if name.is_empty() || name.contains('"') {
-        return fault("a property's name is empty or has a quotation mark");
+        return filter_error("a property's name is empty or has a quotation mark");
     }
     Ok(Value::Property(name))
 }
 
-fn interval(ends: &Json, depth: usize) -> Parsed<Value> {
+fn parse_interval(ends: &Json, depth: usize) -> Parsed<Value> {
     match ends.as_array().map(Vec::as_slice) {
         Some([from, to]) => Ok(Value::Interval(
-            interval_end(from, depth)?,
-            interval_end(to, depth)?,
+            parse_interval_end(from, depth)?,
+            parse_interval_end(to, depth)?,
         )),
-        _ => fault("an interval needs two ends"),
+        _ => filter_error("an interval needs two ends"),
     }
 }
 
-fn bbox(numbers: &Json) -> Parsed<Value> {
+fn parse_bbox(numbers: &Json) -> Parsed<Value> {
     let numbers = numbers
         .as_array()
         .and_then(|list| list.iter().map(Json::as_f64).collect::<Option<Vec<_>>>());
     match numbers {
         Some(numbers) if matches!(numbers.len(), 4 | 6) => Ok(Value::Bbox(numbers)),
-        _ => fault("a bbox needs four or six numbers"),
+        _ => filter_error("a bbox needs four or six numbers"),
     }
 }
 
 /// Parses an operator or a function that results in a value.
-fn operation(json: &Json, depth: usize) -> Parsed<Value> {
+fn parse_operation(json: &Json, depth: usize) -> Parsed<Value> {
     let (Some(op), Some(args)) = (json["op"].as_str(), json["args"].as_array()) else {
-        return fault("a value is none that is known");
+        return filter_error("a value is none that is known");
     };
-    let call = Call { op, args, depth };
+    let operation = Operation { op, args, depth };
     match op {
-        "casei" => call.values().map(|[text]| Value::Casei(Box::new(text))),
-        "accenti" => call.values().map(|[text]| Value::Accenti(Box::new(text))),
+        "casei" => operation
+            .parse_values()
+            .map(|[text]| Value::Casei(Box::new(text))),
+        "accenti" => operation
+            .parse_values()
+            .map(|[text]| Value::Accenti(Box::new(text))),
         op => match ArithmeticOperator::ALL
             .iter()
             .find(|known| known.json() == op)
         {
             Some(operator) => {
-                let (left, right) = call.two_values()?;
+                let (left, right) = operation.parse_two_values()?;
                 Ok(Value::Arithmetic(
                     *operator,
                     Box::new(left),
                     Box::new(right),
                 ))
             }
-            None => fault(format!("the function {op:?} is not known")),
+            None => filter_error(format!("the function {op:?} is not known")),
         },
     }
 }
 
 /// Parses an end of an interval; `None` is open.
-fn interval_end(json: &Json, depth: usize) -> Parsed<Option<Box<Value>>> {
+fn parse_interval_end(json: &Json, depth: usize) -> Parsed<Option<Box<Value>>> {
     let end = match json.as_str() {
         Some(".." | "") => return Ok(None),
-        Some(text) if text.len() == DATE_LENGTH => Value::Date(text.to_owned()),
+        Some(text) if text.len() == DATE_LENGTH_BYTES => Value::Date(text.to_owned()),
         Some(text) => Value::Timestamp(text.to_owned()),
-        None => match value(json, depth + 1)? {
+        None => match parse_value(json, depth + 1)? {
             end @ (Value::Property(_) | Value::Date(_) | Value::Timestamp(_)) => end,
-            _ => return fault("an interval's end is a time or a property"),
+            _ => return filter_error("an interval's end is a time or a property"),
         },
     };
     Ok(Some(Box::new(end)))
@@ -313,7 +323,7 @@
             vec![value_to_json(a), list.iter().map(value_to_json).collect()],
         ),
         Filter::IsNull(a) => op("isNull", vec![value_to_json(a)]),
-        Filter::Test(a) => value_to_json(a),
+        Filter::BooleanProperty(a) => value_to_json(a),
     }
 }
 
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -31,7 +31,7 @@
 /// Most points of all geometries of a filter.
 pub const MAX_POINTS: usize = 20_000;
 /// Length of a date such as `2026-12-01`, in characters.
-const DATE_LENGTH: usize = 10;
+const DATE_LENGTH_BYTES: usize = 10;
 
 /// Message to the client that wrote a malformed filter.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 impl std::error::Error for FilterError {}
 
 /// Returns an error with a message.
-fn fault<T>(why: impl Into<String>) -> Result<T, FilterError> {
+fn filter_error<T>(why: impl Into<String>) -> Result<T, FilterError> {
     Err(FilterError(why.into()))
 }
 
@@ -78,7 +78,7 @@
     /// Relation between two arrays.
     Array(ArrayRelation, Value, Value),
     /// Boolean property as a condition.
-    Test(Value),
+    BooleanProperty(Value),
 }
 
 /// An operand of a filter.
@@ -207,7 +207,7 @@
 impl TemporalRelation {
     /// Returns whether the relation may hold between instants too; the others need two intervals.
     #[must_use]
-    pub fn takes_instants(self) -> bool {
+    pub fn allows_instants(self) -> bool {
         matches!(
             self,
             TemporalRelation::After
@@ -232,7 +232,7 @@
             | Filter::Array(_, a, b) => vec![a, b],
             Filter::Between(a, b, c) => vec![a, b, c],
             Filter::In(a, list) => std::iter::once(a).chain(list).collect(),
-            Filter::IsNull(a) | Filter::Test(a) => vec![a],
+            Filter::IsNull(a) | Filter::BooleanProperty(a) => vec![a],
         }
     }
 
@@ -247,16 +247,16 @@
     }
 
     /// Calls `visit` for every operand of the filter and of its parts, inner operands too.
-    pub fn each_value<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
-        self.values().into_iter().for_each(|v| v.each(visit));
-        self.parts().iter().for_each(|p| p.each_value(visit));
+    pub fn for_each_value<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
+        self.values().into_iter().for_each(|v| v.for_each(visit));
+        self.parts().iter().for_each(|p| p.for_each_value(visit));
     }
 
     /// Returns the names of the properties that the filter refers to.
     #[must_use]
     pub fn properties(&self) -> std::collections::BTreeSet<&str> {
         let mut names = std::collections::BTreeSet::new();
-        self.each_value(&mut |v| {
+        self.for_each_value(&mut |v| {
             if let Value::Property(name) = v {
                 names.insert(name.as_str());
             }
@@ -266,7 +266,7 @@
 
     /// Returns the conjunction of several conditions, or `None` if there are none.
     #[must_use]
-    pub fn all(mut parts: Vec<Filter>) -> Option<Filter> {
+    pub fn conjunction(mut parts: Vec<Filter>) -> Option<Filter> {
         match parts.len() {
             0 => None,
             1 => parts.pop(),
@@ -277,39 +277,47 @@
     /// Returns the relative cost of evaluating the filter on a feature: one for each node and for
     /// each hundred points of its geometries.
     #[must_use]
-    pub fn weight(&self) -> usize {
-        let mut weight = 1 + self.parts().iter().map(Filter::weight).sum::<usize>();
+    pub fn evaluation_cost(&self) -> usize {
+        let mut cost = 1 + self
+            .parts()
+            .iter()
+            .map(Filter::evaluation_cost)
+            .sum::<usize>();
         for value in self.values() {
-            value.each(&mut |v| {
-                weight += match v {
-                    Value::Geometry(g) => 1 + geometry::points(g) / 100,
+            value.for_each(&mut |v| {
+                cost += match v {
+                    Value::Geometry(g) => 1 + geometry::point_count(g) / 100,
                     _ => 1,
                 }
             });
         }
-        weight
+        cost
     }
 
     /// Returns the number of conditions in the filter, including itself.
-    fn conditions(&self) -> usize {
-        1 + self.parts().iter().map(Filter::conditions).sum::<usize>()
+    fn condition_count(&self) -> usize {
+        1 + self
+            .parts()
+            .iter()
+            .map(Filter::condition_count)
+            .sum::<usize>()
     }
 
     /// Returns the filter if it is within the limits on nodes and points.
-    fn bounded(self) -> Result<Self, FilterError> {
-        let mut nodes = self.conditions();
+    fn within_limits(self) -> Result<Self, FilterError> {
+        let mut nodes = self.condition_count();
         let mut points = 0;
-        self.each_value(&mut |value| {
+        self.for_each_value(&mut |value| {
             nodes += 1;
             if let Value::Geometry(geometry) = value {
-                points += geometry::points(geometry);
+                points += geometry::point_count(geometry);
             }
         });
         if nodes > MAX_NODES {
-            return fault(format!("it has more than {MAX_NODES} parts"));
+            return filter_error(format!("it has more than {MAX_NODES} parts"));
         }
         if points > MAX_POINTS {
-            return fault(format!("its geometries have more than {MAX_POINTS} points"));
+            return filter_error(format!("its geometries have more than {MAX_POINTS} points"));
         }
         Ok(self)
     }
@@ -317,13 +325,13 @@
 
 impl Value {
     /// Calls `visit` for the value and its inner values.
-    fn each<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
+    fn for_each<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
         visit(self);
         match self {
-            Value::Interval(a, b) => a.iter().chain(b).for_each(|v| v.each(visit)),
-            Value::Array(list) => list.iter().for_each(|v| v.each(visit)),
-            Value::Arithmetic(_, a, b) => [a, b].into_iter().for_each(|v| v.each(visit)),
-            Value::Casei(a) | Value::Accenti(a) => a.each(visit),
+            Value::Interval(a, b) => a.iter().chain(b).for_each(|v| v.for_each(visit)),
+            Value::Array(list) => list.iter().for_each(|v| v.for_each(visit)),
+            Value::Arithmetic(_, a, b) => [a, b].into_iter().for_each(|v| v.for_each(visit)),
+            Value::Casei(a) | Value::Accenti(a) => a.for_each(visit),
             _ => {}
         }
     }
--- a/src/front/ogc/cql2/print.rs
+++ b/src/front/ogc/cql2/print.rs
@@ -25,7 +25,7 @@
             Filter::Spatial(op, a, b) => write!(f, "{}({a},{b})", op.text()),
             Filter::Temporal(op, a, b) => write!(f, "{}({a},{b})", op.text()),
             Filter::Array(op, a, b) => write!(f, "{}({a},{b})", op.text()),
-            Filter::Test(a) => write!(f, "{a}"),
+            Filter::BooleanProperty(a) => write!(f, "{a}"),
         }
     }
 }
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 /// Characters that a condition takes besides its own text, such as those of ` AND `.
-const JUNCTION_LENGTH: usize = 7;
+const JUNCTION_LENGTH_BYTES: usize = 7;
 
 /// A box: west, south, east, north.
 type Envelope = [f64; 4];
@@ -37,15 +37,15 @@
     }
 
     /// Returns whether a server with these capabilities can apply a filter.
-    fn can_filter(&self, filter: &Filter) -> bool {
+    fn can_evaluate(&self, filter: &Filter) -> bool {
         let declares = |class: &str| self.classes.contains(class);
-        let has_name =
+        let is_queryable =
             |name: &str| self.queryables.open || self.queryables.named.contains_key(name);
         if !declares("cql2-text") || !declares("features-filter") {
             return false;
         }
-        filter.properties().into_iter().all(has_name)
-            && has_only_printable_texts(filter)
+        filter.properties().into_iter().all(is_queryable)
+            && has_only_expressible_texts(filter)
             && required_classes(filter).into_iter().all(declares)
     }
 }
@@ -74,10 +74,10 @@
     };
     let (mut pushed_down, mut residual): (Vec<&Filter>, Vec<&Filter>) = conditions
         .iter()
-        .partition(|condition| capabilities.can_filter(condition));
+        .partition(|condition| capabilities.can_evaluate(condition));
     let mut lengths: Vec<usize> = pushed_down
         .iter()
-        .map(|condition| condition.to_string().len() + JUNCTION_LENGTH)
+        .map(|condition| condition.to_string().len() + JUNCTION_LENGTH_BYTES)
         .collect();
     // The longest conditions become residual if the head of the request would grow too long.
     while lengths.iter().sum::<usize>() > capabilities.max_filter_text {
@@ -89,9 +89,10 @@
     }
     let envelope = residual
         .iter()
-        .filter_map(|condition| bounds(condition))
+        .filter_map(|condition| filter_bounds(condition))
         .reduce(intersection);
-    let join = |conditions: Vec<&Filter>| Filter::all(conditions.into_iter().cloned().collect());
+    let join =
+        |conditions: Vec<&Filter>| Filter::conjunction(conditions.into_iter().cloned().collect());
     FilterSplit {
         pushed_down: join(pushed_down),
         residual: join(residual),
@@ -101,9 +102,9 @@
 
 /// Returns the box around all features that can pass a filter that relates their main geometry to a
 /// constant one: servers select by that geometry.
-fn bounds(filter: &Filter) -> Option<Envelope> {
+fn filter_bounds(filter: &Filter) -> Option<Envelope> {
     match filter {
-        Filter::And(parts) => parts.iter().filter_map(bounds).reduce(intersection),
+        Filter::And(parts) => parts.iter().filter_map(filter_bounds).reduce(intersection),
         Filter::Spatial(relation, left, right) if *relation != SpatialRelation::Disjoint => {
             let constant = match (left, right) {
                 (Value::Property(name), constant) | (constant, Value::Property(name))
@@ -149,20 +150,20 @@
     }
 }
 
-fn has_only_printable_texts(filter: &Filter) -> bool {
-    let mut printable = true;
-    filter.each_value(&mut |value| {
+fn has_only_expressible_texts(filter: &Filter) -> bool {
+    let mut is_expressible = true;
+    filter.for_each_value(&mut |value| {
         if let Value::Text(text) = value {
-            printable &= is_printable(text);
+            is_expressible &= is_expressible_in_text(text);
         }
     });
-    printable
+    is_expressible
 }
 
 /// Returns whether CQL2 text can express a text.
 ///
 /// A backslash before a quotation mark, including the closing one, can't be written: the two are
 /// parsed as an escaped mark.
-pub(super) fn is_printable(text: &str) -> bool {
+pub(super) fn is_expressible_in_text(text: &str) -> bool {
     !text.ends_with('\\') && !text.contains("\\'")
 }
--- a/src/front/ogc/cql2/queryables.rs
+++ b/src/front/ogc/cql2/queryables.rs
@@ -1,7 +1,7 @@
 //! The queryables of a collection: the names that a filter may use, and their types (OGC API -
 //! Features, Part 3).
 
-use super::{fault, FilterError};
+use super::{filter_error, FilterError};
 use serde_json::{json, Map, Value as Json};
 use std::collections::BTreeMap;
 
@@ -96,7 +96,7 @@
         let properties: Map<String, Json> = self
             .named
             .iter()
-            .map(|(name, kind)| (name.clone(), kind.to_schema()))
+            .map(|(name, queryable_type)| (name.clone(), queryable_type.to_schema()))
             .collect();
         json!({"type": "object", "properties": properties, "additionalProperties": self.open})
     }
@@ -104,21 +104,21 @@
     /// Returns the names that both have, with their type if both agree on it.
     #[must_use]
     pub fn intersection(&self, other: &Queryables) -> Self {
-        let common_type = |name: &String, kind: QueryableType| match other.named.get(name) {
-            Some(theirs) if *theirs == kind => Some(kind),
+        let common_type = |name: &String, queryable_type: QueryableType| match other.named.get(name)
+        {
+            Some(theirs) if *theirs == queryable_type => Some(queryable_type),
             Some(_) => Some(QueryableType::Any),
-            None => other.open.then_some(kind),
+            None => other.open.then_some(queryable_type),
         };
-        let ours = self
-            .named
-            .iter()
-            .filter_map(|(name, kind)| Some((name.clone(), common_type(name, *kind)?)));
+        let ours = self.named.iter().filter_map(|(name, queryable_type)| {
+            Some((name.clone(), common_type(name, *queryable_type)?))
+        });
         let theirs = other
             .named
             .iter()
             .filter(|(name, _)| self.open && !self.named.contains_key(*name));
         let named = ours
-            .chain(theirs.map(|(name, kind)| (name.clone(), *kind)))
+            .chain(theirs.map(|(name, queryable_type)| (name.clone(), *queryable_type)))
             .collect();
         Queryables {
             named,
@@ -130,9 +130,9 @@
     #[must_use]
     pub fn union(mut self, other: &Queryables) -> Self {
         for (name, theirs) in &other.named {
-            let kind = self.named.entry(name.clone()).or_insert(*theirs);
-            if kind != theirs {
-                *kind = QueryableType::Any;
+            let queryable_type = self.named.entry(name.clone()).or_insert(*theirs);
+            if queryable_type != theirs {
+                *queryable_type = QueryableType::Any;
             }
         }
         self.open |= other.open;
@@ -142,9 +142,9 @@
     /// Returns the type of a name.
     pub(super) fn type_of(&self, name: &str) -> Result<QueryableType, FilterError> {
         match self.named.get(name) {
-            Some(kind) => Ok(*kind),
+            Some(queryable_type) => Ok(*queryable_type),
             None if self.open => Ok(QueryableType::Any),
-            None => fault(format!("there is no queryable {name:?}")),
+            None => filter_error(format!("there is no queryable {name:?}")),
         }
     }
 }
--- a/src/front/ogc/cql2/tests.rs
+++ b/src/front/ogc/cql2/tests.rs
@@ -7,14 +7,14 @@
 mod pushdown;
 mod validation;
 
-use super::pushdown::is_printable;
+use super::pushdown::is_expressible_in_text;
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
 
 fn queryables() -> Queryables {
-    let kinds = [
+    let types = [
         ("name", QueryableType::Text),
         ("volts", QueryableType::Number),
         ("live", QueryableType::Bool),
@@ -23,7 +23,7 @@
         ("tags", QueryableType::Array),
     ];
     Queryables {
-        named: kinds.map(|(n, k)| (n.to_owned(), k)).into(),
+        named: types.map(|(n, k)| (n.to_owned(), k)).into(),
         open: false,
     }
 }
@@ -59,7 +59,7 @@
     let plain = prop_oneof![
         "[a-zA-Z_ .%é-]{1,8}".prop_map(Value::Property),
         any::<String>()
-            .prop_filter("printable", |t| is_printable(t))
+            .prop_filter("expressible in CQL2 text", |t| is_expressible_in_text(t))
             .prop_map(Value::Text),
         prop_oneof![
             -1e6..1e6_f64,
@@ -142,7 +142,7 @@
             .prop_map(|(o, b)| Filter::Temporal(o, Value::Property("t".into()), b)),
         (proptest::sample::select(ArrayRelation::ALL), list(), list())
             .prop_map(|(o, a, b)| Filter::Array(o, Value::Array(a), Value::Array(b))),
-        "[a-z]{1,6}x".prop_map(|n| Filter::Test(Value::Property(n))),
+        "[a-z]{1,6}x".prop_map(|n| Filter::BooleanProperty(Value::Property(n))),
     ]
 }
 
--- a/src/front/ogc/cql2/text/condition.rs
+++ b/src/front/ogc/cql2/text/condition.rs
@@ -5,7 +5,7 @@
 };
 use super::geometry::spatial_operand;
 use super::lexer::{
-    boolean, is_name_character, keyword, nested, property, required_sign, sign, Input, Parsed,
+    boolean, is_name_character, keyword, nested, property, required_symbol, symbol, Input, Parsed,
 };
 use super::operand::{array_operand, scalar, temporal_operand};
 use super::{flatten, Junction};
@@ -51,11 +51,11 @@
     if let Some(found) = opt(alt((relation, predicate))).parse_next(input)? {
         return Ok(found);
     }
-    let in_brackets = delimited(sign("("), condition, required_sign(")"));
+    let in_parentheses = delimited(symbol("("), condition, required_symbol(")"));
     alt((
-        in_brackets,
+        in_parentheses,
         boolean.map(Filter::Constant),
-        property.map(Filter::Test),
+        property.map(Filter::BooleanProperty),
     ))
     .context(StrContext::Label("a condition"))
     .parse_next(input)
@@ -65,7 +65,7 @@
 fn relation(input: &mut Input<'_>) -> Parsed<Filter> {
     let name = preceded(multispace0, take_while(3.., is_name_character))
         .verify(|n: &str| n.get(1..2) == Some("_"));
-    let name = terminated(name, sign("("))
+    let name = terminated(name, symbol("("))
         .parse_next(input)?
         .to_ascii_uppercase();
     if let Some(relation) = SpatialRelation::ALL
@@ -98,9 +98,9 @@
     operand: fn(&mut Input<'_>) -> Parsed<Value>,
 ) -> Parsed<(Value, Value)> {
     let left = cut_err(operand).parse_next(input)?;
-    required_sign(",")(input)?;
+    required_symbol(",")(input)?;
     let right = cut_err(operand).parse_next(input)?;
-    required_sign(")")(input)?;
+    required_symbol(")")(input)?;
     Ok((left, right))
 }
 
@@ -139,7 +139,7 @@
 
 fn comparison_operator(input: &mut Input<'_>) -> Parsed<ComparisonOperator> {
     for operator in ComparisonOperator::ALL {
-        if opt(sign(operator.text())).parse_next(input)?.is_some() {
+        if opt(symbol(operator.text())).parse_next(input)?.is_some() {
             return Ok(*operator);
         }
     }
@@ -162,11 +162,11 @@
 
 /// Parses the list after `IN`.
 fn in_list(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
-    required_sign("(")(input)?;
-    let list: Vec<Value> = cut_err(separated(1.., scalar, sign(",")))
+    required_symbol("(")(input)?;
+    let list: Vec<Value> = cut_err(separated(1.., scalar, symbol(",")))
         .context(StrContext::Label("a value"))
         .parse_next(input)?;
-    required_sign(")")(input)?;
+    required_symbol(")")(input)?;
     Ok(Filter::In(value, list))
 }
 
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -1,8 +1,10 @@
 //! Parsers of geometries as well-known text, and of bounding boxes.
 
-use super::super::geometry::{line, polygon, ring};
+use super::super::geometry::{build_line, build_polygon, build_ring};
 use super::super::{FilterError, Value};
-use super::lexer::{fatal, keyword, nested, number, property, required_sign, sign, Input, Parsed};
+use super::lexer::{
+    fatal, keyword, nested, number, property, required_symbol, symbol, Input, Parsed,
+};
 use geo::{
     Coord, Geometry, GeometryCollection, LineString, MultiLineString, MultiPoint, MultiPolygon,
     Point, Polygon,
@@ -20,9 +22,9 @@
 
 /// Parses `BBOX(...)` with four numbers, or six with heights.
 fn bbox(input: &mut Input<'_>) -> Parsed<Value> {
-    (keyword("BBOX"), sign("(")).parse_next(input)?;
-    let numbers: Vec<f64> = separated(4..=6, number, sign(",")).parse_next(input)?;
-    required_sign(")")(input)?;
+    (keyword("BBOX"), symbol("(")).parse_next(input)?;
+    let numbers: Vec<f64> = separated(4..=6, number, symbol(",")).parse_next(input)?;
+    required_symbol(")")(input)?;
     if numbers.len() == 5 {
         return Err(ErrMode::Cut(ContextError::new()));
     }
@@ -30,7 +32,8 @@
 }
 
 fn geometry(input: &mut Input<'_>) -> Parsed<Geometry<f64>> {
-    let point = |input: &mut Input<'_>| delimited(sign("("), position, sign(")")).parse_next(input);
+    let point =
+        |input: &mut Input<'_>| delimited(symbol("("), position, symbol(")")).parse_next(input);
     alt((
         tagged("POINT", point).map(|position| Point(position).into()),
         tagged("LINESTRING", line_string).map(Geometry::from),
@@ -50,7 +53,7 @@
     mut coordinates: impl FnMut(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<T> {
     move |input| {
-        (keyword(name), opt(keyword("Z")), peek(sign("(")))
+        (keyword(name), opt(keyword("Z")), peek(symbol("(")))
             .void()
             .parse_next(input)?;
         cut_err(&mut coordinates)
@@ -72,9 +75,9 @@
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Vec<T>> {
     move |input| {
         delimited(
-            sign("("),
-            separated(1.., item, sign(",")),
-            required_sign(")"),
+            symbol("("),
+            separated(1.., item, symbol(",")),
+            required_symbol(")"),
         )
         .parse_next(input)
     }
@@ -87,22 +90,22 @@
 
 fn line_string(input: &mut Input<'_>) -> Parsed<LineString<f64>> {
     let positions = list(position)(input)?;
-    checked(line(positions))
+    checked(build_line(positions))
 }
 
 fn linear_ring(input: &mut Input<'_>) -> Parsed<LineString<f64>> {
     let positions = list(position)(input)?;
-    checked(ring(positions))
+    checked(build_ring(positions))
 }
 
 fn polygon_rings(input: &mut Input<'_>) -> Parsed<Polygon<f64>> {
     let rings = list(linear_ring)(input)?;
-    checked(polygon(rings))
+    checked(build_polygon(rings))
 }
 
 /// Parses a position of a multipoint, with or without brackets: both forms are in use.
 fn multipoint_position(input: &mut Input<'_>) -> Parsed<Point<f64>> {
-    alt((delimited(sign("("), position, sign(")")), position))
+    alt((delimited(symbol("("), position, symbol(")")), position))
         .map(Point)
         .parse_next(input)
 }
--- a/src/front/ogc/cql2/text/lexer.rs
+++ b/src/front/ogc/cql2/text/lexer.rs
@@ -10,10 +10,10 @@
 use winnow::token::{any, one_of, take_while};
 
 /// Label of the error that a filter is nested too deep.
-pub(super) const DEPTH_CONTEXT: &str = "depth";
+pub(super) const DEPTH_LABEL: &str = "depth";
 
 /// Keywords, which are not names of properties.
-const RESERVED: [&str; 11] = [
+const RESERVED_WORDS: [&str; 11] = [
     "AND", "OR", "NOT", "IN", "IS", "LIKE", "BETWEEN", "NULL", "TRUE", "FALSE", "DIV",
 ];
 
@@ -40,7 +40,7 @@
     move |input| {
         input.state.0 += 1;
         if input.state.0 > MAX_DEPTH {
-            return Err(fatal(DEPTH_CONTEXT));
+            return Err(fatal(DEPTH_LABEL));
         }
         let parsed = parser(input);
         input.state.0 -= 1;
@@ -49,14 +49,14 @@
 }
 
 /// Returns a parser of a sign such as a bracket or a comma.
-pub(super) fn sign<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
+pub(super) fn symbol<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| preceded(multispace0, text).void().parse_next(input)
 }
 
 /// Returns a parser of a sign whose absence is an error without alternatives.
-pub(super) fn required_sign<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
+pub(super) fn required_symbol<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| {
-        cut_err(sign(text))
+        cut_err(symbol(text))
             .context(StrContext::Label(text))
             .parse_next(input)
     }
@@ -133,10 +133,10 @@
 /// Parses the name of a property, plain or in double quotation marks.
 pub(super) fn property(input: &mut Input<'_>) -> Parsed<Value> {
     let is_first = |c: char| c.is_alphabetic() || c == '_' || c == ':';
-    let is_further = |c: char| is_name_character(c) || c == '.' || c == ':';
-    let plain = (one_of(is_first), take_while(0.., is_further)).take();
+    let is_continuation = |c: char| is_name_character(c) || c == '.' || c == ':';
+    let plain = (one_of(is_first), take_while(0.., is_continuation)).take();
     let plain = plain.verify(|name: &str| {
-        !RESERVED
+        !RESERVED_WORDS
             .iter()
             .any(|reserved| reserved.eq_ignore_ascii_case(name))
     });
@@ -147,7 +147,7 @@
     );
     let name = preceded(multispace0, alt((quoted, plain))).parse_next(input)?;
     // A name before a bracket is a function, and only the standard's functions are known.
-    if opt(peek(sign("("))).parse_next(input)?.is_some() {
+    if opt(peek(symbol("("))).parse_next(input)?.is_some() {
         return Err(ErrMode::Backtrack(ContextError::new()));
     }
     Ok(Value::Property(name.to_owned()))
--- a/src/front/ogc/cql2/text/mod.rs
+++ b/src/front/ogc/cql2/text/mod.rs
@@ -5,15 +5,15 @@
 mod lexer;
 mod operand;
 
-use super::{fault, Filter, FilterError, MAX_DEPTH};
+use super::{filter_error, Filter, FilterError, MAX_DEPTH};
 use condition::condition;
-use lexer::{Depth, Input, DEPTH_CONTEXT};
+use lexer::{Depth, Input, DEPTH_LABEL};
 use winnow::error::{ContextError, ErrMode, StrContext};
 use winnow::prelude::*;
 use winnow::stream::{LocatingSlice, Location, Stateful};
 
 /// Most characters of the text that an error quotes.
-const MAX_QUOTED: usize = 24;
+const MAX_EXCERPT_CHARACTERS: usize = 24;
 
 /// Parses a filter.
 ///
@@ -26,36 +26,38 @@
         state: Depth::default(),
     };
     let parsed = condition.parse_next(&mut input);
-    let rest = rest(&input, text);
+    let excerpt = unparsed_excerpt(&input, text);
     match parsed {
-        Ok(filter) if rest.is_empty() => filter.bounded(),
-        Ok(_) => fault(format!("not understood from {rest:?} on")),
-        Err(ErrMode::Cut(error) | ErrMode::Backtrack(error)) => fault(describe(&error, &rest)),
-        Err(ErrMode::Incomplete(_)) => fault("it ends too early"),
+        Ok(filter) if excerpt.is_empty() => filter.within_limits(),
+        Ok(_) => filter_error(format!("not understood from {excerpt:?} on")),
+        Err(ErrMode::Cut(error) | ErrMode::Backtrack(error)) => {
+            filter_error(error_message(&error, &excerpt))
+        }
+        Err(ErrMode::Incomplete(_)) => filter_error("it ends too early"),
     }
 }
 
 /// Returns the beginning of the text that was not parsed.
-fn rest(input: &Input<'_>, text: &str) -> String {
+fn unparsed_excerpt(input: &Input<'_>, text: &str) -> String {
     let start = input.input.current_token_start().min(text.len());
     text[start..]
         .trim_start()
         .chars()
-        .take(MAX_QUOTED)
+        .take(MAX_EXCERPT_CHARACTERS)
         .collect()
 }
 
 /// Returns the message for an error, from its first label and the text at its position.
-fn describe(error: &ContextError, rest: &str) -> String {
+fn error_message(error: &ContextError, excerpt: &str) -> String {
     let label = error.context().find_map(|context| match context {
         StrContext::Label(label) => Some(*label),
         _ => None,
     });
     match label {
-        Some(DEPTH_CONTEXT) => format!("it is nested more than {MAX_DEPTH} deep"),
-        Some(label) if rest.is_empty() => format!("{label} is needed at the end"),
-        Some(label) => format!("{label} is needed before {rest:?}"),
-        None => format!("not understood from {rest:?} on"),
+        Some(DEPTH_LABEL) => format!("it is nested more than {MAX_DEPTH} deep"),
+        Some(label) if excerpt.is_empty() => format!("{label} is needed at the end"),
+        Some(label) => format!("{label} is needed before {excerpt:?}"),
+        None => format!("not understood from {excerpt:?} on"),
     }
 }
 
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -1,9 +1,9 @@
 //! Parsers of operands: scalars with arithmetic, times and arrays.
 
-use super::super::{ArithmeticOperator, Value, DATE_LENGTH, MAX_DEPTH};
+use super::super::{ArithmeticOperator, Value, DATE_LENGTH_BYTES, MAX_DEPTH};
 use super::lexer::{
-    boolean, fatal, keyword, nested, number, property, required_sign, sign, text_literal, Input,
-    Parsed, DEPTH_CONTEXT,
+    boolean, fatal, keyword, nested, number, property, required_symbol, symbol, text_literal,
+    Input, Parsed, DEPTH_LABEL,
 };
 use winnow::combinator::{alt, cut_err, delimited, opt, peek, separated, terminated};
 use winnow::error::{ContextError, ErrMode, StrContext};
@@ -66,7 +66,7 @@
     right: Value,
 ) -> Parsed<Value> {
     if input.state.0 + arithmetic_depth(&left) > MAX_DEPTH {
-        return Err(fatal(DEPTH_CONTEXT));
+        return Err(fatal(DEPTH_LABEL));
     }
     Ok(Value::Arithmetic(operator, Box::new(left), Box::new(right)))
 }
@@ -87,7 +87,7 @@
         for operator in operators {
             let found = match operator {
                 ArithmeticOperator::Div => opt(keyword("DIV")).parse_next(input)?,
-                operator => opt(sign(operator.text())).parse_next(input)?,
+                operator => opt(symbol(operator.text())).parse_next(input)?,
             };
             if found.is_some() {
                 return Ok(*operator);
@@ -107,7 +107,7 @@
         number.map(Value::Number),
         boolean.map(Value::Bool),
         property,
-        delimited(sign("("), scalar, sign(")")),
+        delimited(symbol("("), scalar, symbol(")")),
     ))
     .parse_next(input)
 }
@@ -117,11 +117,11 @@
     make: fn(Box<Value>) -> Value,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Value> {
     move |input| {
-        (keyword(name), sign("(")).parse_next(input)?;
+        (keyword(name), symbol("(")).parse_next(input)?;
         let inner = cut_err(scalar)
             .context(StrContext::Label("text"))
             .parse_next(input)?;
-        required_sign(")")(input)?;
+        required_symbol(")")(input)?;
         Ok(make(Box::new(inner)))
     }
 }
@@ -129,15 +129,15 @@
 /// Parses `DATE(...)` or `TIMESTAMP(...)`.
 fn instant(input: &mut Input<'_>) -> Parsed<Value> {
     let date = delimited(
-        (keyword("DATE"), sign("(")),
+        (keyword("DATE"), symbol("(")),
         text_literal,
-        required_sign(")"),
+        required_symbol(")"),
     )
     .map(Value::Date);
     let timestamp = delimited(
-        (keyword("TIMESTAMP"), sign("(")),
+        (keyword("TIMESTAMP"), symbol("(")),
         text_literal,
-        required_sign(")"),
+        required_symbol(")"),
     )
     .map(Value::Timestamp);
     alt((date, timestamp)).parse_next(input)
@@ -152,11 +152,11 @@
 
 /// Parses `INTERVAL(...)`.
 fn interval(input: &mut Input<'_>) -> Parsed<Value> {
-    (keyword("INTERVAL"), sign("(")).parse_next(input)?;
+    (keyword("INTERVAL"), symbol("(")).parse_next(input)?;
     let from = interval_end(input)?;
-    required_sign(",")(input)?;
+    required_symbol(",")(input)?;
     let to = interval_end(input)?;
-    required_sign(")")(input)?;
+    required_symbol(")")(input)?;
     Ok(Value::Interval(from, to))
 }
 
@@ -164,7 +164,7 @@
 fn interval_end(input: &mut Input<'_>) -> Parsed<Option<Box<Value>>> {
     let from_text = |text: String| match text.as_str() {
         ".." | "" => None,
-        date if date.len() == DATE_LENGTH => Some(Box::new(Value::Date(text))),
+        date if date.len() == DATE_LENGTH_BYTES => Some(Box::new(Value::Date(text))),
         _ => Some(Box::new(Value::Timestamp(text))),
     };
     let value = alt((instant, property)).map(|value| Some(Box::new(value)));
@@ -183,14 +183,18 @@
 /// Parses an element of an array. Brackets around the whole element are those of an array; all
 /// others belong to arithmetic.
 fn element(input: &mut Input<'_>) -> Parsed<Value> {
-    let complete = terminated(array, peek(alt((sign(","), sign(")")))));
+    let complete = terminated(array, peek(alt((symbol(","), symbol(")")))));
     alt((complete, scalar)).parse_next(input)
 }
 
 fn array(input: &mut Input<'_>) -> Parsed<Value> {
     let items = |input: &mut Input<'_>| {
-        let items: Vec<Value> = delimited(sign("("), separated(0.., element, sign(",")), sign(")"))
-            .parse_next(input)?;
+        let items: Vec<Value> = delimited(
+            symbol("("),
+            separated(0.., element, symbol(",")),
+            symbol(")"),
+        )
+        .parse_next(input)?;
         Ok(Value::Array(items))
     };
     nested(items)(input)
--- a/src/front/ogc/cql2/validation.rs
+++ b/src/front/ogc/cql2/validation.rs
@@ -2,7 +2,9 @@
 //! operands must fit.
 
 use super::eval::{parse_instant, TimeSpan};
-use super::{fault, Filter, FilterError, QueryableType, Queryables, TemporalRelation, Value};
+use super::{
+    filter_error, Filter, FilterError, QueryableType, Queryables, TemporalRelation, Value,
+};
 
 /// Checks that a filter can be evaluated on features with these queryables.
 ///
@@ -11,17 +13,17 @@
 /// Fails if a name is unknown, or an operand is malformed or has a type that its operator doesn't
 /// take.
 pub fn check(filter: &Filter, queryables: &Queryables) -> Result<(), FilterError> {
-    let checker = Checker { queryables };
-    checker.check(filter)
+    let validator = Validator { queryables };
+    validator.check(filter)
 }
 
 /// Validator of filters against queryables.
 #[derive(Clone, Copy)]
-struct Checker<'a> {
+struct Validator<'a> {
     queryables: &'a Queryables,
 }
 
-impl Checker<'_> {
+impl Validator<'_> {
     fn check(self, filter: &Filter) -> Result<(), FilterError> {
         match filter {
             Filter::And(parts) | Filter::Or(parts) => {
@@ -40,9 +42,9 @@
                     .try_for_each(|item| self.check_comparable(value, value_type, item))
             }
             Filter::IsNull(value) => self.check_property(value).map(drop),
-            Filter::Test(value) => match self.check_property(value)? {
+            Filter::BooleanProperty(value) => match self.check_property(value)? {
                 QueryableType::Bool | QueryableType::Any => Ok(()),
-                _ => fault(format!("{value} is neither true nor false")),
+                _ => filter_error(format!("{value} is neither true nor false")),
             },
             Filter::Spatial(_, left, right) => {
                 self.check_type(left, QueryableType::Geometry, "geometry")?;
@@ -61,13 +63,13 @@
         self,
         value: &Value,
         expected: QueryableType,
-        name: &str,
+        type_name: &str,
     ) -> Result<(), FilterError> {
         let found = self.type_of(value)?;
         if found == expected || found == QueryableType::Any {
             Ok(())
         } else {
-            fault(format!("{value} is no {name}"))
+            filter_error(format!("{value} is no {type_name}"))
         }
     }
 
@@ -80,18 +82,18 @@
     ) -> Result<(), FilterError> {
         let right_type = self.type_of(right)?;
         if !is_scalar(left_type) || !is_scalar(right_type) {
-            return fault(format!("{left} and {right} cannot be compared so"));
+            return filter_error(format!("{left} and {right} cannot be compared so"));
         }
         // A time may be written as text.
-        let time_as_text = matches!(
+        let is_time_as_text = matches!(
             (left_type, right_type),
             (QueryableType::Time, QueryableType::Text) | (QueryableType::Text, QueryableType::Time)
         );
-        let any = left_type == QueryableType::Any || right_type == QueryableType::Any;
-        if left_type == right_type || any || time_as_text {
+        let is_any = left_type == QueryableType::Any || right_type == QueryableType::Any;
+        if left_type == right_type || is_any || is_time_as_text {
             return Ok(());
         }
-        fault(format!("{left} and {right} are of different kinds"))
+        filter_error(format!("{left} and {right} are of different kinds"))
     }
 
     fn check_like(self, text: &Value, pattern: &Value) -> Result<(), FilterError> {
@@ -100,7 +102,7 @@
             pattern,
             Value::Text(_) | Value::Casei(_) | Value::Accenti(_)
         ) {
-            return fault(format!("{pattern} is no pattern"));
+            return filter_error(format!("{pattern} is no pattern"));
         }
         self.check_type(pattern, QueryableType::Text, "text")
     }
@@ -111,7 +113,7 @@
             value_type,
             QueryableType::Number | QueryableType::Time | QueryableType::Any
         ) {
-            return fault(format!("{value} is neither a number nor a time"));
+            return filter_error(format!("{value} is neither a number nor a time"));
         }
         bounds
             .into_iter()
@@ -122,7 +124,7 @@
     fn check_property(self, value: &Value) -> Result<QueryableType, FilterError> {
         match value {
             Value::Property(_) => self.type_of(value),
-            _ => fault(format!("{value} is no property")),
+            _ => filter_error(format!("{value} is no property")),
         }
     }
 
@@ -137,7 +139,7 @@
         // A date is an interval of a day.
         let is_instant = |value: &&Value| matches!(value, Value::Timestamp(_));
         match [left, right].into_iter().find(is_instant) {
-            Some(instant) if !relation.takes_instants() => fault(format!(
+            Some(instant) if !relation.allows_instants() => filter_error(format!(
                 "{} needs two intervals; {instant} is none",
                 relation.text()
             )),
@@ -152,9 +154,9 @@
             Value::Text(_) => Ok(QueryableType::Text),
             Value::Number(_) => Ok(QueryableType::Number),
             Value::Bool(_) => Ok(QueryableType::Bool),
-            Value::Date(text) => date(text),
-            Value::Timestamp(text) => timestamp(text),
-            Value::Interval(from, to) => self.interval(from.as_deref(), to.as_deref()),
+            Value::Date(text) => check_date(text),
+            Value::Timestamp(text) => check_timestamp(text),
+            Value::Interval(from, to) => self.check_interval(from.as_deref(), to.as_deref()),
             Value::Geometry(_) | Value::Bbox(_) => Ok(QueryableType::Geometry),
             Value::Array(items) => {
                 items
@@ -175,7 +177,7 @@
     }
 
     /// Checks the ends of an interval; an absent one is open.
-    fn interval(
+    fn check_interval(
         self,
         from: Option<&Value>,
         to: Option<&Value>,
@@ -186,7 +188,7 @@
         let from = from.and_then(constant_time);
         let to = to.and_then(constant_time);
         if from.zip(to).is_some_and(|(from, to)| from.from > to.to) {
-            return fault("an interval ends before it begins");
+            return filter_error("an interval ends before it begins");
         }
         Ok(QueryableType::Time)
     }
@@ -208,16 +210,16 @@
     }
 }
 
-fn date(text: &str) -> Result<QueryableType, FilterError> {
+fn check_date(text: &str) -> Result<QueryableType, FilterError> {
     match parse_instant(text) {
         Some(span) if !span.is_instant() => Ok(QueryableType::Time),
-        _ => fault(format!("{text:?} is no date")),
+        _ => filter_error(format!("{text:?} is no date")),
     }
 }
 
-fn timestamp(text: &str) -> Result<QueryableType, FilterError> {
+fn check_timestamp(text: &str) -> Result<QueryableType, FilterError> {
     match parse_instant(text) {
         Some(span) if span.is_instant() => Ok(QueryableType::Time),
-        _ => fault(format!("{text:?} is no timestamp")),
+        _ => filter_error(format!("{text:?} is no timestamp")),
     }
 }
--- a/src/front/ogc/filter_bounds.rs
+++ b/src/front/ogc/filter_bounds.rs
@@ -7,7 +7,7 @@
 /// latitudes.
 pub(super) fn is_on_globe(filter: &Filter) -> bool {
     let mut on_globe = true;
-    filter.each_value(&mut |value| match value {
+    filter.for_each_value(&mut |value| match value {
         Value::Geometry(geometry) => {
             on_globe &= geometry.coords_iter().all(|c| is_position(c.x, c.y))
         }
--- a/src/front/ogc/params/items.rs
+++ b/src/front/ogc/params/items.rs
@@ -94,7 +94,7 @@
                 rules.queryables,
             )?;
         }
-        Ok(Filter::all(
+        Ok(Filter::conjunction(
             filter.into_iter().chain(self.conditions).collect(),
         ))
     }
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -91,7 +91,7 @@
             // Pushed down only if servers can evaluate all of it: the merge leaves out features
             // before the position in any case.
             if split(&after, capabilities).residual.is_none() {
-                filter = Filter::all(filter.into_iter().chain([after]).collect());
+                filter = Filter::conjunction(filter.into_iter().chain([after]).collect());
             }
         }
         if let Some(filter) = filter {
@@ -221,7 +221,7 @@
             Filter::IsNull(Value::Property(key.property.to_owned())),
         ])
     });
-    Filter::all(conditions)
+    Filter::conjunction(conditions)
 }
 
 fn literal(value: &Json) -> Option<Value> {
