--- a/src/front/ogc/cql2/conformance.rs
+++ b/src/front/ogc/cql2/conformance.rs
@@ -1,4 +1,5 @@
-//! Conformance classes that a server needs to evaluate a filter (OGC 21-065r2, clause 7).
+//! The conformance classes that a server must declare to evaluate a filter (OGC 21-065r2, clause
+//! 7).
 
 use super::{Filter, SpatialRelation, Value};
 use geo::Geometry;
@@ -7,21 +8,21 @@
 /// Conformance classes by the last segments of their URIs.
 type Classes = BTreeSet<&'static str>;
 
-/// Class of comparisons whose operands are not a property and a constant, in this order.
+/// Conformance class of operators whose operands are not a property and a constant, in this order.
 const PROPERTY_PROPERTY: &str = "property-property";
 
-/// Returns the conformance classes that a filter needs, by the last segments of their URIs.
+/// Returns the conformance classes that a filter requires, by the last segments of their URIs.
 pub(super) fn required_classes(filter: &Filter) -> Classes {
     let mut classes = Classes::new();
     add_classes(filter, &mut classes);
     classes
 }
 
-/// Adds the classes of a filter and of its parts.
+/// Adds the classes that a filter and its children require.
 fn add_classes(filter: &Filter, classes: &mut Classes) {
     classes.insert("basic-cql2");
-    for part in filter.parts() {
-        add_classes(part, classes);
+    for child in filter.children() {
+        add_classes(child, classes);
     }
     add_operator_classes(filter, classes);
     for value in filter.values() {
@@ -29,7 +30,7 @@
     }
 }
 
-/// Adds the classes of a filter's own operator.
+/// Adds the classes that a filter's own operator requires with its operands.
 fn add_operator_classes(filter: &Filter, classes: &mut Classes) {
     match filter {
         Filter::Compare(_, left, right) => add_operand_class(left, is_constant(right), classes),
@@ -56,14 +57,14 @@
     }
 }
 
-/// Adds the class that operands need unless they are a property and a constant.
+/// Adds the class that operands require unless they are a property and a constant.
 fn add_operand_class(left: &Value, right_is_constant: bool, classes: &mut Classes) {
     if !is_property(left) || !right_is_constant {
         classes.insert(PROPERTY_PROPERTY);
     }
 }
 
-/// Returns the class of a spatial relation with these operands.
+/// Returns the class that a spatial relation with these operands requires.
 fn spatial_class(relation: SpatialRelation, left: &Value, right: &Value) -> &'static str {
     let is_simple = matches!(right, Value::Geometry(Geometry::Point(_)) | Value::Bbox(_));
     match relation {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns the class that a value needs by itself.
+/// Returns the class that a value requires as an operand of any operator.
 fn value_class(value: &Value) -> Option<&'static str> {
     match value {
         Value::Arithmetic(..) => Some("arithmetic"),
--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -1,4 +1,5 @@
-//! Evaluation of a filter on a feature: true, false, or unknown (`None`) where a value is missing.
+//! Evaluation of a filter on a feature: true, false, or unknown (`None`) if a required value is
+//! missing or of the wrong type.
 
 mod pattern;
 mod spatial;
@@ -20,8 +21,9 @@
 pub struct Feature<'a>(pub &'a Json);
 
 impl<'a> Feature<'a> {
-    /// Returns the value of a name: a property, else `id`, else the geometry under its usual names.
-    /// A null is `None`.
+    /// Returns the property of this name; if there is none, the feature's identifier for `id`, or
+    /// its geometry for a usual name of the main geometry. Returns `None` for a missing or null
+    /// value.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<&'a Json> {
         let found = self.0["properties"].get(name).or_else(|| match name {
@@ -33,12 +35,12 @@
     }
 }
 
-/// Returns whether a name is a usual one of the main geometry.
+/// Returns whether a name is one of the usual names of the main geometry.
 pub(super) fn is_main_geometry(name: &str) -> bool {
     matches!(name, "geometry" | "geom")
 }
 
-/// Filter that is applied to features.
+/// A filter that is evaluated on features.
 #[derive(Debug, Clone)]
 pub struct Matcher {
     filter: Filter,
@@ -51,14 +53,14 @@
         Matcher { filter }
     }
 
-    /// Returns whether the filter is true of a feature. A feature of which it is unknown doesn't
+    /// Returns whether the filter is true for a feature. A feature for which it is unknown doesn't
     /// match.
     #[must_use]
     pub fn matches(&self, feature: &Json) -> bool {
         evaluate(&self.filter, &Feature(feature)) == Some(true)
     }
 
-    /// Returns whether the filter is true of a feature as text. Text that is not JSON doesn't
+    /// Returns whether the filter is true for a feature as JSON text. Text that is not JSON doesn't
     /// match.
     #[must_use]
     pub fn matches_text(&self, feature: &[u8]) -> bool {
@@ -69,9 +71,11 @@
 /// Returns the truth of a filter for a feature, or `None` if it is unknown.
 fn evaluate(filter: &Filter, feature: &Feature<'_>) -> Option<bool> {
     match filter {
-        Filter::And(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), false),
-        Filter::Or(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), true),
-        Filter::Not(part) => evaluate(part, feature).map(|truth| !truth),
+        Filter::And(children) => {
+            decide(children.iter().map(|child| evaluate(child, feature)), false)
+        }
+        Filter::Or(children) => decide(children.iter().map(|child| evaluate(child, feature)), true),
+        Filter::Not(child) => evaluate(child, feature).map(|truth| !truth),
         Filter::Constant(truth) => Some(*truth),
         Filter::Compare(operator, left, right) => {
             let left = EvaluatedValue::evaluate(left, feature)?;
@@ -122,7 +126,7 @@
     Some(is_above && value.compare(&high)? != Ordering::Greater)
 }
 
-/// Returns whether a value is equal to one of a list, or `None` if it is unknown.
+/// Returns whether a value is equal to an item of a list, or `None` if it is unknown.
 fn is_in(value: &Value, items: &[Value], feature: &Feature<'_>) -> Option<bool> {
     let value = EvaluatedValue::evaluate(value, feature)?;
     let is_equal = |item| {
@@ -149,21 +153,22 @@
     }
 }
 
-/// Combines conditions of which one with the truth `decisive` decides: `false` for AND, `true` for
-/// OR. Returns `None` if none decides and one is unknown.
+/// Returns the truth of a conjunction (`decisive` is false) or disjunction (`decisive` is true), or
+/// `None` if it is unknown. One condition with the truth `decisive` determines the result, whatever
+/// the others are; otherwise it is unknown if any condition is.
 fn decide(conditions: impl Iterator<Item = Option<bool>>, decisive: bool) -> Option<bool> {
-    let mut unknown = false;
+    let mut is_any_unknown = false;
     for condition in conditions {
         match condition {
             Some(truth) if truth == decisive => return Some(decisive),
             Some(_) => {}
-            None => unknown = true,
+            None => is_any_unknown = true,
         }
     }
-    (!unknown).then_some(!decisive)
+    (!is_any_unknown).then_some(!decisive)
 }
 
-/// Returns whether the order of two values satisfies a comparison.
+/// Returns whether a comparison is true for two values in this order.
 fn satisfies(operator: ComparisonOperator, order: Ordering) -> bool {
     match operator {
         ComparisonOperator::Equal => order == Ordering::Equal,
@@ -185,7 +190,7 @@
     }
 }
 
-/// Returns the time span of an operand, or `None` if it is unknown or ends before it begins.
+/// Returns the time span of an operand, or `None` if it is unknown or its end is before its start.
 fn time_span(value: &Value, feature: &Feature<'_>) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
--- a/src/front/ogc/cql2/eval/pattern.rs
+++ b/src/front/ogc/cql2/eval/pattern.rs
@@ -1,9 +1,9 @@
-//! Pattern matching of `LIKE`.
+//! Pattern matching for `LIKE`.
 
 /// Element of a pattern.
 #[derive(PartialEq)]
 enum PatternElement {
-    /// `%`: any text, including the empty one.
+    /// `%`: any number of characters, including none.
     AnyText,
     /// `_`: exactly one character.
     AnyCharacter,
@@ -11,20 +11,21 @@
     Character(char),
 }
 
-/// Position at which matching resumes after a mismatch: the last `%` then takes one character more.
+/// Position to which matching returns after a mismatch, to match the last `%` with one more
+/// character.
 #[derive(Clone, Copy)]
 struct Backtrack {
     /// Index of the `%` among the elements.
     element: usize,
-    /// Index of the first character after those that the `%` takes.
+    /// Index of the first character after those that the `%` matches.
     character: usize,
 }
 
-/// Returns whether a text matches a pattern, in which `%` is any text, `_` is one character, and a
-/// backslash escapes the next character.
+/// Returns whether a text matches a pattern, in which `%` matches any number of characters, `_`
+/// matches one character, and a backslash escapes the next character.
 ///
-/// The match is greedy and backtracks to the last `%` only, so the number of steps is at most the
-/// product of the two lengths.
+/// Each `%` first matches no characters. After a mismatch only the last `%` is extended, so the
+/// number of steps is at most the product of the two lengths.
 pub(super) fn matches(text: &str, pattern: &str) -> bool {
     let elements = parse(pattern);
     let text: Vec<char> = text.chars().collect();
--- a/src/front/ogc/cql2/eval/spatial.rs
+++ b/src/front/ogc/cql2/eval/spatial.rs
@@ -4,7 +4,8 @@
 use crate::front::ogc::cql2::SpatialRelation;
 use geo::{Geometry, Intersects, MultiPolygon, Polygon, Rect, Relate};
 
-/// Returns whether a spatial relation holds. The envelopes are compared first, which is cheap.
+/// Returns whether a spatial relation holds between two geometries. Their bounding boxes are
+/// compared first, which is cheaper than comparing the geometries.
 pub(super) fn relates(relation: SpatialRelation, a: &Geometry<f64>, b: &Geometry<f64>) -> bool {
     let (Some(envelope_a), Some(envelope_b)) = (envelope(a), envelope(b)) else {
         return relation == SpatialRelation::Disjoint;
@@ -24,8 +25,8 @@
     }
 }
 
-/// Returns the area of a box of four numbers, or six with heights: two polygons if it spans the
-/// antimeridian.
+/// Returns the area of a box of four numbers, or of six with heights: one polygon, or two if the
+/// box spans the antimeridian.
 pub(super) fn bbox_geometry(bbox: &[f64]) -> Geometry<f64> {
     let (west, south, east, north) = match *bbox {
         [west, south, _, east, north, _] => (west, south, east, north),
--- a/src/front/ogc/cql2/eval/time_span.rs
+++ b/src/front/ogc/cql2/eval/time_span.rs
@@ -4,10 +4,11 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// Length of a day in nanoseconds.
+/// Length of a day, in nanoseconds.
 const DAY_NS: i128 = 86_400_000_000_000;
 
-/// Time span in Unix nanoseconds, both ends included; the two ends of an instant are equal.
+/// Time span, including both ends, in nanoseconds since the Unix epoch. The two ends of an instant
+/// are equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeSpan {
     /// The first nanosecond.
@@ -17,13 +18,14 @@
 }
 
 impl TimeSpan {
-    /// Returns whether both ends are the same.
+    /// Returns whether both ends are equal.
     pub fn is_instant(self) -> bool {
         self.from == self.to
     }
 }
 
-/// Parses a date, which is the span of its day, or an instant (RFC 3339).
+/// Parses a date, which results in the span of its day in UTC, or a timestamp (RFC 3339). Returns
+/// `None` if the text is neither.
 pub fn parse_instant(text: &str) -> Option<TimeSpan> {
     if text.len() == DATE_LENGTH_BYTES {
         let midnight = OffsetDateTime::parse(&format!("{text}T00:00:00Z"), &Rfc3339).ok()?;
--- a/src/front/ogc/cql2/eval/value.rs
+++ b/src/front/ogc/cql2/eval/value.rs
@@ -16,12 +16,12 @@
     Bool(bool),
     Time(TimeSpan),
     Array(Vec<EvaluatedValue<'a>>),
-    /// A value that can't be compared.
+    /// A value that cannot be compared.
     Other,
 }
 
 impl<'a> EvaluatedValue<'a> {
-    /// Evaluates an operand; `None` is unknown.
+    /// Evaluates an operand for a feature. Returns `None` if the value is unknown.
     pub(super) fn evaluate(value: &'a Value, feature: &Feature<'a>) -> Option<Self> {
         match value {
             Value::Property(name) => feature.value(name).map(EvaluatedValue::from_json),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Converts a value of a feature.
+    /// Converts the value of a feature's property.
     fn from_json(value: &'a Json) -> Self {
         match value {
             Json::String(text) => EvaluatedValue::Text(text.as_str().into()),
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Compares two values; `None` if they can't be compared. Times of features are texts.
+    /// Compares two values by order. Returns `None` if they cannot be compared. A text can be
+    /// compared with a time, since the times of features are texts.
     pub(super) fn compare(&self, other: &EvaluatedValue<'_>) -> Option<Ordering> {
         match (self, other) {
             (EvaluatedValue::Number(a), EvaluatedValue::Number(b)) => a.partial_cmp(b),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Returns whether two values are equal; arrays are equal as sets.
+    /// Returns whether two values are equal. Arrays are compared as sets.
     fn equals(&self, other: &EvaluatedValue<'_>) -> bool {
         match (self, other) {
             (EvaluatedValue::Array(a), EvaluatedValue::Array(b)) => {
@@ -115,11 +116,12 @@
     }
 }
 
-/// Returns whether every item of `a` equals one of `b`.
+/// Returns whether every item of `a` equals an item of `b`.
 fn is_subset(a: &[EvaluatedValue<'_>], b: &[EvaluatedValue<'_>]) -> bool {
     a.iter().all(|item| contains(b, item))
 }
 
+/// Returns whether an item equals one of `items`.
 fn contains(items: &[EvaluatedValue<'_>], item: &EvaluatedValue<'_>) -> bool {
     items.iter().any(|other| item.equals(other))
 }
@@ -146,7 +148,7 @@
     result.is_finite().then_some(result)
 }
 
-/// Returns a text without the accents of its letters (Unicode combining marks).
+/// Returns a text without accents: without combining marks, after canonical decomposition.
 fn without_accents(text: &str) -> String {
     text.nfd()
         .filter(|character| !is_combining_mark(*character))
--- a/src/front/ogc/cql2/geometry.rs
+++ b/src/front/ogc/cql2/geometry.rs
@@ -1,4 +1,5 @@
-//! Geometries: their construction, GeoJSON and well-known text, and their measures.
+//! Geometries: their construction, GeoJSON, well-known text (WKT), number of points and bounding
+//! box.
 
 use super::{filter_error, FilterError};
 use geo::{
@@ -8,7 +9,7 @@
 use serde_json::{json, Value as Json};
 use std::fmt::Write as _;
 
-/// Deepest nesting of collections.
+/// Maximum depth of nested geometry collections.
 const MAX_COLLECTION_DEPTH: usize = 4;
 
 /// Returns the number of points of a geometry.
@@ -22,11 +23,11 @@
     geometry.bounding_rect()
 }
 
-/// Creates a ring of a polygon.
+/// Builds a ring of a polygon.
 ///
 /// # Errors
 ///
-/// Fails if there are fewer than four points or the last one is not the first.
+/// Fails if there are fewer than four points, or the last one is not equal to the first.
 pub fn build_ring(points: Vec<Coord<f64>>) -> Result<LineString<f64>, FilterError> {
     if points.len() < 4 || points.first() != points.last() {
         return filter_error("a ring needs four points or more and must end where it began");
@@ -34,11 +35,11 @@
     Ok(LineString(points))
 }
 
-/// Creates a polygon of its outer ring and its holes.
+/// Builds a polygon from its outer ring, which is first in the list, and its holes.
 ///
 /// # Errors
 ///
-/// Fails without a ring.
+/// Fails if the list is empty.
 pub fn build_polygon(rings: Vec<LineString<f64>>) -> Result<Polygon<f64>, FilterError> {
     let mut rings = rings.into_iter();
     let Some(outer) = rings.next() else {
@@ -47,7 +48,7 @@
     Ok(Polygon::new(outer, rings.collect()))
 }
 
-/// Creates a line.
+/// Builds a line.
 ///
 /// # Errors
 ///
@@ -59,19 +60,19 @@
     Ok(LineString(points))
 }
 
-/// Parses a position; its height, if any, is discarded.
+/// Parses a position of two coordinates, or of three with the height, which is discarded.
 fn parse_position(json: &Json) -> Result<Coord<f64>, FilterError> {
     let numbers: Option<Vec<f64>> = json
         .as_array()
         .and_then(|a| a.iter().map(Json::as_f64).collect());
     match numbers.as_deref() {
-        // No relation here considers heights.
+        // No spatial relation considers heights.
         Some([x, y] | [x, y, _]) => Ok(Coord { x: *x, y: *y }),
         _ => filter_error("a position needs two or three numbers"),
     }
 }
 
-/// Parses the items of a JSON array by `parse_item`.
+/// Parses each item of a JSON array with `parse_item`.
 fn parse_list<T>(
     json: &Json,
     parse_item: impl Fn(&Json) -> Result<T, FilterError>,
@@ -93,12 +94,12 @@
 ///
 /// # Errors
 ///
-/// Fails if the JSON is not a geometry, or collections are nested too deep.
+/// Fails if the JSON is not a geometry, or geometry collections are nested too deep.
 pub fn parse_geojson(json: &Json) -> Result<Geometry<f64>, FilterError> {
     parse_geometry(json, 0)
 }
 
-/// Parses a geometry at a depth of nested collections, counted from 0.
+/// Parses a geometry that is nested within `depth` geometry collections.
 fn parse_geometry(json: &Json, depth: usize) -> Result<Geometry<f64>, FilterError> {
     if depth > MAX_COLLECTION_DEPTH {
         return filter_error("geometry collections are nested too deep");
@@ -156,7 +157,7 @@
             let members: Vec<Json> = c.0.iter().map(to_geojson).collect();
             json!({"type": "GeometryCollection", "geometries": members})
         }
-        // The parsers make none of these.
+        // The parsers create no geometries of these types.
         Geometry::Line(l) => geojson("LineString", json!([position(&l.start), position(&l.end)])),
         Geometry::Rect(r) => geojson("Polygon", rings(&r.to_polygon())),
         Geometry::Triangle(t) => geojson("Polygon", rings(&t.to_polygon())),
--- a/src/front/ogc/cql2/json.rs
+++ b/src/front/ogc/cql2/json.rs
@@ -1,4 +1,5 @@
-//! CQL2 JSON: parsing and writing by the standard's schema (OGC 21-065r2, clause 7 and annex B).
+//! CQL2 JSON: parsing and writing of filters by the standard's schema (OGC 21-065r2, clause 7 and
+//! annex B).
 
 use super::geometry::{parse_geojson, to_geojson};
 use super::text::{flatten, Junction};
@@ -15,22 +16,23 @@
 ///
 /// # Errors
 ///
-/// Fails if the text is not JSON, not a filter, or a filter beyond the limits.
+/// Fails if the text is not JSON or not a filter, or if the filter exceeds a limit on its size or
+/// depth.
 pub fn parse_json(text: &str) -> Parsed<Filter> {
     let json: Json = serde_json::from_str(text).map_err(|e| FilterError(e.to_string()))?;
     from_json(&json)
 }
 
-/// Parses a filter from JSON that was parsed already.
+/// Parses a filter from a JSON value.
 ///
 /// # Errors
 ///
-/// Fails if the JSON is not a filter, or a filter beyond the limits.
+/// Fails if the JSON is not a filter, or if the filter exceeds a limit on its size or depth.
 pub fn from_json(json: &Json) -> Parsed<Filter> {
     parse_condition(json, 1)?.within_limits()
 }
 
-/// Checks a depth of nesting against the limit.
+/// Checks that a depth of nesting does not exceed the limit.
 fn check_depth(depth: usize) -> Parsed<()> {
     if depth > MAX_DEPTH {
         return filter_error(format!("it is nested more than {MAX_DEPTH} deep"));
@@ -83,12 +85,12 @@
     }
 }
 
-/// An operator and its arguments.
+/// An operator or function with its arguments.
 struct Operation<'a> {
-    /// Name of the operator.
+    /// Name of the operator or function.
     op: &'a str,
     args: &'a [Json],
-    /// Depth of nesting, counted from 1.
+    /// Depth of nesting of the operation itself, counted from 1.
     depth: usize,
 }
 
@@ -112,6 +114,7 @@
             .or_else(|_| filter_error(format!("{} needs {N} args", self.op)))
     }
 
+    /// Parses the arguments as exactly two values.
     fn parse_two_values(&self) -> Parsed<(Value, Value)> {
         let [left, right] = self.parse_values::<2>()?;
         Ok((left, right))
@@ -128,6 +131,7 @@
             .collect()
     }
 
+    /// Parses the arguments of `in`: a value and a list of values.
     fn parse_in_list(&self) -> Parsed<Filter> {
         let [operand, list] = self.exact_args::<2>()?;
         let Some(list) = list.as_array().filter(|list| !list.is_empty()) else {
@@ -144,7 +148,7 @@
     fn parse_relation(&self) -> Parsed<Filter> {
         if let Some(operator) = ComparisonOperator::ALL
             .iter()
-            .find(|known| known.json() == self.op)
+            .find(|candidate| candidate.json() == self.op)
         {
             return self
                 .parse_two_values()
@@ -152,7 +156,7 @@
         }
         if let Some(relation) = SpatialRelation::ALL
             .iter()
-            .find(|known| known.json() == self.op)
+            .find(|candidate| candidate.json() == self.op)
         {
             return self
                 .parse_two_values()
@@ -160,7 +164,7 @@
         }
         if let Some(relation) = TemporalRelation::ALL
             .iter()
-            .find(|known| known.json() == self.op)
+            .find(|candidate| candidate.json() == self.op)
         {
             return self
                 .parse_two_values()
@@ -168,7 +172,7 @@
         }
         if let Some(relation) = ArrayRelation::ALL
             .iter()
-            .find(|known| known.json() == self.op)
+            .find(|candidate| candidate.json() == self.op)
         {
             return self
                 .parse_two_values()
@@ -178,7 +182,7 @@
     }
 }
 
-/// Parses a value at a depth of nesting.
+/// Parses a value at a depth of nesting, counted from 1.
 fn parse_value(json: &Json, depth: usize) -> Parsed<Value> {
     check_depth(depth)?;
     match json {
@@ -197,7 +201,7 @@
     }
 }
 
-/// Parses a value that is an object, distinguished by its members.
+/// Parses a value that is an object. Its members determine the type of the value.
 fn parse_object(json: &Json, object: &Map<String, Json>, depth: usize) -> Parsed<Value> {
     let text = |key: &str| object.get(key).and_then(Json::as_str).map(str::to_owned);
     if let Some(name) = text("property") {
@@ -248,7 +252,7 @@
     }
 }
 
-/// Parses an operator or a function that results in a value.
+/// Parses an arithmetic operator or a function of a text.
 fn parse_operation(json: &Json, depth: usize) -> Parsed<Value> {
     let (Some(op), Some(args)) = (json["op"].as_str(), json["args"].as_array()) else {
         return filter_error("a value is none that is known");
@@ -263,7 +267,7 @@
             .map(|[text]| Value::Accenti(Box::new(text))),
         op => match ArithmeticOperator::ALL
             .iter()
-            .find(|known| known.json() == op)
+            .find(|candidate| candidate.json() == op)
         {
             Some(operator) => {
                 let (left, right) = operation.parse_two_values()?;
@@ -278,7 +282,7 @@
     }
 }
 
-/// Parses an end of an interval; `None` is open.
+/// Parses an end of an interval. Returns `None` if the interval is open at this end.
 fn parse_interval_end(json: &Json, depth: usize) -> Parsed<Option<Box<Value>>> {
     let end = match json.as_str() {
         Some(".." | "") => return Ok(None),
@@ -297,8 +301,8 @@
 pub fn to_json(filter: &Filter) -> Json {
     let op = |op: &str, args: Vec<Json>| json!({"op": op, "args": args});
     match filter {
-        Filter::And(parts) => op("and", parts.iter().map(to_json).collect()),
-        Filter::Or(parts) => op("or", parts.iter().map(to_json).collect()),
+        Filter::And(children) => op("and", children.iter().map(to_json).collect()),
+        Filter::Or(children) => op("or", children.iter().map(to_json).collect()),
         Filter::Not(inner) => op("not", vec![to_json(inner)]),
         Filter::Constant(truth) => json!(truth),
         Filter::Compare(operator, a, b) => {
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -1,8 +1,9 @@
-//! CQL2 (OGC 21-065r2): filters as a typed tree, parsed from text and from JSON, and printed as
-//! either.
+//! CQL2 (Common Query Language, OGC 21-065r2): filters as a typed tree, parsed from text and from
+//! JSON, and printed as either.
 //!
-//! This module owns the tree, its limits, its validation against queryables, its evaluation on a
-//! feature, and its pushdown to servers. Requests to servers are left to the rest of the front.
+//! This module contains the tree, its limits, its validation against queryables, its evaluation on
+//! a feature, and its pushdown to feature servers. It sends no requests: the rest of the front
+//! does.
 
 mod conformance;
 mod eval;
@@ -24,16 +25,16 @@
 
 use geo::Geometry;
 
-/// Deepest nesting of a filter.
+/// Maximum depth of nesting of a filter.
 pub const MAX_DEPTH: usize = 24;
-/// Most nodes of a filter's tree, not counting points of geometries.
+/// Maximum number of nodes of a filter's tree, not counting the points of geometries.
 pub const MAX_NODES: usize = 2_000;
-/// Most points of all geometries of a filter.
+/// Maximum number of points of all geometries of a filter together.
 pub const MAX_POINTS: usize = 20_000;
-/// Length of a date such as `2026-12-01`, in characters.
+/// Length of a date such as `2026-12-01`, in bytes.
 const DATE_LENGTH_BYTES: usize = 10;
 
-/// Message to the client that wrote a malformed filter.
+/// Malformed filter, with the message to the client that sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FilterError(pub String);
 
@@ -45,12 +46,12 @@
 
 impl std::error::Error for FilterError {}
 
-/// Returns an error with a message.
-fn filter_error<T>(why: impl Into<String>) -> Result<T, FilterError> {
-    Err(FilterError(why.into()))
+/// Returns an error with this message to the client.
+fn filter_error<T>(message: impl Into<String>) -> Result<T, FilterError> {
+    Err(FilterError(message.into()))
 }
 
-/// A condition that is true, false or unknown of a feature.
+/// A condition that is true, false or unknown for a feature.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Filter {
     /// Conjunction of two conditions or more.
@@ -65,11 +66,11 @@
     Compare(ComparisonOperator, Value, Value),
     /// Match of a text against a pattern with `%`, `_` and `\`.
     Like(Value, Value),
-    /// Test that a number lies between two others, both included.
+    /// Test that the first value lies between the two others, both included.
     Between(Value, Value, Value),
-    /// Test that a value is equal to one of a list.
+    /// Test that a value is equal to an item of a list.
     In(Value, Vec<Value>),
-    /// Test that a value is missing.
+    /// Test that a property is missing or null.
     IsNull(Value),
     /// Spatial relation between two geometries.
     Spatial(SpatialRelation, Value, Value),
@@ -77,7 +78,7 @@
     Temporal(TemporalRelation, Value, Value),
     /// Relation between two arrays.
     Array(ArrayRelation, Value, Value),
-    /// Boolean property as a condition.
+    /// Boolean property that stands for a condition by itself.
     BooleanProperty(Value),
 }
 
@@ -100,15 +101,16 @@
     Interval(Option<Box<Value>>, Option<Box<Value>>),
     /// A geometry.
     Geometry(Geometry<f64>),
-    /// Box: west, south, east, north, or six numbers with the lowest and highest heights.
+    /// Box: west, south, east, north; or six numbers, with the lowest height after south and the
+    /// highest height after north.
     Bbox(Vec<f64>),
     /// An array.
     Array(Vec<Value>),
     /// Result of an operator on two numbers.
     Arithmetic(ArithmeticOperator, Box<Value>, Box<Value>),
-    /// Text without its case.
+    /// Text for a comparison that ignores case.
     Casei(Box<Value>),
-    /// Text without its accents.
+    /// Text for a comparison that ignores accents.
     Accenti(Box<Value>),
 }
 
@@ -124,12 +126,12 @@
         impl $name {
             /// All values of the type.
             pub const ALL: &'static [$name] = &[$($name::$variant),*];
-            /// Returns the name in CQL2 text.
+            /// Returns the name of the operator in CQL2 text.
             #[must_use]
             pub fn text(self) -> &'static str {
                 match self { $($name::$variant => $text),* }
             }
-            /// Returns the name in CQL2 JSON.
+            /// Returns the name of the operator in CQL2 JSON.
             #[must_use]
             pub fn json(self) -> &'static str {
                 match self { $($name::$variant => $json),* }
@@ -162,7 +164,7 @@
     }
 }
 operators! {
-    /// Spatial relation of the dimensionally extended nine-intersection model.
+    /// Spatial relation of the dimensionally extended nine-intersection model (DE-9IM).
     SpatialRelation {
         Intersects "S_INTERSECTS" "s_intersects",
         Equals "S_EQUALS" "s_equals",
@@ -220,7 +222,7 @@
 }
 
 impl Filter {
-    /// Returns the operands, in order.
+    /// Returns the filter's own operands, in order.
     #[must_use]
     pub fn values(&self) -> Vec<&Value> {
         match self {
@@ -238,18 +240,20 @@
 
     /// Returns the conditions that the filter joins or negates.
     #[must_use]
-    pub fn parts(&self) -> &[Filter] {
+    pub fn children(&self) -> &[Filter] {
         match self {
-            Filter::And(parts) | Filter::Or(parts) => parts,
-            Filter::Not(part) => std::slice::from_ref(part),
+            Filter::And(children) | Filter::Or(children) => children,
+            Filter::Not(child) => std::slice::from_ref(child),
             _ => &[],
         }
     }
 
-    /// Calls `visit` for every operand of the filter and of its parts, inner operands too.
+    /// Calls `visit` for every operand in the filter's tree, including operands of operands.
     pub fn for_each_value<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
         self.values().into_iter().for_each(|v| v.for_each(visit));
-        self.parts().iter().for_each(|p| p.for_each_value(visit));
+        self.children()
+            .iter()
+            .for_each(|child| child.for_each_value(visit));
     }
 
     /// Returns the names of the properties that the filter refers to.
@@ -264,22 +268,23 @@
         names
     }
 
-    /// Returns the conjunction of several conditions, or `None` if there are none.
+    /// Returns the conjunction of the conditions (a single condition as it is), or `None` if there
+    /// are none.
     #[must_use]
-    pub fn conjunction(mut parts: Vec<Filter>) -> Option<Filter> {
-        match parts.len() {
+    pub fn conjunction(mut conditions: Vec<Filter>) -> Option<Filter> {
+        match conditions.len() {
             0 => None,
-            1 => parts.pop(),
-            _ => Some(Filter::And(parts)),
+            1 => conditions.pop(),
+            _ => Some(Filter::And(conditions)),
         }
     }
 
-    /// Returns the relative cost of evaluating the filter on a feature: one for each node and for
-    /// each hundred points of its geometries.
+    /// Returns the relative cost of evaluating the filter on a feature: 1 for each node and 1 for
+    /// each 100 points of a geometry.
     #[must_use]
     pub fn evaluation_cost(&self) -> usize {
         let mut cost = 1 + self
-            .parts()
+            .children()
             .iter()
             .map(Filter::evaluation_cost)
             .sum::<usize>();
@@ -297,13 +302,13 @@
     /// Returns the number of conditions in the filter, including itself.
     fn condition_count(&self) -> usize {
         1 + self
-            .parts()
+            .children()
             .iter()
             .map(Filter::condition_count)
             .sum::<usize>()
     }
 
-    /// Returns the filter if it is within the limits on nodes and points.
+    /// Returns the filter if its nodes and points do not exceed the limits, else an error.
     fn within_limits(self) -> Result<Self, FilterError> {
         let mut nodes = self.condition_count();
         let mut points = 0;
@@ -324,7 +329,7 @@
 }
 
 impl Value {
-    /// Calls `visit` for the value and its inner values.
+    /// Calls `visit` for the value and all values within it.
     fn for_each<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
         visit(self);
         match self {
--- a/src/front/ogc/cql2/print.rs
+++ b/src/front/ogc/cql2/print.rs
@@ -1,4 +1,4 @@
-//! Printing of filters as CQL2 text, which parses to the same tree again.
+//! Printing of filters as CQL2 text. Parsing the text results in an equal tree.
 
 use super::geometry::to_wkt;
 use super::{Filter, Value};
@@ -6,16 +6,21 @@
 
 impl fmt::Display for Filter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let inner = |part: &Filter| match part {
-            Filter::And(_) | Filter::Or(_) => format!("({part})"),
-            part => part.to_string(),
+        let inner = |child: &Filter| match child {
+            Filter::And(_) | Filter::Or(_) => format!("({child})"),
+            child => child.to_string(),
+        };
+        let joined = |children: &[Filter], separator: &str| {
+            children
+                .iter()
+                .map(inner)
+                .collect::<Vec<_>>()
+                .join(separator)
         };
-        let joined =
-            |parts: &[Filter], by: &str| parts.iter().map(inner).collect::<Vec<_>>().join(by);
         match self {
-            Filter::And(parts) => f.write_str(&joined(parts, " AND ")),
-            Filter::Or(parts) => f.write_str(&joined(parts, " OR ")),
-            Filter::Not(part) => write!(f, "NOT ({part})"),
+            Filter::And(children) => f.write_str(&joined(children, " AND ")),
+            Filter::Or(children) => f.write_str(&joined(children, " OR ")),
+            Filter::Not(child) => write!(f, "NOT ({child})"),
             Filter::Constant(b) => f.write_str(if *b { "TRUE" } else { "FALSE" }),
             Filter::Compare(op, a, b) => write!(f, "{a} {} {b}", op.text()),
             Filter::Like(a, b) => write!(f, "{a} LIKE {b}"),
@@ -30,6 +35,7 @@
     }
 }
 
+/// The items after `IN`, printed in parentheses.
 struct List<'a>(&'a [Value]);
 
 impl fmt::Display for List<'_> {
@@ -39,21 +45,22 @@
     }
 }
 
-/// Returns a text literal. A quotation mark is doubled, except after a backslash: the parser reads
-/// the two as an escaped mark.
+/// Returns a text as a literal. A quotation mark is doubled, but one after a backslash gets a
+/// second backslash instead, since the parser reads a backslash and a quotation mark as an escaped
+/// one.
 fn quoted(text: &str) -> String {
-    let mut out = String::from("'");
-    let mut before = ' ';
+    let mut literal = String::from("'");
+    let mut previous = ' ';
     for c in text.chars() {
-        match (before, c) {
-            ('\\', '\'') => out.push_str("\\'"),
-            (_, '\'') => out.push_str("''"),
-            (_, c) => out.push(c),
+        match (previous, c) {
+            ('\\', '\'') => literal.push_str("\\'"),
+            (_, '\'') => literal.push_str("''"),
+            (_, c) => literal.push(c),
         }
-        before = c;
+        previous = c;
     }
-    out.push('\'');
-    out
+    literal.push('\'');
+    literal
 }
 
 impl fmt::Display for Value {
@@ -64,7 +71,7 @@
             Some(other) => other.to_string(),
         };
         match self {
-            // Always quoted, since any name may be a keyword of some dialect.
+            // The name is always quoted, since any name may be a keyword of a server's dialect.
             Value::Property(name) => write!(f, "\"{name}\""),
             Value::Text(text) => f.write_str(&quoted(text)),
             Value::Number(n) => write!(f, "{n}"),
@@ -78,8 +85,8 @@
                 write!(f, "BBOX({})", numbers.join(","))
             }
             Value::Array(list) => {
-                // An array element whose outermost brackets enclose all of it would parse as an
-                // array.
+                // An arithmetic element is printed without its outermost parentheses, since an
+                // element that is completely enclosed in parentheses would parse as an array.
                 let element = |v: &Value| match v {
                     Value::Arithmetic(op, a, b) => format!("{a} {} {b}", op.text()),
                     v => v.to_string(),
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -1,5 +1,5 @@
-//! Filter pushdown: the division of a filter into a part that a server evaluates and a residual
-//! that is evaluated here on the returned features.
+//! Filter pushdown: the division of a filter into a pushed-down filter that a feature server
+//! evaluates, and a residual filter that the front evaluates on the returned features.
 
 use super::conformance::required_classes;
 use super::eval::is_main_geometry;
@@ -7,21 +7,21 @@
 use super::{Filter, Queryables, SpatialRelation, Value};
 use std::collections::BTreeSet;
 
-/// Characters that a condition takes besides its own text, such as those of ` AND `.
+/// Length that a condition adds to the text of a filter besides its own: ` AND ` and a pair of
+/// parentheses, in bytes.
 const JUNCTION_LENGTH_BYTES: usize = 7;
 
-/// A box: west, south, east, north.
+/// Bounding box: west, south, east, north.
 type Envelope = [f64; 4];
 
 /// Filter support of a server: the conformance classes and the queryables that it declares.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Capabilities {
-    /// Conformance classes by the last segments of their URIs: `basic-cql2`, `spatial-functions`,
-    /// ...
+    /// Conformance classes by the last segments of their URIs, such as `basic-cql2`.
     pub classes: BTreeSet<String>,
     /// The queryables of the shard.
     pub queryables: Queryables,
-    /// Most characters of a filter in a request's head.
+    /// Maximum length of the text of a filter in a request's head, in bytes.
     pub max_filter_text: usize,
 }
 
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Returns whether a server with these capabilities can apply a filter.
+    /// Returns whether a server with these capabilities can evaluate a filter that it receives as
+    /// CQL2 text.
     fn can_evaluate(&self, filter: &Filter) -> bool {
         let declares = |class: &str| self.classes.contains(class);
         let is_queryable =
@@ -50,26 +51,26 @@
     }
 }
 
-/// Division of a filter in two parts: a feature passes the filter if it passes both.
+/// Division of a filter into two: a feature matches the filter if it matches both.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FilterSplit {
-    /// Part that the server evaluates.
+    /// Filter that the server evaluates, or `None` if it evaluates nothing.
     pub pushed_down: Option<Filter>,
-    /// Part that is evaluated here.
+    /// Filter that the front evaluates, or `None` if the server evaluates the whole filter.
     pub residual: Option<Filter>,
-    /// Box around all features that can pass the residual part, which reduces the features that the
-    /// server returns.
+    /// Bounding box of the features that can match the residual filter, if that filter has one. As
+    /// a parameter of the request it reduces the number of features that the server returns.
     pub envelope: Option<[f64; 4]>,
 }
 
-/// Divides a filter between a server and this program.
+/// Divides a filter between a server with these capabilities and the front.
 ///
-/// The conditions of a conjunction are assigned one by one, since a feature has to meet each; any
-/// other filter is pushed down completely or not at all.
+/// Each condition of a conjunction is pushed down or not by itself, since a feature has to match
+/// all of them. Any other filter is pushed down completely or not at all.
 #[must_use]
 pub fn split(filter: &Filter, capabilities: &Capabilities) -> FilterSplit {
     let conditions = match filter {
-        Filter::And(parts) => parts.as_slice(),
+        Filter::And(children) => children.as_slice(),
         other => std::slice::from_ref(other),
     };
     let (mut pushed_down, mut residual): (Vec<&Filter>, Vec<&Filter>) = conditions
@@ -79,7 +80,7 @@
         .iter()
         .map(|condition| condition.to_string().len() + JUNCTION_LENGTH_BYTES)
         .collect();
-    // The longest conditions become residual if the head of the request would grow too long.
+    // The longest conditions become residual if the text would be too long for a request's head.
     while lengths.iter().sum::<usize>() > capabilities.max_filter_text {
         let Some(longest) = (0..lengths.len()).max_by_key(|index| lengths[*index]) else {
             break;
@@ -100,11 +101,15 @@
     }
 }
 
-/// Returns the box around all features that can pass a filter that relates their main geometry to a
-/// constant one: servers select by that geometry.
+/// Returns the bounding box of the features that can match a filter, or `None` if the filter does
+/// not relate the main geometry to a constant one. Other geometries don't count, since servers
+/// apply a bounding box to the main geometry.
 fn filter_bounds(filter: &Filter) -> Option<Envelope> {
     match filter {
-        Filter::And(parts) => parts.iter().filter_map(filter_bounds).reduce(intersection),
+        Filter::And(children) => children
+            .iter()
+            .filter_map(filter_bounds)
+            .reduce(intersection),
         Filter::Spatial(relation, left, right) if *relation != SpatialRelation::Disjoint => {
             let constant = match (left, right) {
                 (Value::Property(name), constant) | (constant, Value::Property(name))
@@ -134,8 +139,8 @@
     }
 }
 
-/// Returns the intersection of two boxes. If they are disjoint, no feature passes and either box is
-/// correct.
+/// Returns the intersection of two boxes, or `a` if they are disjoint: no feature matches then, so
+/// either box is correct.
 fn intersection(a: Envelope, b: Envelope) -> Envelope {
     let [west, south, east, north] = [
         a[0].max(b[0]),
@@ -160,10 +165,10 @@
     is_expressible
 }
 
-/// Returns whether CQL2 text can express a text.
+/// Returns whether a text can be written as a literal of CQL2 text.
 ///
-/// A backslash before a quotation mark, including the closing one, can't be written: the two are
-/// parsed as an escaped mark.
+/// A text with a backslash before a quotation mark or at its end (before the closing quotation
+/// mark) cannot: the two characters would be parsed as an escaped quotation mark.
 pub(super) fn is_expressible_in_text(text: &str) -> bool {
     !text.ends_with('\\') && !text.contains("\\'")
 }
--- a/src/front/ogc/cql2/queryables.rs
+++ b/src/front/ogc/cql2/queryables.rs
@@ -14,13 +14,13 @@
     Number,
     /// True or false.
     Bool,
-    /// A day or an instant.
+    /// A date or an instant.
     Time,
     /// A geometry.
     Geometry,
     /// An array.
     Array,
-    /// Not declared; values of any type.
+    /// The type is not declared or not the same at all servers; the values may have any type.
     Any,
 }
 
@@ -62,7 +62,7 @@
 pub struct Queryables {
     /// The declared queryables by name.
     pub named: BTreeMap<String, QueryableType>,
-    /// Whether other names may be used too; their types are unknown.
+    /// Whether filters may also use names that are not declared; their types are unknown.
     pub open: bool,
 }
 
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Parses the queryables of a JSON schema, as servers declare them. Returns `None` if it has no
-    /// properties.
+    /// Parses the JSON schema by which a server declares its queryables. Returns `None` if the
+    /// schema has no `properties`.
     #[must_use]
     pub fn from_schema(schema: &Json) -> Option<Self> {
         let properties = schema["properties"].as_object()?;
@@ -101,7 +101,8 @@
         json!({"type": "object", "properties": properties, "additionalProperties": self.open})
     }
 
-    /// Returns the names that both have, with their type if both agree on it.
+    /// Returns the queryables that both have. A queryable whose types differ has the type
+    /// [`QueryableType::Any`].
     #[must_use]
     pub fn intersection(&self, other: &Queryables) -> Self {
         let common_type = |name: &String, queryable_type: QueryableType| match other.named.get(name)
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Returns the names that either has, with their type if both agree on it.
+    /// Returns the queryables that either has. A queryable whose types differ has the type
+    /// [`QueryableType::Any`].
     #[must_use]
     pub fn union(mut self, other: &Queryables) -> Self {
         for (name, theirs) in &other.named {
@@ -139,7 +141,7 @@
         self
     }
 
-    /// Returns the type of a name.
+    /// Returns the type of a queryable, or an error if filters may not use the name.
     pub(super) fn type_of(&self, name: &str) -> Result<QueryableType, FilterError> {
         match self.named.get(name) {
             Some(queryable_type) => Ok(*queryable_type),
--- a/src/front/ogc/cql2/text/condition.rs
+++ b/src/front/ogc/cql2/text/condition.rs
@@ -1,4 +1,4 @@
-//! Parsers of conditions: junctions, relations and predicates.
+//! Parsers of conditions: conjunctions and disjunctions, relations and predicates.
 
 use super::super::{
     ArrayRelation, ComparisonOperator, Filter, SpatialRelation, TemporalRelation, Value,
@@ -15,29 +15,30 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// Parses a condition: conjunctions joined by OR.
+/// Parses a condition: one or more conjunctions joined by `OR`.
 pub(super) fn condition(input: &mut Input<'_>) -> Parsed<Filter> {
     nested(|input| {
-        let mut parts: Vec<Filter> =
+        let mut conditions: Vec<Filter> =
             separated(1.., conjunction, keyword("OR")).parse_next(input)?;
-        Ok(if parts.len() == 1 {
-            parts.swap_remove(0)
+        Ok(if conditions.len() == 1 {
+            conditions.swap_remove(0)
         } else {
-            Filter::Or(flatten(parts, Junction::Or))
+            Filter::Or(flatten(conditions, Junction::Or))
         })
     })(input)
 }
 
+/// Parses one or more factors joined by `AND`.
 fn conjunction(input: &mut Input<'_>) -> Parsed<Filter> {
-    let mut parts: Vec<Filter> = separated(1.., factor, keyword("AND")).parse_next(input)?;
-    Ok(if parts.len() == 1 {
-        parts.swap_remove(0)
+    let mut conditions: Vec<Filter> = separated(1.., factor, keyword("AND")).parse_next(input)?;
+    Ok(if conditions.len() == 1 {
+        conditions.swap_remove(0)
     } else {
-        Filter::And(flatten(parts, Junction::And))
+        Filter::And(flatten(conditions, Junction::And))
     })
 }
 
-/// Parses a primary condition, negated or not.
+/// Parses a primary condition, optionally after `NOT`.
 fn factor(input: &mut Input<'_>) -> Parsed<Filter> {
     if opt(keyword("NOT")).parse_next(input)?.is_some() {
         let inner = nested(|input| cut_err(factor).parse_next(input))(input)?;
@@ -46,7 +47,7 @@
     primary(input)
 }
 
-/// Parses a relation, a predicate, a condition in brackets, a constant, or a boolean property.
+/// Parses a relation, a predicate, a condition in parentheses, a constant, or a boolean property.
 fn primary(input: &mut Input<'_>) -> Parsed<Filter> {
     if let Some(found) = opt(alt((relation, predicate))).parse_next(input)? {
         return Ok(found);
@@ -61,7 +62,8 @@
     .parse_next(input)
 }
 
-/// Parses `S_...`, `T_...` and `A_...` with two operands.
+/// Parses a spatial (`S_...`), temporal (`T_...`) or array relation (`A_...`) with its two
+/// operands.
 fn relation(input: &mut Input<'_>) -> Parsed<Filter> {
     let name = preceded(multispace0, take_while(3.., is_name_character))
         .verify(|n: &str| n.get(1..2) == Some("_"));
@@ -92,7 +94,7 @@
     Err(ErrMode::Backtrack(ContextError::new()))
 }
 
-/// Parses two operands with a comma between them, and the closing bracket.
+/// Parses two operands with a comma between them, and the closing parenthesis.
 fn operands(
     input: &mut Input<'_>,
     operand: fn(&mut Input<'_>) -> Parsed<Value>,
@@ -146,7 +148,7 @@
     Err(ErrMode::Backtrack(ContextError::new()))
 }
 
-/// Parses the limits after `BETWEEN`.
+/// Parses the two bounds after `BETWEEN`.
 fn between(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
     let low = cut_err(scalar)
         .context(StrContext::Label("a number"))
@@ -160,7 +162,7 @@
     Ok(Filter::Between(value, low, high))
 }
 
-/// Parses the list after `IN`.
+/// Parses the list of values after `IN`.
 fn in_list(input: &mut Input<'_>, value: Value) -> Parsed<Filter> {
     required_symbol("(")(input)?;
     let list: Vec<Value> = cut_err(separated(1.., scalar, symbol(",")))
@@ -170,6 +172,7 @@
     Ok(Filter::In(value, list))
 }
 
+/// Returns the negation of a filter if `negated`, else the filter.
 fn negate(filter: Filter, negated: bool) -> Filter {
     if negated {
         Filter::Not(Box::new(filter))
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -1,4 +1,4 @@
-//! Parsers of geometries as well-known text, and of bounding boxes.
+//! Parsers of geometries in well-known text (WKT), and of bounding boxes.
 
 use super::super::geometry::{build_line, build_polygon, build_ring};
 use super::super::{FilterError, Value};
@@ -20,7 +20,7 @@
         .parse_next(input)
 }
 
-/// Parses `BBOX(...)` with four numbers, or six with heights.
+/// Parses `BBOX(...)` with four numbers, or with six of which two are heights.
 fn bbox(input: &mut Input<'_>) -> Parsed<Value> {
     (keyword("BBOX"), symbol("(")).parse_next(input)?;
     let numbers: Vec<f64> = separated(4..=6, number, symbol(",")).parse_next(input)?;
@@ -31,6 +31,7 @@
     Ok(Value::Bbox(numbers))
 }
 
+/// Parses a geometry of any type.
 fn geometry(input: &mut Input<'_>) -> Parsed<Geometry<f64>> {
     let point =
         |input: &mut Input<'_>| delimited(symbol("("), position, symbol(")")).parse_next(input);
@@ -47,7 +48,7 @@
     .parse_next(input)
 }
 
-/// Parses the keyword of a geometry, an optional `Z` for heights, and its coordinates.
+/// Returns a parser of a geometry's keyword, an optional `Z` for heights, and its coordinates.
 fn tagged<'a, T>(
     name: &'static str,
     mut coordinates: impl FnMut(&mut Input<'a>) -> Parsed<T>,
@@ -62,14 +63,14 @@
     }
 }
 
-/// Parses a position. Its height, if any, is discarded, since no relation considers it.
+/// Parses a position. A height is discarded, since no spatial relation considers it.
 fn position(input: &mut Input<'_>) -> Parsed<Coord<f64>> {
     (number, number, opt(number))
         .map(|(x, y, _)| Coord { x, y })
         .parse_next(input)
 }
 
-/// Parses items in brackets, with commas between them.
+/// Returns a parser of items in parentheses, with commas between them.
 fn list<'a, T>(
     item: fn(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Vec<T>> {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Turns a failed check of a parsed geometry into an error without alternatives.
+/// Converts a failed check of a parsed geometry to an error that ends parsing.
 fn checked<T>(result: Result<T, FilterError>) -> Parsed<T> {
     result.map_err(|_| fatal("a sound line or ring (closed, four points or more)"))
 }
@@ -103,7 +104,7 @@
     checked(build_polygon(rings))
 }
 
-/// Parses a position of a multipoint, with or without brackets: both forms are in use.
+/// Parses a position of a multipoint, with or without parentheses, since both forms are in use.
 fn multipoint_position(input: &mut Input<'_>) -> Parsed<Point<f64>> {
     alt((delimited(symbol("("), position, symbol(")")), position))
         .map(Point)
--- a/src/front/ogc/cql2/text/lexer.rs
+++ b/src/front/ogc/cql2/text/lexer.rs
@@ -1,5 +1,5 @@
-//! Tokens of CQL2 text: signs, keywords, literals and names. White space is skipped before each
-//! token.
+//! Parsers of the tokens of CQL2 text: symbols, keywords, literals and names. Each skips white
+//! space before its token.
 
 use super::super::{Value, MAX_DEPTH};
 use winnow::ascii::{multispace0, Caseless};
@@ -9,10 +9,10 @@
 use winnow::stream::{LocatingSlice, Stateful};
 use winnow::token::{any, one_of, take_while};
 
-/// Label of the error that a filter is nested too deep.
+/// Label of the error for a filter that is nested too deep.
 pub(super) const DEPTH_LABEL: &str = "depth";
 
-/// Keywords, which are not names of properties.
+/// Keywords that cannot be names of properties unless they are quoted.
 const RESERVED_WORDS: [&str; 11] = [
     "AND", "OR", "NOT", "IN", "IS", "LIKE", "BETWEEN", "NULL", "TRUE", "FALSE", "DIV",
 ];
@@ -21,19 +21,20 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Depth(pub(super) usize);
 
-/// Input of the parsers: text with the position and the depth of nesting.
+/// Input of the parsers: the text with the current position and depth of nesting.
 pub(super) type Input<'a> = Stateful<LocatingSlice<&'a str>, Depth>;
 /// Result of a parser.
 pub(super) type Parsed<T> = ModalResult<T>;
 
-/// Creates an error that ends parsing without trying alternatives; `label` names what is expected.
+/// Returns an error that ends parsing, so that no alternatives are tried; `label` names what is
+/// expected.
 pub(super) fn fatal(label: &'static str) -> ErrMode<ContextError> {
     let mut error = ContextError::new();
     error.push(StrContext::Label(label));
     ErrMode::Cut(error)
 }
 
-/// Returns a parser that is nested a level deeper than its caller.
+/// Returns a parser that runs one level deeper than its caller, and fails beyond [`MAX_DEPTH`].
 pub(super) fn nested<'a, T>(
     mut parser: impl FnMut(&mut Input<'a>) -> Parsed<T>,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<T> {
@@ -48,12 +49,12 @@
     }
 }
 
-/// Returns a parser of a sign such as a bracket or a comma.
+/// Returns a parser of a symbol such as a parenthesis, a comma or `<=`.
 pub(super) fn symbol<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| preceded(multispace0, text).void().parse_next(input)
 }
 
-/// Returns a parser of a sign whose absence is an error without alternatives.
+/// Returns a parser of a symbol whose absence ends parsing, so that no alternatives are tried.
 pub(super) fn required_symbol<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| {
         cut_err(symbol(text))
@@ -62,7 +63,8 @@
     }
 }
 
-/// Returns a parser of a keyword in any case that is not merely the beginning of a name.
+/// Returns a parser of a keyword, in upper or lower case, that is not the beginning of a longer
+/// name.
 pub(super) fn keyword<'a>(text: &'static str) -> impl FnMut(&mut Input<'a>) -> Parsed<()> {
     move |input| {
         (
@@ -75,7 +77,7 @@
     }
 }
 
-/// Returns whether a character can stand within a name or a keyword.
+/// Returns whether a character can be part of a name or a keyword.
 pub(super) fn is_name_character(character: char) -> bool {
     character.is_alphanumeric() || character == '_'
 }
@@ -85,7 +87,8 @@
     alt((keyword("TRUE").value(true), keyword("FALSE").value(false))).parse_next(input)
 }
 
-/// Parses a text in quotation marks; a mark within it is doubled or escaped by a backslash.
+/// Parses a text in single quotation marks. A quotation mark within the text is doubled or escaped
+/// by a backslash.
 pub(super) fn text_literal(input: &mut Input<'_>) -> Parsed<String> {
     (multispace0, '\'').parse_next(input)?;
     let character = alt((
@@ -130,7 +133,7 @@
         .parse_next(input)
 }
 
-/// Parses the name of a property, plain or in double quotation marks.
+/// Parses the name of a property, with or without double quotation marks.
 pub(super) fn property(input: &mut Input<'_>) -> Parsed<Value> {
     let is_first = |c: char| c.is_alphabetic() || c == '_' || c == ':';
     let is_continuation = |c: char| is_name_character(c) || c == '.' || c == ':';
@@ -146,7 +149,8 @@
         cut_err('"').context(StrContext::Label("\"")),
     );
     let name = preceded(multispace0, alt((quoted, plain))).parse_next(input)?;
-    // A name before a bracket is a function, and only the standard's functions are known.
+    // A name before a parenthesis is that of a function. The standard's functions have parsers of
+    // their own, and there are no others.
     if opt(peek(symbol("("))).parse_next(input)?.is_some() {
         return Err(ErrMode::Backtrack(ContextError::new()));
     }
--- a/src/front/ogc/cql2/text/mod.rs
+++ b/src/front/ogc/cql2/text/mod.rs
@@ -1,4 +1,5 @@
-//! Parser of CQL2 text, by combinators after the standard's grammar (OGC 21-065r2, annex B).
+//! Parser of CQL2 text, made of combinators that follow the standard's grammar (OGC 21-065r2,
+//! annex B).
 
 mod condition;
 mod geometry;
@@ -12,14 +13,14 @@
 use winnow::prelude::*;
 use winnow::stream::{LocatingSlice, Location, Stateful};
 
-/// Most characters of the text that an error quotes.
+/// Maximum number of characters of the filter that an error message quotes.
 const MAX_EXCERPT_CHARACTERS: usize = 24;
 
 /// Parses a filter.
 ///
 /// # Errors
 ///
-/// Fails if the text is not a filter, or a filter beyond the limits.
+/// Fails if the text is not a filter, or if the filter exceeds a limit on its size or depth.
 pub fn parse_text(text: &str) -> Result<Filter, FilterError> {
     let mut input = Stateful {
         input: LocatingSlice::new(text),
@@ -37,7 +38,7 @@
     }
 }
 
-/// Returns the beginning of the text that was not parsed.
+/// Returns the first characters of the text that was not parsed, for an error message.
 fn unparsed_excerpt(input: &Input<'_>, text: &str) -> String {
     let start = input.input.current_token_start().min(text.len());
     text[start..]
@@ -47,7 +48,8 @@
         .collect()
 }
 
-/// Returns the message for an error, from its first label and the text at its position.
+/// Returns the message for an error: what is missing, by the error's first label, and the excerpt
+/// before which it is missing.
 fn error_message(error: &ContextError, excerpt: &str) -> String {
     let label = error.context().find_map(|context| match context {
         StrContext::Label(label) => Some(*label),
@@ -61,7 +63,7 @@
     }
 }
 
-/// Operator that joins conditions.
+/// Logical operator that joins two conditions or more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Junction {
     /// Conjunction.
@@ -70,13 +72,14 @@
     Or,
 }
 
-/// Flattens nested conditions of the same junction into one list, regardless of their brackets.
+/// Returns a list of conditions in which each condition of the same junction is replaced by its own
+/// conditions, so that `(a AND b) AND c` and `a AND b AND c` result in equal trees.
 #[must_use]
-pub fn flatten(parts: Vec<Filter>, junction: Junction) -> Vec<Filter> {
-    let inner = |part| match part {
+pub fn flatten(conditions: Vec<Filter>, junction: Junction) -> Vec<Filter> {
+    let inner = |condition| match condition {
         Filter::And(inner) if junction == Junction::And => inner,
         Filter::Or(inner) if junction == Junction::Or => inner,
-        part => vec![part],
+        condition => vec![condition],
     };
-    parts.into_iter().flat_map(inner).collect()
+    conditions.into_iter().flat_map(inner).collect()
 }
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -9,7 +9,7 @@
 use winnow::error::{ContextError, ErrMode, StrContext};
 use winnow::prelude::*;
 
-/// Parses a value that can be compared: sums of products of powers of atoms.
+/// Parses a value that can be compared: a sum of products of powers of atoms.
 pub(super) fn scalar(input: &mut Input<'_>) -> Parsed<Value> {
     const SUM: [ArithmeticOperator; 2] = [ArithmeticOperator::Add, ArithmeticOperator::Subtract];
     nested(|input| {
@@ -24,6 +24,7 @@
     })(input)
 }
 
+/// Parses a product of powers.
 fn product(input: &mut Input<'_>) -> Parsed<Value> {
     const PRODUCT: [ArithmeticOperator; 4] = [
         ArithmeticOperator::Multiply,
@@ -41,6 +42,7 @@
     Ok(left)
 }
 
+/// Parses a power of atoms, which is right-associative.
 fn power(input: &mut Input<'_>) -> Parsed<Value> {
     let left = atom(input)?;
     if opt(one_operator(&[ArithmeticOperator::Power]))
@@ -57,8 +59,9 @@
     arithmetic(input, ArithmeticOperator::Power, left, right)
 }
 
-/// Returns an operator with its two operands. A chain of operators nests on the left, so its length
-/// counts as the tree's depth.
+/// Returns an operator with its two operands, or an error if the tree would be deeper than
+/// [`MAX_DEPTH`]. A chain of left-associative operators is a tree as deep as the chain is long, yet
+/// the parser itself is not nested that deep, so the depth of `left` is counted.
 fn arithmetic(
     input: &Input<'_>,
     operator: ArithmeticOperator,
@@ -71,6 +74,7 @@
     Ok(Value::Arithmetic(operator, Box::new(left), Box::new(right)))
 }
 
+/// Returns the number of arithmetic operators from the value down to its deepest operand.
 fn arithmetic_depth(value: &Value) -> usize {
     match value {
         Value::Arithmetic(_, left, right) => {
@@ -80,6 +84,7 @@
     }
 }
 
+/// Returns a parser of any of these operators.
 fn one_operator<'a>(
     operators: &'static [ArithmeticOperator],
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<ArithmeticOperator> {
@@ -97,7 +102,8 @@
     }
 }
 
-/// Parses an instant, a function of a text, a literal, a property, or a scalar in brackets.
+/// Parses a date or timestamp, a function of a text, a literal, a property, or a scalar in
+/// parentheses.
 fn atom(input: &mut Input<'_>) -> Parsed<Value> {
     alt((
         instant,
@@ -112,9 +118,10 @@
     .parse_next(input)
 }
 
+/// Returns a parser of the function `name` with a text as its argument.
 fn text_function<'a>(
     name: &'static str,
-    make: fn(Box<Value>) -> Value,
+    to_value: fn(Box<Value>) -> Value,
 ) -> impl FnMut(&mut Input<'a>) -> Parsed<Value> {
     move |input| {
         (keyword(name), symbol("(")).parse_next(input)?;
@@ -122,7 +129,7 @@
             .context(StrContext::Label("text"))
             .parse_next(input)?;
         required_symbol(")")(input)?;
-        Ok(make(Box::new(inner)))
+        Ok(to_value(Box::new(inner)))
     }
 }
 
@@ -143,7 +150,7 @@
     alt((date, timestamp)).parse_next(input)
 }
 
-/// Parses an interval, an instant or a property.
+/// Parses an interval, a date or timestamp, or a property.
 pub(super) fn temporal_operand(input: &mut Input<'_>) -> Parsed<Value> {
     alt((interval, instant, property))
         .context(StrContext::Label("a time"))
@@ -160,7 +167,7 @@
     Ok(Value::Interval(from, to))
 }
 
-/// Parses an end of an interval; `None` is open.
+/// Parses an end of an interval. Returns `None` if the interval is open at this end.
 fn interval_end(input: &mut Input<'_>) -> Parsed<Option<Box<Value>>> {
     let from_text = |text: String| match text.as_str() {
         ".." | "" => None,
@@ -180,8 +187,8 @@
         .parse_next(input)
 }
 
-/// Parses an element of an array. Brackets around the whole element are those of an array; all
-/// others belong to arithmetic.
+/// Parses an element of an array. Parentheses around the whole element are those of a nested array;
+/// all others belong to arithmetic.
 fn element(input: &mut Input<'_>) -> Parsed<Value> {
     let complete = terminated(array, peek(alt((symbol(","), symbol(")")))));
     alt((complete, scalar)).parse_next(input)
--- a/src/front/ogc/cql2/validation.rs
+++ b/src/front/ogc/cql2/validation.rs
@@ -1,5 +1,5 @@
-//! Validation of a filter against the queryables of a collection: its names must be known and its
-//! operands must fit.
+//! Validation of a filter against the queryables of a collection: its names must be queryables, and
+//! its operands must be well-formed and of the types that their operators take.
 
 use super::eval::{parse_instant, TimeSpan};
 use super::{
@@ -10,8 +10,8 @@
 ///
 /// # Errors
 ///
-/// Fails if a name is unknown, or an operand is malformed or has a type that its operator doesn't
-/// take.
+/// Fails if a name is not a queryable, or if an operand is malformed or of a type that its operator
+/// does not take.
 pub fn check(filter: &Filter, queryables: &Queryables) -> Result<(), FilterError> {
     let validator = Validator { queryables };
     validator.check(filter)
@@ -26,10 +26,10 @@
 impl Validator<'_> {
     fn check(self, filter: &Filter) -> Result<(), FilterError> {
         match filter {
-            Filter::And(parts) | Filter::Or(parts) => {
-                parts.iter().try_for_each(|part| self.check(part))
+            Filter::And(children) | Filter::Or(children) => {
+                children.iter().try_for_each(|child| self.check(child))
             }
-            Filter::Not(part) => self.check(part),
+            Filter::Not(child) => self.check(child),
             Filter::Constant(_) => Ok(()),
             Filter::Compare(_, left, right) => {
                 self.check_comparable(left, self.type_of(left)?, right)
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Checks that a value has a type or may have it; `name` is the type's name in the message.
+    /// Checks that a value has the expected type or may have it; `type_name` is the name of that
+    /// type in the error message.
     fn check_type(
         self,
         value: &Value,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Checks that two values can be compared; the type of the left one is already known.
+    /// Checks that two values can be compared. The caller passes the type of the left one.
     fn check_comparable(
         self,
         left: &Value,
@@ -84,7 +85,7 @@
         if !is_scalar(left_type) || !is_scalar(right_type) {
             return filter_error(format!("{left} and {right} cannot be compared so"));
         }
-        // A time may be written as text.
+        // A time can be compared with a text, which is parsed as a date or a timestamp.
         let is_time_as_text = matches!(
             (left_type, right_type),
             (QueryableType::Time, QueryableType::Text) | (QueryableType::Text, QueryableType::Time)
@@ -136,7 +137,7 @@
     ) -> Result<(), FilterError> {
         self.check_type(left, QueryableType::Time, "time")?;
         self.check_type(right, QueryableType::Time, "time")?;
-        // A date is an interval of a day.
+        // A date is not an instant but the interval of its day.
         let is_instant = |value: &&Value| matches!(value, Value::Timestamp(_));
         match [left, right].into_iter().find(is_instant) {
             Some(instant) if !relation.allows_instants() => filter_error(format!(
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Checks a value's own operands and returns its type.
+    /// Returns the type of a value after checking the value and its own operands.
     fn type_of(self, value: &Value) -> Result<QueryableType, FilterError> {
         match value {
             Value::Property(name) => self.queryables.type_of(name),
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Checks the ends of an interval; an absent one is open.
+    /// Checks the ends of an interval, which is open at an end that is `None`, and returns its
+    /// type.
     fn check_interval(
         self,
         from: Option<&Value>,
@@ -202,7 +204,8 @@
     )
 }
 
-/// Returns the time of a date or a timestamp, or `None` if it depends on the feature.
+/// Returns the time span of a date or a timestamp, or `None` if the value is neither and depends on
+/// the feature.
 fn constant_time(value: &Value) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
