--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -58,8 +58,9 @@
     pub pushed_down: Option<Filter>,
     /// Filter that the front evaluates, or `None` if the server evaluates the whole filter.
     pub residual: Option<Filter>,
-    /// Bounding box of the features that can match the residual filter, if that filter has one. As
-    /// a parameter of the request it reduces the number of features that the server returns.
+    /// Bounding box of the features that can match the residual filter, or `None` if there is no
+    /// such box. As a parameter of the request it reduces the number of features that the server
+    /// returns.
     pub envelope: Option<[f64; 4]>,
 }
 
@@ -102,8 +103,8 @@
 }
 
 /// Returns the bounding box of the features that can match a filter, or `None` if the filter does
-/// not relate the main geometry to a constant one. Other geometries don't count, since servers
-/// apply a bounding box to the main geometry.
+/// not require the main geometry to intersect a constant one. Other geometries are ignored, since
+/// servers apply a bounding box to the main geometry.
 fn filter_bounds(filter: &Filter) -> Option<Envelope> {
     match filter {
         Filter::And(children) => children
--- a/src/front/ogc/cql2/tests.rs
+++ b/src/front/ogc/cql2/tests.rs
@@ -1,6 +1,5 @@
-//! Tests of filters: fixtures, and properties of generated filters.
-//!
-//! The modules below test examples.
+//! Tests of filters: fixtures, and property tests on generated filters. The modules within this one
+//! test examples.
 
 mod evaluation;
 mod parsing;
@@ -23,7 +22,9 @@
         ("tags", QueryableType::Array),
     ];
     Queryables {
-        named: types.map(|(n, k)| (n.to_owned(), k)).into(),
+        named: types
+            .map(|(name, queryable_type)| (name.to_owned(), queryable_type))
+            .into(),
         open: false,
     }
 }
@@ -44,6 +45,7 @@
     })
 }
 
+/// Returns the capabilities of a server that declares the basic conformance classes and `classes`.
 fn capabilities(classes: &[&str]) -> Capabilities {
     let all = ["cql2-text", "features-filter", "basic-cql2"]
         .iter()
@@ -55,7 +57,8 @@
     }
 }
 
-fn value() -> impl Strategy<Value = Value> {
+/// Generates operands of comparisons.
+fn values() -> impl Strategy<Value = Value> {
     let plain = prop_oneof![
         "[a-zA-Z_ .%é-]{1,8}".prop_map(Value::Property),
         any::<String>()
@@ -73,42 +76,44 @@
             .prop_map(|(y, m, d)| Value::Date(format!("{y:04}-{m:02}-{d:02}"))),
     ];
     plain.prop_recursive(3, 8, 2, |inner| {
-        let two = (
+        let operation = (
             proptest::sample::select(ArithmeticOperator::ALL),
             inner.clone(),
             inner.clone(),
         );
         prop_oneof![
-            two.prop_map(|(op, a, b)| Value::Arithmetic(op, Box::new(a), Box::new(b))),
+            operation.prop_map(|(op, a, b)| Value::Arithmetic(op, Box::new(a), Box::new(b))),
             inner.clone().prop_map(|v| Value::Casei(Box::new(v))),
             inner.prop_map(|v| Value::Accenti(Box::new(v))),
         ]
     })
 }
 
-fn spatial_operand() -> impl Strategy<Value = Value> {
-    let n = || -180.0..180.0_f64;
+/// Generates operands of spatial relations.
+fn spatial_operands() -> impl Strategy<Value = Value> {
+    let coordinate = || -180.0..180.0_f64;
     let wkt = prop_oneof![
-        (n(), n()).prop_map(|(x, y)| format!("POINT({x} {y})")),
-        (n(), n(), n()).prop_map(|(a, b, c)| format!(
+        (coordinate(), coordinate()).prop_map(|(x, y)| format!("POINT({x} {y})")),
+        (coordinate(), coordinate(), coordinate()).prop_map(|(a, b, c)| format!(
             "POLYGON(({a} {b},{c} {b},{c} {a},{a} {b}),(0 0,1 0,1 1,0 0))"
         )),
-        (n(), n()).prop_map(|(a, b)| format!("MULTILINESTRING(({a} 1,2 {b}),(3 3,4 4))")),
-        (n(), n())
+        (coordinate(), coordinate())
+            .prop_map(|(a, b)| format!("MULTILINESTRING(({a} 1,2 {b}),(3 3,4 4))")),
+        (coordinate(), coordinate())
             .prop_map(|(a, b)| format!("GEOMETRYCOLLECTION(POINT({a} {b}),MULTIPOINT({b} 1,2 2))")),
     ];
-    let read = |text: String| match parse_text(&format!("S_EQUALS(g,{text})")) {
+    let parse = |text: String| match parse_text(&format!("S_EQUALS(g,{text})")) {
         Ok(Filter::Spatial(_, _, value)) => value,
         other => panic!("{text}: {other:?}"),
     };
     prop_oneof![
-        wkt.prop_map(read),
+        wkt.prop_map(parse),
         Just(Value::Bbox(vec![-1.5, 2.0, 3.0, 4.0])),
         Just(Value::Property("g".into()))
     ]
 }
 
-/// Filters of one condition.
+/// Generates filters of one condition.
 fn conditions() -> impl Strategy<Value = Filter> {
     let date = || Some(Box::new(Value::Date("2026-01-02".into())));
     let time = prop_oneof![
@@ -119,23 +124,23 @@
             Some(Box::new(Value::Property("t".into())))
         )),
     ];
-    let list = || proptest::collection::vec(value(), 1..4);
+    let list = || proptest::collection::vec(values(), 1..4);
     prop_oneof![
         any::<bool>().prop_map(Filter::Constant),
         (
             proptest::sample::select(ComparisonOperator::ALL),
-            value(),
-            value()
+            values(),
+            values()
         )
             .prop_map(|(o, a, b)| Filter::Compare(o, a, b)),
-        (value(), value()).prop_map(|(a, b)| Filter::Like(a, b)),
-        (value(), value(), value()).prop_map(|(a, b, c)| Filter::Between(a, b, c)),
-        (value(), list()).prop_map(|(a, list)| Filter::In(a, list)),
-        value().prop_map(Filter::IsNull),
+        (values(), values()).prop_map(|(a, b)| Filter::Like(a, b)),
+        (values(), values(), values()).prop_map(|(a, b, c)| Filter::Between(a, b, c)),
+        (values(), list()).prop_map(|(a, list)| Filter::In(a, list)),
+        values().prop_map(Filter::IsNull),
         (
             proptest::sample::select(SpatialRelation::ALL),
-            spatial_operand(),
-            spatial_operand()
+            spatial_operands(),
+            spatial_operands()
         )
             .prop_map(|(o, a, b)| Filter::Spatial(o, a, b)),
         (proptest::sample::select(TemporalRelation::ALL), time)
@@ -146,20 +151,22 @@
     ]
 }
 
+/// Generates filters of any depth.
 fn filters() -> impl Strategy<Value = Filter> {
     conditions().prop_recursive(3, 16, 3, |inner| {
-        let many = proptest::collection::vec(inner.clone(), 2..4);
+        let conditions = proptest::collection::vec(inner.clone(), 2..4);
         prop_oneof![
-            many.clone()
+            conditions
+                .clone()
                 .prop_map(|p| Filter::And(flatten(p, Junction::And))),
-            many.prop_map(|p| Filter::Or(flatten(p, Junction::Or))),
+            conditions.prop_map(|p| Filter::Or(flatten(p, Junction::Or))),
             inner.prop_map(|f| Filter::Not(Box::new(f))),
         ]
     })
 }
 
-/// Pieces of CQL2 text that are joined at random.
-const TEXT_PIECES: &[&str] = &[
+/// Fragments of CQL2 text, which are joined at random.
+const TEXT_FRAGMENTS: &[&str] = &[
     "(",
     ")",
     "'",
@@ -176,7 +183,7 @@
     "-",
 ];
 
-/// Conformance classes that servers may lack.
+/// Conformance classes that a server may declare or not.
 const OPTIONAL_CLASSES: &[&str] = &[
     "advanced-comparison-operators",
     "basic-spatial-functions",
@@ -196,7 +203,7 @@
     })]
 
     #[test]
-    fn parse_and_print_are_inverse(filter in filters()) {
+    fn printed_filters_parse_to_equal_filters(filter in filters()) {
         let text = filter.to_string();
         prop_assert_eq!(parse_text(&text), Ok(filter.clone()), "{}", text);
         let json = to_json(&filter).to_string();
@@ -206,9 +213,9 @@
     #[test]
     fn arbitrary_text_is_a_filter_or_an_error(
         text in any::<String>(),
-        pieces in proptest::collection::vec(proptest::sample::select(TEXT_PIECES), 0..40),
+        fragments in proptest::collection::vec(proptest::sample::select(TEXT_FRAGMENTS), 0..40),
     ) {
-        for text in [text, pieces.concat()] {
+        for text in [text, fragments.concat()] {
             if let Ok(filter) = parse_text(&text) {
                 prop_assert_eq!(parse_text(&filter.to_string()), Ok(filter));
             }
@@ -216,9 +223,10 @@
         }
     }
 
-    /// Whatever a server's capabilities, the two parts of a split are together the filter.
+    /// A feature matches a filter if and only if it matches both filters of its split, whatever the
+    /// server's capabilities are.
     #[test]
-    fn both_parts_of_a_split_filter_together_match_the_same_features(
+    fn pushed_down_and_residual_filter_together_match_the_same_features(
         filter in filters(),
         declared in proptest::collection::vec(any::<bool>(), OPTIONAL_CLASSES.len()),
         max_filter_text in 0_usize..400,
@@ -235,8 +243,8 @@
             ..capabilities(&classes)
         };
         let split = split(&filter, &capabilities);
-        let holds = |filter: &Filter| Matcher::new(filter.clone()).matches(&feature());
-        let both = split.pushed_down.iter().all(holds) && split.residual.iter().all(holds);
-        prop_assert_eq!(both, holds(&filter));
+        let matches = |filter: &Filter| Matcher::new(filter.clone()).matches(&feature());
+        let both_match = split.pushed_down.iter().all(matches) && split.residual.iter().all(matches);
+        prop_assert_eq!(both_match, matches(&filter));
     }
 }
--- a/src/front/ogc/cql2/tests/evaluation.rs
+++ b/src/front/ogc/cql2/tests/evaluation.rs
@@ -3,7 +3,7 @@
 use super::super::{parse_json, parse_text, to_json, Matcher};
 use super::feature;
 
-/// Filters that are true of [`feature`].
+/// Filters that are true for [`feature`].
 const TRUE_FILTERS: &[&str] = &[
     "volts = 240",
     "volts > 100 AND volts <= 240.0",
@@ -43,12 +43,12 @@
     "\"name\" = 'Élan 7'",
     "id = 'd7'",
     "missing = 1 OR live",
-    // A backslash before an escaped mark.
+    // A backslash before an escaped quotation mark.
     "name <> 'a\\\\'b' AND name <> '\\''",
 ];
 
-/// Filters that are false of [`feature`] or unknown.
-const OTHER_FILTERS: &[&str] = &[
+/// Filters that are false or unknown for [`feature`].
+const FALSE_OR_UNKNOWN_FILTERS: &[&str] = &[
     "volts <> 240",
     "missing = 1",
     "NOT missing = 1",
@@ -62,8 +62,9 @@
     "FALSE",
 ];
 
-/// Returns whether a filter is true of [`feature`], after printing and parsing it in both forms.
-fn holds(text: &str) -> bool {
+/// Returns whether a filter is true for [`feature`]. Also checks that the filter, printed as text
+/// and as JSON, parses to an equal filter.
+fn matches_after_round_trip(text: &str) -> bool {
     let filter = parse_text(text).unwrap_or_else(|e| panic!("{text}: {e}"));
     let printed = filter.to_string();
     assert_eq!(
@@ -77,15 +78,15 @@
 }
 
 #[test]
-fn filters_are_true_of_the_features_that_they_describe() {
+fn true_filters_match_the_feature() {
     for text in TRUE_FILTERS {
-        assert!(holds(text), "{text}");
+        assert!(matches_after_round_trip(text), "{text}");
     }
 }
 
 #[test]
-fn false_and_unknown_filters_do_not_hold() {
-    for text in OTHER_FILTERS {
-        assert!(!holds(text), "{text}");
+fn false_and_unknown_filters_do_not_match_the_feature() {
+    for text in FALSE_OR_UNKNOWN_FILTERS {
+        assert!(!matches_after_round_trip(text), "{text}");
     }
 }
--- a/src/front/ogc/cql2/tests/parsing.rs
+++ b/src/front/ogc/cql2/tests/parsing.rs
@@ -1,9 +1,9 @@
-//! Tests of parsing: malformed filters, and filters that were printed.
+//! Tests of parsing: malformed filters, and the round trip of a printed filter.
 
 use super::super::{check, parse_json, parse_text, to_json};
 use super::queryables;
 
-/// Texts that are no filters, or filters that do not fit [`queryables`].
+/// Texts that are not filters, or filters that are not valid for [`queryables`].
 const MALFORMED_FILTERS: &[&str] = &[
     "",
     " ",
@@ -29,7 +29,7 @@
     "S_INTERSECTS(geometry,BBOX(1,2,3))",
 ];
 
-/// Returns filters beyond the limits on depth, nodes and points.
+/// Returns filters that exceed the limits on depth, nodes and points.
 fn oversized_filters() -> [String; 5] {
     let brackets = format!("{}live{}", "(".repeat(400), ")".repeat(400));
     let sum = vec!["volts"; 5_000].join("+") + " = 1";
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn a_filter_that_was_once_misprinted_parses_back_in_both_forms() {
-    // Marks, control characters, and backslashes before an escaped mark.
+fn a_text_literal_with_escaped_quotation_marks_parses_back_from_text_and_json() {
+    // Quotation marks, control characters, and a backslash before an escaped quotation mark.
     let text = "a = '= ''''''=2\0\0\0z\0/\\\\'/t\0'";
-    let filter = parse_text(text).expect("it is a filter");
+    let filter = parse_text(text).expect("the text is a filter");
     assert_eq!(
         parse_text(&filter.to_string()).as_ref(),
         Ok(&filter),
--- a/src/front/ogc/cql2/tests/validation.rs
+++ b/src/front/ogc/cql2/tests/validation.rs
@@ -5,8 +5,8 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Filters whose operands fit [`queryables`].
-const FITTING_FILTERS: &[&str] = &[
+/// Filters that are valid for [`queryables`].
+const VALID_FILTERS: &[&str] = &[
     "volts = 1",
     "name = 'x'",
     "built = '2026-01-01'",
@@ -19,8 +19,8 @@
     "A_CONTAINS(tags,('a'))",
 ];
 
-/// Filters with an unknown name, or an operand of a wrong type or value.
-const UNFITTING_FILTERS: &[&str] = &[
+/// Filters with a name that is not a queryable, or with an operand of a wrong type or value.
+const INVALID_FILTERS: &[&str] = &[
     "watts = 1",
     "volts = 'x'",
     "name > 1",
@@ -41,22 +41,22 @@
     "name BETWEEN 'a' AND 'b'",
 ];
 
-fn checked(text: &str) -> Result<(), FilterError> {
+fn parse_and_check(text: &str) -> Result<(), FilterError> {
     check(&parse_text(text).expect(text), &queryables())
 }
 
 #[test]
-fn operands_must_fit_the_queryables() {
-    for text in FITTING_FILTERS {
-        assert_eq!(checked(text), Ok(()), "{text}");
+fn names_and_operands_are_checked_against_the_queryables() {
+    for text in VALID_FILTERS {
+        assert_eq!(parse_and_check(text), Ok(()), "{text}");
     }
-    for text in UNFITTING_FILTERS {
-        assert!(checked(text).is_err(), "{text}");
+    for text in INVALID_FILTERS {
+        assert!(parse_and_check(text).is_err(), "{text}");
     }
 }
 
 #[test]
-fn queryables_are_read_from_their_schema_and_intersected() {
+fn queryables_are_parsed_from_their_schema_and_intersected() {
     let schema = queryables().to_schema();
     assert_eq!(Queryables::from_schema(&schema), Some(queryables()));
     assert_eq!(Queryables::from_schema(&json!([])), None);
