--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -1,8 +1,8 @@
 //! Coordinate reference systems by reference (OGC API - Features, Part 2).
 //!
-//! Servers are queried and answer in CRS84: longitude, latitude. Coordinates that a client sends in
-//! another system are transformed to CRS84, and those of its answers from it. The order of axes is
-//! the system's own: EPSG:4326 has latitude first.
+//! Requests to feature servers and their responses are in CRS84: longitude, latitude. Coordinates
+//! that a client sends in another system are transformed to CRS84, and those of the answer are
+//! transformed from CRS84. Each system has its own order of axes: EPSG:4326 has latitude first.
 
 use super::cql2::{Filter, Value};
 use geo::{Coord, Geometry, MapCoords};
@@ -11,24 +11,25 @@
 use std::fmt;
 
 /// URI of the default system.
-pub const CRS84: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
+pub const CRS84_URI: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
 /// URI of the default system with heights.
-const CRS84H: &str = "http://www.opengis.net/def/crs/OGC/0/CRS84h";
-/// Prefix of the URIs of EPSG's systems; a version stands between it and the code.
-const EPSG: &str = "http://www.opengis.net/def/crs/EPSG/";
-/// Definition of the geographic system that projections refer to.
-const GEOGRAPHIC: &str = "+proj=longlat +datum=WGS84 +no_defs";
-/// Definition of Web Mercator.
-const MERCATOR: &str =
+const CRS84H_URI: &str = "http://www.opengis.net/def/crs/OGC/0/CRS84h";
+/// Prefix of the URIs of the systems in the EPSG registry. A version and the code of the system
+/// follow.
+const EPSG_URI_PREFIX: &str = "http://www.opengis.net/def/crs/EPSG/";
+/// PROJ definition of the geographic system that projections refer to.
+const GEOGRAPHIC_DEFINITION: &str = "+proj=longlat +datum=WGS84 +no_defs";
+/// PROJ definition of Web Mercator.
+const WEB_MERCATOR_DEFINITION: &str =
     "+proj=merc +a=6378137 +b=6378137 +lat_ts=0 +lon_0=0 +x_0=0 +y_0=0 +k=1 +units=m +no_defs";
-/// Number of steps along each edge of a box. An edge may be curved in another system, so its
-/// corners alone don't bound it.
+/// Number of steps in which each edge of a box is transformed. An edge may be curved in another
+/// system, so the transformed corners alone don't determine the extent of the transformed box.
 const EDGE_STEPS: usize = 16;
 
 /// Half of a full turn, in degrees.
-const HALF_TURN: f64 = 180.0;
+const HALF_TURN_DEGREES: f64 = 180.0;
 
-/// A coordinate reference system that is served.
+/// A coordinate reference system in which clients can send and receive coordinates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Crs {
     /// Longitude and latitude.
@@ -47,18 +48,18 @@
 }
 
 impl Crs {
-    /// Parses an identifier in the form of a URI, a CURIE (plain or safe) or a URN. Returns `None`
-    /// if the system is not served.
+    /// Parses an identifier in the form of a URI, a CURIE (also in brackets) or a URN. Returns
+    /// `None` if the system is not supported.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.trim_start_matches('[').trim_end_matches(']');
         if matches!(
             text,
-            CRS84 | CRS84H | "OGC:CRS84" | "OGC:CRS84h" | "urn:ogc:def:crs:OGC:1.3:CRS84"
+            CRS84_URI | CRS84H_URI | "OGC:CRS84" | "OGC:CRS84h" | "urn:ogc:def:crs:OGC:1.3:CRS84"
         ) {
             return Some(Crs::Crs84);
         }
-        let code = match text.strip_prefix(EPSG) {
+        let code = match text.strip_prefix(EPSG_URI_PREFIX) {
             Some(rest) => rest.split_once('/')?.1,
             None => text
                 .strip_prefix("EPSG:")
@@ -83,20 +84,20 @@
     #[must_use]
     pub fn uri(self) -> String {
         match self {
-            Crs::Crs84 => CRS84.to_owned(),
-            Crs::Wgs84 => format!("{EPSG}0/4326"),
-            Crs::Mercator => format!("{EPSG}0/3857"),
+            Crs::Crs84 => CRS84_URI.to_owned(),
+            Crs::Wgs84 => format!("{EPSG_URI_PREFIX}0/4326"),
+            Crs::Mercator => format!("{EPSG_URI_PREFIX}0/3857"),
             Crs::Utm { zone, north } => {
                 format!(
-                    "{EPSG}0/{}",
+                    "{EPSG_URI_PREFIX}0/{}",
                     if north { 32_600 } else { 32_700 } + u32::from(zone)
                 )
             }
         }
     }
 
-    /// Returns the name of the system in the text that cursors are bound to; see
-    /// `Params::cursor_binding`.
+    /// Returns the name of the system in the text that binds a cursor to its query (see
+    /// `Params::cursor_binding`).
     pub(super) fn binding_name(self) -> String {
         match self {
             Crs::Crs84 => "Crs84".to_owned(),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Returns all systems that are served, CRS84 first.
+    /// Returns all supported systems, CRS84 first.
     pub fn all() -> impl Iterator<Item = Crs> {
         let zones = |north| (1..=60).map(move |zone| Crs::Utm { zone, north });
         [Crs::Crs84, Crs::Wgs84, Crs::Mercator]
@@ -115,17 +116,17 @@
             .chain(zones(false))
     }
 
-    /// Returns the projection, or `None` if the system is geographic.
+    /// Returns the projected system, or `None` if the system is geographic.
     fn projection(self) -> Option<Proj> {
-        let text = match self {
+        let definition = match self {
             Crs::Crs84 | Crs::Wgs84 => return None,
-            Crs::Mercator => MERCATOR.to_owned(),
+            Crs::Mercator => WEB_MERCATOR_DEFINITION.to_owned(),
             Crs::Utm { zone, north } => {
                 let south = if north { "" } else { " +south" };
                 format!("+proj=utm +zone={zone}{south} +datum=WGS84 +units=m +no_defs")
             }
         };
-        Proj::from_proj_string(&text).ok()
+        Proj::from_proj_string(&definition).ok()
     }
 }
 
@@ -135,7 +136,7 @@
     }
 }
 
-/// Projected system and the geographic system that it refers to.
+/// A projected system and the geographic system that it refers to.
 struct Projection {
     geographic: Proj,
     projected: Proj,
@@ -144,18 +145,19 @@
 /// Transformation between CRS84 and another system.
 pub struct Transform {
     crs: Crs,
-    /// Projection; `None` if the system is geographic, so that at most the axes are swapped.
+    /// `None` if the system is geographic, so that at most the axes are swapped.
     projection: Option<Projection>,
 }
 
 impl Transform {
-    /// Creates the transformation between CRS84 and a system. Returns `None` if it can't be set up.
+    /// Creates the transformation between CRS84 and a system. Returns `None` if the definition of
+    /// the system is invalid.
     #[must_use]
-    pub fn of(crs: Crs) -> Option<Self> {
+    pub fn for_crs(crs: Crs) -> Option<Self> {
         let projection = match crs {
             Crs::Crs84 | Crs::Wgs84 => None,
             crs => Some(Projection {
-                geographic: Proj::from_proj_string(GEOGRAPHIC).ok()?,
+                geographic: Proj::from_proj_string(GEOGRAPHIC_DEFINITION).ok()?,
                 projected: crs.projection()?,
             }),
         };
@@ -171,14 +173,17 @@
             (None, Crs::Wgs84) => Some(swap_axes(position)),
             (None, _) => Some(position),
             (Some(projection), _) => {
-                let mut at = (position.x.to_radians(), position.y.to_radians(), 0.0);
+                let mut point = (position.x.to_radians(), position.y.to_radians(), 0.0);
                 proj4rs::transform::transform(
                     &projection.geographic,
                     &projection.projected,
-                    &mut at,
+                    &mut point,
                 )
                 .ok()?;
-                finite(Coord { x: at.0, y: at.1 })
+                if_finite(Coord {
+                    x: point.0,
+                    y: point.1,
+                })
             }
         }
     }
@@ -192,25 +197,26 @@
             (None, Crs::Wgs84) => Some(swap_axes(position)),
             (None, _) => Some(position),
             (Some(projection), _) => {
-                let mut at = (position.x, position.y, 0.0);
+                let mut point = (position.x, position.y, 0.0);
                 proj4rs::transform::transform(
                     &projection.projected,
                     &projection.geographic,
-                    &mut at,
+                    &mut point,
                 )
                 .ok()?;
-                finite(Coord {
-                    x: at.0.to_degrees(),
-                    y: at.1.to_degrees(),
+                if_finite(Coord {
+                    x: point.0.to_degrees(),
+                    y: point.1.to_degrees(),
                 })
             }
         }
     }
 
-    /// Returns a box in CRS84 (west, south, east, north) that contains a box of the system. Its west
-    /// is beyond its east if it spans the antimeridian.
+    /// Returns a box in CRS84 (west, south, east, north) that contains a box of the system (minima,
+    /// then maxima). West is greater than east if the box spans the antimeridian. Returns `None` if
+    /// the box lies outside the area for which the system is defined.
     #[must_use]
-    pub fn box_to_crs84(&self, numbers: [f64; 4]) -> Option<[f64; 4]> {
+    pub fn bbox_2d_to_crs84(&self, numbers: [f64; 4]) -> Option<[f64; 4]> {
         let [min_x, min_y, max_x, max_y] = numbers;
         if self.projection.is_none() {
             let min = self.to_crs84(Coord { x: min_x, y: min_y })?;
@@ -228,12 +234,12 @@
             f64::NEG_INFINITY,
         ];
         for step in 0..=EDGE_STEPS {
-            let share = step as f64 / EDGE_STEPS as f64;
-            let x = min_x + (max_x - min_x) * share;
-            let y = min_y + (max_y - min_y) * share;
+            let fraction = step as f64 / EDGE_STEPS as f64;
+            let x = min_x + (max_x - min_x) * fraction;
+            let y = min_y + (max_y - min_y) * fraction;
             for (x, y) in [(x, min_y), (x, max_y), (min_x, y), (max_x, y)] {
                 let position = self.to_crs84(Coord { x, y })?;
-                let longitude = nearest_turn(position.x, center.x);
+                let longitude = nearest_equivalent_longitude(position.x, center.x);
                 bounds = [
                     bounds[0].min(longitude),
                     bounds[1].min(position.y),
@@ -243,19 +249,22 @@
             }
         }
         let [west, south, east, north] = bounds;
-        Some([wrapped(west), south, wrapped(east), north])
+        Some([wrap_longitude(west), south, wrap_longitude(east), north])
     }
 
-    /// Transforms a box of four numbers, or six with heights, to CRS84. Returns `None` for another
-    /// count of numbers, or if the box lies outside the area for which the system is defined.
+    /// Transforms a box of four numbers, or of six with heights, to CRS84. Returns `None` for any
+    /// other number of numbers, or if the box lies outside the area for which the system is
+    /// defined.
     #[must_use]
     pub fn bbox_to_crs84(&self, numbers: &[f64]) -> Option<Vec<f64>> {
         match *numbers {
-            [min_x, min_y, max_x, max_y] => {
-                Some(self.box_to_crs84([min_x, min_y, max_x, max_y])?.to_vec())
-            }
+            [min_x, min_y, max_x, max_y] => Some(
+                self.bbox_2d_to_crs84([min_x, min_y, max_x, max_y])?
+                    .to_vec(),
+            ),
             [min_x, min_y, low, max_x, max_y, high] => {
-                let [west, south, east, north] = self.box_to_crs84([min_x, min_y, max_x, max_y])?;
+                let [west, south, east, north] =
+                    self.bbox_2d_to_crs84([min_x, min_y, max_x, max_y])?;
                 Some(vec![west, south, low, east, north, high])
             }
             _ => None,
@@ -275,20 +284,24 @@
     pub fn geojson_from_crs84(&self, geometry: &mut Json) -> bool {
         match geometry {
             Json::Object(members) => {
-                let coordinates = members
+                let is_transformed = members
                     .get_mut("coordinates")
                     .is_none_or(|c| self.positions_from_crs84(c));
-                let parts = members.get_mut("geometries").and_then(Json::as_array_mut);
-                coordinates
-                    && parts.is_none_or(|p| p.iter_mut().all(|g| self.geojson_from_crs84(g)))
+                let geometries = members.get_mut("geometries").and_then(Json::as_array_mut);
+                is_transformed
+                    && geometries.is_none_or(|list| {
+                        list.iter_mut()
+                            .all(|member| self.geojson_from_crs84(member))
+                    })
             }
             _ => true,
         }
     }
 
-    /// Transforms a position, or an array of positions at any depth.
-    fn positions_from_crs84(&self, at: &mut Json) -> bool {
-        let Some(list) = at.as_array_mut() else {
+    /// Transforms a position, or all positions of a nested array, in place. Returns `false` if one
+    /// lies outside the area for which the system is defined.
+    fn positions_from_crs84(&self, coordinates: &mut Json) -> bool {
+        let Some(list) = coordinates.as_array_mut() else {
             return true;
         };
         if let [Json::Number(x), Json::Number(y), ..] = list.as_slice() {
@@ -307,20 +320,22 @@
     }
 }
 
-/// Returns a longitude as the equal one, by full turns, that is nearest to another.
-fn nearest_turn(longitude: f64, other: f64) -> f64 {
+/// Returns a longitude with a full turn added or subtracted if that is nearer to `other`, in
+/// degrees. The two longitudes must not differ by more than a turn and a half.
+fn nearest_equivalent_longitude(longitude: f64, other: f64) -> f64 {
     match longitude - other {
-        ahead if ahead > HALF_TURN => longitude - 2.0 * HALF_TURN,
-        ahead if ahead < -HALF_TURN => longitude + 2.0 * HALF_TURN,
+        difference if difference > HALF_TURN_DEGREES => longitude - 2.0 * HALF_TURN_DEGREES,
+        difference if difference < -HALF_TURN_DEGREES => longitude + 2.0 * HALF_TURN_DEGREES,
         _ => longitude,
     }
 }
 
-/// Returns the longitude within -180 to 180 degrees that equals one beyond them.
-fn wrapped(longitude: f64) -> f64 {
-    nearest_turn(longitude, 0.0)
+/// Returns the equivalent longitude between -180 and 180 degrees.
+fn wrap_longitude(longitude: f64) -> f64 {
+    nearest_equivalent_longitude(longitude, 0.0)
 }
 
+/// Returns a position with its two coordinates exchanged.
 fn swap_axes(position: Coord<f64>) -> Coord<f64> {
     Coord {
         x: position.y,
@@ -328,8 +343,8 @@
     }
 }
 
-/// Returns a position if both coordinates are finite.
-fn finite(position: Coord<f64>) -> Option<Coord<f64>> {
+/// Returns a position if both coordinates are finite, else `None`.
+fn if_finite(position: Coord<f64>) -> Option<Coord<f64>> {
     (position.x.is_finite() && position.y.is_finite()).then_some(position)
 }
 
@@ -337,10 +352,10 @@
 /// the area for which the system is defined.
 pub fn filter_to_crs84(filter: &mut Filter, transform: &Transform) -> Option<()> {
     match filter {
-        Filter::And(parts) | Filter::Or(parts) => parts
+        Filter::And(children) | Filter::Or(children) => children
             .iter_mut()
-            .try_for_each(|p| filter_to_crs84(p, transform)),
-        Filter::Not(part) => filter_to_crs84(part, transform),
+            .try_for_each(|child| filter_to_crs84(child, transform)),
+        Filter::Not(child) => filter_to_crs84(child, transform),
         Filter::Spatial(_, a, b) => [a, b].into_iter().try_for_each(|value| {
             match value {
                 Value::Geometry(geometry) => *geometry = transform.geometry_to_crs84(geometry)?,
--- a/src/front/ogc/params/bbox.rs
+++ b/src/front/ogc/params/bbox.rs
@@ -23,7 +23,7 @@
 
 /// Returns a box in CRS84 that contains the given one.
 fn transformed(numbers: &[f64], crs: Crs) -> Result<Vec<f64>, RequestError> {
-    let transform = Transform::of(crs).ok_or(RequestError::UnusableCrs("bbox-crs"))?;
+    let transform = Transform::for_crs(crs).ok_or(RequestError::UnusableCrs("bbox-crs"))?;
     let bbox = transform.bbox_to_crs84(numbers);
     bbox.ok_or(RequestError::BboxUndefined)
 }
--- a/src/front/ogc/params/filter.rs
+++ b/src/front/ogc/params/filter.rs
@@ -13,7 +13,7 @@
 ) -> Result<(), RequestError> {
     check(filter, queryables)?;
     if crs != Crs::Crs84 {
-        let transform = Transform::of(crs).ok_or(RequestError::UnusableCrs("filter-crs"))?;
+        let transform = Transform::for_crs(crs).ok_or(RequestError::UnusableCrs("filter-crs"))?;
         filter_to_crs84(filter, &transform).ok_or(RequestError::FilterUndefined)?;
     }
     if is_on_globe(filter) {
--- a/src/front/ogc/response/projection.rs
+++ b/src/front/ogc/response/projection.rs
@@ -28,7 +28,7 @@
         let transform = if crs == Crs::Crs84 {
             None
         } else {
-            Transform::of(crs)
+            Transform::for_crs(crs)
         };
         FeatureProjection {
             transform,
