--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalog of the present inventory: its collections, the shards of each, and the servers that
-//! hold each shard. Reading an inventory is left to [`inventory`](super::inventory).
+//! The catalog of the current inventory: its collections, the shards of each collection, and the
+//! replicas of each shard. The inventory itself is read by [`inventory`](super::inventory).
 
 use super::inventory::{CollectionShard, Server};
 use crate::coordinator::{EndpointUpdate, ServerEndpoint};
@@ -8,91 +8,95 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::Hash;
 
-/// The maximum number of holders of a shard that get an identifier excluding them. The number of
-/// identifiers grows with its square.
-const MAX_EXCLUDED_HOLDERS: usize = 8;
+/// The maximum number of excluding identifiers that a server has for one of its shards. Without this
+/// limit the identifiers of all servers would grow with the square of the number of servers.
+const MAX_EXCLUDED_REPLICAS: usize = 8;
 
-/// A server that accepts new work and holds a shard.
+/// A replica of a shard at a server that accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShardHolder<'a> {
+pub struct ReadyReplica<'a> {
     /// The identifier of the shard at this server alone.
     pub sticky_shard: ShardId,
     /// The server's address.
     pub address: &'a str,
 }
 
-/// A shard and one of its servers, by name.
+/// Key of an identifier that concerns a shard and one server, by the server's name.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct ShardAtServer {
     shard: ShardId,
     server: String,
 }
 
-/// A server of the present inventory, without its address.
+/// A server of the current inventory, without its address.
 #[derive(Debug)]
 struct ServerEntry {
     name: String,
     state: EndpointState,
 }
 
-/// The state of a server in the previous inventory.
+/// A server of the previous inventory.
 #[derive(Debug, Clone, Copy)]
-struct ServerHistory {
+struct PreviousServer {
     state: EndpointState,
-    /// The time of the server's last start; `None` if that was before this process started.
-    started: Option<Micros>,
+    /// The time of the server's last start, or `None` if that was before this process started.
+    started_at: Option<Micros>,
 }
 
-/// The assignment of shard identifiers. An identifier is never reused, since a query may still
+/// The allocation of shard identifiers. An identifier is never reused, since a query may still
 /// refer to it.
 #[derive(Debug, Default)]
-struct ShardIds {
-    /// The number of identifiers assigned so far.
-    assigned: u32,
+struct ShardIdAllocator {
+    /// The number of identifiers allocated so far.
+    assigned_count: u32,
 }
 
-impl ShardIds {
-    /// Returns the identifier that `ids` has under `key`, after assigning a new one if there is
-    /// none.
-    fn get_or_assign<K: Eq + Hash>(&mut self, ids: &mut HashMap<K, ShardId>, key: K) -> ShardId {
+impl ShardIdAllocator {
+    /// Returns the identifier of `key` in `ids`. If there is none, it is allocated and inserted
+    /// first.
+    fn get_or_allocate<K: Eq + Hash>(&mut self, ids: &mut HashMap<K, ShardId>, key: K) -> ShardId {
         *ids.entry(key).or_insert_with(|| {
-            self.assigned += 1;
-            ShardId(self.assigned - 1)
+            self.assigned_count += 1;
+            ShardId(self.assigned_count - 1)
         })
     }
 }
 
-/// The collections of the present inventory. Shards keep their identifiers when the inventory is
-/// reloaded.
+/// The collections, shards and servers of the current inventory. Shards keep their identifiers when
+/// the inventory is reloaded.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    ids: ShardIds,
+    id_allocator: ShardIdAllocator,
+    /// The identifier of each shard at any of its servers.
     shard_ids: HashMap<CollectionShard, ShardId>,
-    /// The shard that each identifier of a shard stands for, whichever server holds it.
+    /// The shard of each identifier in `shard_ids`.
     shards_by_id: HashMap<ShardId, CollectionShard>,
-    /// The identifiers that only one server holds. The policy module can route a request for such
-    /// an identifier to no other server: requests for pages that continue at a server use it.
+    /// The identifier of each shard that only this server has. The policy module can route a
+    /// request for such an identifier to no other server. Requests for a following page use it,
+    /// since they must go to the server that returned the previous page.
     sticky_ids: HashMap<ShardAtServer, ShardId>,
-    /// The sticky identifiers that a server has in the present inventory.
+    /// The sticky identifiers of the servers in the current inventory.
     active_sticky_ids: HashSet<ShardId>,
-    /// The identifiers that all holders of a shard but one have. A shard that was interrupted at
-    /// that one is restarted at another by this identifier.
+    /// The identifier of each shard that all of its servers but this one have. It is used to
+    /// restart a shard at another server after its pages were interrupted at this one.
     excluding_ids: HashMap<ShardAtServer, ShardId>,
-    /// The shards of each collection that at least one server holds.
-    live_shards: BTreeMap<String, Vec<ShardId>>,
+    /// The shards of each collection, without those whose servers are all removed.
+    shards_by_collection: BTreeMap<String, Vec<ShardId>>,
+    /// The servers of the current inventory.
     servers_by_address: HashMap<String, ServerEntry>,
-    history: HashMap<String, ServerHistory>,
+    /// The servers of the previous inventory by name.
+    previous_servers: HashMap<String, PreviousServer>,
     /// Whether an inventory was loaded before.
-    loaded: bool,
+    is_loaded: bool,
 }
 
 impl Catalog {
-    /// Replaces the inventory and returns the endpoints for the core. A server that appears or
-    /// becomes ready again after the first inventory counts as started at `now`.
+    /// Replaces the inventory and returns the endpoint update for the coordinator. A server that
+    /// appears or becomes ready again after the first inventory counts as started at `now`.
     pub fn load(&mut self, servers: &[Server], now: Micros) -> EndpointUpdate {
-        self.clear_present(servers);
-        let mut nodes = Vec::new();
-        let mut history = HashMap::new();
+        self.clear_inventory(servers);
+        let mut endpoints = Vec::new();
+        let mut previous_servers = HashMap::new();
         for server in servers {
             let shards = self.assign_shards(server, servers);
             let entry = ServerEntry {
@@ -101,38 +105,38 @@
             };
             self.servers_by_address
                 .insert(server.address.to_string(), entry);
-            let started = self.started(server, now);
-            history.insert(
+            let started_at = self.started_at(server, now);
+            previous_servers.insert(
                 server.name.clone(),
-                ServerHistory {
+                PreviousServer {
                     state: server.state,
-                    started,
+                    started_at,
                 },
             );
-            nodes.push(ServerEndpoint {
+            endpoints.push(ServerEndpoint {
                 name: server.name.as_str().into(),
                 address: server.address.to_string().into(),
                 zone: 0,
                 cell: 0,
                 shards: Some(shards),
                 state: server.state,
-                started_at: started,
+                started_at,
             });
         }
-        self.sort_live_shards();
-        self.history = history;
-        self.loaded = true;
+        self.sort_shards();
+        self.previous_servers = previous_servers;
+        self.is_loaded = true;
         EndpointUpdate {
             kind: EndpointListKind::Full,
             version: None,
-            endpoints: nodes,
+            endpoints,
         }
     }
 
-    /// Clears the entries of the previous inventory, and the identifiers of servers that `servers`
-    /// does not name.
-    fn clear_present(&mut self, servers: &[Server]) {
-        self.live_shards.clear();
+    /// Removes the entries of the previous inventory, and the sticky and excluding identifiers of
+    /// servers that are not among `servers`.
+    fn clear_inventory(&mut self, servers: &[Server]) {
+        self.shards_by_collection.clear();
         self.servers_by_address.clear();
         self.active_sticky_ids.clear();
         let names: HashSet<&str> = servers.iter().map(|server| server.name.as_str()).collect();
@@ -142,83 +146,93 @@
             .retain(|key, _| names.contains(key.server.as_str()));
     }
 
-    /// Returns the identifiers under which a server holds its shards: each shard's own, the sticky
-    /// one, and one for each other holder that excludes that holder.
+    /// Returns the identifiers that a server has for its shards: for each shard its own identifier,
+    /// the sticky one, and for each other server of the shard the one that excludes that server.
     fn assign_shards(&mut self, server: &Server, servers: &[Server]) -> Vec<ShardId> {
         let mut assigned = Vec::new();
         for shard in &server.shards {
-            let id = self.ids.get_or_assign(&mut self.shard_ids, shard.clone());
+            let id = self
+                .id_allocator
+                .get_or_allocate(&mut self.shard_ids, shard.clone());
             self.shards_by_id.insert(id, shard.clone());
-            let at = |server: &Server| ShardAtServer {
+            let key_at = |server: &Server| ShardAtServer {
                 shard: id,
                 server: server.name.clone(),
             };
-            let sticky = self.ids.get_or_assign(&mut self.sticky_ids, at(server));
+            let sticky = self
+                .id_allocator
+                .get_or_allocate(&mut self.sticky_ids, key_at(server));
             self.active_sticky_ids.insert(sticky);
             assigned.extend([id, sticky]);
             let others = servers
                 .iter()
                 .filter(|s| s.name != server.name && s.shards.contains(shard));
-            for other in others.take(MAX_EXCLUDED_HOLDERS) {
-                assigned.push(self.ids.get_or_assign(&mut self.excluding_ids, at(other)));
+            for other in others.take(MAX_EXCLUDED_REPLICAS) {
+                assigned.push(
+                    self.id_allocator
+                        .get_or_allocate(&mut self.excluding_ids, key_at(other)),
+                );
             }
             if server.state != EndpointState::Removed {
-                self.add_live_shard(&shard.collection, id);
+                self.add_shard(&shard.collection, id);
             }
         }
         assigned
     }
 
-    /// Adds a shard to those of its collection, unless it is among them.
-    fn add_live_shard(&mut self, collection: &str, shard: ShardId) {
-        let live = self.live_shards.entry(collection.to_owned()).or_default();
-        if !live.contains(&shard) {
-            live.push(shard);
+    /// Adds a shard to those of its collection unless it is already among them.
+    fn add_shard(&mut self, collection: &str, shard: ShardId) {
+        let shards = self
+            .shards_by_collection
+            .entry(collection.to_owned())
+            .or_default();
+        if !shards.contains(&shard) {
+            shards.push(shard);
         }
     }
 
-    /// Returns the time of a server's last start by the inventories; `None` if that was before this
-    /// process started.
-    fn started(&self, server: &Server, now: Micros) -> Option<Micros> {
-        match self.history.get(&server.name) {
-            Some(ServerHistory {
+    /// Returns the time of a server's last start according to the inventories, or `None` if that
+    /// was before this process started or the server is not ready.
+    fn started_at(&self, server: &Server, now: Micros) -> Option<Micros> {
+        match self.previous_servers.get(&server.name) {
+            Some(PreviousServer {
                 state: EndpointState::Ready,
-                started,
-            }) => *started,
-            None if !self.loaded => None,
+                started_at,
+            }) => *started_at,
+            None if !self.is_loaded => None,
             _ => (server.state == EndpointState::Ready).then_some(now),
         }
     }
 
     /// Sorts each collection's shards by their names.
-    fn sort_live_shards(&mut self) {
+    fn sort_shards(&mut self) {
         let by_id = &self.shards_by_id;
-        for shards in self.live_shards.values_mut() {
+        for shards in self.shards_by_collection.values_mut() {
             shards.sort_by(|a, b| by_id.get(a).cmp(&by_id.get(b)));
         }
     }
 
     /// Returns the names of the collections, in order.
     pub fn collections(&self) -> impl Iterator<Item = &str> {
-        self.live_shards.keys().map(String::as_str)
+        self.shards_by_collection.keys().map(String::as_str)
     }
 
-    /// Returns the shards of a collection in the order of their names; `None` if there is no such
-    /// collection.
+    /// Returns the shards of a collection in the order of their names, or `None` if there is no
+    /// such collection.
     #[must_use]
     pub fn shards(&self, collection: &str) -> Option<&[ShardId]> {
-        self.live_shards.get(collection).map(Vec::as_slice)
+        self.shards_by_collection.get(collection).map(Vec::as_slice)
     }
 
-    /// Returns the identifier of a shard that excludes the server at `address`; `None` if no other
-    /// server that accepts new work holds the shard.
+    /// Returns the identifier of a shard that excludes the server at `address`, or `None` if no
+    /// other server that accepts new work has the shard.
     #[must_use]
     pub fn excluding_server(&self, shard: ShardId, address: &str) -> Option<ShardId> {
         let server = self.servers_by_address.get(address)?;
         if self
-            .ready_holders(shard)
+            .ready_replicas(shard)
             .iter()
-            .all(|holder| holder.address == address)
+            .all(|replica| replica.address == address)
         {
             return None;
         }
@@ -230,8 +244,8 @@
             .copied()
     }
 
-    /// Returns the identifier of a shard that only the server at `address` holds; `None` if that
-    /// server does not accept new work or does not hold the shard.
+    /// Returns the identifier of a shard that only the server at `address` has, or `None` if that
+    /// server does not accept new work or does not have the shard.
     #[must_use]
     pub fn sticky_shard(&self, shard: ShardId, address: &str) -> Option<ShardId> {
         let server = self
@@ -246,33 +260,34 @@
         self.active_sticky_ids.contains(&sticky).then_some(sticky)
     }
 
-    /// Returns the servers that accept new work and hold a shard, ordered by the sticky identifier.
+    /// Returns the replicas of a shard at servers that accept new work, ordered by their sticky
+    /// identifiers.
     #[must_use]
-    pub fn ready_holders(&self, shard: ShardId) -> Vec<ShardHolder<'_>> {
+    pub fn ready_replicas(&self, shard: ShardId) -> Vec<ReadyReplica<'_>> {
         let ready = self
             .servers_by_address
             .iter()
             .filter(|(_, s)| s.state == EndpointState::Ready);
-        let mut holders: Vec<_> = ready
+        let mut replicas: Vec<_> = ready
             .filter_map(|(address, _)| {
-                Some(ShardHolder {
+                Some(ReadyReplica {
                     sticky_shard: self.sticky_shard(shard, address)?,
                     address,
                 })
             })
             .collect();
-        holders.sort_unstable_by_key(|holder| holder.sticky_shard.0);
-        holders
+        replicas.sort_unstable_by_key(|replica| replica.sticky_shard.0);
+        replicas
     }
 
-    /// Returns whether a server with this name is listed and drains.
+    /// Returns whether a server with this name is in the inventory and draining.
     #[must_use]
     pub fn is_draining(&self, name: &str) -> bool {
         let mut servers = self.servers_by_address.values();
         servers.any(|server| server.name == name && server.state == EndpointState::Draining)
     }
 
-    /// Returns the name of the server at an address.
+    /// Returns the name of the server at an address, or `None` if there is no such server.
     #[must_use]
     pub fn server_name(&self, address: &str) -> Option<&str> {
         self.servers_by_address
@@ -280,7 +295,7 @@
             .map(|server| server.name.as_str())
     }
 
-    /// Returns the address of the server with this name.
+    /// Returns the address of the server with this name, or `None` if there is no such server.
     #[must_use]
     pub fn server_address(&self, name: &str) -> Option<String> {
         let found = self
@@ -290,7 +305,8 @@
         found.map(|(address, _)| address.clone())
     }
 
-    /// Returns the name that the servers use for a shard.
+    /// Returns the name that the servers use for a shard, or `None` if `shard` is not the
+    /// identifier of a shard at any of its servers.
     #[must_use]
     pub fn source_name(&self, shard: ShardId) -> Option<&str> {
         let shard = self.shards_by_id.get(&shard)?;
--- a/src/front/ogc/catalog/tests.rs
+++ b/src/front/ogc/catalog/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the memory of the catalog.
+//! Tests of the memory use of the catalog.
 
 use super::*;
 
-/// Returns a server in service of a shard that all servers hold.
+/// Returns a server that is ready and has the same shard as all others.
 fn server(name: String) -> Server {
     Server {
         name,
@@ -15,23 +15,30 @@
     }
 }
 
-/// Guards against memory that grows with each server name that was ever listed.
+/// Guards against memory use that grows with the number of server names in all inventories, when
+/// servers are replaced by servers with new names.
 #[test]
-fn servers_that_are_replaced_by_new_names_are_forgotten() {
+fn entries_of_servers_that_are_no_longer_listed_are_removed() {
     let mut catalog = Catalog::default();
     let mut assigned = HashSet::new();
     for generation in 0..1_000 {
         let servers = [0, 1].map(|n| server(format!("server-{generation}-{n}")));
         let update = catalog.load(&servers, Micros::ZERO);
-        let shards = update.endpoints[0].shards.as_ref().expect("its shards");
-        assert!(shards[1..].iter().all(|id| assigned.insert(*id)), "reused");
-        let shard = catalog.shards("devices").expect("the collection")[0];
+        let shards = update.endpoints[0]
+            .shards
+            .as_ref()
+            .expect("the server has a list of shards");
+        assert!(
+            shards[1..].iter().all(|id| assigned.insert(*id)),
+            "an identifier was reused"
+        );
+        let shard = catalog.shards("devices").expect("the collection exists")[0];
         assert_eq!(catalog.source_name(shard), Some("north"));
     }
-    let remembered = catalog.shards_by_id.len()
+    let entry_count = catalog.shards_by_id.len()
         + catalog.shard_ids.len()
         + catalog.sticky_ids.len()
         + catalog.excluding_ids.len()
-        + catalog.history.len();
-    assert_eq!(remembered, 8, "two servers of one shard");
+        + catalog.previous_servers.len();
+    assert_eq!(entry_count, 8, "two servers of one shard");
 }
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -1,7 +1,7 @@
 //! The shards of a collection and their replicas.
 
 use super::capabilities::ReplicaKey;
-use super::catalog::ShardHolder;
+use super::catalog::ReadyReplica;
 use super::error::ApiError;
 use super::state::FrontState;
 use crate::interface::ShardId;
@@ -48,15 +48,15 @@
 pub(super) fn replicas(state: &FrontState, shards: &[ShardSource]) -> Vec<Vec<ShardReplica>> {
     let catalog = lock(&state.catalog);
     let replicas_of = |source: &ShardSource| {
-        let replica = |holder: ShardHolder<'_>| ShardReplica {
-            sticky_shard: holder.sticky_shard,
+        let replica = |ready: ReadyReplica<'_>| ShardReplica {
+            sticky_shard: ready.sticky_shard,
             key: ReplicaKey {
-                address: Arc::from(holder.address),
+                address: Arc::from(ready.address),
                 source: Arc::from(source.name.as_str()),
             },
         };
         catalog
-            .ready_holders(source.shard)
+            .ready_replicas(source.shard)
             .into_iter()
             .map(replica)
             .collect()
