--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -1,10 +1,10 @@
-//! Capability discovery: which filters and sort orders servers can evaluate, read from their
-//! conformance pages and queryables and cached until a maximum age.
+//! Capabilities of feature servers: which filters and sort orders they can evaluate, parsed from
+//! their conformance declarations and queryables and cached until a maximum age.
 //!
-//! The cache owns no clock and no socket: callers pass the time and make the requests.
-//! [`CapabilityCache::lookup`] asks one caller to discover the capabilities on behalf of all, so
-//! that neither a restart nor an expired entry causes more than one discovery at a server at a
-//! time.
+//! The cache has no clock and sends no requests: callers pass the time, and send the requests that
+//! discover capabilities. [`CapabilityCache::lookup`] assigns the discovery of an entry to one
+//! caller at a time, so that many queries after a restart or the expiry of the entry don't send the
+//! same requests at once.
 
 use super::cql2::{Capabilities, Queryables};
 use super::stable_hash::stable_hash;
@@ -13,15 +13,16 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Backoff after the first discovery that failed; it doubles with each further failure.
+/// Backoff after the first failed discovery; it doubles with each consecutive failure.
 const INITIAL_BACKOFF: Micros = Micros::from_secs(2);
-/// Longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Micros = Micros::from_secs(120);
-/// Largest exponent of the backoff, which prevents an overflow.
+/// Maximum number of times that the backoff is doubled, which prevents an overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// Time limit of a discovery; after it another caller may discover.
+/// Time after which a discovery without a result no longer counts as in flight, so that another
+/// caller is asked to discover.
 const DISCOVERY_TIMEOUT: Micros = Micros::from_secs(5);
-/// Most entries of the cache; beyond that the least recently used one is evicted.
+/// Maximum number of entries of the cache. A new entry then replaces the least recently used one.
 const MAX_ENTRIES: usize = 4_096;
 
 /// Key of a cache entry: a shard at a server.
@@ -39,19 +40,19 @@
     /// Filters and sort orders that the server can evaluate.
     capabilities: Arc<Capabilities>,
     /// Time of the discovery.
-    at: Micros,
+    discovered_at: Micros,
 }
 
 /// Cache entry of a shard at a server.
 #[derive(Debug, Default)]
 struct Entry {
-    /// Latest capabilities, kept while a newer discovery fails.
+    /// Result of the last successful discovery; kept when a later one fails.
     discovered: Option<Discovered>,
-    /// Start of the discovery in flight, if there is one.
+    /// Start of the discovery in flight, or `None` if none is.
     in_flight_since: Option<Micros>,
-    /// Failed discoveries since the last successful one.
+    /// Number of failed discoveries since the last successful one.
     consecutive_failures: u32,
-    /// End of the backoff.
+    /// End of the backoff after the last failure.
     retry_at: Micros,
     /// Time of the last lookup.
     last_used: Micros,
@@ -62,35 +63,37 @@
     fn is_fresh(&self, now: Micros, max_age: Micros) -> bool {
         self.discovered
             .as_ref()
-            .is_some_and(|discovered| now.since(discovered.at) < max_age)
+            .is_some_and(|discovered| now.since(discovered.discovered_at) < max_age)
     }
 
     /// Returns whether a discovery is in flight that has not timed out.
-    fn in_flight(&self, now: Micros) -> bool {
+    fn is_in_flight(&self, now: Micros) -> bool {
         self.in_flight_since
             .is_some_and(|since| now.since(since) < DISCOVERY_TIMEOUT)
     }
 
-    /// Records a failed discovery and begins its backoff.
+    /// Records a failed discovery and starts a backoff.
     ///
-    /// Capabilities that were discovered before are kept: while the server is down they do no harm.
-    fn fail(&mut self, now: Micros) {
+    /// Capabilities of an earlier discovery are kept: while the server is down, they do no harm.
+    fn record_failure(&mut self, now: Micros) {
         let backoff = INITIAL_BACKOFF.0 << self.consecutive_failures.min(MAX_DOUBLINGS);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.retry_at = now + Micros(backoff).min(MAX_BACKOFF);
     }
 }
 
-/// Result of a lookup: the step that the caller takes next.
+/// Result of a lookup, which determines what the caller does next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CapabilityLookup {
-    /// The capabilities are known and fresh.
+    /// The capabilities, which are fresh, or stale while another caller discovers them or during a
+    /// backoff.
     Known(Arc<Capabilities>),
-    /// The caller discovers them and [`record`](CapabilityCache::record)s the result. The stale
-    /// capabilities, if any, serve until then.
+    /// The caller must discover the capabilities and pass the result to
+    /// [`CapabilityCache::record`]. It can use the stale capabilities, if there are any, until
+    /// then.
     Discover(Option<Arc<Capabilities>>),
-    /// None are known, and the caller does not discover them: another caller does, or a discovery
-    /// failed a short time ago.
+    /// The capabilities are not known, and the caller must not discover them, since another caller
+    /// does or the backoff after a failed discovery has not ended.
     Unavailable,
 }
 
@@ -98,12 +101,13 @@
 #[derive(Debug, Default)]
 pub struct CapabilityCache {
     entries: HashMap<ReplicaKey, Entry>,
-    /// Largest age of an entry that is fresh.
+    /// Age from which an entry is stale. Entries may be stale earlier, see
+    /// [`staleness_jitter`](CapabilityCache::staleness_jitter).
     max_age: Micros,
 }
 
 impl CapabilityCache {
-    /// Creates an empty cache whose entries are stale after `max_age` at the latest.
+    /// Creates an empty cache whose entries become stale at the age `max_age` at the latest.
     #[must_use]
     pub fn new(max_age: Micros) -> Self {
         CapabilityCache {
@@ -112,22 +116,22 @@
         }
     }
 
-    /// Returns the capabilities of a server for a shard, or whether the caller discovers them.
+    /// Returns the capabilities of a server for a shard, or whether the caller must discover them.
     pub fn lookup(&mut self, key: &ReplicaKey, now: Micros) -> CapabilityLookup {
-        self.evict_for(key);
-        let max_age = self.max_age - self.spread(key);
+        self.make_room_for(key);
+        let max_age = self.max_age - self.staleness_jitter(key);
         let entry = self.entries.entry(key.clone()).or_default();
         entry.last_used = now;
         let capabilities = entry
             .discovered
             .as_ref()
             .map(|discovered| discovered.capabilities.clone());
-        let must_wait = entry.in_flight(now) || now < entry.retry_at;
+        let is_deferred = entry.is_in_flight(now) || now < entry.retry_at;
         match capabilities {
-            Some(capabilities) if must_wait || entry.is_fresh(now, max_age) => {
+            Some(capabilities) if is_deferred || entry.is_fresh(now, max_age) => {
                 CapabilityLookup::Known(capabilities)
             }
-            None if must_wait => CapabilityLookup::Unavailable,
+            None if is_deferred => CapabilityLookup::Unavailable,
             stale => {
                 entry.in_flight_since = Some(now);
                 CapabilityLookup::Discover(stale)
@@ -135,61 +139,66 @@
         }
     }
 
-    /// Evicts the least recently used entry if the cache is full and `key` is new.
-    fn evict_for(&mut self, key: &ReplicaKey) {
+    /// Evicts the least recently used entry if the cache is full and has no entry for `key`.
+    fn make_room_for(&mut self, key: &ReplicaKey) {
         if self.entries.contains_key(key) || self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let least_recent = self.entries.iter().min_by_key(|(_, entry)| entry.last_used);
-        if let Some(evicted) = least_recent.map(|(key, _)| key.clone()) {
+        let least_recently_used = self.entries.iter().min_by_key(|(_, entry)| entry.last_used);
+        if let Some(evicted) = least_recently_used.map(|(key, _)| key.clone()) {
             self.entries.remove(&evicted);
         }
     }
 
-    /// Returns by how much earlier than `max_age` an entry is stale, at most a quarter of the age.
+    /// Returns by how much earlier than at `max_age` an entry becomes stale: at most a quarter of
+    /// `max_age`, by the hash of the key.
     ///
-    /// Servers that were discovered together are thereby not all rediscovered together.
-    fn spread(&self, key: &ReplicaKey) -> Micros {
+    /// Entries that were discovered together are therefore not all discovered again together.
+    fn staleness_jitter(&self, key: &ReplicaKey) -> Micros {
         let hash = stable_hash(&[key.address.as_bytes(), key.source.as_bytes()]);
         Micros(self.max_age.0 / 4 * (hash % 256) / 256)
     }
 
-    /// Records the result of a discovery; `None` is a failure.
+    /// Records the result of a discovery; `capabilities` is `None` if it failed.
     pub fn record(&mut self, key: &ReplicaKey, capabilities: Option<Capabilities>, now: Micros) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
         entry.in_flight_since = None;
         let Some(capabilities) = capabilities else {
-            return entry.fail(now);
+            return entry.record_failure(now);
         };
         entry.discovered = Some(Discovered {
             capabilities: Arc::new(capabilities),
-            at: now,
+            discovered_at: now,
         });
         entry.consecutive_failures = 0;
     }
 
-    /// Returns the queryables that any of these servers declares, or `None` if none declares any.
-    pub fn any_queryables<'a>(
+    /// Returns the queryables that at least one of these servers declares, or `None` if none
+    /// declares any.
+    pub fn queryables_union<'a>(
         &self,
         keys: impl Iterator<Item = &'a ReplicaKey>,
     ) -> Option<Queryables> {
         let known = keys
-            .filter_map(|key| self.known(key))
+            .filter_map(|key| self.known_capabilities(key))
             .map(|capabilities| &capabilities.queryables);
         let declared = known
             .filter(|queryables| !queryables.named.is_empty())
             .cloned();
-        declared.reduce(|all, more| all.union(&more))
+        declared.reduce(|union, queryables| union.union(&queryables))
     }
 
-    /// Returns the capabilities that all of these servers have, or `None` if those of one are
-    /// unknown.
-    pub fn common<'a>(&self, keys: impl Iterator<Item = &'a ReplicaKey>) -> Option<Capabilities> {
+    /// Returns the capabilities that all of these servers have, or `None` if there are no servers
+    /// or the capabilities of one are unknown.
+    pub fn common_capabilities<'a>(
+        &self,
+        keys: impl Iterator<Item = &'a ReplicaKey>,
+    ) -> Option<Capabilities> {
         let mut common: Option<Capabilities> = None;
         for key in keys {
-            let capabilities = self.known(key)?;
+            let capabilities = self.known_capabilities(key)?;
             common = Some(match common {
                 None => capabilities.clone(),
                 Some(common) => common.intersection(capabilities),
@@ -198,16 +207,18 @@
         common
     }
 
-    fn known(&self, key: &ReplicaKey) -> Option<&Capabilities> {
+    /// Returns the capabilities of an entry, fresh or stale, or `None` if they were never
+    /// discovered.
+    fn known_capabilities(&self, key: &ReplicaKey) -> Option<&Capabilities> {
         Some(&self.entries.get(key)?.discovered.as_ref()?.capabilities)
     }
 }
 
-/// Returns the capabilities that a server's two documents declare, or `None` if the first is no
-/// conformance page.
+/// Returns the capabilities that a server declares in its conformance declaration and its
+/// queryables, or `None` if `conformance` is not a conformance declaration.
 ///
-/// Conformance classes are identified by the last segment of their URIs. `max_filter_text` is this
-/// edge's own limit, in characters.
+/// Conformance classes are identified by the last segments of their URIs. `max_filter_text` is the
+/// front's own limit on the text of a filter, in bytes.
 #[must_use]
 pub fn parse_capabilities(
     conformance: &[u8],
--- a/src/front/ogc/capabilities/tests.rs
+++ b/src/front/ogc/capabilities/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of capability discovery.
+//! Tests of the cache of capabilities.
 
 use super::{parse_capabilities, CapabilityCache, CapabilityLookup, ReplicaKey, MAX_ENTRIES};
 use crate::time::Micros;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn one_caller_discovers_for_all_and_the_others_go_on() {
+fn a_discovery_is_assigned_to_one_caller_and_the_others_get_cached_capabilities() {
     let mut cache = CapabilityCache::new(secs(100));
     assert_eq!(
         cache.lookup(&replica(1), secs(1)),
@@ -25,29 +25,29 @@
     assert_eq!(
         cache.lookup(&replica(1), secs(2)),
         CapabilityLookup::Unavailable,
-        "another caller discovers"
+        "another caller is discovering"
     );
     assert_eq!(
         cache.lookup(&replica(1), secs(7)),
         CapabilityLookup::Discover(None),
-        "the discovery was never finished"
+        "the first discovery timed out"
     );
     let capabilities =
         parse_capabilities(br#"{"conformsTo":["http://x/conf/basic-cql2"]}"#, None, 9)
-            .expect("a page");
+            .expect("the document is a conformance declaration");
     cache.record(&replica(1), Some(capabilities.clone()), secs(8));
     let known = CapabilityLookup::Known(Arc::new(capabilities.clone()));
     assert_eq!(cache.lookup(&replica(1), secs(9)), known);
     assert_eq!(
         cache.lookup(&replica(1), secs(200)),
         CapabilityLookup::Discover(Some(Arc::new(capabilities))),
-        "stale, yet of use"
+        "the stale capabilities are returned"
     );
     assert_eq!(cache.lookup(&replica(1), secs(200)), known);
 }
 
 #[test]
-fn a_discovery_that_fails_is_not_made_again_at_once() {
+fn a_failed_discovery_is_repeated_after_a_backoff() {
     let mut cache = CapabilityCache::new(secs(100));
     let mut discoveries = 0;
     for second in 0..1_000 {
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn discoveries_are_spread_over_time_and_entries_are_bounded() {
+fn discoveries_are_spread_over_time_and_the_number_of_entries_is_bounded() {
     let mut cache = CapabilityCache::new(secs(100));
     let capabilities = || parse_capabilities(br#"{"conformsTo":[]}"#, None, 9);
     for n in 0..200 {
         cache.lookup(&replica(n), secs(0));
         cache.record(&replica(n), capabilities(), secs(0));
     }
-    let mut most = 0;
+    let mut max_at_once = 0;
     for second in 70..=100 {
         let discoveries: Vec<_> = (0..200)
             .filter(|n| {
@@ -77,12 +77,12 @@
                 )
             })
             .collect();
-        most = most.max(discoveries.len());
+        max_at_once = max_at_once.max(discoveries.len());
         discoveries
             .into_iter()
             .for_each(|n| cache.record(&replica(n), capabilities(), secs(second)));
     }
-    assert!(most < 40, "{most} at once");
+    assert!(max_at_once < 40, "{max_at_once} at once");
     for n in 0..10_000 {
         cache.lookup(&replica(n), secs(200 + n as u64));
     }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn common_capabilities_are_those_of_each_server() {
+fn common_capabilities_are_those_that_all_servers_have() {
     let mut cache = CapabilityCache::new(secs(100));
     let declared = |classes: &str, names: &str| {
         let page = format!("{{\"conformsTo\":[{classes}]}}");
@@ -108,15 +108,18 @@
         cache.record(&replica(n), capabilities, secs(0));
     }
     let both = cache
-        .common([replica(0), replica(1)].iter())
-        .expect("known");
+        .common_capabilities([replica(0), replica(1)].iter())
+        .expect("all capabilities are known");
     assert_eq!((both.classes.len(), both.queryables.named.len()), (1, 1));
-    assert_eq!(cache.common([replica(0), replica(2)].iter()), None);
+    assert_eq!(
+        cache.common_capabilities([replica(0), replica(2)].iter()),
+        None
+    );
     let either = cache
-        .any_queryables([replica(0), replica(1), replica(2)].iter())
-        .expect("declared");
+        .queryables_union([replica(0), replica(1), replica(2)].iter())
+        .expect("queryables are declared");
     assert_eq!(either.named.into_keys().collect::<Vec<_>>(), ["x", "y"]);
-    assert_eq!(cache.any_queryables([replica(2)].iter()), None);
+    assert_eq!(cache.queryables_union([replica(2)].iter()), None);
     assert!(
         parse_capabilities(b"<html>", None, 9).is_none()
             && parse_capabilities(b"{}", None, 9).is_none()
--- a/src/front/ogc/client_request.rs
+++ b/src/front/ogc/client_request.rs
@@ -1,5 +1,5 @@
-//! The client's part of a request: its class, its timeout, and the parameters of a query. Parsing
-//! the parameters is left to [`params`](super::params).
+//! What a client's request determines for a query: the class, the timeout and the parameters. The
+//! parameters are parsed by [`params`](super::params).
 
 use super::config::EdgeConfig;
 use super::error::ApiError;
@@ -8,30 +8,32 @@
 use crate::proto::http::HttpRequest;
 use crate::time::Micros;
 
-/// The maximum `X-Expires-In`, in seconds. A greater value counts as this one.
+/// The maximum value of `X-Expires-In`, in seconds. A greater value counts as this one.
 const MAX_TIMEOUT_S: f64 = 3_600.0;
 
-/// The client of a query and its timeout, which are the same for all rounds of the query.
+/// The client, class and timeout of a query, which are the same for all rounds of the query.
 #[derive(Debug, Clone)]
 pub(super) struct ClientContext {
-    /// The token that identifies the client's connection in the core's answers.
+    /// The token that identifies the client's connection in the coordinator's answers.
     pub token: Token,
     /// The index of the class in the edge file.
     pub class: usize,
-    /// The time that the client waits, counted from `sent_at`.
+    /// The time that the client waits for the answer, counted from `sent_at`.
     pub timeout: Micros,
     /// The estimated time at which the client sent the request.
     pub sent_at: Micros,
 }
 
 impl ClientContext {
-    /// Returns the context of a request by its headers `X-Qos` and `X-Expires-In`.
+    /// Returns the context of a request, with the class that its header `X-Qos` names (by default
+    /// the first of the edge file), and the timeout in its header `X-Expires-In`, which is limited
+    /// to the class's deadline (by default that deadline).
     ///
     /// # Errors
     ///
     /// [`ApiError::UnknownClass`] and [`ApiError::InvalidTimeout`], if one of the headers has no
     /// valid value.
-    pub fn of(
+    pub fn from_request(
         request: &HttpRequest,
         edge: &EdgeConfig,
         token: Token,
@@ -42,7 +44,7 @@
             Some(name) => edge
                 .classes
                 .iter()
-                .position(|c| c.name == name)
+                .position(|class| class.name == name)
                 .ok_or(ApiError::UnknownClass)?,
         };
         let deadline = Micros::from_millis(edge.classes[class].deadline_ms);
@@ -61,31 +63,31 @@
     }
 }
 
-/// Parses a nonnegative number of seconds.
+/// Parses a nonnegative number of seconds. Returns `None` if the text is not such a number.
 fn parse_timeout(text: &str) -> Option<Micros> {
     let seconds = text
         .parse::<f64>()
         .ok()
-        .filter(|s| s.is_finite() && *s >= 0.0)?;
+        .filter(|seconds| seconds.is_finite() && *seconds >= 0.0)?;
     Some(Micros((seconds.min(MAX_TIMEOUT_S) * 1e6) as u64))
 }
 
-/// Returns scheme and host for the links in a response: the host of the `Host` header, or else the
-/// address that the front listens at.
+/// Returns the scheme and host for the links in a response. The host is that of the `Host` header,
+/// or the address on which the front listens if the header is missing or has unexpected characters.
 pub(super) fn base_url(request: &HttpRequest, edge: &EdgeConfig) -> String {
-    let is_plain = |host: &&str| {
+    let is_valid_host = |host: &&str| {
         host.bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-._:[]".contains(&b))
             && !host.is_empty()
     };
-    match request.headers.get("Host").filter(is_plain) {
+    match request.headers.get("Host").filter(is_valid_host) {
         Some(host) => format!("http://{host}"),
         None => format!("http://{}", edge.listen),
     }
 }
 
-/// A query for the features of a collection, and the parts of the request that the links of its
-/// response repeat.
+/// A query for the features of a collection, with the values of the request that the links in the
+/// response contain.
 pub(super) struct ItemsRequest {
     /// The scheme and host of the links.
     pub base_url: String,
--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -2,8 +2,8 @@
 //! [`response`](crate::front::ogc::response).
 
 use super::ResourceRequest;
+use crate::front::ogc::capability_discovery::{discover_capabilities, queryables};
 use crate::front::ogc::cql2::{QueryableType, Queryables};
-use crate::front::ogc::discovery::{discover_then, queryables};
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::response::{documents, openapi};
 use crate::front::ogc::shards::shards_of;
@@ -117,5 +117,5 @@
         Reaction::Respond(documents::schema(&document, &title, &queryables))
     };
     let state = incoming.state.clone();
-    Ok(discover_then(state, &client, &shards, respond))
+    Ok(discover_capabilities(state, &client, &shards, respond))
 }
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -1,9 +1,9 @@
 //! The handler of the features of a collection: `GET /collections/{collectionId}/items`.
 
 use super::ResourceRequest;
+use crate::front::ogc::capability_discovery::queryables;
 use crate::front::ogc::client_request::ItemsRequest;
 use crate::front::ogc::cql2::Queryables;
-use crate::front::ogc::discovery::queryables;
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::params::{parse_items_query, ParameterRules};
 use crate::front::ogc::query::ItemsQuery;
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -5,8 +5,8 @@
 mod items;
 mod search;
 
+use super::capability_discovery::discover_capabilities;
 use super::client_request::{base_url, ClientContext};
-use super::discovery::discover_then;
 use super::error::ApiError;
 use super::params::{decode_query, negotiate_format, QueryParameter};
 use super::response::documents::DocumentContext;
@@ -115,7 +115,7 @@
     }
 
     fn client(&self) -> Result<ClientContext, ApiError> {
-        ClientContext::of(self.http, &self.state.edge, self.token, self.sent_at)
+        ClientContext::from_request(self.http, &self.state.edge, self.token, self.sent_at)
     }
 
     /// Starts a query after capability discovery, so that whether a name is a queryable does not
@@ -126,7 +126,7 @@
         shards: &[ShardSource],
         start: impl FnOnce(Arc<FrontState>) -> Result<Reaction, ApiError> + Send + 'static,
     ) -> Reaction {
-        discover_then(self.state.clone(), client, shards, |state| {
+        discover_capabilities(self.state.clone(), client, shards, |state| {
             start(state).unwrap_or_else(|error| {
                 COUNTERS.bad_requests.increment();
                 Reaction::Respond(error_response(&error))
--- a/src/front/ogc/handlers/search.rs
+++ b/src/front/ogc/handlers/search.rs
@@ -2,8 +2,8 @@
 //! in the form of the STAC API's Item Search.
 
 use super::IncomingRequest;
+use crate::front::ogc::capability_discovery::queryables;
 use crate::front::ogc::client_request::ItemsRequest;
-use crate::front::ogc::discovery::queryables;
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::params::{
     parse_search, parse_search_body, search_collection, Format, Search,
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -8,6 +8,7 @@
 
 mod admission;
 pub mod capabilities;
+mod capability_discovery;
 mod catalog;
 pub mod check;
 mod client_request;
@@ -16,7 +17,6 @@
 pub mod crs;
 pub mod cursor;
 mod delivery;
-mod discovery;
 mod error;
 mod filter_bounds;
 mod handlers;
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -52,7 +52,10 @@
         let replicas = replicas(state, shards);
         let plan = |(index, replicas): (usize, &Vec<ShardReplica>)| {
             let keys = replicas.iter().map(|replica| &replica.key);
-            let capabilities = state.capabilities().common(keys).unwrap_or_default();
+            let capabilities = state
+                .capabilities()
+                .common_capabilities(keys)
+                .unwrap_or_default();
             match resumed.filter(|resumed| resumed.index == index) {
                 Some(resumed) => Self::resumed(params, resumed),
                 None => Self::from_start(params, &capabilities, after_values),
