--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -8,8 +8,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::Hash;
 
-/// The maximum number of excluding identifiers that a server has for one of its shards. Without this
-/// limit the identifiers of all servers would grow with the square of the number of servers.
+/// The maximum number of excluding identifiers that a server has for one of its shards. Without
+/// this limit the number of identifiers would grow with the square of the number of a shard's
+/// servers.
 const MAX_EXCLUDED_REPLICAS: usize = 8;
 
 /// A replica of a shard at a server that accepts new work.
@@ -48,7 +49,7 @@
 #[derive(Debug, Default)]
 struct ShardIdAllocator {
     /// The number of identifiers allocated so far.
-    assigned_count: u32,
+    allocated_count: u32,
 }
 
 impl ShardIdAllocator {
@@ -56,8 +57,8 @@
     /// first.
     fn get_or_allocate<K: Eq + Hash>(&mut self, ids: &mut HashMap<K, ShardId>, key: K) -> ShardId {
         *ids.entry(key).or_insert_with(|| {
-            self.assigned_count += 1;
-            ShardId(self.assigned_count - 1)
+            self.allocated_count += 1;
+            ShardId(self.allocated_count - 1)
         })
     }
 }
@@ -98,7 +99,7 @@
         let mut endpoints = Vec::new();
         let mut previous_servers = HashMap::new();
         for server in servers {
-            let shards = self.assign_shards(server, servers);
+            let shards = self.register_shards(server, servers);
             let entry = ServerEntry {
                 name: server.name.clone(),
                 state: server.state,
@@ -146,10 +147,11 @@
             .retain(|key, _| names.contains(key.server.as_str()));
     }
 
-    /// Returns the identifiers that a server has for its shards: for each shard its own identifier,
-    /// the sticky one, and for each other server of the shard the one that excludes that server.
-    fn assign_shards(&mut self, server: &Server, servers: &[Server]) -> Vec<ShardId> {
-        let mut assigned = Vec::new();
+    /// Adds a server's shards to the catalog and returns the identifiers that the server has for
+    /// them: for each shard its own identifier, the sticky one, and for each other server of the
+    /// shard the one that excludes that server.
+    fn register_shards(&mut self, server: &Server, servers: &[Server]) -> Vec<ShardId> {
+        let mut ids = Vec::new();
         for shard in &server.shards {
             let id = self
                 .id_allocator
@@ -163,12 +165,12 @@
                 .id_allocator
                 .get_or_allocate(&mut self.sticky_ids, key_at(server));
             self.active_sticky_ids.insert(sticky);
-            assigned.extend([id, sticky]);
+            ids.extend([id, sticky]);
             let others = servers
                 .iter()
                 .filter(|s| s.name != server.name && s.shards.contains(shard));
             for other in others.take(MAX_EXCLUDED_REPLICAS) {
-                assigned.push(
+                ids.push(
                     self.id_allocator
                         .get_or_allocate(&mut self.excluding_ids, key_at(other)),
                 );
@@ -177,7 +179,7 @@
                 self.add_shard(&shard.collection, id);
             }
         }
-        assigned
+        ids
     }
 
     /// Adds a shard to those of its collection unless it is already among them.
@@ -191,8 +193,9 @@
         }
     }
 
-    /// Returns the time of a server's last start according to the inventories, or `None` if that
-    /// was before this process started or the server is not ready.
+    /// Returns the time of a server's last start according to the inventories. Returns `None` if
+    /// the server started before this process, or is ready neither in the previous nor in the
+    /// current inventory.
     fn started_at(&self, server: &Server, now: Micros) -> Option<Micros> {
         match self.previous_servers.get(&server.name) {
             Some(PreviousServer {
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -21,7 +21,7 @@
 pub use pushdown::{split, Capabilities, FilterSplit};
 pub use queryables::{QueryableType, Queryables};
 pub use text::{flatten, parse_text, Junction};
-pub use validation::check;
+pub use validation::validate;
 
 use geo::Geometry;
 
--- a/src/front/ogc/cql2/pushdown.rs
+++ b/src/front/ogc/cql2/pushdown.rs
@@ -126,6 +126,8 @@
     }
 }
 
+/// Returns the bounding box of a constant geometry or box, or `None` if the box spans the
+/// antimeridian or has heights.
 fn constant_bounds(value: &Value) -> Option<Envelope> {
     match value {
         Value::Geometry(geometry) => {
@@ -156,6 +158,7 @@
     }
 }
 
+/// Returns whether all texts in a filter can be written as literals of CQL2 text.
 fn has_only_expressible_texts(filter: &Filter) -> bool {
     let mut is_expressible = true;
     filter.for_each_value(&mut |value| {
--- a/src/front/ogc/cql2/tests/parsing.rs
+++ b/src/front/ogc/cql2/tests/parsing.rs
@@ -1,6 +1,6 @@
 //! Tests of parsing: malformed filters, and the round trip of a printed filter.
 
-use super::super::{check, parse_json, parse_text, to_json};
+use super::super::{parse_json, parse_text, to_json, validate};
 use super::queryables;
 
 /// Texts that are not filters, or filters that are not valid for [`queryables`].
@@ -46,7 +46,7 @@
     let oversized = oversized_filters();
     let oversized = oversized.iter().map(String::as_str);
     for text in MALFORMED_FILTERS.iter().copied().chain(oversized) {
-        let checked = parse_text(text).and_then(|filter| check(&filter, &queryables));
+        let checked = parse_text(text).and_then(|filter| validate(&filter, &queryables));
         let message = checked
             .expect_err(&text.chars().take(60).collect::<String>())
             .to_string();
--- a/src/front/ogc/cql2/tests/validation.rs
+++ b/src/front/ogc/cql2/tests/validation.rs
@@ -1,6 +1,6 @@
 //! Tests of the validation of filters against queryables.
 
-use super::super::{check, parse_text, FilterError, QueryableType, Queryables};
+use super::super::{parse_text, validate, FilterError, QueryableType, Queryables};
 use super::queryables;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -41,17 +41,17 @@
     "name BETWEEN 'a' AND 'b'",
 ];
 
-fn parse_and_check(text: &str) -> Result<(), FilterError> {
-    check(&parse_text(text).expect(text), &queryables())
+fn parse_and_validate(text: &str) -> Result<(), FilterError> {
+    validate(&parse_text(text).expect(text), &queryables())
 }
 
 #[test]
 fn names_and_operands_are_checked_against_the_queryables() {
     for text in VALID_FILTERS {
-        assert_eq!(parse_and_check(text), Ok(()), "{text}");
+        assert_eq!(parse_and_validate(text), Ok(()), "{text}");
     }
     for text in INVALID_FILTERS {
-        assert!(parse_and_check(text).is_err(), "{text}");
+        assert!(parse_and_validate(text).is_err(), "{text}");
     }
 }
 
--- a/src/front/ogc/cql2/text/condition.rs
+++ b/src/front/ogc/cql2/text/condition.rs
@@ -139,6 +139,7 @@
     Ok(negate(found, negated))
 }
 
+/// Parses a comparison operator.
 fn comparison_operator(input: &mut Input<'_>) -> Parsed<ComparisonOperator> {
     for operator in ComparisonOperator::ALL {
         if opt(symbol(operator.text())).parse_next(input)?.is_some() {
--- a/src/front/ogc/cql2/text/geometry.rs
+++ b/src/front/ogc/cql2/text/geometry.rs
@@ -89,16 +89,19 @@
     result.map_err(|_| fatal("a sound line or ring (closed, four points or more)"))
 }
 
+/// Parses the positions of a line.
 fn line_string(input: &mut Input<'_>) -> Parsed<LineString<f64>> {
     let positions = list(position)(input)?;
     checked(build_line(positions))
 }
 
+/// Parses the positions of a ring of a polygon.
 fn linear_ring(input: &mut Input<'_>) -> Parsed<LineString<f64>> {
     let positions = list(position)(input)?;
     checked(build_ring(positions))
 }
 
+/// Parses the rings of a polygon.
 fn polygon_rings(input: &mut Input<'_>) -> Parsed<Polygon<f64>> {
     let rings = list(linear_ring)(input)?;
     checked(build_polygon(rings))
--- a/src/front/ogc/cql2/text/operand.rs
+++ b/src/front/ogc/cql2/text/operand.rs
@@ -194,6 +194,7 @@
     alt((complete, scalar)).parse_next(input)
 }
 
+/// Parses an array in parentheses.
 fn array(input: &mut Input<'_>) -> Parsed<Value> {
     let items = |input: &mut Input<'_>| {
         let items: Vec<Value> = delimited(
--- a/src/front/ogc/cql2/validation.rs
+++ b/src/front/ogc/cql2/validation.rs
@@ -12,9 +12,9 @@
 ///
 /// Fails if a name is not a queryable, or if an operand is malformed or of a type that its operator
 /// does not take.
-pub fn check(filter: &Filter, queryables: &Queryables) -> Result<(), FilterError> {
+pub fn validate(filter: &Filter, queryables: &Queryables) -> Result<(), FilterError> {
     let validator = Validator { queryables };
-    validator.check(filter)
+    validator.validate(filter)
 }
 
 /// Validator of filters against queryables.
@@ -24,12 +24,12 @@
 }
 
 impl Validator<'_> {
-    fn check(self, filter: &Filter) -> Result<(), FilterError> {
+    fn validate(self, filter: &Filter) -> Result<(), FilterError> {
         match filter {
             Filter::And(children) | Filter::Or(children) => {
-                children.iter().try_for_each(|child| self.check(child))
+                children.iter().try_for_each(|child| self.validate(child))
             }
-            Filter::Not(child) => self.check(child),
+            Filter::Not(child) => self.validate(child),
             Filter::Constant(_) => Ok(()),
             Filter::Compare(_, left, right) => {
                 self.check_comparable(left, self.type_of(left)?, right)
--- a/src/front/ogc/params/filter.rs
+++ b/src/front/ogc/params/filter.rs
@@ -1,6 +1,6 @@
 //! Preparation of parsed filters, and queryables as parameters.
 
-use super::super::cql2::{check, ComparisonOperator, Filter, QueryableType, Queryables, Value};
+use super::super::cql2::{validate, ComparisonOperator, Filter, QueryableType, Queryables, Value};
 use super::super::crs::{filter_to_crs84, Crs, Transform};
 use super::super::filter_bounds::is_on_globe;
 use super::RequestError;
@@ -11,7 +11,7 @@
     crs: Crs,
     queryables: &Queryables,
 ) -> Result<(), RequestError> {
-    check(filter, queryables)?;
+    validate(filter, queryables)?;
     if crs != Crs::Crs84 {
         let transform = Transform::for_crs(crs).ok_or(RequestError::UnusableCrs("filter-crs"))?;
         filter_to_crs84(filter, &transform).ok_or(RequestError::FilterUndefined)?;
