--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -187,7 +187,7 @@
         let declared = known
             .filter(|queryables| !queryables.named.is_empty())
             .cloned();
-        declared.reduce(|union, queryables| union.union(&queryables))
+        declared.reduce(|merged, queryables| merged.union(&queryables))
     }
 
     /// Returns the capabilities that all of these servers have, or `None` if there are no servers
--- a/src/front/ogc/crs/tests.rs
+++ b/src/front/ogc/crs/tests.rs
@@ -158,9 +158,9 @@
     );
 }
 
-/// Guards against a box that selects almost the whole globe. A box whose west is greater than its
-/// east spans the antimeridian (OGC API - Features, Part 1, 7.15.3), so its longitudes must not be
-/// sorted.
+/// Guards against a box that selects almost the whole globe: the least and greatest longitude of
+/// points on both sides of the antimeridian are far apart. A box across it has a west that is greater
+/// than its east (OGC API - Features, Part 1, 7.15.3).
 #[test]
 fn a_transformed_box_across_the_antimeridian_is_not_wider_than_the_original_one() {
     for (zone, north) in [(60, true), (60, false), (1, true), (1, false)] {
