--- a/src/front/ogc/cql2/eval/mod.rs
+++ b/src/front/ogc/cql2/eval/mod.rs
@@ -1,27 +1,29 @@
-//! Evaluation of a filter on a feature: true, false, or unknown (`None`) where a value is missing.
+//! Evaluation of a filter on a feature: true, false, or unknown (`None`) if a required value is
+//! missing or of the wrong type.
 
-mod operand;
 mod pattern;
 mod spatial;
 mod time_span;
+mod value;
 
 pub(super) use time_span::{parse_instant, TimeSpan};
 
 use super::geometry::parse_geojson;
 use super::{ArrayRelation, ComparisonOperator, Filter, Value};
 use geo::Geometry;
-use operand::Operand;
 use serde_json::Value as Json;
 use std::borrow::Cow;
 use std::cmp::Ordering;
+use value::EvaluatedValue;
 
 /// A feature as parsed GeoJSON.
 #[derive(Debug)]
 pub struct Feature<'a>(pub &'a Json);
 
 impl<'a> Feature<'a> {
-    /// Returns the value of a name: a property, else `id`, else the geometry under its usual names.
-    /// A null is `None`.
+    /// Returns the property of this name; if there is none, the feature's identifier for `id`, or
+    /// its geometry for a usual name of the main geometry. Returns `None` for a missing or null
+    /// value.
     #[must_use]
     pub fn value(&self, name: &str) -> Option<&'a Json> {
         let found = self.0["properties"].get(name).or_else(|| match name {
@@ -33,12 +35,12 @@
     }
 }
 
-/// Returns whether a name is a usual one of the main geometry.
+/// Returns whether a name is one of the usual names of the main geometry.
 pub(super) fn is_main_geometry(name: &str) -> bool {
     matches!(name, "geometry" | "geom")
 }
 
-/// Filter that is applied to features.
+/// A filter that is evaluated on features.
 #[derive(Debug, Clone)]
 pub struct Matcher {
     filter: Filter,
@@ -51,14 +53,14 @@
         Matcher { filter }
     }
 
-    /// Returns whether the filter is true of a feature. A feature of which it is unknown doesn't
+    /// Returns whether the filter is true for a feature. A feature for which it is unknown doesn't
     /// match.
     #[must_use]
     pub fn matches(&self, feature: &Json) -> bool {
         evaluate(&self.filter, &Feature(feature)) == Some(true)
     }
 
-    /// Returns whether the filter is true of a feature as text. Text that is not JSON doesn't
+    /// Returns whether the filter is true for a feature as JSON text. Text that is not JSON doesn't
     /// match.
     #[must_use]
     pub fn matches_text(&self, feature: &[u8]) -> bool {
@@ -69,22 +71,24 @@
 /// Returns the truth of a filter for a feature, or `None` if it is unknown.
 fn evaluate(filter: &Filter, feature: &Feature<'_>) -> Option<bool> {
     match filter {
-        Filter::And(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), false),
-        Filter::Or(parts) => decide(parts.iter().map(|part| evaluate(part, feature)), true),
-        Filter::Not(part) => evaluate(part, feature).map(|truth| !truth),
+        Filter::And(children) => {
+            decide(children.iter().map(|child| evaluate(child, feature)), false)
+        }
+        Filter::Or(children) => decide(children.iter().map(|child| evaluate(child, feature)), true),
+        Filter::Not(child) => evaluate(child, feature).map(|truth| !truth),
         Filter::Constant(truth) => Some(*truth),
         Filter::Compare(operator, left, right) => {
-            let left = Operand::evaluate(left, feature)?;
-            let right = Operand::evaluate(right, feature)?;
+            let left = EvaluatedValue::evaluate(left, feature)?;
+            let right = EvaluatedValue::evaluate(right, feature)?;
             Some(satisfies(*operator, left.compare(&right)?))
         }
         Filter::Like(text, pattern) => is_like(text, pattern, feature),
         Filter::Between(value, low, high) => is_between(value, low, high, feature),
         Filter::In(value, items) => is_in(value, items, feature),
         Filter::IsNull(Value::Property(name)) => Some(feature.value(name).is_none()),
-        Filter::IsNull(value) => Some(Operand::evaluate(value, feature).is_none()),
-        Filter::Test(value) => match Operand::evaluate(value, feature)? {
-            Operand::Bool(truth) => Some(truth),
+        Filter::IsNull(value) => Some(EvaluatedValue::evaluate(value, feature).is_none()),
+        Filter::BooleanProperty(value) => match EvaluatedValue::evaluate(value, feature)? {
+            EvaluatedValue::Bool(truth) => Some(truth),
             _ => None,
         },
         Filter::Spatial(relation, left, right) => {
@@ -103,28 +107,30 @@
 
 /// Returns whether a text matches a pattern, or `None` if it is unknown.
 fn is_like(text: &Value, pattern: &Value, feature: &Feature<'_>) -> Option<bool> {
-    let text = Operand::evaluate(text, feature)?;
-    let pattern = Operand::evaluate(pattern, feature)?;
+    let text = EvaluatedValue::evaluate(text, feature)?;
+    let pattern = EvaluatedValue::evaluate(pattern, feature)?;
     match (text, pattern) {
-        (Operand::Text(text), Operand::Text(pattern)) => Some(pattern::matches(&text, &pattern)),
+        (EvaluatedValue::Text(text), EvaluatedValue::Text(pattern)) => {
+            Some(pattern::matches(&text, &pattern))
+        }
         _ => None,
     }
 }
 
 /// Returns whether a value lies between two others, both included, or `None` if it is unknown.
 fn is_between(value: &Value, low: &Value, high: &Value, feature: &Feature<'_>) -> Option<bool> {
-    let value = Operand::evaluate(value, feature)?;
-    let low = Operand::evaluate(low, feature)?;
+    let value = EvaluatedValue::evaluate(value, feature)?;
+    let low = EvaluatedValue::evaluate(low, feature)?;
     let is_above = value.compare(&low)? != Ordering::Less;
-    let high = Operand::evaluate(high, feature)?;
+    let high = EvaluatedValue::evaluate(high, feature)?;
     Some(is_above && value.compare(&high)? != Ordering::Greater)
 }
 
-/// Returns whether a value is equal to one of a list, or `None` if it is unknown.
+/// Returns whether a value is equal to an item of a list, or `None` if it is unknown.
 fn is_in(value: &Value, items: &[Value], feature: &Feature<'_>) -> Option<bool> {
-    let value = Operand::evaluate(value, feature)?;
+    let value = EvaluatedValue::evaluate(value, feature)?;
     let is_equal = |item| {
-        let item = Operand::evaluate(item, feature)?;
+        let item = EvaluatedValue::evaluate(item, feature)?;
         Some(value.compare(&item)? == Ordering::Equal)
     };
     decide(items.iter().map(is_equal), true)
@@ -137,31 +143,32 @@
     right: &Value,
     feature: &Feature<'_>,
 ) -> Option<bool> {
-    let left = Operand::evaluate(left, feature)?;
-    let right = Operand::evaluate(right, feature)?;
+    let left = EvaluatedValue::evaluate(left, feature)?;
+    let right = EvaluatedValue::evaluate(right, feature)?;
     match (left, right) {
-        (Operand::Array(left), Operand::Array(right)) => {
-            Some(operand::relates(relation, &left, &right))
+        (EvaluatedValue::Array(left), EvaluatedValue::Array(right)) => {
+            Some(value::relates(relation, &left, &right))
         }
         _ => None,
     }
 }
 
-/// Combines conditions of which one with the truth `decisive` decides: `false` for AND, `true` for
-/// OR. Returns `None` if none decides and one is unknown.
+/// Returns the truth of a conjunction (`decisive` is false) or disjunction (`decisive` is true), or
+/// `None` if it is unknown. One condition with the truth `decisive` determines the result, whatever
+/// the others are; otherwise it is unknown if any condition is.
 fn decide(conditions: impl Iterator<Item = Option<bool>>, decisive: bool) -> Option<bool> {
-    let mut unknown = false;
+    let mut is_any_unknown = false;
     for condition in conditions {
         match condition {
             Some(truth) if truth == decisive => return Some(decisive),
             Some(_) => {}
-            None => unknown = true,
+            None => is_any_unknown = true,
         }
     }
-    (!unknown).then_some(!decisive)
+    (!is_any_unknown).then_some(!decisive)
 }
 
-/// Returns whether the order of two values satisfies a comparison.
+/// Returns whether a comparison is true for two values in this order.
 fn satisfies(operator: ComparisonOperator, order: Ordering) -> bool {
     match operator {
         ComparisonOperator::Equal => order == Ordering::Equal,
@@ -183,7 +190,7 @@
     }
 }
 
-/// Returns the time span of an operand, or `None` if it is unknown or ends before it begins.
+/// Returns the time span of an operand, or `None` if it is unknown or its end is before its start.
 fn time_span(value: &Value, feature: &Feature<'_>) -> Option<TimeSpan> {
     match value {
         Value::Date(text) | Value::Timestamp(text) => parse_instant(text),
--- a/src/front/ogc/cql2/mod.rs
+++ b/src/front/ogc/cql2/mod.rs
@@ -1,8 +1,9 @@
-//! CQL2 (OGC 21-065r2): filters as a typed tree, parsed from text and from JSON, and printed as
-//! either.
+//! CQL2 (Common Query Language, OGC 21-065r2): filters as a typed tree, parsed from text and from
+//! JSON, and printed as either.
 //!
-//! This module owns the tree, its limits, its validation against queryables, its evaluation on a
-//! feature, and its pushdown to servers. Requests to servers are left to the rest of the front.
+//! This module contains the tree, its limits, its validation against queryables, its evaluation on
+//! a feature, and its pushdown to feature servers. It sends no requests: the rest of the front
+//! does.
 
 mod conformance;
 mod eval;
@@ -20,20 +21,20 @@
 pub use pushdown::{split, Capabilities, FilterSplit};
 pub use queryables::{QueryableType, Queryables};
 pub use text::{flatten, parse_text, Junction};
-pub use validation::check;
+pub use validation::validate;
 
 use geo::Geometry;
 
-/// Deepest nesting of a filter.
+/// Maximum depth of nesting of a filter.
 pub const MAX_DEPTH: usize = 24;
-/// Most nodes of a filter's tree, not counting points of geometries.
+/// Maximum number of nodes of a filter's tree, not counting the points of geometries.
 pub const MAX_NODES: usize = 2_000;
-/// Most points of all geometries of a filter.
+/// Maximum number of points of all geometries of a filter together.
 pub const MAX_POINTS: usize = 20_000;
-/// Length of a date such as `2026-12-01`, in characters.
-const DATE_LENGTH: usize = 10;
+/// Length of a date such as `2026-12-01`, in bytes.
+const DATE_LENGTH_BYTES: usize = 10;
 
-/// Message to the client that wrote a malformed filter.
+/// Malformed filter, with the message to the client that sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FilterError(pub String);
 
@@ -45,12 +46,12 @@
 
 impl std::error::Error for FilterError {}
 
-/// Returns an error with a message.
-fn fault<T>(why: impl Into<String>) -> Result<T, FilterError> {
-    Err(FilterError(why.into()))
+/// Returns an error with this message to the client.
+fn filter_error<T>(message: impl Into<String>) -> Result<T, FilterError> {
+    Err(FilterError(message.into()))
 }
 
-/// A condition that is true, false or unknown of a feature.
+/// A condition that is true, false or unknown for a feature.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Filter {
     /// Conjunction of two conditions or more.
@@ -65,11 +66,11 @@
     Compare(ComparisonOperator, Value, Value),
     /// Match of a text against a pattern with `%`, `_` and `\`.
     Like(Value, Value),
-    /// Test that a number lies between two others, both included.
+    /// Test that the first value lies between the two others, both included.
     Between(Value, Value, Value),
-    /// Test that a value is equal to one of a list.
+    /// Test that a value is equal to an item of a list.
     In(Value, Vec<Value>),
-    /// Test that a value is missing.
+    /// Test that a property is missing or null.
     IsNull(Value),
     /// Spatial relation between two geometries.
     Spatial(SpatialRelation, Value, Value),
@@ -77,8 +78,8 @@
     Temporal(TemporalRelation, Value, Value),
     /// Relation between two arrays.
     Array(ArrayRelation, Value, Value),
-    /// Boolean property as a condition.
-    Test(Value),
+    /// Boolean property that stands for a condition by itself.
+    BooleanProperty(Value),
 }
 
 /// An operand of a filter.
@@ -100,15 +101,16 @@
     Interval(Option<Box<Value>>, Option<Box<Value>>),
     /// A geometry.
     Geometry(Geometry<f64>),
-    /// Box: west, south, east, north, or six numbers with the lowest and highest heights.
+    /// Box: west, south, east, north; or six numbers, with the lowest height after south and the
+    /// highest height after north.
     Bbox(Vec<f64>),
     /// An array.
     Array(Vec<Value>),
     /// Result of an operator on two numbers.
     Arithmetic(ArithmeticOperator, Box<Value>, Box<Value>),
-    /// Text without its case.
+    /// Text for a comparison that ignores case.
     Casei(Box<Value>),
-    /// Text without its accents.
+    /// Text for a comparison that ignores accents.
     Accenti(Box<Value>),
 }
 
@@ -124,12 +126,12 @@
         impl $name {
             /// All values of the type.
             pub const ALL: &'static [$name] = &[$($name::$variant),*];
-            /// Returns the name in CQL2 text.
+            /// Returns the name of the operator in CQL2 text.
             #[must_use]
             pub fn text(self) -> &'static str {
                 match self { $($name::$variant => $text),* }
             }
-            /// Returns the name in CQL2 JSON.
+            /// Returns the name of the operator in CQL2 JSON.
             #[must_use]
             pub fn json(self) -> &'static str {
                 match self { $($name::$variant => $json),* }
@@ -162,7 +164,7 @@
     }
 }
 operators! {
-    /// Spatial relation of the dimensionally extended nine-intersection model.
+    /// Spatial relation of the dimensionally extended nine-intersection model (DE-9IM).
     SpatialRelation {
         Intersects "S_INTERSECTS" "s_intersects",
         Equals "S_EQUALS" "s_equals",
@@ -207,7 +209,7 @@
 impl TemporalRelation {
     /// Returns whether the relation may hold between instants too; the others need two intervals.
     #[must_use]
-    pub fn takes_instants(self) -> bool {
+    pub fn allows_instants(self) -> bool {
         matches!(
             self,
             TemporalRelation::After
@@ -220,7 +222,7 @@
 }
 
 impl Filter {
-    /// Returns the operands, in order.
+    /// Returns the filter's own operands, in order.
     #[must_use]
     pub fn values(&self) -> Vec<&Value> {
         match self {
@@ -232,31 +234,33 @@
             | Filter::Array(_, a, b) => vec![a, b],
             Filter::Between(a, b, c) => vec![a, b, c],
             Filter::In(a, list) => std::iter::once(a).chain(list).collect(),
-            Filter::IsNull(a) | Filter::Test(a) => vec![a],
+            Filter::IsNull(a) | Filter::BooleanProperty(a) => vec![a],
         }
     }
 
     /// Returns the conditions that the filter joins or negates.
     #[must_use]
-    pub fn parts(&self) -> &[Filter] {
+    pub fn children(&self) -> &[Filter] {
         match self {
-            Filter::And(parts) | Filter::Or(parts) => parts,
-            Filter::Not(part) => std::slice::from_ref(part),
+            Filter::And(children) | Filter::Or(children) => children,
+            Filter::Not(child) => std::slice::from_ref(child),
             _ => &[],
         }
     }
 
-    /// Calls `visit` for every operand of the filter and of its parts, inner operands too.
-    pub fn each_value<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
-        self.values().into_iter().for_each(|v| v.each(visit));
-        self.parts().iter().for_each(|p| p.each_value(visit));
+    /// Calls `visit` for every operand in the filter's tree, including operands of operands.
+    pub fn for_each_value<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
+        self.values().into_iter().for_each(|v| v.for_each(visit));
+        self.children()
+            .iter()
+            .for_each(|child| child.for_each_value(visit));
     }
 
     /// Returns the names of the properties that the filter refers to.
     #[must_use]
     pub fn properties(&self) -> std::collections::BTreeSet<&str> {
         let mut names = std::collections::BTreeSet::new();
-        self.each_value(&mut |v| {
+        self.for_each_value(&mut |v| {
             if let Value::Property(name) = v {
                 names.insert(name.as_str());
             }
@@ -264,66 +268,75 @@
         names
     }
 
-    /// Returns the conjunction of several conditions, or `None` if there are none.
+    /// Returns the conjunction of the conditions (a single condition as it is), or `None` if there
+    /// are none.
     #[must_use]
-    pub fn all(mut parts: Vec<Filter>) -> Option<Filter> {
-        match parts.len() {
+    pub fn conjunction(mut conditions: Vec<Filter>) -> Option<Filter> {
+        match conditions.len() {
             0 => None,
-            1 => parts.pop(),
-            _ => Some(Filter::And(parts)),
+            1 => conditions.pop(),
+            _ => Some(Filter::And(conditions)),
         }
     }
 
-    /// Returns the relative cost of evaluating the filter on a feature: one for each node and for
-    /// each hundred points of its geometries.
+    /// Returns the relative cost of evaluating the filter on a feature: 1 for each node and 1 for
+    /// each 100 points of a geometry.
     #[must_use]
-    pub fn weight(&self) -> usize {
-        let mut weight = 1 + self.parts().iter().map(Filter::weight).sum::<usize>();
+    pub fn evaluation_cost(&self) -> usize {
+        let mut cost = 1 + self
+            .children()
+            .iter()
+            .map(Filter::evaluation_cost)
+            .sum::<usize>();
         for value in self.values() {
-            value.each(&mut |v| {
-                weight += match v {
-                    Value::Geometry(g) => 1 + geometry::points(g) / 100,
+            value.for_each(&mut |v| {
+                cost += match v {
+                    Value::Geometry(g) => 1 + geometry::point_count(g) / 100,
                     _ => 1,
                 }
             });
         }
-        weight
+        cost
     }
 
     /// Returns the number of conditions in the filter, including itself.
-    fn conditions(&self) -> usize {
-        1 + self.parts().iter().map(Filter::conditions).sum::<usize>()
+    fn condition_count(&self) -> usize {
+        1 + self
+            .children()
+            .iter()
+            .map(Filter::condition_count)
+            .sum::<usize>()
     }
 
-    /// Returns the filter if it is within the limits on nodes and points.
-    fn bounded(self) -> Result<Self, FilterError> {
-        let mut nodes = self.conditions();
+    /// Returns the filter if its nodes and points do not exceed the limits, else an error.
+    fn within_limits(self) -> Result<Self, FilterError> {
+        let mut nodes = self.condition_count();
         let mut points = 0;
-        self.each_value(&mut |value| {
+        self.for_each_value(&mut |value| {
             nodes += 1;
             if let Value::Geometry(geometry) = value {
-                points += geometry::points(geometry);
+                points += geometry::point_count(geometry);
             }
         });
         if nodes > MAX_NODES {
-            return fault(format!("it has more than {MAX_NODES} parts"));
+            return filter_error(format!("it has more than {MAX_NODES} parts"));
         }
         if points > MAX_POINTS {
-            return fault(format!("its geometries have more than {MAX_POINTS} points"));
+            return filter_error(format!("its geometries have more than {MAX_POINTS} points"));
         }
         Ok(self)
     }
 }
 
 impl Value {
-    /// Calls `visit` for the value and its inner values.
-    fn each<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
+    /// Calls `visit` for the value and all values within it.
+    fn for_each<'a>(&'a self, visit: &mut dyn FnMut(&'a Value)) {
         visit(self);
         match self {
-            Value::Interval(a, b) => a.iter().chain(b).for_each(|v| v.each(visit)),
-            Value::Array(list) => list.iter().for_each(|v| v.each(visit)),
-            Value::Arithmetic(_, a, b) => [a, b].into_iter().for_each(|v| v.each(visit)),
-            Value::Casei(a) | Value::Accenti(a) => a.each(visit),
+            Value::Interval(a, b) => a.iter().chain(b).for_each(|v| v.for_each(visit)),
+            Value::Array(list) => list.iter().for_each(|v| v.for_each(visit)),
+            Value::Arithmetic(_, a, b) => [a, b].into_iter().for_each(|v| v.for_each(visit)),
+            Value::Casei(a) | Value::Accenti(a) => a.for_each(visit),
             _ => {}
         }
     }
--- a/src/front/ogc/cql2/queryables.rs
+++ b/src/front/ogc/cql2/queryables.rs
@@ -1,7 +1,7 @@
 //! The queryables of a collection: the names that a filter may use, and their types (OGC API -
 //! Features, Part 3).
 
-use super::{fault, FilterError};
+use super::{filter_error, FilterError};
 use serde_json::{json, Map, Value as Json};
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
     Number,
     /// True or false.
     Bool,
-    /// A day or an instant.
+    /// A date or an instant.
     Time,
     /// A geometry.
     Geometry,
     /// An array.
     Array,
-    /// Not declared; values of any type.
+    /// The type is not declared or not the same at all servers; the values may have any type.
     Any,
 }
 
@@ -62,7 +62,7 @@
 pub struct Queryables {
     /// The declared queryables by name.
     pub named: BTreeMap<String, QueryableType>,
-    /// Whether other names may be used too; their types are unknown.
+    /// Whether filters may also use names that are not declared; their types are unknown.
     pub open: bool,
 }
 
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Parses the queryables of a JSON schema, as servers declare them. Returns `None` if it has no
-    /// properties.
+    /// Parses the JSON schema by which a server declares its queryables. Returns `None` if the
+    /// schema has no `properties`.
     #[must_use]
     pub fn from_schema(schema: &Json) -> Option<Self> {
         let properties = schema["properties"].as_object()?;
@@ -96,29 +96,30 @@
         let properties: Map<String, Json> = self
             .named
             .iter()
-            .map(|(name, kind)| (name.clone(), kind.to_schema()))
+            .map(|(name, queryable_type)| (name.clone(), queryable_type.to_schema()))
             .collect();
         json!({"type": "object", "properties": properties, "additionalProperties": self.open})
     }
 
-    /// Returns the names that both have, with their type if both agree on it.
+    /// Returns the queryables that both have. A queryable whose types differ has the type
+    /// [`QueryableType::Any`].
     #[must_use]
     pub fn intersection(&self, other: &Queryables) -> Self {
-        let common_type = |name: &String, kind: QueryableType| match other.named.get(name) {
-            Some(theirs) if *theirs == kind => Some(kind),
+        let common_type = |name: &String, queryable_type: QueryableType| match other.named.get(name)
+        {
+            Some(theirs) if *theirs == queryable_type => Some(queryable_type),
             Some(_) => Some(QueryableType::Any),
-            None => other.open.then_some(kind),
+            None => other.open.then_some(queryable_type),
         };
-        let ours = self
-            .named
-            .iter()
-            .filter_map(|(name, kind)| Some((name.clone(), common_type(name, *kind)?)));
+        let ours = self.named.iter().filter_map(|(name, queryable_type)| {
+            Some((name.clone(), common_type(name, *queryable_type)?))
+        });
         let theirs = other
             .named
             .iter()
             .filter(|(name, _)| self.open && !self.named.contains_key(*name));
         let named = ours
-            .chain(theirs.map(|(name, kind)| (name.clone(), *kind)))
+            .chain(theirs.map(|(name, queryable_type)| (name.clone(), *queryable_type)))
             .collect();
         Queryables {
             named,
@@ -126,25 +127,26 @@
         }
     }
 
-    /// Returns the names that either has, with their type if both agree on it.
+    /// Returns the queryables that either has. A queryable whose types differ has the type
+    /// [`QueryableType::Any`].
     #[must_use]
     pub fn union(mut self, other: &Queryables) -> Self {
         for (name, theirs) in &other.named {
-            let kind = self.named.entry(name.clone()).or_insert(*theirs);
-            if kind != theirs {
-                *kind = QueryableType::Any;
+            let queryable_type = self.named.entry(name.clone()).or_insert(*theirs);
+            if queryable_type != theirs {
+                *queryable_type = QueryableType::Any;
             }
         }
         self.open |= other.open;
         self
     }
 
-    /// Returns the type of a name.
+    /// Returns the type of a queryable, or an error if filters may not use the name.
     pub(super) fn type_of(&self, name: &str) -> Result<QueryableType, FilterError> {
         match self.named.get(name) {
-            Some(kind) => Ok(*kind),
+            Some(queryable_type) => Ok(*queryable_type),
             None if self.open => Ok(QueryableType::Any),
-            None => fault(format!("there is no queryable {name:?}")),
+            None => filter_error(format!("there is no queryable {name:?}")),
         }
     }
 }
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -53,7 +53,10 @@
         let replicas = replicas(state, shards);
         let plan = |(index, replicas): (usize, &Vec<ShardReplica>)| {
             let keys = replicas.iter().map(|replica| &replica.key);
-            let capabilities = state.capabilities().common(keys).unwrap_or_default();
+            let capabilities = state
+                .capabilities()
+                .common_capabilities(keys)
+                .unwrap_or_default();
             match resumed.filter(|resumed| resumed.index == index) {
                 Some(resumed) => Self::resumed(params, resumed),
                 None => Self::from_start(params, &capabilities, after_values),
@@ -92,7 +95,7 @@
             // The filter is pushed down only if the servers can evaluate all of it. Otherwise it is
             // not needed, because the merge leaves out features before the position in any case.
             if split(&after, capabilities).residual.is_none() {
-                filter = Filter::all(filter.into_iter().chain([after]).collect());
+                filter = Filter::conjunction(filter.into_iter().chain([after]).collect());
             }
         }
         if let Some(filter) = filter {
@@ -225,7 +228,7 @@
             Filter::IsNull(Value::Property(key.property.to_owned())),
         ])
     });
-    Filter::all(conditions)
+    Filter::conjunction(conditions)
 }
 
 /// Returns the literal for a JSON value in a filter; `None` unless it is a string or a number.
