--- a/src/front/ogc/params/error.rs
+++ b/src/front/ogc/params/error.rs
@@ -1,89 +1,90 @@
-//! Errors of queries that are rejected before any server is queried. Clients read the messages in
-//! the problem's detail.
+//! Errors of queries that are rejected before a request is sent to any server. The messages are the
+//! `detail` of the problem documents that clients receive.
 
 use super::super::cql2::FilterError;
 use thiserror::Error;
 
-/// A query for features is malformed or can't be served.
+/// Error of a query for features that is malformed or can't be served.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// A parameter is given twice.
     #[error("{0} is given twice")]
     DuplicateParameter(String),
-    /// There is no such parameter and no such queryable.
+    /// A name is neither a parameter nor a queryable.
     #[error("unknown parameter {0:?}")]
     UnknownParameter(String),
-    /// The value of a queryable has another type.
+    /// A value is not of the queryable's type.
     #[error("{name}: {value:?} is of another kind")]
-    ValueType {
+    WrongValueType {
         /// The queryable's name.
         name: String,
-        /// The value.
+        /// The value that was given.
         value: String,
     },
-    /// A limit is not a positive number.
+    /// The limit is not a positive integer.
     #[error("limit is no number from 1 on")]
-    Limit,
+    InvalidLimit,
     /// A coordinate reference system is unknown.
     #[error("{name}: {value:?} is not served")]
     UnsupportedCrs {
         /// The parameter's name.
         name: String,
-        /// The identifier.
+        /// The identifier that was given.
         value: String,
     },
-    /// A coordinate reference system can't be set up.
+    /// The transformation from a coordinate reference system can't be created.
     #[error("{0}: it cannot be used")]
-    UnusableCrs(&'static str),
-    /// A box contains something other than numbers.
+    UnavailableCrs(&'static str),
+    /// An element of the bounding box is not a number.
     #[error("bbox: numbers are needed")]
-    BboxNumbers,
-    /// A box has a wrong count of numbers, or infinite ones.
+    BboxNotNumeric,
+    /// The bounding box does not consist of four or six finite numbers.
     #[error("bbox: four or six numbers are needed")]
-    BboxCount,
-    /// A box lies outside of where its system is defined.
+    InvalidBboxLength,
+    /// The bounding box lies outside the area in which its coordinate reference system is defined.
     #[error("bbox: it lies where bbox-crs is not defined")]
-    BboxUndefined,
-    /// A box has its corners in the wrong order or off the globe.
+    BboxOutsideCrs,
+    /// The corners of the bounding box are in the wrong order or have invalid coordinates.
     #[error("bbox: its corners are no box on the globe")]
-    BboxCorners,
-    /// A time is malformed.
+    InvalidBboxCorners,
+    /// A time is not in the format of RFC 3339.
     #[error("datetime: {0:?} is no RFC 3339 time")]
-    Datetime(String),
-    /// An interval is open at both ends.
+    InvalidDatetime(String),
+    /// An interval is unbounded at both ends.
     #[error("datetime: an interval needs an end")]
-    IntervalOpen,
-    /// An interval has its ends in the wrong order.
+    UnboundedInterval,
+    /// An interval ends before it begins.
     #[error("datetime: the interval ends before it begins")]
-    IntervalOrder,
-    /// A filter's language is named without a filter.
+    ReversedInterval,
+    /// A filter language is given without a filter.
     #[error("filter-lang without filter")]
     FilterLanguageWithoutFilter,
-    /// A filter's language is unknown; its name is quoted.
+    /// The filter language is unknown. The field contains its name in quotation marks.
     #[error("filter-lang {0} is not served")]
     UnsupportedFilterLanguage(String),
-    /// A filter is malformed or doesn't fit the queryables.
+    /// The filter is malformed or doesn't match the queryables.
     #[error("filter: {0}")]
     Filter(#[from] FilterError),
-    /// A point of a filter lies outside of where its system is defined.
+    /// A point of the filter lies outside the area in which its coordinate reference system is
+    /// defined.
     #[error("filter: a point lies where filter-crs is not defined")]
-    FilterUndefined,
-    /// A point of a filter lies off the globe.
+    FilterOutsideCrs,
+    /// A point of the filter has an invalid longitude or latitude.
     #[error("filter: a point lies outside longitude and latitude")]
-    FilterOffGlobe,
-    /// A selection of properties is malformed or too long.
+    FilterOutOfRange,
+    /// The list of properties has an empty name or too many names.
     #[error("properties: names apart by commas are needed")]
-    Properties,
-    /// Sort keys in JSON are malformed.
+    InvalidProperties,
+    /// The sort keys in the body of a search are malformed.
     #[error("sortby: a list of field and direction is needed")]
-    SortList,
-    /// There is no sort key, or there are too many.
+    MalformedSortKeys,
+    /// There is no sort key, or there are too many sort keys.
     #[error("sortby: 1 to {max} properties are needed")]
-    SortCount {
-        /// Largest number of sort keys.
+    InvalidSortKeyCount {
+        /// Maximum number of sort keys.
         max: usize,
     },
-    /// There is no such sortable.
+    /// Features can't be sorted by a property.
     #[error("sortby: {0:?} is no sortable")]
     UnknownSortable(String),
     /// A sort key is given twice.
@@ -91,26 +92,26 @@
     DuplicateSortKey(String),
     /// The body of a search is not JSON.
     #[error("the body: {0}")]
-    Body(#[source] serde_json::Error),
+    MalformedBody(#[source] serde_json::Error),
     /// The body of a search is JSON, but not an object.
     #[error("the body is no JSON object")]
-    BodyObject,
+    BodyNotObject,
     /// A member of a search is unknown.
     #[error("unknown member {0:?}")]
     UnknownMember(String),
-    /// A member of a search is not text.
+    /// A member of a search is not a string.
     #[error("{0}: text is needed")]
-    MemberText(String),
-    /// A search names no list of collections.
+    MemberNotText(String),
+    /// The member `collections` of a search is not a list.
     #[error("collections: a list of one is needed")]
-    CollectionsList,
-    /// A search names none or several collections.
+    CollectionsNotList,
+    /// The member `collections` of a search is not exactly one name.
     #[error("collections: one, and no more, can be searched at a time")]
-    CollectionsCount,
+    InvalidCollectionCount,
     /// There is no such collection.
     #[error("there is no collection {0:?}")]
     UnknownCollection(String),
-    /// The parameter `f` names an unknown format.
+    /// The parameter `f` is an unknown format.
     #[error("f={0:?} is not served: json or html is")]
     UnsupportedFormat(String),
     /// The client accepts none of the formats.
--- a/src/front/ogc/params/filter.rs
+++ b/src/front/ogc/params/filter.rs
@@ -1,11 +1,12 @@
-//! Preparation of parsed filters, and queryables as parameters.
+//! Checks of parsed filters, and conditions from parameters that are named after queryables.
 
 use super::super::cql2::{check, ComparisonOperator, Filter, QueryableType, Queryables, Value};
 use super::super::crs::{filter_to_crs84, Crs, Transform};
 use super::super::filter_bounds::is_on_globe;
 use super::RequestError;
 
-/// Checks a filter against the queryables and transforms its geometries to CRS84.
+/// Checks a filter against the queryables, transforms its geometries to CRS84, and checks their
+/// longitudes and latitudes.
 pub(super) fn prepare_filter(
     filter: &mut Filter,
     crs: Crs,
@@ -13,17 +14,17 @@
 ) -> Result<(), RequestError> {
     check(filter, queryables)?;
     if crs != Crs::Crs84 {
-        let transform = Transform::of(crs).ok_or(RequestError::UnusableCrs("filter-crs"))?;
-        filter_to_crs84(filter, &transform).ok_or(RequestError::FilterUndefined)?;
+        let transform = Transform::of(crs).ok_or(RequestError::UnavailableCrs("filter-crs"))?;
+        filter_to_crs84(filter, &transform).ok_or(RequestError::FilterOutsideCrs)?;
     }
     if is_on_globe(filter) {
         Ok(())
     } else {
-        Err(RequestError::FilterOffGlobe)
+        Err(RequestError::FilterOutOfRange)
     }
 }
 
-/// Returns the condition that a queryable has a value (OGC API - Features, Part 1, 7.15.5).
+/// Returns the condition that a queryable equals a value (OGC API - Features, Part 1, 7.15.5).
 pub(super) fn queryable_condition(
     name: &str,
     text: &str,
@@ -43,11 +44,11 @@
         }
         QueryableType::Geometry | QueryableType::Array => None,
     };
-    let wrong_type = || RequestError::ValueType {
+    let type_error = || RequestError::WrongValueType {
         name: name.to_owned(),
         value: text.to_owned(),
     };
-    let value = value.ok_or_else(wrong_type)?;
+    let value = value.ok_or_else(type_error)?;
     Ok(Filter::Compare(
         ComparisonOperator::Equal,
         Value::Property(name.to_owned()),
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -1,40 +1,43 @@
-//! Content negotiation: the parameter `f`, or else the header `Accept` (RFC 9110, 12.5.1).
+//! Content negotiation by the parameter `f` or, if it is absent, by the header `Accept` (RFC 9110,
+//! 12.5.1).
 
 use super::RequestError;
 
-/// Most media ranges of an `Accept` header that are read.
+/// Maximum number of media ranges of an `Accept` header that are considered; the rest is ignored.
 const MAX_MEDIA_RANGES: usize = 64;
 
-/// Format of an answer.
+/// Format of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Format {
-    /// JSON, GeoJSON for features.
+    /// JSON; features are represented as GeoJSON.
     Json,
     /// HTML.
     Html,
 }
 
-/// Rank of a media range that matches a format; the more specific range takes precedence.
+/// Rank of a media range by its specificity; the most specific range that matches a format takes
+/// precedence.
 type Specificity = u8;
 
 /// Rank of `*/*`.
-const ANY: Specificity = 0;
+const ANY_TYPE: Specificity = 0;
 /// Rank of a range of all subtypes, such as `text/*`.
 const ANY_SUBTYPE: Specificity = 1;
-/// Rank of a media type.
-const EXACT: Specificity = 2;
+/// Rank of a media type without wildcards.
+const EXACT_TYPE: Specificity = 2;
 
 /// Media range of an `Accept` header.
 struct MediaRange {
     /// Weight from 0 to 1.
     weight: f32,
-    /// Rank of the range if JSON matches it.
+    /// Rank of the range if it matches JSON; otherwise `None`.
     json: Option<Specificity>,
-    /// Rank of the range if HTML matches it.
+    /// Rank of the range if it matches HTML; otherwise `None`.
     html: Option<Specificity>,
 }
 
-/// Most specific media range so far for a format.
+/// The client's preference for a format: the most specific of the media ranges considered so far
+/// that match it.
 #[derive(Default)]
 struct Preference {
     best: Option<MatchedRange>,
@@ -47,7 +50,7 @@
 }
 
 impl Preference {
-    /// Takes a media range into account, whose rank is `None` if the format doesn't match it.
+    /// Considers a media range; `specificity` is `None` if the range does not match the format.
     fn consider(&mut self, weight: f32, specificity: Option<Specificity>) {
         let Some(specificity) = specificity else {
             return;
@@ -64,18 +67,18 @@
         }
     }
 
-    /// Returns the weight of the format; 0 is not acceptable.
+    /// Returns the weight of the format, or 0 if the format is not acceptable.
     fn weight(&self) -> f32 {
         self.best.as_ref().map_or(0.0, |best| best.weight)
     }
 }
 
-/// Chooses the format of an answer by the parameter `f` if given, else by the header `Accept`. JSON
+/// Chooses the format of a response by the parameter `f` if given, else by the header `Accept`. JSON
 /// is chosen if both are equally acceptable.
 ///
 /// # Errors
 ///
-/// Fails if `f` names an unknown format, or if the client accepts neither.
+/// Fails if `f` is an unknown format, or if the client accepts neither format.
 pub fn negotiate_format(f: Option<&str>, accept: Option<&str>) -> Result<Format, RequestError> {
     match f {
         Some("json" | "geojson") => return Ok(Format::Json),
@@ -105,7 +108,7 @@
     }
 }
 
-/// Parses a media range with its weight; a malformed weight counts as 0.
+/// Parses a media range with its weight. A missing weight is 1, a malformed weight counts as 0.
 fn parse_media_range(text: &str) -> MediaRange {
     let mut words = text.split(';').map(str::trim);
     let media_type = words.next().unwrap_or_default().to_ascii_lowercase();
@@ -114,12 +117,12 @@
         Some(weight) => weight.trim().parse().unwrap_or(0.0),
     };
     let (json, html) = match media_type.as_str() {
-        "*/*" => (Some(ANY), Some(ANY)),
+        "*/*" => (Some(ANY_TYPE), Some(ANY_TYPE)),
         "application/*" => (Some(ANY_SUBTYPE), None),
         "text/*" => (None, Some(ANY_SUBTYPE)),
-        "text/html" | "application/xhtml+xml" => (None, Some(EXACT)),
+        "text/html" | "application/xhtml+xml" => (None, Some(EXACT_TYPE)),
         other if other.starts_with("application/") && other.ends_with("json") => {
-            (Some(EXACT), None)
+            (Some(EXACT_TYPE), None)
         }
         _ => (None, None),
     };
--- a/src/front/ogc/params/items.rs
+++ b/src/front/ogc/params/items.rs
@@ -7,15 +7,16 @@
 use super::sorting::parse_sortby;
 use super::{values, ParameterRules, Params, QueryParameter, RequestError};
 
-/// Parameters whose meaning depends on others, in whatever order they are given.
+/// Parameters whose meaning depends on other parameters. They are collected first and parsed
+/// together afterwards, since a query string may contain them in any order.
 #[derive(Default)]
-struct Dependent<'a> {
+struct DependentParameters<'a> {
     bbox: Option<&'a str>,
     bbox_crs: Option<Crs>,
     filter: Option<&'a str>,
     filter_language: Option<&'a str>,
     filter_crs: Option<Crs>,
-    /// Conditions on queryables.
+    /// Conditions from parameters that are named after queryables.
     conditions: Vec<Filter>,
 }
 
@@ -29,23 +30,23 @@
     rules: &ParameterRules<'_>,
 ) -> Result<Params, RequestError> {
     let mut params = Params::unconditional(rules.limits);
-    let mut dependent = Dependent::default();
+    let mut dependent = DependentParameters::default();
     for (position, QueryParameter { name, value }) in parameters.iter().enumerate() {
         let mut earlier = parameters[..position].iter();
         if earlier.any(|parameter| parameter.name == *name) {
             return Err(RequestError::DuplicateParameter(name.clone()));
         }
         match name.as_str() {
-            "limit" => params.limit = values::limit(value, rules.limits.max_limit)?,
+            "limit" => params.limit = values::parse_limit(value, rules.limits.max_limit)?,
             "bbox" => dependent.bbox = Some(value),
-            "bbox-crs" => dependent.bbox_crs = Some(values::crs(name, value)?),
-            "filter-crs" => dependent.filter_crs = Some(values::crs(name, value)?),
-            "crs" => params.crs = values::crs(name, value)?,
-            "datetime" => params.datetime = Some(values::datetime(value)?),
+            "bbox-crs" => dependent.bbox_crs = Some(values::parse_crs(name, value)?),
+            "filter-crs" => dependent.filter_crs = Some(values::parse_crs(name, value)?),
+            "crs" => params.crs = values::parse_crs(name, value)?,
+            "datetime" => params.datetime = Some(values::check_datetime(value)?),
             "filter" => dependent.filter = Some(value),
             "filter-lang" => dependent.filter_language = Some(value),
             "sortby" => params.sortby = parse_sortby(value, rules.queryables)?,
-            "properties" => params.properties = Some(values::properties(value)?),
+            "properties" => params.properties = Some(values::parse_properties(value)?),
             "cursor" => params.cursor = Some(value.clone()),
             "f" => {}
             other => {
@@ -60,7 +61,7 @@
     Ok(params)
 }
 
-impl Dependent<'_> {
+impl DependentParameters<'_> {
     fn parse_bbox(&self) -> Result<Option<Vec<f64>>, RequestError> {
         let Some(text) = self.bbox else {
             return Ok(None);
@@ -70,7 +71,7 @@
             .map(|number| number.trim().parse::<f64>().ok());
         let numbers = numbers
             .collect::<Option<_>>()
-            .ok_or(RequestError::BboxNumbers)?;
+            .ok_or(RequestError::BboxNotNumeric)?;
         bbox_to_crs84(numbers, self.bbox_crs.unwrap_or(Crs::Crs84)).map(Some)
     }
 
--- a/src/front/ogc/params/mod.rs
+++ b/src/front/ogc/params/mod.rs
@@ -1,7 +1,7 @@
 //! Parameters of a query for features.
 //!
-//! This module checks them, so that servers receive well-formed queries only. Beyond it, all
-//! coordinates are in CRS84.
+//! This module checks them, so that feature servers receive well-formed queries only, and transforms
+//! all coordinates of the conditions to CRS84.
 
 mod bbox;
 mod error;
@@ -23,47 +23,47 @@
 use super::crs::Crs;
 use super::paging::{BoundSortKeys, SortKey};
 
-/// Checked query for features.
+/// The checked parameters of a query for features.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Params {
-    /// Most features of an answer.
+    /// Maximum number of features in the response.
     pub limit: usize,
-    /// Cursor of a `next` link, at which this page begins.
+    /// Cursor of a `next` link, at which this response begins.
     pub cursor: Option<String>,
-    /// Box in CRS84: four numbers, or six with heights.
+    /// Bounding box in CRS84: four numbers, or six with heights.
     pub bbox: Option<Vec<f64>>,
     /// Time or interval, as the client wrote it.
     pub datetime: Option<String>,
     /// Condition that features must meet.
     pub filter: Option<Filter>,
-    /// Coordinate reference system of the answer.
+    /// Coordinate reference system of the response.
     pub crs: Crs,
-    /// Sort keys; if empty, any order.
+    /// Sort keys; if there are none, features are returned in any order.
     pub sortby: Vec<SortKey>,
-    /// Properties of the answer's features; `None` for all.
+    /// Names of the properties that are returned; `None` for all.
     pub properties: Option<Vec<String>>,
 }
 
-/// Limits on a query's `limit`.
+/// Default and maximum of the parameter `limit`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitRules {
-    /// Number of features in an answer when its query names no limit.
+    /// Maximum number of features in a response whose query has no `limit`.
     pub default_limit: usize,
-    /// Most features in an answer.
+    /// Maximum number of features in any response; a larger `limit` is reduced to it.
     pub max_limit: usize,
 }
 
 /// Rules that the parameters of a query are checked against.
 #[derive(Debug, Clone)]
 pub struct ParameterRules<'a> {
-    /// Limits on `limit`.
+    /// Default and maximum of the parameter `limit`.
     pub limits: LimitRules,
     /// Queryables of the collection.
     pub queryables: &'a Queryables,
 }
 
 impl Params {
-    /// Returns a query without any condition.
+    /// Returns the parameters of a query without any condition.
     fn unconditional(limits: LimitRules) -> Self {
         Params {
             limit: limits.default_limit.min(limits.max_limit),
@@ -78,9 +78,10 @@
     }
 
     /// Returns the text that binds a cursor to its query: everything that determines the features
-    /// of an answer, their form and their order.
+    /// of the responses, their representation and their order.
     ///
-    /// Cursors that clients hold contain its hash, so the text must not change between releases.
+    /// The cursors that clients hold contain a hash of this text, so it must not change between
+    /// releases.
     #[must_use]
     pub fn cursor_binding(&self) -> String {
         format!(
@@ -94,7 +95,7 @@
         )
     }
 
-    /// Returns the box as the text of a server's parameter `bbox`.
+    /// Returns the bounding box as the value of the parameter `bbox` of a feature server.
     #[must_use]
     pub fn bbox_text(&self) -> Option<String> {
         let bbox = self.bbox.as_ref()?;
--- a/src/front/ogc/params/query_parameter.rs
+++ b/src/front/ogc/params/query_parameter.rs
@@ -1,4 +1,4 @@
-//! Decoded parameters of a query string.
+//! Decoding of the parameters of a query string.
 
 /// A decoded parameter of a query string.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/src/front/ogc/params/search.rs
+++ b/src/front/ogc/params/search.rs
@@ -8,7 +8,7 @@
 use super::{values, LimitRules, Params, RequestError};
 use serde_json::Value as Json;
 
-/// Search of a collection.
+/// A search in a collection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
     /// Collection that is searched.
@@ -23,21 +23,21 @@
 ///
 /// Fails if the body is not JSON.
 pub fn parse_search_body(body: &[u8]) -> Result<Json, RequestError> {
-    serde_json::from_slice(body).map_err(RequestError::Body)
+    serde_json::from_slice(body).map_err(RequestError::MalformedBody)
 }
 
-/// Returns the collection that the body of a search names.
+/// Returns the only element of the member `collections` in the body of a search.
 ///
 /// # Errors
 ///
-/// Fails if the body names none or several.
+/// Fails if the member is missing or is not a list of exactly one name.
 pub fn search_collection(body: &Json) -> Result<String, RequestError> {
     let collections = body["collections"]
         .as_array()
-        .ok_or(RequestError::CollectionsList)?;
+        .ok_or(RequestError::CollectionsNotList)?;
     match collections.as_slice() {
         [Json::String(collection)] => Ok(collection.clone()),
-        _ => Err(RequestError::CollectionsCount),
+        _ => Err(RequestError::InvalidCollectionCount),
     }
 }
 
@@ -52,50 +52,52 @@
     queryables_of: impl Fn(&str) -> Option<Queryables>,
     limits: LimitRules,
 ) -> Result<Search, RequestError> {
-    let members = body.as_object().ok_or(RequestError::BodyObject)?;
+    let members = body.as_object().ok_or(RequestError::BodyNotObject)?;
     let collection = search_collection(body)?;
     let queryables = queryables_of(&collection)
         .ok_or_else(|| RequestError::UnknownCollection(collection.clone()))?;
     let filter_crs = match members.get("filter-crs") {
         None => Crs::Crs84,
-        Some(value) => values::crs("filter-crs", text("filter-crs", value)?)?,
+        Some(value) => values::parse_crs("filter-crs", member_text("filter-crs", value)?)?,
     };
     let mut params = Params::unconditional(limits);
     for (name, value) in members {
         match name.as_str() {
             "collections" | "filter-crs" => {}
-            "limit" => params.limit = values::limit(&value.to_string(), limits.max_limit)?,
+            "limit" => params.limit = values::parse_limit(&value.to_string(), limits.max_limit)?,
             "bbox" => params.bbox = Some(parse_bbox(value)?),
-            "datetime" => params.datetime = Some(values::datetime(text(name, value)?)?),
+            "datetime" => {
+                params.datetime = Some(values::check_datetime(member_text(name, value)?)?)
+            }
             "filter-lang" if value == "cql2-json" || value == "cql2-text" => {}
             "filter-lang" => {
                 return Err(RequestError::UnsupportedFilterLanguage(value.to_string()))
             }
             "filter" => params.filter = Some(parse_filter(value, filter_crs, &queryables)?),
             "sortby" => params.sortby = parse_sort_list(value, &queryables)?,
-            "crs" => params.crs = values::crs(name, text(name, value)?)?,
-            "token" => params.cursor = Some(text(name, value)?.to_owned()),
+            "crs" => params.crs = values::parse_crs(name, member_text(name, value)?)?,
+            "token" => params.cursor = Some(member_text(name, value)?.to_owned()),
             other => return Err(RequestError::UnknownMember(other.to_owned())),
         }
     }
     Ok(Search { collection, params })
 }
 
-/// Returns the text of member `name`.
-fn text<'a>(name: &str, value: &'a Json) -> Result<&'a str, RequestError> {
+/// Returns the string value of member `name`.
+fn member_text<'a>(name: &str, value: &'a Json) -> Result<&'a str, RequestError> {
     value
         .as_str()
-        .ok_or_else(|| RequestError::MemberText(name.to_owned()))
+        .ok_or_else(|| RequestError::MemberNotText(name.to_owned()))
 }
 
 fn parse_bbox(value: &Json) -> Result<Vec<f64>, RequestError> {
     let numbers = value
         .as_array()
         .and_then(|list| list.iter().map(Json::as_f64).collect::<Option<_>>());
-    bbox_to_crs84(numbers.ok_or(RequestError::BboxNumbers)?, Crs::Crs84)
+    bbox_to_crs84(numbers.ok_or(RequestError::BboxNotNumeric)?, Crs::Crs84)
 }
 
-/// Parses a filter as CQL2 text if it is a text, else as CQL2 JSON.
+/// Parses a filter: a JSON string as CQL2 text, any other value as CQL2 JSON.
 fn parse_filter(value: &Json, crs: Crs, queryables: &Queryables) -> Result<Filter, RequestError> {
     let mut filter = match value.as_str() {
         Some(text) => cql2::parse_text(text)?,
--- a/src/front/ogc/params/sorting.rs
+++ b/src/front/ogc/params/sorting.rs
@@ -5,11 +5,11 @@
 use super::RequestError;
 use serde_json::Value as Json;
 
-/// Most sort keys of a query.
+/// Maximum number of sort keys in a query.
 const MAX_SORT_KEYS: usize = 8;
 
-/// Parses the sort keys of a parameter: names separated by commas, with a minus for a descending
-/// order.
+/// Parses the sort keys of the parameter `sortby`: names separated by commas, each with a minus sign
+/// for descending order or an optional plus sign for ascending order.
 pub(super) fn parse_sortby(
     value: &str,
     queryables: &Queryables,
@@ -22,7 +22,7 @@
     let text = text.trim();
     let (property, descending) = match text.strip_prefix('-') {
         Some(property) => (property, true),
-        // A plus sign in a query string is already decoded to a blank.
+        // Decoding turned an unescaped plus sign of the query string into a space.
         None => (text.strip_prefix('+').unwrap_or(text).trim(), false),
     };
     SortKey {
@@ -39,10 +39,10 @@
     let keys = value
         .as_array()
         .and_then(|list| list.iter().map(parse_json_key).collect::<Option<_>>());
-    check_sort_keys(keys.ok_or(RequestError::SortList)?, queryables)
+    check_sort_keys(keys.ok_or(RequestError::MalformedSortKeys)?, queryables)
 }
 
-/// Parses an object with `field` and `direction`.
+/// Parses an object with `field` and `direction`, or returns `None` if it is malformed.
 fn parse_json_key(key: &Json) -> Option<SortKey> {
     let descending = match key["direction"].as_str() {
         None | Some("asc") => false,
@@ -59,13 +59,14 @@
     })
 }
 
-/// Returns the keys if their number is within the limits and each is a sortable that is named once.
+/// Returns the keys if their number is within the limits and each is a sortable property that occurs
+/// once.
 fn check_sort_keys(
     keys: Vec<SortKey>,
     queryables: &Queryables,
 ) -> Result<Vec<SortKey>, RequestError> {
     if keys.is_empty() || keys.len() > MAX_SORT_KEYS {
-        return Err(RequestError::SortCount { max: MAX_SORT_KEYS });
+        return Err(RequestError::InvalidSortKeyCount { max: MAX_SORT_KEYS });
     }
     for (position, key) in keys.iter().enumerate() {
         if !is_sortable(&key.property, queryables) {
@@ -81,14 +82,14 @@
     Ok(keys)
 }
 
-/// Returns whether features can be sorted by a property: any queryable except geometries and
-/// arrays, and the id.
+/// Returns whether features can be sorted by a property: by `id` and by any queryable except
+/// geometries and arrays.
 fn is_sortable(property: &str, queryables: &Queryables) -> bool {
     let declared = queryables.named.get(property);
-    let unordered = matches!(
+    let is_unordered = matches!(
         declared,
         Some(QueryableType::Geometry | QueryableType::Array)
     );
-    let known = queryables.open || declared.is_some() || property == "id";
-    !property.is_empty() && !unordered && known
+    let is_known = queryables.open || declared.is_some() || property == "id";
+    !property.is_empty() && !is_unordered && is_known
 }
--- a/src/front/ogc/params/tests.rs
+++ b/src/front/ogc/params/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parameters of queries.
+//! Tests of the parsing of query parameters.
 
 use super::{
     decode_query, negotiate_format, parse_items_query, parse_search, parse_search_body, Format,
@@ -11,7 +11,7 @@
     max_limit: 50,
 };
 
-fn parsed(query: &str, queryables: &Queryables) -> Result<Params, RequestError> {
+fn parse(query: &str, queryables: &Queryables) -> Result<Params, RequestError> {
     parse_items_query(
         &decode_query(query),
         &ParameterRules {
@@ -21,14 +21,14 @@
     )
 }
 
-fn closed() -> Queryables {
+fn closed_queryables() -> Queryables {
     let schema = serde_json::json!({"properties": {
         "name": {"type": "string"},
         "volts": {"type": "number"},
         "live": {"type": "boolean"},
         "geometry": {"format": "geometry-point"},
     }});
-    Queryables::from_schema(&schema).expect("a schema")
+    Queryables::from_schema(&schema).expect("a valid schema")
 }
 
 /// Query strings that are malformed whatever the queryables.
@@ -59,29 +59,29 @@
 #[test]
 fn well_formed_parameters_are_parsed() {
     let query = "bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json";
-    let params = parsed(query, &Queryables::unknown()).expect("well formed");
+    let params = parse(query, &Queryables::unknown()).expect("well formed");
     assert_eq!(
         params.limit, 50,
-        "more than the maximum is cut, not rejected"
+        "a limit above the maximum is reduced, not rejected"
     );
     assert_eq!(params.bbox_text().as_deref(), Some("-10,-5.5,10,5"));
     assert_eq!(params.datetime.as_deref(), Some("2026-01-01T00:00:00Z/.."));
 }
 
 #[test]
-fn a_box_may_span_the_antimeridian() {
-    assert!(parsed("bbox=170,-5,-170,5", &Queryables::unknown()).is_ok());
+fn a_bounding_box_may_span_the_antimeridian() {
+    assert!(parse("bbox=170,-5,-170,5", &Queryables::unknown()).is_ok());
 }
 
 #[test]
-fn coordinates_of_other_systems_are_transformed() {
-    let open = Queryables::unknown();
+fn coordinates_of_other_reference_systems_are_transformed() {
+    let queryables = Queryables::unknown();
     let query = "bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326";
-    let params = parsed(query, &open).expect("well formed");
+    let params = parse(query, &queryables).expect("well formed");
     assert_eq!(params.bbox, Some(vec![-120.0, 38.0, -119.0, 39.0]));
 
     let query = "filter=S_INTERSECTS(geometry,POINT(38%20-120))&filter-crs=EPSG:4326";
-    let params = parsed(query, &open).expect("well formed");
+    let params = parse(query, &queryables).expect("well formed");
     let filter = params.filter.expect("a filter").to_string();
     assert_eq!(filter, "S_INTERSECTS(\"geometry\",POINT(-120 38))");
 }
@@ -89,18 +89,18 @@
 #[test]
 fn malformed_parameters_are_rejected() {
     for query in MALFORMED_QUERIES {
-        assert!(parsed(query, &Queryables::unknown()).is_err(), "{query}");
+        assert!(parse(query, &Queryables::unknown()).is_err(), "{query}");
     }
 }
 
 #[test]
 fn queryables_are_parameters_and_sort_keys() {
-    let closed = closed();
-    let params = parsed(
+    let closed_queryables = closed_queryables();
+    let params = parse(
         "name=a%27b&volts=24&live=true&sortby=-volts,%2Bname,id",
-        &closed,
+        &closed_queryables,
     )
-    .expect("good");
+    .expect("well formed");
     assert_eq!(
         params.filter.map(|f| f.to_string()).as_deref(),
         Some("\"name\" = 'a''b' AND \"volts\" = 24 AND \"live\" = TRUE")
@@ -111,7 +111,7 @@
         .map(|b| (b.property.as_str(), b.descending))
         .collect();
     assert_eq!(order, [("volts", true), ("name", false), ("id", false)]);
-    for bad in [
+    for malformed in [
         "watts=1",
         "volts=x",
         "live=maybe",
@@ -120,25 +120,29 @@
         "sortby=geometry",
         "filter=watts=1",
     ] {
-        assert!(parsed(bad, &closed).is_err(), "{bad}");
+        assert!(parse(malformed, &closed_queryables).is_err(), "{malformed}");
     }
 }
 
 #[test]
 fn the_body_of_a_search_is_parsed_like_parameters() {
-    let known = |name: &str| (name == "devices").then(closed);
-    let search = |body: &str| parse_search(&parse_search_body(body.as_bytes())?, known, LIMITS);
+    let queryables_of = |name: &str| (name == "devices").then(closed_queryables);
+    let parse_body =
+        |body: &str| parse_search(&parse_search_body(body.as_bytes())?, queryables_of, LIMITS);
     let body = r#"{"collections":["devices"],"limit":5,"bbox":[0,0,9,9],"filter-lang":"cql2-json",
         "filter":{"op":">","args":[{"property":"volts"},1]},
         "sortby":[{"field":"properties.volts","direction":"desc"}]}"#;
-    let found = search(body).expect("good");
-    let same = parsed(
+    let search = parse_body(body).expect("well formed");
+    let expected = parse(
         "limit=5&bbox=0,0,9,9&filter=volts%3E1&sortby=-volts",
-        &closed(),
+        &closed_queryables(),
     )
-    .expect("good");
-    assert_eq!((found.collection.as_str(), found.params), ("devices", same));
-    for bad in [
+    .expect("well formed");
+    assert_eq!(
+        (search.collection.as_str(), search.params),
+        ("devices", expected)
+    );
+    for malformed in [
         "",
         "[]",
         "{}",
@@ -149,26 +153,26 @@
         r#"{"collections":["devices"],"filter":{"op":"x"}}"#,
         r#"{"collections":["devices"],"bbox":[1]}"#,
     ] {
-        assert!(search(bad).is_err(), "{bad}");
+        assert!(parse_body(malformed).is_err(), "{malformed}");
     }
 }
 
 #[test]
-fn the_format_is_the_one_that_the_client_prefers() {
-    let of = |accept: &str| negotiate_format(None, Some(accept)).map_err(|e| e.status());
+fn the_format_that_the_client_prefers_is_chosen() {
+    let negotiate = |accept: &str| negotiate_format(None, Some(accept)).map_err(|e| e.status());
     let browser = "text/html,application/xhtml+xml,application/xml;q=0.9,*/*;q=0.8";
-    assert_eq!(of(browser), Ok(Format::Html));
-    assert_eq!(of("*/*"), Ok(Format::Json));
+    assert_eq!(negotiate(browser), Ok(Format::Html));
+    assert_eq!(negotiate("*/*"), Ok(Format::Json));
     assert_eq!(
-        of("application/geo+json, text/html;q=0.5"),
+        negotiate("application/geo+json, text/html;q=0.5"),
         Ok(Format::Json)
     );
     assert_eq!(
-        of("text/html;q=0.1, application/json;q=0"),
+        negotiate("text/html;q=0.1, application/json;q=0"),
         Ok(Format::Html)
     );
-    assert_eq!(of("image/png"), Err(406));
-    assert_eq!(of("application/json;q=0"), Err(406));
+    assert_eq!(negotiate("image/png"), Err(406));
+    assert_eq!(negotiate("application/json;q=0"), Err(406));
     assert_eq!(
         negotiate_format(Some("html"), Some("application/json")).map_err(|e| e.status()),
         Ok(Format::Html)
@@ -281,21 +285,21 @@
 ];
 
 #[test]
-fn each_malformed_parameter_has_its_text() {
-    let queryables = closed();
+fn each_malformed_parameter_has_its_message() {
+    let queryables = closed_queryables();
     for case in MALFORMED {
-        let error = parsed(case.query, &queryables).expect_err(case.query);
+        let error = parse(case.query, &queryables).expect_err(case.query);
         assert_eq!(error.to_string(), case.message, "{}", case.query);
         assert_eq!(error.status(), 400, "{}", case.query);
     }
 }
 
 #[test]
-fn each_malformed_search_has_its_text() {
-    let known = |name: &str| (name == "devices").then(closed);
+fn each_malformed_search_has_its_message() {
+    let queryables_of = |name: &str| (name == "devices").then(closed_queryables);
     let error = |body: &str| {
         let body = parse_search_body(body.as_bytes());
-        body.and_then(|body| parse_search(&body, known, LIMITS))
+        body.and_then(|body| parse_search(&body, queryables_of, LIMITS))
             .expect_err("malformed")
             .to_string()
     };
@@ -330,7 +334,7 @@
 }
 
 #[test]
-fn formats_that_are_not_served_have_their_texts() {
+fn unsupported_formats_have_their_messages() {
     let error =
         |f: Option<&str>, accept: &str| negotiate_format(f, Some(accept)).expect_err("not served");
     let unsupported = error(Some("pdf"), "*/*");
@@ -346,10 +350,10 @@
 }
 
 #[test]
-fn the_binding_of_cursors_stays_as_in_earlier_versions() {
+fn the_cursor_binding_is_the_same_as_in_earlier_versions() {
     let query = "bbox=-10,-5.5,10,5&datetime=2026-01-01&filter=volts%3E1&crs=EPSG:32633\
         &sortby=-volts&properties=name";
-    let params = parsed(query, &closed()).expect("good");
+    let params = parse(query, &closed_queryables()).expect("well formed");
     assert_eq!(
         params.cursor_binding(),
         "Some([-10.0, -5.5, 10.0, 5.0]) Some(\"2026-01-01\") Some(\"\\\"volts\\\" > 1\") \
@@ -360,7 +364,7 @@
         ("EPSG:4326", "Wgs84"),
         ("EPSG:3857", "Mercator"),
     ] {
-        let params = parsed(&format!("crs={crs}"), &closed()).expect("good");
+        let params = parse(&format!("crs={crs}"), &closed_queryables()).expect("well formed");
         assert_eq!(
             params.cursor_binding(),
             format!("None None None {name} [] None")
