--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -1,4 +1,4 @@
-//! Servers of an inventory as either format writes them, and their validation.
+//! Unchecked entries of an inventory, which the readers of both formats return, and their validation.
 
 use super::error::{InventoryError, InventoryErrorKind};
 use super::{CollectionShard, Server};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, ToSocketAddrs};
 
-/// Text of a field and the number of its line.
+/// Value of a field and the number of its line.
 #[derive(Debug, Clone)]
 pub(super) struct Field {
-    /// Text of the field.
+    /// Value of the field.
     pub(super) text: String,
     /// Line number, from 1.
     pub(super) line: usize,
@@ -18,7 +18,7 @@
 /// Fields by their names.
 pub(super) type Fields = BTreeMap<String, Field>;
 
-/// Unchecked entry of a server.
+/// Unchecked entry for a server.
 #[derive(Debug, Default)]
 pub(super) struct Entry {
     /// Name of the server; empty if it is missing.
@@ -41,15 +41,15 @@
     }
 }
 
-/// Creator of errors for a file.
+/// Validates the entries of an inventory file and creates the errors of the file.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Locator<'a> {
+pub(super) struct EntryValidator<'a> {
     /// Name of the file.
     pub(super) file: &'a str,
 }
 
-impl Locator<'_> {
-    /// Creates an error at a line, in a field or, if `field` is empty, of the whole line.
+impl EntryValidator<'_> {
+    /// Creates an error at a line that concerns a field or, if `field` is empty, the whole line.
     pub(super) fn error(
         &self,
         line: usize,
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Returns the servers of the entries, or every error by line: `errors` of the reader and those
-    /// of the entries.
-    pub(super) fn servers(
+    /// Returns the servers that the entries describe, or all errors in the order of their lines: the
+    /// reader's `errors` and those of the entries.
+    pub(super) fn validate(
         &self,
         entries: &[Entry],
         mut errors: Vec<InventoryError>,
@@ -74,16 +74,16 @@
         let mut servers: Vec<Server> = Vec::new();
         for entry in entries {
             match self
-                .server(entry)
-                .and_then(|server| self.unique(server, entry, &servers))
+                .validate_entry(entry)
+                .and_then(|server| self.require_unique(server, entry, &servers))
             {
                 Ok(server) => servers.push(server),
                 Err(error) => errors.push(error),
             }
         }
         if servers.is_empty() && errors.is_empty() {
-            // An empty inventory would drain every server; most likely the file is cut off or the
-            // wrong one.
+            // An empty inventory would take every server out of service. Most likely the file is
+            // truncated or is not an inventory.
             errors.push(self.error(1, "", InventoryErrorKind::NoServer));
         }
         errors.sort_by_key(|error| error.line);
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Returns the server if none of the earlier ones has its name or its address.
-    fn unique(
+    /// Returns the server if no earlier server has the same name or address.
+    fn require_unique(
         &self,
         server: Server,
         entry: &Entry,
@@ -115,15 +115,15 @@
         Ok(server)
     }
 
-    /// Returns the server of an entry.
-    fn server(&self, entry: &Entry) -> Result<Server, InventoryError> {
+    /// Returns the server that an entry describes.
+    fn validate_entry(&self, entry: &Entry) -> Result<Server, InventoryError> {
         if entry.name.is_empty() {
             return Err(self.error(entry.line, "name", InventoryErrorKind::EmptyField));
         }
-        let in_field = |field: &str, kind| self.error(entry.line(field), field, kind);
-        let address = address(entry).map_err(|kind| in_field("address", kind))?;
-        let shards = shards(entry).map_err(|kind| in_field("collections", kind))?;
-        let state = state(entry).map_err(|kind| in_field("state", kind))?;
+        let field_error = |field: &str, kind| self.error(entry.line(field), field, kind);
+        let address = parse_address(entry).map_err(|kind| field_error("address", kind))?;
+        let shards = parse_shards(entry).map_err(|kind| field_error("collections", kind))?;
+        let state = parse_state(entry).map_err(|kind| field_error("state", kind))?;
         Ok(Server {
             name: entry.name.clone(),
             address,
@@ -133,9 +133,9 @@
     }
 }
 
-/// Returns the address of a server: `address` as `host:port`, or host and port in two fields, as
-/// Ansible has them.
-fn address(entry: &Entry) -> Result<SocketAddr, InventoryErrorKind> {
+/// Returns the address of a server: either `address` as `host:port`, or host and port in two fields,
+/// as in inventories of Ansible.
+fn parse_address(entry: &Entry) -> Result<SocketAddr, InventoryErrorKind> {
     let port = entry.text("ansible_port").or(entry.text("port"));
     let address = match (entry.text("address"), entry.text("ansible_host"), port) {
         (Some(host), _, Some(port)) if !host.contains(':') => format!("{host}:{port}"),
@@ -147,19 +147,19 @@
         .to_socket_addrs()
         .ok()
         .and_then(|mut addresses| addresses.next());
-    resolved.ok_or(InventoryErrorKind::Address(address))
+    resolved.ok_or(InventoryErrorKind::InvalidAddress(address))
 }
 
-/// Returns the shards of a server, each once, in the order of the file.
-fn shards(entry: &Entry) -> Result<Vec<CollectionShard>, InventoryErrorKind> {
+/// Returns the shards of a server in the order of the file, without duplicates.
+fn parse_shards(entry: &Entry) -> Result<Vec<CollectionShard>, InventoryErrorKind> {
     let text = entry
         .text("collections")
         .ok_or(InventoryErrorKind::MissingField)?;
     let mut shards = Vec::new();
     for word in text.split([';', ',', ' ']).filter(|word| !word.is_empty()) {
         let (collection, source) = word.split_once('/').unwrap_or((word, word));
-        if !is_name(collection) || !is_name(source) {
-            return Err(InventoryErrorKind::Shard(word.to_owned()));
+        if !is_valid_name(collection) || !is_valid_name(source) {
+            return Err(InventoryErrorKind::InvalidShard(word.to_owned()));
         }
         let shard = CollectionShard {
             collection: collection.to_owned(),
@@ -176,19 +176,20 @@
 }
 
 /// Returns whether a text can be the name of a collection or a shard.
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// Returns the state of a server, named by any of the words that configuration tools use.
-fn state(entry: &Entry) -> Result<EndpointState, InventoryErrorKind> {
+/// Returns the state of a server. Each state has several names, since configuration tools differ in
+/// their names for it.
+fn parse_state(entry: &Entry) -> Result<EndpointState, InventoryErrorKind> {
     match entry.text("state").unwrap_or("in_service") {
         "in_service" | "ready" | "present" => Ok(EndpointState::Ready),
         "draining" | "terminating" => Ok(EndpointState::Draining),
         "gone" | "terminated" | "absent" => Ok(EndpointState::Removed),
-        other => Err(InventoryErrorKind::State(other.to_owned())),
+        other => Err(InventoryErrorKind::UnknownState(other.to_owned())),
     }
 }
--- a/src/front/ogc/inventory/error.rs
+++ b/src/front/ogc/inventory/error.rs
@@ -1,24 +1,24 @@
-//! Errors of an inventory, with their location. Operators read the messages.
+//! Errors of an inventory, with their location. The messages are for operators.
 
 use std::fmt;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Fault of an inventory, with its location.
+/// Error of an inventory, with its location.
 #[derive(Debug)]
 pub struct InventoryError {
     /// Name of the file.
     pub file: String,
-    /// Line number, from 1; 0 if the fault has no line.
+    /// Line number, from 1; 0 if the error concerns the whole file.
     pub line: usize,
-    /// Field; empty if the fault is of the whole line.
+    /// Field; empty if the error concerns the whole line.
     pub field: String,
-    /// Kind of the fault.
+    /// Kind of the error.
     pub kind: InventoryErrorKind,
 }
 
 impl InventoryError {
-    /// Creates an error of the file as a whole.
+    /// Creates an error that concerns the whole file.
     pub(super) fn of_file(file: &str, kind: InventoryErrorKind) -> Self {
         InventoryError {
             file: file.to_owned(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the message with the field, without file and line.
+    /// Returns the message with the field, but without the file and line.
     #[must_use]
     pub fn message(&self) -> String {
         if self.field.is_empty() {
@@ -50,13 +50,13 @@
     }
 }
 
-/// Kind of a fault of an inventory.
+/// Kind of an error of an inventory.
 #[derive(Debug, Error)]
 pub enum InventoryErrorKind {
     /// The file can't be read.
     #[error(transparent)]
     Io(std::io::Error),
-    /// The extension of the file's name is of no known format.
+    /// The extension of the file's name is not that of a supported format.
     #[error("neither .csv nor .yaml")]
     UnknownFormat,
     /// The CSV is malformed.
@@ -83,7 +83,7 @@
     /// Two servers have the same address.
     #[error("{0} is there twice")]
     DuplicateAddress(SocketAddr),
-    /// The inventory has no server.
+    /// The inventory contains no servers.
     #[error("no server is named")]
     NoServer,
     /// A field is missing.
@@ -94,11 +94,11 @@
     EmptyField,
     /// An address is malformed or its host name can't be resolved.
     #[error("{0:?} is no host:port")]
-    Address(String),
+    InvalidAddress(String),
     /// A shard is malformed.
     #[error("{0:?} is no collection or collection/shard")]
-    Shard(String),
+    InvalidShard(String),
     /// A state is unknown.
     #[error("{0:?} is none of in_service, draining, gone")]
-    State(String),
+    UnknownState(String),
 }
--- a/src/front/ogc/inventory/mod.rs
+++ b/src/front/ogc/inventory/mod.rs
@@ -1,9 +1,9 @@
 //! Inventory of feature servers, in the formats of configuration tools: CSV with a header, or YAML
 //! with groups, hosts and vars.
 //!
-//! A server has a name, an address, a state, and the shards that it holds. A shard is written as
-//! `collection` or `collection/shard`; the second part is the server's own name for that part of
-//! the collection.
+//! A server has a name, an address, a state, and shards. A shard is written as `collection` or
+//! `collection/shard`. `shard` is the name under which the server offers its shard of the
+//! collection; without it, the server uses the collection's name.
 
 mod csv_reader;
 mod entry;
@@ -18,23 +18,24 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Shard of a collection, by the collection's name and the server's own name for the shard.
+/// Shard of a collection, identified by the collection's name and the name that servers use for the
+/// shard.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CollectionShard {
-    /// Name of the collection for clients.
+    /// Name of the collection as clients see it.
     pub collection: String,
-    /// Name of the collection at the server.
+    /// Name of the collection at the servers that have the shard.
     pub source: String,
 }
 
 /// A feature server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Name of the server, which stays the same over restarts and changes of address.
+    /// Name of the server, which stays the same when the server restarts or its address changes.
     pub name: String,
     /// Address at which the server listens.
     pub address: SocketAddr,
-    /// Shards that the server holds.
+    /// Shards that the server has.
     pub shards: Vec<CollectionShard>,
     /// Operational state of the server.
     pub state: EndpointState,
@@ -44,16 +45,16 @@
 ///
 /// # Errors
 ///
-/// Fails with the first fault of the inventory; [`read_file_with_all_errors`] returns every one.
+/// Fails with the first error of the inventory; [`read_file_with_all_errors`] returns all of them.
 pub fn read_file(path: &Path) -> Result<Vec<Server>, InventoryError> {
-    read_file_with_all_errors(path).map_err(first)
+    read_file_with_all_errors(path).map_err(first_error)
 }
 
 /// Reads an inventory, whose format is chosen by the extension of the file's name.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the inventory, at least one.
+/// Fails with all errors of the inventory, of which there is at least one.
 pub fn read_file_with_all_errors(path: &Path) -> Result<Vec<Server>, Vec<InventoryError>> {
     let file = path
         .file_name()
@@ -80,7 +81,7 @@
 }
 
 /// Returns the first of several errors, of which there is at least one.
-fn first(mut errors: Vec<InventoryError>) -> InventoryError {
+fn first_error(mut errors: Vec<InventoryError>) -> InventoryError {
     errors.swap_remove(0)
 }
 
--- a/src/front/ogc/inventory/tests.rs
+++ b/src/front/ogc/inventory/tests.rs
@@ -4,11 +4,11 @@
 use crate::interface::EndpointState;
 
 fn error_text(result: Result<Vec<Server>, InventoryError>) -> String {
-    result.expect_err("it is bad").to_string()
+    result.expect_err("an invalid inventory").to_string()
 }
 
 #[test]
-fn csv_and_yaml_are_read_alike() {
+fn csv_and_yaml_result_in_the_same_servers() {
     let csv = "name,address,collections,state\n\
         a,127.0.0.1:9001,devices/north;zones,in_service\n\
         b,127.0.0.1:9002,devices/south,draining\n";
@@ -35,22 +35,22 @@
           collections: devices/south
           state: draining
 ";
-    let from_csv = read_csv("i.csv", csv).expect("csv");
-    let from_yaml = read_yaml("i.yaml", yaml).expect("yaml");
+    let from_csv = read_csv("i.csv", csv).expect("valid CSV");
+    let from_yaml = read_yaml("i.yaml", yaml).expect("valid YAML");
     assert_eq!(from_csv, from_yaml);
     assert_eq!(from_csv[0].shards.len(), 2);
     assert_eq!(from_csv[1].state, EndpointState::Draining);
 }
 
 #[test]
-fn errors_name_file_line_and_field() {
+fn errors_contain_file_line_and_field() {
     let head = "name,address,collections,state\na,127.0.0.1:1,x,in_service\n";
-    let bad = |row: &str| error_text(read_csv("i.csv", &format!("{head}{row}\n")));
-    assert!(bad("b,nowhere,x,").starts_with("i.csv:3: address: "));
-    assert!(bad("b,127.0.0.1:2,a b/,").starts_with("i.csv:3: collections: "));
-    assert!(bad("b,127.0.0.1:2,x,asleep").starts_with("i.csv:3: state: "));
-    assert!(bad("a,127.0.0.1:2,x,").starts_with("i.csv:3: name: "));
-    assert!(bad("b,127.0.0.1:2").starts_with("i.csv:3: "));
+    let row_error = |row: &str| error_text(read_csv("i.csv", &format!("{head}{row}\n")));
+    assert!(row_error("b,nowhere,x,").starts_with("i.csv:3: address: "));
+    assert!(row_error("b,127.0.0.1:2,a b/,").starts_with("i.csv:3: collections: "));
+    assert!(row_error("b,127.0.0.1:2,x,asleep").starts_with("i.csv:3: state: "));
+    assert!(row_error("a,127.0.0.1:2,x,").starts_with("i.csv:3: name: "));
+    assert!(row_error("b,127.0.0.1:2").starts_with("i.csv:3: "));
     assert!(error_text(read_csv("i.csv", "name,address\n")).starts_with("i.csv:1: collections: "));
     assert!(error_text(read_csv("i.csv", "name,address,collections\n")).starts_with("i.csv:1: "));
     let yaml = "all:\n  hosts:\n    a:\n      address: 127.0.0.1:1\n      \
@@ -58,15 +58,15 @@
     assert!(error_text(read_yaml("i.yaml", yaml)).starts_with("i.yaml:6: state: "));
     assert!(error_text(read_yaml("i.yaml", "all:\n  hots: {}\n")).starts_with("i.yaml:2: hots: "));
     assert!(error_text(read_yaml("i.yaml", "all:\n  hosts: [a\n")).starts_with("i.yaml:"));
-    let twice = "all:\n  hosts:\n    a: {}\n    b: {}\n    a: {}\n";
-    assert!(error_text(read_yaml("i.yaml", twice)).starts_with("i.yaml:5: a: "));
+    let duplicate_host = "all:\n  hosts:\n    a: {}\n    b: {}\n    a: {}\n";
+    assert!(error_text(read_yaml("i.yaml", duplicate_host)).starts_with("i.yaml:5: a: "));
 }
 
 #[test]
-fn errors_have_a_kind_and_its_text() {
+fn errors_have_a_kind_and_its_message() {
     let error = |row: &str| {
         let text = format!("name,address,collections,state\na,127.0.0.1:1,x,in_service\n{row}\n");
-        read_csv("i.csv", &text).expect_err("it is bad")
+        read_csv("i.csv", &text).expect_err("an invalid inventory")
     };
     let duplicate = error("a,127.0.0.1:2,x,");
     assert!(matches!(&duplicate.kind, InventoryErrorKind::DuplicateName(name) if name == "a"));
@@ -81,12 +81,12 @@
         "i.csv:3: address: 127.0.0.1:1 is there twice"
     );
     let state = error("b,127.0.0.1:2,x,asleep");
-    assert!(matches!(&state.kind, InventoryErrorKind::State(state) if state == "asleep"));
+    assert!(matches!(&state.kind, InventoryErrorKind::UnknownState(state) if state == "asleep"));
     assert_eq!(
         state.message(),
         "state: \"asleep\" is none of in_service, draining, gone"
     );
-    let empty = read_csv("i.csv", "name,address,collections\n").expect_err("it is empty");
+    let empty = read_csv("i.csv", "name,address,collections\n").expect_err("an empty inventory");
     assert!(matches!(empty.kind, InventoryErrorKind::NoServer));
     assert_eq!(empty.to_string(), "i.csv:1: no server is named");
 }
--- a/src/front/ogc/inventory/yaml_reader.rs
+++ b/src/front/ogc/inventory/yaml_reader.rs
@@ -1,50 +1,54 @@
 //! Reader of inventories as YAML in the form of configuration tools such as Ansible: groups with
 //! `hosts`, `vars` and `children`.
 
-use super::entry::{Entry, Field, Fields, Locator};
+use super::entry::{Entry, EntryValidator, Field, Fields};
 use super::error::{InventoryError, InventoryErrorKind};
-use super::{first, Server};
+use super::{first_error, Server};
 use marked_yaml::types::{MarkedMappingNode, MarkedScalarNode};
 use marked_yaml::{LoadError, LoaderOptions, Marker, Node};
 
-/// Reads YAML with groups; `file` is the file's name in errors.
+/// Reads an inventory as YAML with groups; `file` is the file's name in errors.
 ///
-/// A host's own vars take precedence over its groups', and an inner group's over an outer group's.
-/// The collections of a host are the union over its groups.
+/// The vars of a host take precedence over those of its groups, and the vars of an inner group over
+/// those of an outer group. A host in several groups has the collections of all of them.
 ///
 /// # Errors
 ///
-/// Fails with the first fault.
+/// Fails with the first error of the inventory.
 pub fn read_yaml(file: &str, text: &str) -> Result<Vec<Server>, InventoryError> {
-    read_with_all_errors(file, text).map_err(first)
+    read_with_all_errors(file, text).map_err(first_error)
 }
 
-/// Reads YAML with groups, or returns every fault.
+/// Reads an inventory as YAML with groups, or returns all errors.
 pub(super) fn read_with_all_errors(
     file: &str,
     text: &str,
 ) -> Result<Vec<Server>, Vec<InventoryError>> {
-    let locator = Locator { file };
+    let validator = EntryValidator { file };
     let options = LoaderOptions::default().error_on_duplicate_keys(true);
     let root = match marked_yaml::parse_yaml_with_options(0, text, options) {
         Ok(root) => root,
-        Err(error) => return Err(vec![malformed(locator, error)]),
+        Err(error) => return Err(vec![syntax_error(validator, error)]),
     };
     let mut reader = GroupReader {
-        locator,
+        validator,
         entries: Vec::new(),
     };
     let mut errors = Vec::new();
     if let Some(root) = root.as_mapping() {
         for (name, group) in root.iter() {
-            errors.extend(reader.group(name.as_str(), group, &Fields::new()).err());
+            errors.extend(
+                reader
+                    .read_group(name.as_str(), group, &Fields::new())
+                    .err(),
+            );
         }
     }
-    locator.servers(&reader.entries, errors)
+    validator.validate(&reader.entries, errors)
 }
 
 /// Returns the error for YAML that can't be parsed.
-fn malformed(locator: Locator<'_>, error: LoadError) -> InventoryError {
+fn syntax_error(validator: EntryValidator<'_>, error: LoadError) -> InventoryError {
     let (line, field) = match &error {
         LoadError::TopLevelMustBeMapping(marker)
         | LoadError::TopLevelMustBeSequence(marker)
@@ -57,22 +61,22 @@
             (line, duplicate.key.as_str().to_owned())
         }
     };
-    locator.error(line, &field, InventoryErrorKind::Yaml(Box::new(error)))
+    validator.error(line, &field, InventoryErrorKind::Yaml(Box::new(error)))
 }
 
 /// Returns the number of a node's line, or 0 if it has none.
-fn line_of(node: &Node) -> usize {
+fn line_number(node: &Node) -> usize {
     node.span().start().map_or(0, Marker::line)
 }
 
-/// Collector of the hosts of groups.
+/// Reads groups and collects the entries of their hosts.
 struct GroupReader<'a> {
-    locator: Locator<'a>,
+    validator: EntryValidator<'a>,
     entries: Vec<Entry>,
 }
 
 impl GroupReader<'_> {
-    /// Returns a node's mapping, or `None` if the key has no value.
+    /// Returns a node as a mapping, or `None` if the node is empty or null.
     fn mapping<'n>(
         &self,
         node: &'n Node,
@@ -81,14 +85,21 @@
         match node {
             Node::Mapping(mapping) => Ok(Some(mapping)),
             Node::Scalar(scalar) if matches!(scalar.as_str(), "" | "~" | "null") => Ok(None),
-            _ => Err(self
-                .locator
-                .error(line_of(node), field, InventoryErrorKind::NotMapping)),
+            _ => {
+                Err(self
+                    .validator
+                    .error(line_number(node), field, InventoryErrorKind::NotMapping))
+            }
         }
     }
 
-    /// Adds the vars of a node to `fields`, replacing those of the same names.
-    fn vars(&self, node: &Node, field: &str, fields: &mut Fields) -> Result<(), InventoryError> {
+    /// Adds the vars in a node to `fields`; they replace fields of the same names.
+    fn add_vars(
+        &self,
+        node: &Node,
+        field: &str,
+        fields: &mut Fields,
+    ) -> Result<(), InventoryError> {
         let Some(vars) = self.mapping(node, field)? else {
             return Ok(());
         };
@@ -100,8 +111,8 @@
                         .iter()
                         .map(|item| item.as_scalar().map(MarkedScalarNode::as_str));
                     let words = words.collect::<Option<Vec<_>>>().ok_or_else(|| {
-                        self.locator.error(
-                            line_of(value),
+                        self.validator.error(
+                            line_number(value),
                             key.as_str(),
                             InventoryErrorKind::NotScalar,
                         )
@@ -115,32 +126,37 @@
                 key.as_str().to_owned(),
                 Field {
                     text,
-                    line: line_of(value),
+                    line: line_number(value),
                 },
             );
         }
         Ok(())
     }
 
-    /// Reads a group; `outer` are the vars of the groups around it.
-    fn group(&mut self, name: &str, node: &Node, outer: &Fields) -> Result<(), InventoryError> {
+    /// Reads a group; `outer_vars` are the vars of the groups that contain it.
+    fn read_group(
+        &mut self,
+        name: &str,
+        node: &Node,
+        outer_vars: &Fields,
+    ) -> Result<(), InventoryError> {
         let Some(group) = self.mapping(node, name)? else {
             return Ok(());
         };
-        let mut vars = outer.clone();
-        if let Some(own) = group.get_node("vars") {
-            self.vars(own, "vars", &mut vars)?;
+        let mut vars = outer_vars.clone();
+        if let Some(own_vars) = group.get_node("vars") {
+            self.add_vars(own_vars, "vars", &mut vars)?;
         }
         for (key, value) in group.iter() {
             match key.as_str() {
                 "vars" => {}
-                "hosts" => self.hosts(value, &vars)?,
-                "children" => self.children(value, &vars)?,
-                other => {
+                "hosts" => self.read_hosts(value, &vars)?,
+                "children" => self.read_children(value, &vars)?,
+                unknown => {
                     let line = key.span().start().map_or(0, Marker::line);
-                    return Err(self.locator.error(
+                    return Err(self.validator.error(
                         line,
-                        other,
+                        unknown,
                         InventoryErrorKind::UnknownGroupKey,
                     ));
                 }
@@ -150,15 +166,15 @@
     }
 
     /// Reads the hosts of a group whose vars are `vars`.
-    fn hosts(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
+    fn read_hosts(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(hosts) = self.mapping(node, "hosts")? else {
             return Ok(());
         };
-        for (host, own) in hosts.iter() {
+        for (host, own_vars) in hosts.iter() {
             let mut fields = vars.clone();
-            self.vars(own, host.as_str(), &mut fields)?;
+            self.add_vars(own_vars, host.as_str(), &mut fields)?;
             let line = host.span().start().map_or(0, Marker::line);
-            self.merge(Entry {
+            self.merge_entry(Entry {
                 name: host.as_str().to_owned(),
                 line,
                 fields,
@@ -167,34 +183,35 @@
         Ok(())
     }
 
-    /// Reads the groups in a group whose vars are `vars`.
-    fn children(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
+    /// Reads the child groups of a group whose vars are `vars`.
+    fn read_children(&mut self, node: &Node, vars: &Fields) -> Result<(), InventoryError> {
         let Some(children) = self.mapping(node, "children")? else {
             return Ok(());
         };
         for (name, group) in children.iter() {
-            self.group(name.as_str(), group, vars)?;
+            self.read_group(name.as_str(), group, vars)?;
         }
         Ok(())
     }
 
-    /// Adds a host, or merges its fields with those that an earlier group gave it.
-    fn merge(&mut self, entry: Entry) {
-        let Some(known) = self
+    /// Adds the entry of a host. If an earlier group contains the same host, the fields are merged
+    /// into its entry: collections are combined, other fields are replaced.
+    fn merge_entry(&mut self, entry: Entry) {
+        let Some(existing) = self
             .entries
             .iter_mut()
-            .find(|known| known.name == entry.name)
+            .find(|existing| existing.name == entry.name)
         else {
             return self.entries.push(entry);
         };
         for (key, field) in entry.fields {
-            match known.fields.get_mut(&key) {
-                Some(known) if key == "collections" => {
-                    known.text = format!("{};{}", known.text, field.text)
+            match existing.fields.get_mut(&key) {
+                Some(existing) if key == "collections" => {
+                    existing.text = format!("{};{}", existing.text, field.text)
                 }
-                Some(known) => *known = field,
+                Some(existing) => *existing = field,
                 None => {
-                    known.fields.insert(key, field);
+                    existing.fields.insert(key, field);
                 }
             }
         }
