--- a/src/front/ogc/check/mod.rs
+++ b/src/front/ogc/check/mod.rs
@@ -1,23 +1,24 @@
-//! `quinceflow check`: every fault of an edge file and its inventory, each with its line.
+//! `quinceflow check`: reports every fault of an edge file and its inventory with its line.
 
 mod recovery;
 
 use super::config::{CollectionConfig, EdgeConfig};
 use super::inventory::{read_file_with_all_errors, CollectionShard, InventoryError, Server};
-use recovery::{line_with, parse_with_recovery, LineFault, RecoveredEdge};
+use recovery::{line_containing, parse_with_recovery, LineFault, RecoveredEdge};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Most faults that are reported: a file of another format has one in each line.
+/// Maximum number of faults that are reported, since a file in another format has a fault in each
+/// line.
 const MAX_FAULTS: usize = 100;
 
-/// A fault of a file, and where it is.
+/// A fault of a file, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// Name of the file.
     pub file: String,
-    /// The line, from 1; 0 where it has none.
+    /// Line number, from 1; 0 if the fault concerns the whole file.
     pub line: usize,
     /// Description of the fault.
     pub message: String,
@@ -43,13 +44,13 @@
 /// The result of a check.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Every fault, in the order of files and lines.
+    /// All faults: first those of the edge file by itself, then those found with the inventory.
     pub faults: Vec<Fault>,
-    /// Summary of the configuration; meaningful only without a fault.
+    /// Summary of the configuration; meaningful only if there are no faults.
     pub summary: String,
 }
 
-/// Checks an edge file and the inventory that it names, without opening a connection or listening.
+/// Checks an edge file and its inventory without opening a connection or listening.
 #[must_use]
 pub fn check_edge_file(path: &Path) -> Report {
     let file = path
@@ -69,20 +70,20 @@
     report
 }
 
-/// Checks the text of the edge file at `path` and the inventory that it names; `file` is the edge
-/// file's name in faults.
+/// Checks the text of the edge file at `path` and its inventory; `file` is the edge file's name in
+/// faults.
 fn check_text(path: &Path, file: &str, text: &str) -> Report {
     let RecoveredEdge { edge, faults } = parse_with_recovery(text);
-    let in_file = |fault: LineFault| Fault {
+    let to_fault = |fault: LineFault| Fault {
         file: file.to_owned(),
         line: fault.line,
         message: fault.message,
     };
     let mut report = Report {
-        faults: faults.into_iter().map(in_file).collect(),
+        faults: faults.into_iter().map(to_fault).collect(),
         summary: String::new(),
     };
-    // The inventory's name may be readable even if other lines are faulty.
+    // The inventory is checked even if other lines of the edge file are faulty.
     let inventory = edge
         .as_ref()
         .map(|edge| edge.inventory.clone())
@@ -98,7 +99,7 @@
 }
 
 impl Report {
-    /// Creates a report of a single fault.
+    /// Creates a report with a single fault.
     fn of_fault(fault: Fault) -> Self {
         Report {
             faults: vec![fault],
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Checks the collections of an edge file against its servers and summarizes both.
+    /// Adds a fault for each collection of the edge file that no server has, and sets the summary.
     fn add_servers(
         &mut self,
         file: &str,
@@ -118,12 +119,12 @@
         let collections = edge
             .map(|edge| edge.collections.as_slice())
             .unwrap_or_default();
-        let unheld = collections
+        let unserved = collections
             .iter()
             .filter(|collection| !has_shard(collection, &shards));
-        self.faults.extend(unheld.map(|collection| Fault {
+        self.faults.extend(unserved.map(|collection| Fault {
             file: file.to_owned(),
-            line: line_with(text, &format!("\"{}\"", collection.id)),
+            line: line_containing(text, &format!("\"{}\"", collection.id)),
             message: format!("collection {:?}: no server holds it", collection.id),
         }));
         self.summary = format!(
@@ -139,7 +140,8 @@
     shards.iter().any(|shard| shard.collection == collection.id)
 }
 
-/// Returns the path of the inventory that an edge file names, if the file is well-formed TOML.
+/// Returns the inventory's path in the text of an edge file, or `None` if the text is not
+/// well-formed TOML or has no path.
 fn inventory_name(text: &str) -> Option<PathBuf> {
     let table: toml::Table = text.parse().ok()?;
     table.get("inventory")?.as_str().map(Into::into)
--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -1,16 +1,16 @@
 //! Error recovery for edge files, so that one run reports every fault.
 //!
-//! The TOML reader stops at the first fault. The faulty line is given a valid value or blanked, and
-//! the file is parsed again.
+//! The TOML parser stops at the first fault. Recovery replaces the value in the faulty line by a valid
+//! one, or blanks the line, and parses the file again.
 
 use super::super::config::EdgeConfig;
 use super::MAX_FAULTS;
 use std::ops::Range;
 
-/// Replacements that are tried for a faulty value, one for each type that a key may have.
+/// Values that are tried as replacements of a faulty one: one of each type that a key may have.
 const SUBSTITUTES: [&str; 6] = ["1", "1.0", "\"x\"", "\"127.0.0.1:0\"", "true", "[]"];
 
-/// A fault and its line, from 1.
+/// A fault of an edge file, with its line.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LineFault {
     /// Line number, from 1.
@@ -21,9 +21,9 @@
 
 /// Result of parsing an edge file with recovery.
 pub(super) struct RecoveredEdge {
-    /// Configuration, if the file has no fault.
+    /// Configuration; `None` if the file has faults.
     pub(super) edge: Option<EdgeConfig>,
-    /// Faults by line.
+    /// Faults in the order of their lines.
     pub(super) faults: Vec<LineFault>,
 }
 
@@ -44,10 +44,11 @@
         let message = error.message().to_owned();
         let span = error.span().unwrap_or(0..0);
         let line = line_at(&repaired, &span);
-        // A missing field has no line to blank, and an unfinished table hides the lines after it.
-        let is_final = span.is_empty() || message.starts_with("missing field");
+        // A missing field has no line that could be repaired, and after an unfinished table the
+        // following lines can't be parsed.
+        let is_unrecoverable = span.is_empty() || message.starts_with("missing field");
         faults.push(LineFault { line, message });
-        if is_final || !repair(&mut repaired, line) {
+        if is_unrecoverable || !repair(&mut repaired, line) {
             break;
         }
     }
@@ -55,20 +56,20 @@
     RecoveredEdge { edge: None, faults }
 }
 
-/// Adds the values of `edge` that are out of range, except in lines with a fault, whose values are
-/// replacements.
+/// Adds a fault for each value of `edge` that is out of range, except in lines that already have a
+/// fault: their values are replacements.
 fn add_value_faults(text: &str, edge: &EdgeConfig, faults: &mut Vec<LineFault>) {
-    let substituted: Vec<usize> = faults.iter().map(|fault| fault.line).collect();
+    let replaced_lines: Vec<usize> = faults.iter().map(|fault| fault.line).collect();
     let issues = edge.validate().into_iter();
-    let values = issues.map(|issue| LineFault {
-        line: line_with(text, &issue.anchor),
+    let value_faults = issues.map(|issue| LineFault {
+        line: line_containing(text, &issue.anchor),
         message: issue.error.to_string(),
     });
-    faults.extend(values.filter(|fault| !substituted.contains(&fault.line)));
+    faults.extend(value_faults.filter(|fault| !replaced_lines.contains(&fault.line)));
 }
 
-/// Replaces the value of a faulty line by a valid one, or blanks the line, so that the lines after
-/// it are parsed too. Returns `false` if the line was blank already.
+/// Replaces the value in a faulty line by a valid one, or blanks the line, so that the following
+/// lines can be parsed. Returns `false` if the line was blank already.
 fn repair(text: &mut String, line: usize) -> bool {
     let start: usize = text
         .split_inclusive('\n')
@@ -88,7 +89,7 @@
     !faulty.trim().is_empty()
 }
 
-/// Returns whether the reader's next fault is at this line.
+/// Returns whether the parser's first fault is in this line.
 fn fails_at(text: &str, line: usize) -> bool {
     match toml::from_str::<EdgeConfig>(text) {
         Ok(_) => false,
@@ -96,7 +97,7 @@
     }
 }
 
-/// Returns the range of the line that begins at `start`, without its line end.
+/// Returns the byte range of the line that begins at `start`, without the line break.
 fn line_range(text: &str, start: usize) -> Range<usize> {
     let end = text[start..]
         .find('\n')
@@ -104,13 +105,14 @@
     start..end
 }
 
-/// Returns the number of the line in which a range of a text begins, from 1.
+/// Returns the number of the line, from 1, in which a byte range of a text begins.
 fn line_at(text: &str, range: &Range<usize>) -> usize {
     text[..range.start.min(text.len())].matches('\n').count() + 1
 }
 
-/// Returns the number of the first line that has `part` outside of a comment, or 1 if none has.
-pub(super) fn line_with(text: &str, part: &str) -> usize {
+/// Returns the number, from 1, of the first line that contains `part` outside of a comment, or 1 if
+/// there is none.
+pub(super) fn line_containing(text: &str, part: &str) -> usize {
     let has_part = |line: &str| line.split('#').next().unwrap_or_default().contains(part);
     text.lines()
         .position(has_part)
--- a/src/front/ogc/check/tests.rs
+++ b/src/front/ogc/check/tests.rs
@@ -4,7 +4,7 @@
 use super::recovery::parse_with_recovery;
 use std::path::Path;
 
-/// An edge file with faults of format, type, range and key.
+/// An edge file with an invalid address, a wrong type, a value out of range, and an unknown key.
 const MALFORMED: &str = r#"listen = "nowhere"
 inventory = "i.csv"
 attempts = "four"
@@ -26,7 +26,7 @@
 floor = 2.0
 "#;
 
-/// Returns the lines of the faults of an edge file that has some.
+/// Returns the lines of the faults of a faulty edge file.
 fn faulty_lines(text: &str) -> Vec<usize> {
     let recovered = parse_with_recovery(text);
     assert!(recovered.edge.is_none());
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_shipped_files_have_no_fault() {
+fn the_files_in_deploy_have_no_faults() {
     let report = check_edge_file(Path::new("deploy/edge.toml"));
     assert_eq!(report.faults, []);
     assert_eq!(
--- a/src/front/ogc/config/defaults.rs
+++ b/src/front/ogc/config/defaults.rs
@@ -1,5 +1,5 @@
-//! Defaults of the keys that an edge file may omit. The fields of [`EdgeConfig`](super::EdgeConfig)
-//! define their meaning.
+//! Default values of the optional keys of an edge file. The fields of
+//! [`EdgeConfig`](super::EdgeConfig) define the meaning of the keys.
 
 use super::LimitsConfig;
 
@@ -87,8 +87,8 @@
     2_000
 }
 
-/// Returns the share of the whole, 1.
-pub(super) fn full() -> f64 {
+/// Returns 1, the default of shares and weights.
+pub(super) fn one() -> f64 {
     1.0
 }
 
--- a/src/front/ogc/config/error.rs
+++ b/src/front/ogc/config/error.rs
@@ -1,10 +1,10 @@
-//! Errors of an edge file. Operators read the messages in the log and from `quinceflow check`.
+//! Errors of an edge file. Their messages are written to the log and by `quinceflow check`.
 
 use super::super::inventory::InventoryError;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// An edge file or its inventory can't be used.
+/// Error of an edge file or its inventory.
 #[derive(Debug, Error)]
 pub enum EdgeConfigError {
     /// The file can't be read.
@@ -12,16 +12,16 @@
     Io {
         /// The edge file.
         file: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, or its keys or types are not those of an edge file. The source names
-    /// line and key.
+    /// The file is not TOML, or a key is unknown, missing or of another type. The message of the
+    /// source contains the line and the key.
     #[error("{}: {source}", file.display())]
     Syntax {
         /// The edge file.
         file: PathBuf,
-        /// The reader's error.
+        /// The error of the TOML parser.
         source: toml::de::Error,
     },
     /// A value is out of range.
@@ -29,7 +29,7 @@
     Value {
         /// The edge file.
         file: PathBuf,
-        /// The value and its fault.
+        /// The value and what is wrong with it.
         source: ValueError,
     },
     /// The inventory can't be used.
@@ -37,49 +37,49 @@
     Inventory(InventoryError),
 }
 
-/// A value of an edge file is out of range.
+/// Error of a value in an edge file.
 #[derive(Debug, Error)]
 pub enum ValueError {
-    /// There is no class.
+    /// The file has no class.
     #[error("a [[class]] is needed")]
     NoClass,
-    /// A class has a fault.
+    /// A value of a class is out of range.
     #[error("class {name:?}: {source}")]
     Class {
-        /// The class' name.
+        /// Name of the class.
         name: String,
-        /// The class' fault.
+        /// What is wrong with the class.
         source: ClassError,
     },
     /// The type of a queryable is unknown.
     #[error("collection {collection:?}: queryable {queryable:?} is of no kind that is known")]
-    QueryableType {
-        /// The collection's name.
+    UnknownQueryableType {
+        /// Name of the collection.
         collection: String,
-        /// The queryable's name.
+        /// Name of the queryable.
         queryable: String,
     },
     /// `limits.mode` is unknown.
     #[error("limits: mode must be adaptive or fixed")]
-    LimitsMode,
-    /// `limits.least` and `limits.start` are out of order.
+    UnknownLimitsMode,
+    /// `limits.least` or `limits.start` is 0, or they are out of order.
     #[error("limits: least must be above 0 and at most start")]
-    LimitsRange,
+    LimitsOutOfOrder,
     /// `limits.repeats` is out of range.
     #[error("limits: repeats must be from 0 to 10")]
-    RetryRatio,
+    InvalidRetryRatio,
     /// The cursor key can't be used.
     #[error(transparent)]
     CursorKey(#[from] CursorKeyError),
-    /// A number is 0 that must not be.
+    /// A value that must be positive is 0.
     #[error("{key} must be above 0")]
-    Zero {
+    ZeroValue {
         /// The key.
         key: &'static str,
     },
 }
 
-/// A class of an edge file has a fault.
+/// Error of a class in an edge file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ClassError {
     /// The name is empty.
@@ -87,22 +87,22 @@
     EmptyName,
     /// Another class has the same name.
     #[error("is there twice")]
-    Duplicate,
-    /// Latency objective and deadline are out of order.
+    DuplicateName,
+    /// The latency objective is 0 or greater than the deadline.
     #[error("aim_ms must be above 0 and at most deadline_ms")]
-    LatencyObjective,
-    /// The least share of parts is out of range.
+    InvalidLatencyObjective,
+    /// The minimum share of parts is out of range.
     #[error("floor must be above 0 and at most 1")]
-    MinShare,
+    InvalidMinShare,
     /// The effect is unknown.
     #[error("effect must be safe or unsafe")]
-    Effect,
+    UnknownEffect,
 }
 
-/// There is no usable cursor key.
+/// Error of the key that authenticates cursors.
 #[derive(Debug, Error)]
 pub enum CursorKeyError {
-    /// The system gives no random bytes for a new key.
+    /// The operating system provides no random bytes for a new key.
     #[error("cursor_key: no random bytes: {0}")]
     Random(getrandom::Error),
     /// The file's key is too short or not hexadecimal.
--- a/src/front/ogc/config/settings.rs
+++ b/src/front/ogc/config/settings.rs
@@ -1,4 +1,4 @@
-//! Mapping of an edge file to the settings of the policy module and of the limits.
+//! Conversion of an edge file to the settings of the policy and of the concurrency limits.
 
 use super::super::params::LimitRules;
 use super::{ClassConfig, EdgeConfig, SlowStartConfig};
@@ -6,20 +6,20 @@
 use crate::limits::LimitRule;
 use crate::time::Micros;
 
-/// Interval between two ticks of the module, in milliseconds.
+/// Interval between two ticks of the policy, in milliseconds.
 const TICK_MS: u64 = 5;
-/// Window over which the retry budget counts.
+/// Window over which the retry budget counts retries and parts.
 const RETRY_WINDOW: Micros = Micros::from_secs(10);
-/// Retries that are always allowed within the window.
+/// Number of retries that are allowed in any window, regardless of the number of parts.
 const FREE_RETRIES: f64 = 10.0;
 
-/// Converts milliseconds of the file to nanoseconds of the module.
+/// Converts milliseconds, the unit of the file, to nanoseconds, the unit of the policy.
 fn nanos(milliseconds: u64) -> u64 {
     Micros::from_millis(milliseconds).to_nanos()
 }
 
 impl EdgeConfig {
-    /// Returns the limits on a query's `limit`.
+    /// Returns the default and the maximum of the parameter `limit`.
     #[must_use]
     pub fn limit_rules(&self) -> LimitRules {
         LimitRules {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the rule that limits the requests in flight at a server.
+    /// Returns the rule for the concurrency limit of a server.
     #[must_use]
     pub fn concurrency_rule(&self) -> LimitRule {
         match self.limits.mode.as_str() {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the policy module's settings.
+    /// Returns the settings of the policy.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let retry_budget = RetryBudget {
@@ -59,7 +59,7 @@
                 .collect(),
             tenants: Vec::new(),
             over_quota_weight: 1.0,
-            // The inventory adds the shards and their replicas.
+            // Shards and replicas are added when the inventory is loaded.
             shards: 0,
             cells: 1,
             cells_per_shard: 1,
@@ -77,7 +77,7 @@
 }
 
 impl ClassConfig {
-    /// Returns the policy module's settings of the class.
+    /// Returns the policy's settings for this class.
     fn settings(&self, max_attempts: u32) -> Class {
         Class {
             name: self.name.clone(),
@@ -101,7 +101,7 @@
 }
 
 impl SlowStartConfig {
-    /// Returns the policy module's rule of the slow start.
+    /// Returns the policy's rule for slow start.
     fn rule(&self) -> SlowStartRule {
         SlowStartRule {
             overload_factor: self.overload_factor,
--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the edge file: keys, defaults, mapping and errors.
+//! Tests of the edge file: keys, defaults, conversion to settings, and errors.
 
 mod errors;
 mod keys;
@@ -6,8 +6,8 @@
 
 use super::EdgeConfig;
 
-/// An edge file with every key of version 0.1.0. Operators use files like it, so it must stay
-/// readable.
+/// An edge file with every key of version 0.1.0. Operators have such files, so later versions must
+/// accept it.
 const EVERY_KEY: &str = r#"
 listen = "127.0.0.1:8080"
 mgmt = "127.0.0.1:8081"
@@ -63,7 +63,7 @@
 queryables = { name = "text", volts = "number", live = "bool", installed = "time", geometry = "geometry", tags = "array", rest = "any" }
 "#;
 
-/// The keys that every edge file needs.
+/// An edge file with the required keys only.
 const REQUIRED_KEYS: &str = r#"
 listen = "127.0.0.1:0"
 inventory = "servers.csv"
@@ -74,5 +74,5 @@
 "#;
 
 fn parse(text: &str) -> EdgeConfig {
-    toml::from_str(text).expect("an edge file")
+    toml::from_str(text).expect("a valid edge file")
 }
--- a/src/front/ogc/config/tests/errors.rs
+++ b/src/front/ogc/config/tests/errors.rs
@@ -6,13 +6,13 @@
 
 fn syntax_error(text: &str) -> String {
     toml::from_str::<EdgeConfig>(text)
-        .expect_err("no edge file")
+        .expect_err("not an edge file")
         .message()
         .to_owned()
 }
 
 #[test]
-fn unknown_keys_and_wrong_types_are_rejected_in_the_words_of_earlier_versions() {
+fn unknown_keys_and_wrong_types_have_the_messages_of_earlier_versions() {
     let unknown = syntax_error(&format!("most_hold = 1\n{REQUIRED_KEYS}"));
     assert!(
         unknown.starts_with(
@@ -47,7 +47,7 @@
 struct OutOfRange {
     line: &'static str,
     replacement: &'static str,
-    /// Anchor and message of the only issue.
+    /// Anchor and message of the only issue that is expected.
     issue: &'static str,
 }
 
@@ -115,7 +115,7 @@
 ];
 
 #[test]
-fn each_value_out_of_range_has_its_error_and_text() {
+fn each_value_out_of_range_has_its_error_and_message() {
     for case in OUT_OF_RANGE {
         let text = EVERY_KEY.replacen(case.line, case.replacement, 1);
         assert_ne!(text, EVERY_KEY, "{}", case.line);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn classes_are_named_once_and_one_is_needed() {
+fn class_names_are_unique_and_one_class_is_required() {
     let mut edge = parse(EVERY_KEY);
     edge.classes.push(edge.classes[0].clone());
     assert_eq!(
@@ -145,14 +145,15 @@
 }
 
 #[test]
-fn errors_of_a_file_begin_with_its_path() {
-    let missing = EdgeConfig::load(Path::new("deploy/none.toml")).expect_err("there is none");
+fn error_messages_of_a_file_start_with_its_path() {
+    let missing =
+        EdgeConfig::load(Path::new("deploy/none.toml")).expect_err("the file does not exist");
     assert!(matches!(missing, EdgeConfigError::Io { .. }));
     assert!(
         missing.to_string().starts_with("deploy/none.toml: "),
         "{missing}"
     );
-    let other = EdgeConfig::load(Path::new("Cargo.toml")).expect_err("it is another file");
+    let other = EdgeConfig::load(Path::new("Cargo.toml")).expect_err("not an edge file");
     assert!(matches!(other, EdgeConfigError::Syntax { .. }));
     assert!(
         other
--- a/src/front/ogc/config/tests/keys.rs
+++ b/src/front/ogc/config/tests/keys.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 #[test]
-fn every_key_of_an_earlier_file_is_read() {
+fn keys_of_earlier_versions_are_read() {
     let edge = parse(EVERY_KEY);
     assert_eq!(edge.validate().len(), 0);
     assert_eq!(edge.listen.to_string(), "127.0.0.1:8080");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_limits_of_an_earlier_file_are_read() {
+fn limits_of_earlier_versions_are_read() {
     let edge = parse(EVERY_KEY);
     assert_eq!(
         (
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_slow_start_of_an_earlier_file_is_read() {
+fn slow_start_of_earlier_versions_is_read() {
     let edge = parse(EVERY_KEY);
     let slow_start = edge.slow_start.as_ref().expect("a slow start");
     assert_eq!(
@@ -74,10 +74,10 @@
 }
 
 #[test]
-fn the_classes_of_an_earlier_file_are_read() {
+fn classes_of_earlier_versions_are_read() {
     let edge = parse(EVERY_KEY);
     let [class] = edge.classes.as_slice() else {
-        panic!("one class")
+        panic!("not exactly one class")
     };
     assert_eq!(
         (class.name.as_str(), class.effect.as_str()),
@@ -94,10 +94,10 @@
 }
 
 #[test]
-fn the_collections_of_an_earlier_file_are_read() {
+fn collections_of_earlier_versions_are_read() {
     let edge = parse(EVERY_KEY);
     let [collection] = edge.collections.as_slice() else {
-        panic!("one collection")
+        panic!("not exactly one collection")
     };
     assert_eq!(
         (collection.id.as_str(), collection.same_order),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
+fn omitted_keys_have_defaults() {
     let edge = parse(REQUIRED_KEYS);
     assert_eq!(edge.validate().len(), 0);
     assert_eq!(edge.mgmt, None);
@@ -127,7 +127,7 @@
         (100, 5000, 500)
     );
     assert_eq!(edge.max_initial_shards, 8);
-    assert_eq!(edge.cursor_key().expect("a drawn key").len(), 32);
+    assert_eq!(edge.cursor_key().expect("a generated key").len(), 32);
     assert_eq!(
         (edge.cursor_max_age_s, edge.capability_max_age_s),
         (3600, 600)
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn tables_and_keys_of_tables_that_are_left_out_have_their_defaults() {
+fn omitted_tables_and_their_keys_have_defaults() {
     let edge = parse(REQUIRED_KEYS);
     assert!(edge.slow_start.is_none());
     assert_eq!(edge.collections.len(), 0);
--- a/src/front/ogc/config/tests/settings.rs
+++ b/src/front/ogc/config/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Tests of the mapping of an edge file to settings.
+//! Tests of the conversion of an edge file to settings.
 
 use super::{parse, EVERY_KEY, REQUIRED_KEYS};
 use crate::interface::Effect;
 use crate::limits::LimitRule;
 
 #[test]
-fn a_file_becomes_the_rule_of_the_limits() {
+fn limits_are_converted_to_the_concurrency_rule() {
     let edge = parse(EVERY_KEY);
     assert!(matches!(edge.concurrency_rule(), LimitRule::Fixed(33)));
     let adaptive = parse(REQUIRED_KEYS).concurrency_rule();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_file_becomes_the_settings_of_the_module() {
+fn edge_file_is_converted_to_policy_settings() {
     let settings = parse(EVERY_KEY).settings();
     assert_eq!(
         (settings.coordinators, settings.tick, settings.shards),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_class_of_a_file_becomes_the_settings_of_the_module() {
+fn classes_are_converted_to_policy_settings() {
     let settings = parse(EVERY_KEY).settings();
     let class = &settings.classes[0];
     assert_eq!(
--- a/src/front/ogc/config/validation.rs
+++ b/src/front/ogc/config/validation.rs
@@ -1,18 +1,18 @@
-//! Validation of an edge file's values against their ranges.
+//! Validation of the values of an edge file.
 
 use super::{
     queryable_type, ClassConfig, ClassError, CollectionConfig, EdgeConfig, LimitsConfig, ValueError,
 };
 
-/// Largest retry budget, as a share of the parts.
+/// Maximum of `limits.repeats`, the ratio of retries to parts.
 const MAX_RETRY_RATIO: f64 = 10.0;
 
 /// A value that is out of range.
 #[derive(Debug)]
 pub struct ValueIssue {
-    /// Text that identifies the faulty line.
+    /// Text by which the line of the value can be found.
     pub anchor: String,
-    /// The value's fault.
+    /// What is wrong with the value.
     pub error: ValueError,
 }
 
@@ -52,7 +52,7 @@
         issues
     }
 
-    /// Returns the values that are 0 and must not be.
+    /// Returns the values that must be positive and are 0.
     fn zero_values(&self) -> impl Iterator<Item = ValueIssue> {
         let positive = [
             ("default_limit", self.default_limit),
@@ -65,42 +65,42 @@
             ("coordinators", self.coordinators as usize),
         ];
         let zero = positive.into_iter().filter(|(_, value)| *value == 0);
-        zero.map(|(key, _)| ValueIssue::new(key, ValueError::Zero { key }))
+        zero.map(|(key, _)| ValueIssue::new(key, ValueError::ZeroValue { key }))
     }
 }
 
 impl ClassConfig {
-    /// Returns the class' faults; `earlier` are the classes before it in the file.
+    /// Returns the errors of the class; `earlier` are the classes that precede it in the file.
     fn validate(&self, earlier: &[ClassConfig]) -> Vec<ClassError> {
         let mut errors = Vec::new();
         if self.name.is_empty() {
             errors.push(ClassError::EmptyName);
         }
         if earlier.iter().any(|other| other.name == self.name) {
-            errors.push(ClassError::Duplicate);
+            errors.push(ClassError::DuplicateName);
         }
         if self.latency_objective_ms == 0 || self.deadline_ms < self.latency_objective_ms {
-            errors.push(ClassError::LatencyObjective);
+            errors.push(ClassError::InvalidLatencyObjective);
         }
         if !(self.min_share > 0.0 && self.min_share <= 1.0) {
-            errors.push(ClassError::MinShare);
+            errors.push(ClassError::InvalidMinShare);
         }
         if !matches!(self.effect.as_str(), "safe" | "unsafe") {
-            errors.push(ClassError::Effect);
+            errors.push(ClassError::UnknownEffect);
         }
         errors
     }
 }
 
 impl CollectionConfig {
-    /// Returns the queryables of unknown types.
+    /// Returns an issue for each queryable whose type is unknown.
     fn validate(&self) -> impl Iterator<Item = ValueIssue> + '_ {
         let unknown = self
             .queryables
             .iter()
-            .filter(|(_, kind)| queryable_type(kind).is_none());
+            .filter(|(_, type_name)| queryable_type(type_name).is_none());
         unknown.map(|(name, _)| {
-            let error = ValueError::QueryableType {
+            let error = ValueError::UnknownQueryableType {
                 collection: self.id.clone(),
                 queryable: name.clone(),
             };
@@ -110,17 +110,17 @@
 }
 
 impl LimitsConfig {
-    /// Returns the limits that are out of range.
+    /// Returns the values in the table `limits` that are out of range.
     fn validate(&self) -> Vec<ValueIssue> {
         let mut issues = Vec::new();
         if !matches!(self.mode.as_str(), "adaptive" | "fixed") {
-            issues.push(ValueIssue::new("mode", ValueError::LimitsMode));
+            issues.push(ValueIssue::new("mode", ValueError::UnknownLimitsMode));
         }
         if self.initial == 0 || self.min == 0 || self.min > self.initial {
-            issues.push(ValueIssue::new("least", ValueError::LimitsRange));
+            issues.push(ValueIssue::new("least", ValueError::LimitsOutOfOrder));
         }
         if !(0.0..=MAX_RETRY_RATIO).contains(&self.retry_ratio) {
-            issues.push(ValueIssue::new("repeats", ValueError::RetryRatio));
+            issues.push(ValueIssue::new("repeats", ValueError::InvalidRetryRatio));
         }
         issues
     }
