--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -1,5 +1,5 @@
-//! The handlers of the documents about the service. Writing the documents is left to
-//! [`response`](crate::front::ogc::response).
+//! The handlers of the documents about the service. [`response`](crate::front::ogc::response) renders
+//! the documents.
 
 use super::ResourceRequest;
 use crate::front::ogc::cql2::{QueryableType, Queryables};
@@ -13,14 +13,14 @@
 use crate::sync::lock;
 use std::sync::Arc;
 
-/// The schemas of a collection.
+/// The kinds of schemas that a collection has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SchemaKind {
-    /// The properties to filter by.
+    /// The properties that filters may contain.
     Queryables,
-    /// The properties to sort by.
+    /// The properties that features can be sorted by.
     Sortables,
-    /// The properties returned.
+    /// The properties of returned features.
     Schema,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Removes the properties that are not in this schema.
+    /// Removes the properties that do not belong to a schema of this kind.
     fn restrict(self, queryables: &mut Queryables) {
         if self == SchemaKind::Sortables {
             queryables.named.retain(|_, queryable_type| {
@@ -46,31 +46,35 @@
     }
 }
 
-/// Returns a response, or an error if the request has parameters: documents have none.
-fn respond(request: &ResourceRequest<'_>, response: Response) -> Result<Reaction, ApiError> {
+/// Responds with `response`, or with an error if the request has any parameter but the format.
+/// Documents have no other parameters.
+fn respond_without_parameters(
+    request: &ResourceRequest<'_>,
+    response: Response,
+) -> Result<Reaction, ApiError> {
     request.allow_parameters(&[])?;
     Ok(Reaction::Respond(response))
 }
 
-/// Responds with whether the program is ready to serve.
+/// Responds with the readiness of the coordinator: status 200 if it is ready, otherwise 503.
 pub(super) fn readiness(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
     let response = match request.incoming.ready {
         true => Response::new(200, "text/plain", "ready\n"),
         false => Response::new(503, "text/plain", "not ready\n"),
     };
-    respond(request, response)
+    respond_without_parameters(request, response)
 }
 
 pub(super) fn landing_page(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
-    respond(request, documents::landing_page(&request.document))
+    respond_without_parameters(request, documents::landing_page(&request.document))
 }
 
 pub(super) fn conformance(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
-    respond(request, documents::conformance(&request.document))
+    respond_without_parameters(request, documents::conformance(&request.document))
 }
 
 pub(super) fn openapi(request: &ResourceRequest<'_>) -> Result<Reaction, ApiError> {
-    respond(
+    respond_without_parameters(
         request,
         openapi::openapi(&request.document, &request.incoming.state.edge),
     )
@@ -82,7 +86,7 @@
         .collections()
         .map(str::to_owned)
         .collect();
-    respond(
+    respond_without_parameters(
         request,
         documents::collections(&request.document, &ids, &state.edge),
     )
@@ -91,7 +95,7 @@
 pub(super) fn collection(request: &ResourceRequest<'_>, id: &str) -> Result<Reaction, ApiError> {
     let state = request.incoming.state;
     shards_of(state, id)?;
-    respond(
+    respond_without_parameters(
         request,
         documents::collection(&request.document, id, &state.edge),
     )
--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -1,5 +1,5 @@
-//! The handler of one feature by its identifier: `GET
-//! /collections/{collectionId}/items/{featureId}`.
+//! The handler of requests for one feature by its identifier:
+//! `GET /collections/{collectionId}/items/{featureId}`.
 
 use super::{parameter_value, ResourceRequest};
 use crate::front::ogc::crs::Crs;
@@ -30,7 +30,7 @@
     let crs = crs(request)?;
     let client = incoming.client()?;
     let shard_requests = shard_requests(&shards, feature_id);
-    let core_request = core_request(incoming.state, &client, shard_requests.iter().cloned());
+    let coordinator_request = core_request(incoming.state, &client, shard_requests.iter().cloned());
     let feature_request = FeatureRequest {
         base_url: request.document.base_url.clone(),
         collection: collection.to_owned(),
@@ -40,7 +40,7 @@
     };
     let metrics = incoming.state.class_metrics(client.class);
     Ok(Reaction::Submit(
-        core_request,
+        coordinator_request,
         Box::new(move |answer| {
             let response = feature_response(&feature_request, answer);
             count_response(&metrics, &response);
--- a/src/front/ogc/handlers/items.rs
+++ b/src/front/ogc/handlers/items.rs
@@ -1,4 +1,5 @@
-//! The handler of the features of a collection: `GET /collections/{collectionId}/items`.
+//! The handler of queries for the features of a collection:
+//! `GET /collections/{collectionId}/items`.
 
 use super::ResourceRequest;
 use crate::front::ogc::client_request::ItemsRequest;
@@ -13,7 +14,7 @@
 use std::sync::Arc;
 
 /// The parameters whose meaning does not depend on the capabilities of the servers.
-const CAPABILITY_INDEPENDENT: [&str; 8] = [
+const CAPABILITY_INDEPENDENT_PARAMETERS: [&str; 8] = [
     "limit",
     "bbox",
     "bbox-crs",
@@ -24,7 +25,8 @@
     "f",
 ];
 
-/// Starts a query, after capability discovery if its parameters depend on capabilities.
+/// Starts a query. Capability discovery precedes it if the meaning of a parameter depends on the
+/// capabilities of the servers.
 pub(super) fn items(request: &ResourceRequest<'_>, collection: &str) -> Result<Reaction, ApiError> {
     let incoming = request.incoming;
     let shards = shards_of(incoming.state, collection)?;
@@ -32,7 +34,7 @@
     let parameters = request.parameters.clone();
     let needs_discovery = !parameters
         .iter()
-        .all(|parameter| CAPABILITY_INDEPENDENT.contains(&parameter.name.as_str()));
+        .all(|parameter| CAPABILITY_INDEPENDENT_PARAMETERS.contains(&parameter.name.as_str()));
     let document = request.document.clone();
     let collection = collection.to_owned();
     let query_string = request.query_string.to_owned();
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! The resources of the front: the routing of requests to handlers, and the handlers.
+//! The handlers of the front's resources, and the routing of requests to them.
 
 mod documents;
 mod feature;
@@ -21,7 +21,8 @@
 use std::borrow::Cow;
 use std::sync::Arc;
 
-/// The parameter that all resources have: the format of the response.
+/// The name of the parameter that sets the format of the response. All resources but `/search` have
+/// it.
 const FORMAT_PARAMETER: &str = "f";
 
 /// A received request and the state to handle it with.
@@ -34,11 +35,11 @@
     pub token: Token,
     /// The estimated time at which the client sent the request.
     pub sent_at: Micros,
-    /// Whether the program is ready to serve.
+    /// Whether the coordinator is ready to serve queries.
     pub ready: bool,
 }
 
-/// A resource of the front. Collections and features are named by their ids.
+/// A resource of the front, with the ids of the collection and the feature where it has them.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Resource<'a> {
     Search,
@@ -67,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// If the request is invalid or cannot be served; the error has the response's status.
+    /// Fails if the request is invalid or cannot be served. The error determines the response.
     pub fn handle(&self) -> Result<Reaction, ApiError> {
         let (path, query_string) = self
             .http
@@ -76,7 +77,7 @@
             .unwrap_or((&self.http.target, ""));
         let segments = decode_segments(path)?;
         let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
-        let resource = Resource::at(&segments).ok_or(ApiError::NoSuchResource)?;
+        let resource = Resource::from_segments(&segments).ok_or(ApiError::NoSuchResource)?;
         if resource == Resource::Search {
             return search::search(self);
         }
@@ -118,8 +119,8 @@
         ClientContext::of(self.http, &self.state.edge, self.token, self.sent_at)
     }
 
-    /// Starts a query after capability discovery, so that whether a name is a queryable does not
-    /// depend on earlier requests.
+    /// Starts a query after capability discovery. Without it, whether a name is accepted as a queryable
+    /// would depend on earlier requests.
     fn start_after_discovery(
         &self,
         client: &ClientContext,
@@ -137,7 +138,7 @@
 
 impl<'a> Resource<'a> {
     /// Returns the resource with these path segments, if there is one.
-    fn at(segments: &[&'a str]) -> Option<Self> {
+    fn from_segments(segments: &[&'a str]) -> Option<Self> {
         Some(match *segments {
             ["search"] => Resource::Search,
             ["up"] => Resource::Readiness,
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Returns an error if the request has a parameter other than `allowed` and the format.
+    /// Returns an error if the request has a parameter other than those in `allowed` and the format.
     fn allow_parameters(&self, allowed: &[&str]) -> Result<(), ApiError> {
         let is_allowed = |name: &str| name == FORMAT_PARAMETER || allowed.contains(&name);
         let mut names = self.parameters.iter().map(|parameter| &parameter.name);
@@ -190,7 +191,7 @@
     parameter.map(|parameter| parameter.value.as_str())
 }
 
-/// Returns the decoded segments of a path, without the empty ones.
+/// Returns the decoded segments of a path. Empty segments are omitted.
 fn decode_segments(path: &str) -> Result<Vec<String>, ApiError> {
     let decode = |segment: &str| {
         let decoded = percent_encoding::percent_decode_str(segment).decode_utf8();
