--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -1,5 +1,5 @@
-//! Documents about the service: landing page, conformance, collections and schemas (OGC API -
-//! Common and Features).
+//! Documents about the service: landing page, conformance classes, collections and schemas (OGC API -
+//! Common and OGC API - Features).
 
 use super::html;
 use super::json::{json_response, GEOJSON, HTML, JSON, OPENAPI, SCHEMA};
@@ -11,14 +11,14 @@
 use crate::proto::http::Response;
 use serde_json::{json, Value as Json};
 
-/// Relation of links to queryables.
+/// Relation type of links to queryables.
 const QUERYABLES_REL: &str = "http://www.opengis.net/def/rel/ogc/1.0/queryables";
-/// Relation of links to sortables.
+/// Relation type of links to sortables.
 const SORTABLES_REL: &str = "http://www.opengis.net/def/rel/ogc/1.0/sortables";
-/// Dialect of the schemas.
+/// JSON Schema dialect of the schemas.
 const JSON_SCHEMA_DIALECT: &str = "https://json-schema.org/draft/2020-12/schema";
 
-/// Conformance classes that are served.
+/// Conformance classes that the front implements.
 const CONFORMANCE_CLASSES: [&str; 26] = [
     "http://www.opengis.net/spec/ogcapi-common-1/1.0/conf/core",
     "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core",
@@ -48,25 +48,25 @@
     "http://www.opengis.net/spec/cql2/1.0/conf/arithmetic",
 ];
 
-/// Location and format of a document.
+/// Address and format of a document.
 #[derive(Debug, Clone)]
 pub(in crate::front::ogc) struct DocumentContext {
-    /// Address of the service, without a trailing slash.
+    /// URL of the service, without a trailing slash.
     pub base_url: String,
-    /// Path of the document, without a query.
+    /// Path of the document, without a query string.
     pub path: String,
     /// Format of the document.
     pub format: Format,
 }
 
 impl DocumentContext {
-    /// Returns the address of the document, without a query.
+    /// Returns the URL of the document, without a query string.
     fn url(&self) -> String {
         format!("{}{}", self.base_url, self.path)
     }
 
-    /// Returns links to this document and to its other format; `json_type` is its media type as
-    /// JSON.
+    /// Returns links to the document in its own format and in the other one; `json_type` is the media
+    /// type of its JSON format.
     fn links(&self, json_type: &str) -> Vec<Json> {
         self_and_alternate(self.format, json_type, |f| format!("{}?f={f}", self.url())).into()
     }
@@ -124,7 +124,7 @@
 ) -> Response {
     let mut json = collection_json(&context.base_url, id, edge);
     let links = json["links"].as_array().cloned().unwrap_or_default();
-    // The links to the document itself replace the first link.
+    // The links to this document in both formats replace the first link, which is the `self` link.
     json["links"] = context
         .links(JSON)
         .into_iter()
@@ -154,7 +154,7 @@
     collection
 }
 
-/// Returns the links of the collection at an address.
+/// Returns the links of the collection with a URL.
 fn collection_links(url: &str) -> [Json; 6] {
     [
         link(url.to_owned(), "self", JSON),
@@ -166,7 +166,7 @@
     ]
 }
 
-/// Renders the queryables, sortables or returned properties of a collection as a JSON schema.
+/// Renders the queryables, sortables or returned properties of a collection as a JSON Schema.
 pub(in crate::front::ogc) fn schema(
     context: &DocumentContext,
     title: &str,
--- a/src/front/ogc/response/feature.rs
+++ b/src/front/ogc/response/feature.rs
@@ -1,4 +1,4 @@
-//! Response to a request for one feature by its identifier.
+//! The response to a request for one feature by its identifier.
 
 use super::html;
 use super::json::{json_response, GEOJSON, JSON};
@@ -16,9 +16,9 @@
 use serde_json::{json, Value as Json};
 use std::sync::Arc;
 
-/// Request for one feature, which may be in any shard of its collection.
+/// A request for one feature, which may be in any shard of its collection.
 pub(in crate::front::ogc) struct FeatureRequest {
-    /// Address of the service, without a trailing slash.
+    /// URL of the service, without a trailing slash.
     pub base_url: String,
     /// Name of the collection.
     pub collection: String,
@@ -37,7 +37,7 @@
         .unwrap_or_else(|error| error_response(&error))
 }
 
-/// Returns the text of the feature, from the first shard that has it.
+/// Returns the JSON text of the feature from the first shard that has it.
 fn find_feature(request: &FeatureRequest, answer: Answer) -> Result<Vec<u8>, ApiError> {
     if let Some(error) = ApiError::from_answer(&answer) {
         return Err(error);
@@ -62,13 +62,13 @@
     })
 }
 
-/// Renders the text of a feature.
+/// Renders a feature, given as JSON text.
 fn render(request: &FeatureRequest, text: &[u8]) -> Result<Response, ApiError> {
     let Ok(mut feature @ Json::Object(_)) = serde_json::from_slice::<Json>(text) else {
         COUNTERS.bad_frames.increment();
         return Err(ApiError::InvalidFeature);
     };
-    FeatureProjection::to_crs(request.crs).change(&mut feature);
+    FeatureProjection::to_crs(request.crs).apply(&mut feature);
     feature["links"] = links(request, &feature["id"]);
     let mut response = match request.format {
         Format::Json => json_response(200, GEOJSON, &feature),
@@ -90,6 +90,11 @@
         "{collection}/items/{}",
         utf8_percent_encode(&id, NON_ALPHANUMERIC)
     );
-    let [own, alternate] = self_and_alternate(request.format, GEOJSON, |f| format!("{url}?f={f}"));
-    json!([own, alternate, link(collection, "collection", JSON)])
+    let [self_link, alternate_link] =
+        self_and_alternate(request.format, GEOJSON, |f| format!("{url}?f={f}"));
+    json!([
+        self_link,
+        alternate_link,
+        link(collection, "collection", JSON)
+    ])
 }
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -1,5 +1,5 @@
-//! Response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API - Features,
-//! Part 1, 7.15) or HTML.
+//! The response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API - Features,
+//! Part 1, 7.15) or an HTML page.
 
 use super::html;
 use super::items_result::ItemsResult;
@@ -19,32 +19,30 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-/// Header that tells whether all shards are in the response.
-const COMPLETE_HEADER: &str = "X-Answer-Whole";
+/// Header that states whether the response is complete, that is, whether no shard is missing.
+const COMPLETENESS_HEADER: &str = "X-Answer-Whole";
 
 /// Renders the response to a query for features.
 pub(in crate::front::ogc) fn feature_collection(result: &ItemsResult<'_>) -> Response {
     let request = result.request;
-    let members = other_members(result);
+    let members = collection_members(result);
     let tag = items_tag(result);
     let mut response = match request.format {
         Format::Json => Response::new(200, GEOJSON, geojson(result, &members)),
         Format::Html => html::feature_collection(result, &members),
     };
-    response.add_header(COMPLETE_HEADER, result.complete.to_string());
+    response.add_header(COMPLETENESS_HEADER, result.complete.to_string());
     response.add_header("Content-Crs", format!("<{}>", request.params.crs));
     response.add_header("ETag", tag);
     response
 }
 
-/// Returns the entity tag, from the features and everything else that the body depends on except
-/// its time.
-///
-/// The cursor is excluded, since each response has another one.
+/// Returns the entity tag: a hash of the features and of everything else that the body depends on,
+/// except for its time and the value of its cursor, which differ in each response.
 fn items_tag(result: &ItemsResult<'_>) -> String {
     let request = result.request;
     let html = request.format == Format::Html;
-    let other_members = format!(
+    let other_content = format!(
         "{} {:?} {:?} {html} {}",
         result.next_cursor.is_some(),
         result.number_matched,
@@ -56,12 +54,12 @@
             .slices
             .iter()
             .map(PageSlice::span)
-            .chain([other_members.as_bytes()]),
+            .chain([other_content.as_bytes()]),
     )
 }
 
-/// Returns the members of the collection other than its features.
-fn other_members(result: &ItemsResult<'_>) -> Json {
+/// Returns the members of the feature collection other than `features`.
+fn collection_members(result: &ItemsResult<'_>) -> Json {
     let mut members = json!({
         "type": "FeatureCollection",
         "timeStamp": OffsetDateTime::now_utc().format(&Rfc3339).unwrap_or_default(),
@@ -69,8 +67,8 @@
         "links": links(result),
     });
     if !result.complete {
-        // Clients must be able to tell a partial response from a complete one: on a map, a missing
-        // shard looks like an area without features.
+        // Clients must be able to distinguish a partial response from a complete one: on a map, a
+        // missing shard looks like an area without features.
         members["partial"] = true.into();
         members["missing"] = result.missing_shards.clone().into();
     } else if let Some(matched) = result.number_matched {
@@ -79,7 +77,7 @@
     members
 }
 
-/// Returns the links of a response to a query or a search.
+/// Returns the links of the response.
 fn links(result: &ItemsResult<'_>) -> Vec<Json> {
     let request = result.request;
     let mut links = match &request.search_body {
@@ -91,7 +89,7 @@
     links
 }
 
-/// Returns the links of a query's response.
+/// Returns the links of the response to a query in a query string.
 fn items_links(request: &ItemsRequest, next_cursor: Option<&str>) -> Vec<Json> {
     let path = format!(
         "{}/collections/{}/items",
@@ -101,11 +99,13 @@
     parameters.retain(|parameter| parameter.name != "f");
     let href = |format: &str, cursor: Option<&str>| {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
-        let kept = parameters
+        let remaining_parameters = parameters
             .iter()
             .filter(|parameter| cursor.is_none() || parameter.name != "cursor")
             .map(|parameter| (&parameter.name, &parameter.value));
-        query.extend_pairs(kept).append_pair("f", format);
+        query
+            .extend_pairs(remaining_parameters)
+            .append_pair("f", format);
         query.extend_pairs(cursor.map(|cursor| ("cursor", cursor)));
         format!("{path}?{}", query.finish())
     };
@@ -119,7 +119,7 @@
     links
 }
 
-/// Returns the links of a search, which carry the body to send.
+/// Returns the links of the response to a search; the `next` link contains the body to send.
 fn search_links(request: &ItemsRequest, body: &Json, next_cursor: Option<&str>) -> Vec<Json> {
     let href = format!("{}/search", request.base_url);
     let mut links = vec![json!({"rel": "self", "href": href, "method": "POST", "type": GEOJSON})];
@@ -133,13 +133,14 @@
     links
 }
 
-/// Writes the collection as GeoJSON.
+/// Renders the collection as GeoJSON.
 ///
-/// Features are written as their servers wrote them unless the query changes them. The bytes of
-/// features that are adjacent in a page are shared without a copy.
+/// Unless the query changes the features, they keep the text that their servers sent: the body then
+/// refers to the bytes of the pages, in one segment for each run of adjacent features, instead of
+/// copying them.
 fn geojson(result: &ItemsResult<'_>, members: &Json) -> Body {
     let mut body = Body::from("{\"features\":[");
-    let projection = FeatureProjection::of(&result.request.params);
+    let projection = FeatureProjection::from_params(&result.request.params);
     let mut separator = Separator::default();
     for slice in &result.slices {
         if projection.is_identity() {
@@ -149,7 +150,7 @@
         }
     }
     body.push(b"],");
-    // The members without their opening brace.
+    // Skips the opening brace, since the body already has one.
     body.push(&members.to_string().as_bytes()[1..]);
     body
 }
@@ -177,7 +178,7 @@
 ) {
     for feature in slice
         .texts()
-        .filter_map(|feature| projection.apply(feature))
+        .filter_map(|feature| projection.apply_to_text(feature))
     {
         separator.push_to(body);
         body.push(&feature);
@@ -198,7 +199,7 @@
     });
     for adjacent in slice
         .ranges()
-        .chunk_by(|left, right| is_adjacent(page, left, right))
+        .chunk_by(|left, right| are_adjacent(page, left, right))
     {
         separator.push_to(body);
         let start = adjacent.first().map_or(0, |range| range.start);
@@ -208,7 +209,7 @@
 }
 
 /// Returns whether only a comma and white space separate two features of a page.
-fn is_adjacent(page: &FeaturePage, left: &Range<usize>, right: &Range<usize>) -> bool {
+fn are_adjacent(page: &FeaturePage, left: &Range<usize>, right: &Range<usize>) -> bool {
     let between = &page.body[left.end..right.start];
     between
         .iter()
@@ -216,7 +217,8 @@
         && between.contains(&b',')
 }
 
-/// Bytes of a page, shared with a response until it is written.
+/// The bytes of a page that a response refers to. Until the response is written, it keeps the page
+/// and the reservation of its memory.
 struct SharedPage {
     page: Arc<FeaturePage>,
     _memory: Arc<MemoryReservation>,
--- a/src/front/ogc/response/html.rs
+++ b/src/front/ogc/response/html.rs
@@ -1,4 +1,4 @@
-//! HTML pages: documents as tables, features with a map.
+//! HTML pages: documents as tables, features as a map and a table.
 
 use super::items_result::ItemsResult;
 use super::projection::FeatureProjection;
@@ -9,25 +9,31 @@
 use std::fmt::Write as _;
 
 const HTML_UTF8: &str = "text/html; charset=utf-8";
-/// Most features that are drawn and listed; a response may have more.
+/// Maximum number of features that an HTML page draws and lists; a response may have more.
 const MAX_SHOWN_FEATURES: usize = 1_000;
-/// Most properties that are listed as columns.
+/// Maximum number of properties that are listed as columns.
 const MAX_COLUMNS: usize = 30;
 
-/// Renders a JSON document about the service: its members and its links.
+/// Renders a document about the service: the links of its collections or, if it has none, its
+/// members; then its own links.
 pub(super) fn document(title: &str, json: &Json) -> Response {
-    let mut main = String::new();
+    let mut content = String::new();
     for collection in json["collections"].as_array().into_iter().flatten() {
         let name = collection["title"]
             .as_str()
             .or(collection["id"].as_str())
             .unwrap_or_default();
-        let _ = write!(main, "<h2>{}</h2>{}", escape(name), link_list(collection));
+        let _ = write!(
+            content,
+            "<h2>{}</h2>{}",
+            escape(name),
+            link_list(collection)
+        );
     }
-    if main.is_empty() {
-        main = member_table(json);
+    if content.is_empty() {
+        content = member_table(json);
     }
-    page(title, &(main + &link_list(json)))
+    html_page(title, &(content + &link_list(json)))
 }
 
 /// Renders one feature.
@@ -36,36 +42,36 @@
         Json::String(id) => id.clone(),
         id => id.to_string(),
     };
-    let main =
+    let content =
         svg_map(std::slice::from_ref(json)) + &member_table(&json["properties"]) + &link_list(json);
-    page(&title, &main)
+    html_page(&title, &content)
 }
 
-/// Renders the features of a query as a map and a table; `members` are the other members of the
-/// collection.
+/// Renders the features of a query as a map and a table; `members` are the members of the feature
+/// collection other than `features`.
 pub(super) fn feature_collection(result: &ItemsResult<'_>, members: &Json) -> Response {
     let shown = shown_features(result);
-    let mut main = summary(result, shown.len());
-    main.push_str(&svg_map(&shown));
-    main.push_str(&feature_table(&shown));
-    main.push_str(&link_list(members));
-    page(&result.request.collection, &main)
+    let mut content = summary(result, shown.len());
+    content.push_str(&svg_map(&shown));
+    content.push_str(&feature_table(&shown));
+    content.push_str(&link_list(members));
+    html_page(&result.request.collection, &content)
 }
 
 fn shown_features(result: &ItemsResult<'_>) -> Vec<Json> {
-    let projection = FeatureProjection::of(&result.request.params);
+    let projection = FeatureProjection::from_params(&result.request.params);
     let features = result
         .slices
         .iter()
         .flat_map(PageSlice::texts)
         .take(MAX_SHOWN_FEATURES);
     features
-        .filter_map(|feature| projection.apply(feature))
+        .filter_map(|feature| projection.apply_to_text(feature))
         .filter_map(|feature| serde_json::from_slice(&feature).ok())
         .collect()
 }
 
-/// Returns the number of features and the missing shards in words.
+/// Returns a summary of the response: its missing shards and its number of features.
 fn summary(result: &ItemsResult<'_>, shown: usize) -> String {
     let mut text = String::new();
     if !result.complete {
@@ -99,9 +105,13 @@
     }
     text.push_str("</tr>");
     for feature in features {
-        let _ = write!(text, "<tr><td>{}</td>", cell(&feature["id"]));
+        let _ = write!(text, "<tr><td>{}</td>", table_cell(&feature["id"]));
         for column in &columns {
-            let _ = write!(text, "<td>{}</td>", cell(&feature["properties"][column]));
+            let _ = write!(
+                text,
+                "<td>{}</td>",
+                table_cell(&feature["properties"][column])
+            );
         }
         text.push_str("</tr>");
     }
@@ -122,7 +132,7 @@
     columns
 }
 
-/// Returns a table of the members of an object except its links.
+/// Returns a table of the members of an object except for its links.
 fn member_table(json: &Json) -> String {
     let mut text = String::from("<table>");
     let members = json.as_object().into_iter().flatten();
@@ -131,14 +141,14 @@
             text,
             "<tr><th>{}</th><td>{}</td></tr>",
             escape(name),
-            cell(value)
+            table_cell(value)
         );
     }
     text + "</table>"
 }
 
 /// Returns a value as the content of a table cell.
-fn cell(value: &Json) -> String {
+fn table_cell(value: &Json) -> String {
     match value {
         Json::String(text) if text.starts_with("http://") || text.starts_with("https://") => {
             format!("<a href=\"{0}\">{0}</a>", escape(text))
@@ -149,7 +159,7 @@
     }
 }
 
-/// Returns a list of the links of a document that have an address.
+/// Returns a list of the links of a document. Links without an address or a relation are omitted.
 fn link_list(json: &Json) -> String {
     let mut text = String::from("<ul>");
     for link in json["links"].as_array().into_iter().flatten() {
@@ -168,8 +178,8 @@
     text + "</ul>"
 }
 
-/// Returns a page with a title and a body of HTML.
-fn page(title: &str, main: &str) -> Response {
+/// Returns a response with an HTML page; `content` is HTML.
+fn html_page(title: &str, content: &str) -> Response {
     let title = escape(title);
     let text = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
@@ -178,25 +188,25 @@
          table{{border-collapse:collapse}}\
          td,th{{border:1px solid #ccc;padding:.2em .5em;text-align:left;vertical-align:top}}\
          svg{{background:#eef3f7;border:1px solid #ccc}}</style></head>\n\
-         <body><h1>{title}</h1>\n{main}\n</body></html>\n"
+         <body><h1>{title}</h1>\n{content}\n</body></html>\n"
     );
     Response::new(200, HTML_UTF8, text)
 }
 
-/// Escapes the characters of a text that are markup in HTML.
+/// Escapes the characters of a text that have a special meaning in HTML.
 fn escape(text: &str) -> String {
-    let mut out = String::with_capacity(text.len());
+    let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
         match c {
-            '&' => out.push_str("&amp;"),
-            '<' => out.push_str("&lt;"),
-            '>' => out.push_str("&gt;"),
-            '"' => out.push_str("&quot;"),
-            '\'' => out.push_str("&#39;"),
-            c => out.push(c),
+            '&' => escaped.push_str("&amp;"),
+            '<' => escaped.push_str("&lt;"),
+            '>' => escaped.push_str("&gt;"),
+            '"' => escaped.push_str("&quot;"),
+            '\'' => escaped.push_str("&#39;"),
+            c => escaped.push(c),
         }
     }
-    out
+    escaped
 }
 
 #[cfg(test)]
--- a/src/front/ogc/response/html/tests.rs
+++ b/src/front/ogc/response/html/tests.rs
@@ -1,10 +1,10 @@
-//! Tests that HTML pages contain no markup of servers.
+//! Tests that values from servers are not interpreted as markup in HTML pages.
 
 use super::feature;
 use serde_json::json;
 
 #[test]
-fn values_of_servers_are_escaped() {
+fn values_from_servers_are_escaped() {
     let json = json!({"id": "<script>", "geometry": {"type": "Point", "coordinates": [1, 2]},
         "properties": {"<b>": "\"><img onerror=x>", "n": 7}});
     let text = String::from_utf8(feature(&json).body.to_vec()).expect("text");
--- a/src/front/ogc/response/items_result.rs
+++ b/src/front/ogc/response/items_result.rs
@@ -1,17 +1,17 @@
-//! Result of a query for features, which the renderers take.
+//! The result of a query for features, from which the response is rendered.
 
 use crate::front::ogc::admission::MemoryReservation;
 use crate::front::ogc::client_request::ItemsRequest;
 use crate::front::ogc::paging::PageSlice;
 use std::sync::Arc;
 
-/// Result of a query for features.
+/// The result of a query for features.
 pub(in crate::front::ogc) struct ItemsResult<'a> {
-    /// Request of the client.
+    /// The request of the client.
     pub request: &'a ItemsRequest,
-    /// Memory that is reserved until the response is written.
+    /// The memory that is reserved until the response is written.
     pub memory: Arc<MemoryReservation>,
-    /// Features, in the order of the response.
+    /// The features, in the order of the response.
     pub slices: Vec<PageSlice>,
     /// Number of features in the response.
     pub number_returned: usize,
@@ -19,8 +19,8 @@
     pub complete: bool,
     /// Names of the missing shards.
     pub missing_shards: Vec<&'a str>,
-    /// Number of all features that match, if it is known.
+    /// Number of all features that match the query, if it is known.
     pub number_matched: Option<u64>,
-    /// Cursor token of the next response; `None` in the last.
+    /// Cursor of the next response; `None` if this is the last one.
     pub next_cursor: Option<String>,
 }
--- a/src/front/ogc/response/links.rs
+++ b/src/front/ogc/response/links.rs
@@ -4,7 +4,7 @@
 use crate::front::ogc::params::Format;
 use serde_json::{json, Value as Json};
 
-/// Returns a link to a resource of a media type.
+/// Returns a link to a resource with a media type.
 pub(super) fn link(href: String, rel: &str, media_type: &str) -> Json {
     json!({"href": href, "rel": rel, "type": media_type})
 }
@@ -17,7 +17,8 @@
     }
 }
 
-/// Returns the media type of a resource in a format; `json_type` is its media type as JSON.
+/// Returns the media type of a resource in a format; `json_type` is the media type of its JSON
+/// format.
 pub(super) fn media_type(format: Format, json_type: &str) -> &str {
     match format {
         Format::Json => json_type,
@@ -25,8 +26,8 @@
     }
 }
 
-/// Returns links to a resource in the format of this response and in the other one; `href` returns
-/// the address for a value of `f`.
+/// Returns links to a resource in the format of this response and in the other one. `json_type` is the
+/// media type of its JSON format; `href` returns its URL for a value of the parameter `f`.
 pub(super) fn self_and_alternate(
     format: Format,
     json_type: &str,
--- a/src/front/ogc/response/mod.rs
+++ b/src/front/ogc/response/mod.rs
@@ -1,4 +1,4 @@
-//! Rendering of responses: documents about the service, features as GeoJSON or HTML, and problem
+//! Rendering of responses: documents about the service, features in GeoJSON or HTML, and problem
 //! documents.
 
 pub(super) mod documents;
--- a/src/front/ogc/response/openapi.rs
+++ b/src/front/ogc/response/openapi.rs
@@ -1,4 +1,4 @@
-//! Description of the service as an OpenAPI 3.0 document.
+//! The description of the service as an OpenAPI 3.0 document.
 
 use super::documents::DocumentContext;
 use super::json::{GEOJSON, HTML, JSON, OPENAPI, PROBLEM, SCHEMA};
@@ -130,7 +130,7 @@
     json!({"description": "a problem", "content": content(PROBLEM)})
 }
 
-/// Returns a `GET` operation with a result of a media type.
+/// Returns a `GET` operation whose response has a media type or is HTML.
 fn get(operation_id: &str, summary: &str, media_type: &str, mut parameters: Vec<Json>) -> Json {
     parameters.push(format_parameter());
     let mut content = content(media_type);
@@ -148,7 +148,7 @@
         "responses": responses}})
 }
 
-/// Returns the operation `POST /search`.
+/// Returns the operation of `POST /search`.
 fn search() -> Json {
     let features = json!({"description": "Features", "content": content(GEOJSON)});
     json!({
--- a/src/front/ogc/response/problem.rs
+++ b/src/front/ogc/response/problem.rs
@@ -8,14 +8,14 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A problem document.
+/// Returns a response with a problem document.
 pub(in crate::front::ogc) fn problem(status: u16, detail: &str) -> Response {
     let body =
         json!({"type": "about:blank", "title": title(status), "status": status, "detail": detail});
     json_response(status, PROBLEM, &body)
 }
 
-/// The response to a request that failed.
+/// Returns the response to a request that failed with an error.
 pub(in crate::front::ogc) fn error_response(error: &ApiError) -> Response {
     let mut response = problem(error.status(), &error.to_string());
     if let Some(retry_after) = error.retry_after() {
@@ -25,12 +25,13 @@
     response
 }
 
-/// Whole seconds (RFC 9110, 10.2.3), and never 0: that would invite all clients to retry at once.
+/// Rounds a time up to whole seconds, as the header `Retry-After` requires (RFC 9110, 10.2.3). The
+/// minimum is 1 second, since with 0 all rejected clients would retry immediately.
 fn retry_after_seconds(retry_after: Micros) -> u64 {
     retry_after.0.div_ceil(MICROS_PER_SECOND).max(1)
 }
 
-/// Returns the title of a problem with a status.
+/// Returns the title of problem documents with a status.
 fn title(status: u16) -> &'static str {
     match status {
         400 => "Bad request",
--- a/src/front/ogc/response/svg_map.rs
+++ b/src/front/ogc/response/svg_map.rs
@@ -1,20 +1,21 @@
-//! Map of features as SVG, with the first axis to the right and the second up.
+//! A map of features as SVG. The first axis of the coordinates points to the right, the second one
+//! upward.
 
 use serde_json::Value as Json;
 use std::fmt::Write as _;
 
-/// Most points that are drawn of one line or ring.
+/// Maximum number of points that are drawn for one line or ring; the rest is omitted.
 const MAX_POINTS: usize = 2_000;
 /// Width of the map, in pixels.
 const WIDTH: f64 = 800.0;
 /// Height of the map, in pixels.
 const HEIGHT: f64 = 500.0;
-/// Margin around the features, both sides together, in pixels.
-const MARGIN: f64 = 40.0;
-/// Smallest scale, which a single point has.
+/// Sum of the margins on two opposite sides of the features, in pixels.
+const TOTAL_MARGIN: f64 = 40.0;
+/// Minimum scale, which applies to a map of a single point.
 const MIN_UNITS_PER_PIXEL: f64 = 1e-9;
 
-/// Draws a map of the features; empty if none has a position.
+/// Returns a map of the features, or an empty text if no feature has a position.
 pub(super) fn svg_map(features: &[Json]) -> String {
     let mut positions = Vec::new();
     features
@@ -34,45 +35,47 @@
     text + "</svg>"
 }
 
-/// Position in the units of the features' coordinate reference system.
+/// A position, either in the units of the features' coordinate reference system or in pixels.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     x: f64,
     y: f64,
 }
 
-/// Collects all positions of a geometry or of its coordinates.
-fn collect_positions(json: &Json, into: &mut Vec<Position>) {
+/// Appends all positions in a geometry, or in the coordinates of one, to `positions`.
+fn collect_positions(json: &Json, positions: &mut Vec<Position>) {
     match json {
         Json::Array(list) => {
             match (
                 list.first().and_then(Json::as_f64),
                 list.get(1).and_then(Json::as_f64),
             ) {
-                (Some(x), Some(y)) => into.push(Position { x, y }),
-                _ => list.iter().for_each(|inner| collect_positions(inner, into)),
+                (Some(x), Some(y)) => positions.push(Position { x, y }),
+                _ => list
+                    .iter()
+                    .for_each(|inner| collect_positions(inner, positions)),
             }
         }
         Json::Object(members) => {
             members
                 .get("coordinates")
                 .into_iter()
-                .for_each(|c| collect_positions(c, into));
+                .for_each(|c| collect_positions(c, positions));
             members
                 .get("geometries")
                 .into_iter()
-                .for_each(|g| collect_positions(g, into));
+                .for_each(|g| collect_positions(g, positions));
         }
         _ => {}
     }
 }
 
-/// Returns the elements of a JSON array; none if it is another value.
+/// Returns the elements of a JSON array, or no elements if the value is not an array.
 fn elements(json: &Json) -> &[Json] {
     json.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// Area that the map shows.
+/// The area that the map shows.
 struct View {
     west: f64,
     south: f64,
@@ -95,8 +98,8 @@
             east = east.max(position.x);
             north = north.max(position.y);
         }
-        let horizontal = (east - west) / (WIDTH - MARGIN);
-        let vertical = (north - south) / (HEIGHT - MARGIN);
+        let horizontal = (east - west) / (WIDTH - TOTAL_MARGIN);
+        let vertical = (north - south) / (HEIGHT - TOTAL_MARGIN);
         let units_per_pixel = horizontal.max(vertical).max(MIN_UNITS_PER_PIXEL);
         Some(View {
             west,
@@ -107,7 +110,7 @@
         })
     }
 
-    /// Returns a position on the map, in pixels.
+    /// Returns the position on the map, in pixels, of a position of the features.
     fn project(&self, position: Position) -> Position {
         Position {
             x: WIDTH / 2.0 + (position.x - (self.west + self.east) / 2.0) / self.units_per_pixel,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Draws a geometry of GeoJSON.
+    /// Draws a GeoJSON geometry.
     fn draw(&self, geometry: &Json, text: &mut String) {
         let coordinates = &geometry["coordinates"];
         match geometry["type"].as_str() {
--- a/src/front/ogc/response/svg_map/tests.rs
+++ b/src/front/ogc/response/svg_map/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the map.
+//! Tests of the maps of features.
 
 use super::*;
 use serde_json::json;
 
 #[test]
-fn every_kind_of_geometry_is_drawn_within_the_map() {
+fn every_type_of_geometry_is_drawn_within_the_map() {
     let geometries = [
         json!({"type": "Polygon", "coordinates": [
             [[0, 0], [9, 0], [9, 9], [0, 0]],
