--- a/src/front/ogc/error.rs
+++ b/src/front/ogc/error.rs
@@ -1,11 +1,11 @@
-//! Errors of requests. Their messages are the `detail` of the problem documents that clients read.
+//! Errors of requests. Their messages are the `detail` of the problem documents that clients receive.
 
 use super::cursor::CursorError;
 use super::params::RequestError;
 use crate::coordinator::Answer;
 use crate::time::Micros;
 
-/// Reason of an error response.
+/// The reason for an error response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
     #[error("the path is no UTF-8")]
@@ -56,7 +56,7 @@
     ServersFailed,
     #[error("a server gave what is no feature")]
     InvalidFeature,
-    /// A shard that did not answer may hold the feature.
+    /// No shard that answered has the feature, but a shard without an answer may have it.
     #[error("not found where it could be looked for; some servers failed")]
     FeatureLookupIncomplete,
     #[error("too much is asked at present; ask again")]
@@ -66,7 +66,7 @@
 }
 
 impl ApiError {
-    /// Returns the error that an answer of the core stands for, or `None` if it is a result.
+    /// Returns the error that the coordinator's answer represents, or `None` if the answer has results.
     pub fn from_answer(answer: &Answer) -> Option<Self> {
         match answer {
             Answer::Served { .. } => None,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Returns the least time after which the same request may succeed; `None` if it will not.
+    /// Returns the minimum time after which the same request may succeed, or `None` if a retry is not
+    /// expected to succeed.
     pub fn retry_after(&self) -> Option<Micros> {
         match self {
             ApiError::Overloaded { retry_after } => Some(retry_after.unwrap_or(Micros::ZERO)),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Returns the HTTP status (RFC 9110).
+    /// Returns the HTTP status of the response (RFC 9110).
     pub fn status(&self) -> u16 {
         match self {
             ApiError::Parameters(error) => error.status(),
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -1,10 +1,10 @@
-//! The front for OGC API - Features: Parts 1, 2, 3 and 5, with CQL2 filters, sort orders and
-//! selections of properties.
+//! The feature front: serves OGC API - Features, Parts 1, 2, 3 and 5, with CQL2 filters, sorting and
+//! selection of properties.
 //!
-//! `handlers` routes a request to its resource. A query for features (`query`) runs in rounds: each
-//! round requests pages of some shards, by one request to the core with a part per page. [`paging`]
-//! decides which pages to request. The policy module decides which server a part goes to, whether
-//! attempts are retried, and which requests are rejected.
+//! `handlers` routes each request to the handler of its resource. A query for features (`query`) runs
+//! in rounds: each round requests pages of some shards in one request to the coordinator, which has a
+//! part for each page. [`paging`] decides which pages are requested. The policy decides which server
+//! a part is sent to, whether attempts are retried, and which requests are rejected.
 
 mod admission;
 pub mod capabilities;
@@ -46,7 +46,7 @@
 use state::FrontState;
 use std::sync::Arc;
 
-/// The maximum size of a request's body, in bytes. A polygon of ten thousand points takes half of
+/// The maximum size of a request's body, in bytes. A polygon of ten thousand points needs half of
 /// it.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 
@@ -66,13 +66,13 @@
 }
 
 impl Front for OgcFront {
-    fn handle(&self, request: HttpRequest, token: Token, sent: Micros, ready: bool) -> Reaction {
+    fn handle(&self, request: HttpRequest, token: Token, sent_at: Micros, ready: bool) -> Reaction {
         let delivery = DeliveryOptions::of(&request);
         let incoming = IncomingRequest {
             state: &self.state,
             http: &request,
             token,
-            sent_at: sent,
+            sent_at,
             ready,
         };
         let reaction = incoming.handle().unwrap_or_else(|error| reject(&error));
@@ -90,8 +90,8 @@
         MAX_BODY_BYTES
     }
 
-    /// Returns the size of a coroutine's stack, in words. Filters are parsed on this stack; the
-    /// most deeply nested filter fits, in debug builds too.
+    /// Returns the size of a coroutine's stack, in words. Filters are parsed on this stack, so it is
+    /// large enough for the most deeply nested filter, even in debug builds.
     fn stack_words(&self) -> usize {
         0x20000
     }
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -13,9 +13,10 @@
 use proptest::test_runner::RngSeed;
 
 fn front() -> OgcFront {
-    let edge = EdgeConfig::load(std::path::Path::new("deploy/edge.toml")).expect("sound");
+    let edge =
+        EdgeConfig::load(std::path::Path::new("deploy/edge.toml")).expect("a valid edge file");
     let catalog = SharedCatalog::default();
-    let servers = edge.load_inventory().expect("sound");
+    let servers = edge.load_inventory().expect("a valid inventory");
     lock(&catalog).load(&servers, Micros::ZERO);
     OgcFront::new(FrontDependencies {
         edge,
@@ -26,8 +27,8 @@
     })
 }
 
-/// Returns the response to a connection's bytes, or `None` if they start a query whose round fails
-/// after capability discovery failed too.
+/// Returns the response to the bytes of a request. All requests to servers fail. Returns `None` if the
+/// query proceeds to its first round after capability discovery failed.
 fn response_to(front: &OgcFront, bytes: &[u8]) -> Option<Response> {
     let mut server = ServerConnection::default();
     server.set_max_body(front.max_body());
@@ -39,7 +40,7 @@
             Reaction::Respond(response) => Some(response),
             Reaction::Submit(_, render) => match render(Answer::Failed { late: false }) {
                 Reaction::Respond(response) => Some(response),
-                // The discovery failed, so this is the query's own round.
+                // Capability discovery has failed, so this is the first round of the query.
                 Reaction::Submit(..) => None,
             },
         },
@@ -47,13 +48,13 @@
 }
 
 fn check_response(response: &Response) -> Result<(), TestCaseError> {
-    let problem = response.content_type == "application/problem+json";
+    let is_problem = response.content_type == "application/problem+json";
     let json: Option<serde_json::Value> = serde_json::from_slice(&response.body.to_vec()).ok();
     prop_assert!((200..600).contains(&response.status));
     if response.status >= 400 {
         let status = json.as_ref().and_then(|j| j["status"].as_u64());
         prop_assert!(
-            problem && status == Some(u64::from(response.status)),
+            is_problem && status == Some(u64::from(response.status)),
             "{response:?}"
         );
     }
@@ -65,7 +66,7 @@
     Ok(())
 }
 
-fn value() -> impl Strategy<Value = String> {
+fn parameter_value() -> impl Strategy<Value = String> {
     let words = [
         "1",
         "0",
@@ -103,7 +104,7 @@
     ]
 }
 
-fn name() -> impl Strategy<Value = String> {
+fn parameter_name() -> impl Strategy<Value = String> {
     let names = [
         "limit",
         "bbox",
@@ -124,7 +125,7 @@
     prop_oneof![9 => known_name, 1 => any::<String>()]
 }
 
-fn path() -> impl Strategy<Value = String> {
+fn request_path() -> impl Strategy<Value = String> {
     let paths = [
         "/",
         "/api",
@@ -187,17 +188,17 @@
 
     #[test]
     fn arbitrary_parameters_are_accepted_or_rejected_with_a_problem(
-        path in path(),
+        path in request_path(),
         method in proptest::sample::select(vec!["GET", "HEAD", "POST", "DELETE", "BREW"]),
-        pairs in proptest::collection::vec((name(), value()), 0..5),
+        pairs in proptest::collection::vec((parameter_name(), parameter_value()), 0..5),
         headers in proptest::collection::vec(header(), 0..4),
     ) {
         let front = front();
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         query.extend_pairs(&pairs);
         let head: String = headers.iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
-        let names_host = headers.iter().any(|(name, _)| *name == "Host");
-        let host = if names_host { "" } else { "Host: x\r\n" };
+        let has_host = headers.iter().any(|(name, _)| *name == "Host");
+        let host = if has_host { "" } else { "Host: x\r\n" };
         let bytes = format!("{method} {path}?{} HTTP/1.1\r\n{host}{head}\r\n", query.finish());
         if let Some(response) = response_to(&front, bytes.as_bytes()) {
             check_response(&response)?;
@@ -207,7 +208,7 @@
     #[test]
     fn arbitrary_bodies_are_accepted_or_rejected_with_a_problem(
         text in prop_oneof![any::<String>(), "[\\[\\]{}\",:a-z0-9 ]{0,120}"],
-        members in proptest::collection::vec((member_name(), value()), 0..4),
+        members in proptest::collection::vec((member_name(), parameter_value()), 0..4),
         well_formed: bool,
     ) {
         let front = front();
@@ -226,13 +227,13 @@
     #[test]
     fn arbitrary_heads_are_accepted_or_rejected_with_a_problem(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
-        cut in 0_usize..200,
+        insert_position in 0_usize..200,
     ) {
         let front = front();
         let request_line = "GET /collections/devices/items?limit=2 HTTP/1.1";
         let valid = format!("{request_line}\r\nHost: x\r\nAccept: */*\r\n\r\n").into_bytes();
-        let at = cut.min(valid.len());
-        for bytes in [bytes.clone(), [&valid[..at], &bytes, &valid[at..]].concat()] {
+        let position = insert_position.min(valid.len());
+        for bytes in [bytes.clone(), [&valid[..position], &bytes, &valid[position..]].concat()] {
             if let Some(response) = response_to(&front, &bytes) {
                 check_response(&response)?;
             }
@@ -241,15 +242,15 @@
 }
 
 #[test]
-fn the_deepest_filters_fit_on_the_stack_of_a_connection() {
+fn deeply_nested_filters_fit_on_the_stack_of_a_connection() {
     // Uses a stack as small as that of the coroutines, in debug and release builds alike.
     let words = front().stack_words();
-    let deep = |n: usize| format!("{}volts = 1{}", "NOT (".repeat(n), ")".repeat(n));
+    let nested_filter = |n: usize| format!("{}volts = 1{}", "NOT (".repeat(n), ")".repeat(n));
     let run = move || {
         let front = front();
         for n in [1, 11, 12, 30, 300] {
             let mut query = url::form_urlencoded::Serializer::new(String::new());
-            query.append_pair("filter", &deep(n));
+            query.append_pair("filter", &nested_filter(n));
             let bytes = format!(
                 "GET /collections/devices/items?{} HTTP/1.1\r\nHost: x\r\n\r\n",
                 query.finish()
@@ -263,11 +264,13 @@
     let thread = std::thread::Builder::new()
         .stack_size(words * 8)
         .spawn(run)
-        .expect("a thread");
-    thread.join().expect("no panic, and no overflow");
+        .expect("the thread starts");
+    thread
+        .join()
+        .expect("the parser neither panics nor overflows the stack");
 }
 
-/// Queries, each with a cursor that an earlier release sealed with the key of [`front`].
+/// Queries, each with a cursor that an earlier release created with the key of [`front`].
 ///
 /// A cursor is bound to the text of its query's parameters. If that text changes, the cursors that
 /// clients hold are no longer accepted.
@@ -294,15 +297,15 @@
 ];
 
 /// Returns the targets of a query's first round, after capability discovery.
-fn targets(front: &OgcFront, query: &str) -> Vec<String> {
+fn first_round_targets(front: &OgcFront, query: &str) -> Vec<String> {
     let mut server = ServerConnection::default();
     server.input().extend(
         format!("GET /collections/devices/items?{query} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes(),
     );
     let request = server
         .next_request()
-        .expect("complete")
-        .expect("well formed");
+        .expect("a complete request")
+        .expect("a well-formed request");
     let mut reaction = front.handle(request, Token(1), Micros::ZERO, true);
     loop {
         match reaction {
@@ -326,15 +329,15 @@
 fn cursors_of_an_earlier_release_are_accepted_for_their_queries() {
     let front = front();
     let link = "/collections/devices-south/items?bbox=-121%2C37%2C-120%2C38&limit=50&offset=50";
-    let first = |shard: &str| format!("/collections/{shard}/items?limit=500");
+    let first_page = |shard: &str| format!("/collections/{shard}/items?limit=500");
     let expected = [
         vec![link.to_owned()],
         vec![link.to_owned()],
-        ["devices-north", "devices-south"].map(first).to_vec(),
+        ["devices-north", "devices-south"].map(first_page).to_vec(),
     ];
     for ((query, cursor), expected) in EARLIER_CURSORS.into_iter().zip(expected) {
         assert_eq!(
-            targets(&front, &format!("{query}&cursor={cursor}")),
+            first_round_targets(&front, &format!("{query}&cursor={cursor}")),
             expected,
             "{query}"
         );
@@ -350,10 +353,10 @@
     }
 }
 
-/// Returns the `Allow` of the response to a request line.
+/// Returns the header `Allow` of the response to a request line.
 fn allowed_methods(front: &OgcFront, request_line: &str) -> Option<String> {
     let bytes = format!("{request_line} HTTP/1.1\r\nHost: x\r\n\r\n");
-    let response = response_to(front, bytes.as_bytes()).expect("an answer at once");
+    let response = response_to(front, bytes.as_bytes()).expect("an immediate response");
     assert!(
         matches!(response.status, 404 | 405),
         "{request_line}: {}",
@@ -362,13 +365,14 @@
     response.header("Allow").map(str::to_owned)
 }
 
-/// Guards against methods that a path does not have (RFC 9110, section 10.2.1).
+/// The header `Allow` must list the methods of the requested path, and no others (RFC 9110, section
+/// 10.2.1).
 #[test]
-fn a_405_names_the_methods_of_its_own_path() {
+fn method_not_allowed_responses_list_the_methods_of_their_path() {
     let front = front();
     let allowed = |line| allowed_methods(&front, line);
     assert_eq!(allowed("GET /search"), Some("POST".to_owned()));
     assert_eq!(allowed("GET /search?limit=1"), Some("POST".to_owned()));
-    assert_eq!(allowed("POST /searchx"), None, "there is no such path");
+    assert_eq!(allowed("POST /searchx"), None, "the path has no resource");
     assert_eq!(allowed("POST /collections"), Some("GET, HEAD".to_owned()));
 }
