--- a/src/front/ogc/check/recovery.rs
+++ b/src/front/ogc/check/recovery.rs
@@ -1,7 +1,7 @@
 //! Error recovery for edge files, so that one run reports every fault.
 //!
-//! The TOML parser stops at the first fault. Recovery replaces the value in the faulty line by a valid
-//! one, or blanks the line, and parses the file again.
+//! The TOML parser stops at the first fault. Recovery replaces the value in the faulty line by a
+//! valid one, or blanks the line, and parses the file again.
 
 use super::super::config::EdgeConfig;
 use super::MAX_FAULTS;
--- a/src/front/ogc/config/mod.rs
+++ b/src/front/ogc/config/mod.rs
@@ -25,8 +25,8 @@
 
 /// Contents of an edge file.
 ///
-/// `rename` keeps the name of a key that differs from the field's name. `expecting` keeps the name of
-/// a type in the messages of the TOML parser.
+/// `rename` keeps the name of a key that differs from the field's name. `expecting` keeps the name
+/// of a type in the messages of the TOML parser.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Edge")]
 pub struct EdgeConfig {
@@ -73,7 +73,8 @@
     /// Age in seconds after which the capabilities of a server are discovered again.
     #[serde(rename = "learned_age_s", default = "defaults::capability_max_age_s")]
     pub capability_max_age_s: u64,
-    /// Maximum length of a filter that is pushed down to a server in a request's head, in characters.
+    /// Maximum length of a filter that is pushed down to a server in a request's head, in
+    /// characters.
     #[serde(rename = "most_filter_text", default = "defaults::max_filter_text")]
     pub max_filter_text: usize,
     /// Maximum number of pages that are fetched for a response.
@@ -88,8 +89,8 @@
     /// Timeout for opening a connection, in milliseconds.
     #[serde(default = "defaults::dial_timeout_ms")]
     pub dial_timeout_ms: u64,
-    /// Idle timeout of connections to servers, in milliseconds; must be shorter than the idle timeout
-    /// of the servers themselves.
+    /// Idle timeout of connections to servers, in milliseconds; must be shorter than the idle
+    /// timeout of the servers themselves.
     #[serde(rename = "idle_ms", default = "defaults::idle_timeout_ms")]
     pub idle_timeout_ms: u64,
     /// Maximum `Retry-After` of a rejected query, in milliseconds.
@@ -113,8 +114,8 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Limits")]
 pub struct LimitsConfig {
-    /// Mode of the concurrency limit of a server: `adaptive` depends on the server's response times,
-    /// `fixed` is always `most_connections`.
+    /// Mode of the concurrency limit of a server: `adaptive` depends on the server's response
+    /// times, `fixed` is always `most_connections`.
     pub mode: String,
     /// Initial concurrency limit of a server.
     #[serde(rename = "start")]
@@ -122,12 +123,12 @@
     /// Minimum concurrency limit of a server.
     #[serde(rename = "least")]
     pub min: usize,
-    /// Retry budget as a ratio of retries to parts over the last ten seconds; ten additional retries
-    /// are always allowed.
+    /// Retry budget as a ratio of retries to parts over the last ten seconds; ten additional
+    /// retries are always allowed.
     #[serde(rename = "repeats")]
     pub retry_ratio: f64,
-    /// Whether admission compares the cost of a query with the capacity of the servers. Otherwise only
-    /// `most_held` limits the queries that are admitted.
+    /// Whether admission compares the cost of a query with the capacity of the servers. Otherwise
+    /// only `most_held` limits the queries that are admitted.
     pub admission: bool,
 }
 
@@ -145,8 +146,8 @@
     /// Minimum share of the parts that a partial answer needs, above 0 and at most 1.
     #[serde(rename = "floor", default = "defaults::one")]
     pub min_share: f64,
-    /// Whether parts may be retried: `safe` parts are idempotent and may be retried; an `unsafe` part
-    /// that a server may have executed is never retried.
+    /// Whether parts may be retried: `safe` parts are idempotent and may be retried; an `unsafe`
+    /// part that a server may have executed is never retried.
     #[serde(default = "defaults::effect")]
     pub effect: String,
     /// Priority weight of a complete answer, relative to other classes.
@@ -167,8 +168,8 @@
     /// Time until a server has its full capacity, in milliseconds.
     #[serde(rename = "ms")]
     pub warm_up_ms: u64,
-    /// Maximum load on a server that is warming up within `overload_window_ms`, as a multiple of its
-    /// current capacity.
+    /// Maximum load on a server that is warming up within `overload_window_ms`, as a multiple of
+    /// its current capacity.
     #[serde(rename = "factor")]
     pub overload_factor: f64,
     /// Window over which the load on a server that is warming up is limited, in milliseconds.
@@ -186,14 +187,14 @@
     pub title: Option<String>,
     /// Description that clients see.
     pub description: Option<String>,
-    /// Whether all servers of a shard return its features in the same order and with equivalent links,
-    /// so that a sequence of pages can be continued at another server.
+    /// Whether all servers of a shard return its features in the same order and with equivalent
+    /// links, so that a sequence of pages can be continued at another server.
     #[serde(default)]
     pub same_order: bool,
     /// Bounding box of the collection's features, in CRS84.
     pub bbox: Option<[f64; 4]>,
-    /// Types of the collection's queryables by name: `text`, `number`, `bool`, `time`, `geometry`, `array` or
-    /// `any`. If absent, the declarations of the servers apply.
+    /// Types of the collection's queryables by name: `text`, `number`, `bool`, `time`, `geometry`,
+    /// `array` or `any`. If absent, the declarations of the servers apply.
     #[serde(default)]
     pub queryables: BTreeMap<String, String>,
 }
--- a/src/front/ogc/error.rs
+++ b/src/front/ogc/error.rs
@@ -1,4 +1,5 @@
-//! Errors of requests. Their messages are the `detail` of the problem documents that clients receive.
+//! Errors of requests. Their messages are the `detail` of the problem documents that clients
+//! receive.
 
 use super::cursor::CursorError;
 use super::params::RequestError;
@@ -66,7 +67,8 @@
 }
 
 impl ApiError {
-    /// Returns the error that the coordinator's answer represents, or `None` if the answer has results.
+    /// Returns the error that the coordinator's answer represents, or `None` if the answer has
+    /// results.
     pub fn from_answer(answer: &Answer) -> Option<Self> {
         match answer {
             Answer::Served { .. } => None,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Returns the minimum time after which the same request may succeed, or `None` if a retry is not
-    /// expected to succeed.
+    /// Returns the minimum time after which the same request may succeed, or `None` if a retry is
+    /// not expected to succeed.
     pub fn retry_after(&self) -> Option<Micros> {
         match self {
             ApiError::Overloaded { retry_after } => Some(retry_after.unwrap_or(Micros::ZERO)),
--- a/src/front/ogc/handlers/documents.rs
+++ b/src/front/ogc/handlers/documents.rs
@@ -1,5 +1,5 @@
-//! The handlers of the documents about the service. [`response`](crate::front::ogc::response) renders
-//! the documents.
+//! The handlers of the documents about the service. [`response`](crate::front::ogc::response)
+//! renders the documents.
 
 use super::ResourceRequest;
 use crate::front::ogc::cql2::{QueryableType, Queryables};
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -119,8 +119,8 @@
         ClientContext::of(self.http, &self.state.edge, self.token, self.sent_at)
     }
 
-    /// Starts a query after capability discovery. Without it, whether a name is accepted as a queryable
-    /// would depend on earlier requests.
+    /// Starts a query after capability discovery. Without it, whether a name is accepted as a
+    /// queryable would depend on earlier requests.
     fn start_after_discovery(
         &self,
         client: &ClientContext,
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Returns an error if the request has a parameter other than those in `allowed` and the format.
+    /// Returns an error if the request has a parameter other than those in `allowed` and the
+    /// format.
     fn allow_parameters(&self, allowed: &[&str]) -> Result<(), ApiError> {
         let is_allowed = |name: &str| name == FORMAT_PARAMETER || allowed.contains(&name);
         let mut names = self.parameters.iter().map(|parameter| &parameter.name);
--- a/src/front/ogc/handlers/search.rs
+++ b/src/front/ogc/handlers/search.rs
@@ -1,5 +1,5 @@
-//! The handler of queries whose parameters are in the body of the request, since they may be too long
-//! for its head: `POST /search` in the format of STAC API - Item Search.
+//! The handler of queries whose parameters are in the body of the request, since they may be too
+//! long for its head: `POST /search` in the format of STAC API - Item Search.
 
 use super::IncomingRequest;
 use crate::front::ogc::client_request::ItemsRequest;
--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -1,4 +1,5 @@
-//! Unchecked entries of an inventory, which the readers of both formats return, and their validation.
+//! Unchecked entries of an inventory, which the readers of both formats return, and their
+//! validation.
 
 use super::error::{InventoryError, InventoryErrorKind};
 use super::{CollectionShard, Server};
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Returns the servers that the entries describe, or all errors in the order of their lines: the
-    /// reader's `errors` and those of the entries.
+    /// Returns the servers that the entries describe, or all errors in the order of their lines:
+    /// the reader's `errors` and those of the entries.
     pub(super) fn validate(
         &self,
         entries: &[Entry],
@@ -133,8 +134,8 @@
     }
 }
 
-/// Returns the address of a server: either `address` as `host:port`, or host and port in two fields,
-/// as in inventories of Ansible.
+/// Returns the address of a server: either `address` as `host:port`, or host and port in two
+/// fields, as in inventories of Ansible.
 fn parse_address(entry: &Entry) -> Result<SocketAddr, InventoryErrorKind> {
     let port = entry.text("ansible_port").or(entry.text("port"));
     let address = match (entry.text("address"), entry.text("ansible_host"), port) {
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -1,10 +1,10 @@
-//! The feature front: serves OGC API - Features, Parts 1, 2, 3 and 5, with CQL2 filters, sorting and
-//! selection of properties.
+//! The feature front: serves OGC API - Features, Parts 1, 2, 3 and 5, with CQL2 filters, sorting
+//! and selection of properties.
 //!
-//! `handlers` routes each request to the handler of its resource. A query for features (`query`) runs
-//! in rounds: each round requests pages of some shards in one request to the coordinator, which has a
-//! part for each page. [`paging`] decides which pages are requested. The policy decides which server
-//! a part is sent to, whether attempts are retried, and which requests are rejected.
+//! `handlers` routes each request to the handler of its resource. A query for features (`query`)
+//! runs in rounds: each round requests pages of some shards in one request to the coordinator,
+//! which has a part for each page. [`paging`] decides which pages are requested. The policy decides
+//! which server a part is sent to, whether attempts are retried, and which requests are rejected.
 
 mod admission;
 pub mod capabilities;
@@ -90,8 +90,8 @@
         MAX_BODY_BYTES
     }
 
-    /// Returns the size of a coroutine's stack, in words. Filters are parsed on this stack, so it is
-    /// large enough for the most deeply nested filter, even in debug builds.
+    /// Returns the size of a coroutine's stack, in words. Filters are parsed on this stack, so it
+    /// is large enough for the most deeply nested filter, even in debug builds.
     fn stack_words(&self) -> usize {
         0x20000
     }
--- a/src/front/ogc/params/format.rs
+++ b/src/front/ogc/params/format.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Chooses the format of a response by the parameter `f` if given, else by the header `Accept`. JSON
-/// is chosen if both are equally acceptable.
+/// Chooses the format of a response by the parameter `f` if given, else by the header `Accept`.
+/// JSON is chosen if both are equally acceptable.
 ///
 /// # Errors
 ///
--- a/src/front/ogc/params/mod.rs
+++ b/src/front/ogc/params/mod.rs
@@ -1,7 +1,7 @@
 //! Parameters of a query for features.
 //!
-//! This module checks them, so that feature servers receive well-formed queries only, and transforms
-//! all coordinates of the conditions to CRS84.
+//! This module checks them, so that feature servers receive well-formed queries only, and
+//! transforms all coordinates of the conditions to CRS84.
 
 mod bbox;
 mod error;
--- a/src/front/ogc/params/sorting.rs
+++ b/src/front/ogc/params/sorting.rs
@@ -8,8 +8,8 @@
 /// Maximum number of sort keys in a query.
 const MAX_SORT_KEYS: usize = 8;
 
-/// Parses the sort keys of the parameter `sortby`: names separated by commas, each with a minus sign
-/// for descending order or an optional plus sign for ascending order.
+/// Parses the sort keys of the parameter `sortby`: names separated by commas, each with a minus
+/// sign for descending order or an optional plus sign for ascending order.
 pub(super) fn parse_sortby(
     value: &str,
     queryables: &Queryables,
@@ -59,8 +59,8 @@
     })
 }
 
-/// Returns the keys if their number is within the limits and each is a sortable property that occurs
-/// once.
+/// Returns the keys if their number is within the limits and each is a sortable property that
+/// occurs once.
 fn check_sort_keys(
     keys: Vec<SortKey>,
     queryables: &Queryables,
--- a/src/front/ogc/params/values.rs
+++ b/src/front/ogc/params/values.rs
@@ -10,8 +10,8 @@
 /// Length of a date such as `2026-12-01`, in characters.
 const DATE_LENGTH: usize = 10;
 
-/// Parses a limit. A limit above `max_limit` is reduced to it instead of rejected: the response then
-/// has a `next` link to the remaining features.
+/// Parses a limit. A limit above `max_limit` is reduced to it instead of rejected: the response
+/// then has a `next` link to the remaining features.
 pub(super) fn parse_limit(value: &str, max_limit: usize) -> Result<usize, RequestError> {
     let limit = value.parse::<usize>().ok().filter(|limit| *limit > 0);
     Ok(limit.ok_or(RequestError::InvalidLimit)?.min(max_limit))
--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -1,5 +1,5 @@
-//! Documents about the service: landing page, conformance classes, collections and schemas (OGC API -
-//! Common and OGC API - Features).
+//! Documents about the service: landing page, conformance classes, collections and schemas (OGC API
+//! - Common and OGC API - Features).
 
 use super::html;
 use super::json::{json_response, GEOJSON, HTML, JSON, OPENAPI, SCHEMA};
@@ -65,8 +65,8 @@
         format!("{}{}", self.base_url, self.path)
     }
 
-    /// Returns links to the document in its own format and in the other one; `json_type` is the media
-    /// type of its JSON format.
+    /// Returns links to the document in its own format and in the other one; `json_type` is the
+    /// media type of its JSON format.
     fn links(&self, json_type: &str) -> Vec<Json> {
         self_and_alternate(self.format, json_type, |f| format!("{}?f={f}", self.url())).into()
     }
--- a/src/front/ogc/response/feature_collection.rs
+++ b/src/front/ogc/response/feature_collection.rs
@@ -1,5 +1,5 @@
-//! The response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API - Features,
-//! Part 1, 7.15) or an HTML page.
+//! The response to a query for features: a GeoJSON feature collection (RFC 7946; OGC API -
+//! Features, Part 1, 7.15) or an HTML page.
 
 use super::html;
 use super::items_result::ItemsResult;
--- a/src/front/ogc/response/links.rs
+++ b/src/front/ogc/response/links.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Returns links to a resource in the format of this response and in the other one. `json_type` is the
-/// media type of its JSON format; `href` returns its URL for a value of the parameter `f`.
+/// Returns links to a resource in the format of this response and in the other one. `json_type` is
+/// the media type of its JSON format; `href` returns its URL for a value of the parameter `f`.
 pub(super) fn self_and_alternate(
     format: Format,
     json_type: &str,
--- a/src/front/ogc/response/projection.rs
+++ b/src/front/ogc/response/projection.rs
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Applies the projection to the JSON text of a feature, or returns `None` if the text is not JSON.
+    /// Applies the projection to the JSON text of a feature, or returns `None` if the text is not
+    /// JSON.
     pub fn apply_to_text<'t>(&self, feature: &'t [u8]) -> Option<Cow<'t, [u8]>> {
         if self.is_identity() {
             return Some(Cow::Borrowed(feature));
@@ -65,7 +66,8 @@
 }
 
 /// Transforms the geometry of a feature. The geometry becomes null if it lies outside the area in
-/// which the coordinate reference system is defined. The bounding box, which is in CRS84, is removed.
+/// which the coordinate reference system is defined. The bounding box, which is in CRS84, is
+/// removed.
 fn transform_geometry(feature: &mut Json, transform: &Transform) {
     if !transform.geojson_from_crs84(&mut feature["geometry"]) {
         feature["geometry"] = Json::Null;
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -27,8 +27,8 @@
     })
 }
 
-/// Returns the response to the bytes of a request. All requests to servers fail. Returns `None` if the
-/// query proceeds to its first round after capability discovery failed.
+/// Returns the response to the bytes of a request. All requests to servers fail. Returns `None` if
+/// the query proceeds to its first round after capability discovery failed.
 fn response_to(front: &OgcFront, bytes: &[u8]) -> Option<Response> {
     let mut server = ServerConnection::default();
     server.set_max_body(front.max_body());
