--- a/src/front/ogc/config/mod.rs
+++ b/src/front/ogc/config/mod.rs
@@ -146,8 +146,8 @@
     /// Minimum share of the parts that a partial answer needs, above 0 and at most 1.
     #[serde(rename = "floor", default = "defaults::one")]
     pub min_share: f64,
-    /// Whether parts may be retried: `safe` parts are idempotent and may be retried; an `unsafe`
-    /// part that a server may have executed is never retried.
+    /// Effect of executing a part: `safe` parts are idempotent and may be retried; an `unsafe` part
+    /// that a server may have executed is never retried.
     #[serde(default = "defaults::effect")]
     pub effect: String,
     /// Priority weight of a complete answer, relative to other classes.
--- a/src/front/ogc/response/documents.rs
+++ b/src/front/ogc/response/documents.rs
@@ -1,5 +1,5 @@
-//! Documents about the service: landing page, conformance classes, collections and schemas (OGC API
-//! - Common and OGC API - Features).
+//! Documents about the service: landing page, conformance classes, collections and schemas, as in
+//! OGC API - Common and OGC API - Features.
 
 use super::html;
 use super::json::{json_response, GEOJSON, HTML, JSON, OPENAPI, SCHEMA};
