--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -1,5 +1,5 @@
-//! The handler of one feature by its identifier: `GET
-//! /collections/{collectionId}/items/{featureId}`.
+//! The handler of requests for one feature by its identifier:
+//! `GET /collections/{collectionId}/items/{featureId}`.
 
 use super::{parameter_value, ResourceRequest};
 use crate::front::ogc::crs::Crs;
