--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -3,6 +3,7 @@
 mod standin;
 
 use serde_json::json;
+use standin::admin_endpoint::call_admin_endpoint;
 use standin::client::{
     query, read_response, read_until_close, send_request, Class, QueryRequest, ResponseHead, Shards,
 };
@@ -11,7 +12,6 @@
 use standin::discovery::{all_in_service, complete_list, serve_constant_list, ControlledDiscovery};
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
-use standin::management::management_call;
 use standin::process::Process;
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
@@ -261,10 +261,10 @@
     let mut persistent = send_request(&predecessor, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("an answer") > 0);
     let successor = predecessor.start_successor(&temporary);
-    while management_call(successor.management_address(), "HEALTH\n") != "YES\n" {}
-    let predecessor_admin = predecessor.management_address();
+    while call_admin_endpoint(successor.admin_address(), "HEALTH\n") != "YES\n" {}
+    let predecessor_admin = predecessor.admin_address();
     predecessor.signal("TERM");
-    while management_call(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
+    while call_admin_endpoint(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
     drop(successor);
     for n in 0..5 {
         assert_eq!(
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -63,7 +63,7 @@
     let admin = "mgmt = \"127.0.0.1:0\"";
     let edge = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
     // A SIGHUP before that line may come before the process handles it.
-    edge.management_address();
+    edge.admin_address();
     edge.signal("HUP");
     assert_eq!(
         edge.wait_for_log("inventory"),
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -1,8 +1,8 @@
 //! Operation of the front: draining, overload, shutdown and counters.
 
+use crate::standin::admin_endpoint::call_admin_endpoint;
 use crate::standin::client::{disconnect_behind, send_request};
 use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
-use crate::standin::management::management_call;
 use crate::standin::process::Process;
 use crate::support::{expected, GatedServer, ITEMS};
 
@@ -104,7 +104,7 @@
         "mgmt = \"127.0.0.1:0\"",
         &inventory_row("a", &server, "devices"),
     );
-    let dump = |call: &str| management_call(edge.management_address(), call);
+    let dump = |call: &str| call_admin_endpoint(edge.admin_address(), call);
     while dump("HEALTH\n") != "YES\n" {}
     assert_eq!(edge.get(ITEMS).status, 200);
     assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: once\r\n").status, 200);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -4,6 +4,7 @@
 mod standin;
 
 use serde_json::json;
+use standin::admin_endpoint::{call_admin_endpoint, dump_value};
 use standin::client::{send_query, Class, QueryRequest, Response, Shards};
 use standin::data_node::{addresses_of, DataNode, NodeBehaviour};
 use standin::deployment::Deployment;
@@ -11,7 +12,6 @@
     all_in_service, changed_endpoints, complete_list, serve_constant_list, terminating, Discovery,
 };
 use standin::http::{bind_loopback, write_chunked_head, write_line_chunk};
-use standin::management::{dump_value, management_call};
 use standin::process::Process;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -88,7 +88,7 @@
     });
     let nodes = [DataNode::serving(), fails_once];
     let (edge, _changes) = Deployment::BASIC.start("mgmt", &nodes);
-    let address = edge.management_address();
+    let address = edge.admin_address();
     // More callers than the endpoint has places for, each with half a call.
     let mut idle: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(address).expect("accepted"))
@@ -96,16 +96,16 @@
     for caller in &mut idle {
         caller.write_all(b"HEAL").expect("taken");
     }
-    while !management_call(address, "HEALTH\n").starts_with("YES") {}
-    assert!(management_call(address, "health me\r\n").starts_with("NO "));
+    while !call_admin_endpoint(address, "HEALTH\n").starts_with("YES") {}
+    assert!(call_admin_endpoint(address, "health me\r\n").starts_with("NO "));
     assert!(
-        management_call(address, &"x".repeat(400)).starts_with("NO "),
+        call_admin_endpoint(address, &"x".repeat(400)).starts_with("NO "),
         "a line without an end is no call"
     );
     // One part fails once and is retried; one query names an unknown class.
     assert_lookups_are_served(&edge, 0..5);
     assert_eq!(query(&edge, "q5", Class("none"), Shards(&[0])).status, 400);
-    let dump = management_call(address, "DUMP\r\n");
+    let dump = call_admin_endpoint(address, "DUMP\r\n");
     assert!(dump.starts_with("YES\n"), "{dump}");
     assert!(dump.ends_with("\nEND\n"), "{dump}");
     for (name, value) in [
@@ -135,14 +135,14 @@
         &addresses,
     );
     assert_eq!(
-        management_call(edge.management_address(), "HEALTH\n"),
+        call_admin_endpoint(edge.admin_address(), "HEALTH\n"),
         "NO the servers are not known yet\n"
     );
     let (mut watch, _) = silent_discovery.accept().expect("a watch");
     let first_list = complete_list(1, &all_in_service(&addresses));
     write_chunked_head(&mut watch).expect("it listens");
     write_line_chunk(&mut watch, &first_list).expect("it listens");
-    while management_call(edge.management_address(), "HEALTH\n") != "YES\n" {}
+    while call_admin_endpoint(edge.admin_address(), "HEALTH\n") != "YES\n" {}
 }
 
 /// Returns the configuration without one of its keys.
@@ -198,7 +198,7 @@
     // A file that parses but is not complete changes nothing, the address of discovery included.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment::BASIC.start("retune", &nodes);
-    let management_address = edge.management_address();
+    let admin_address = edge.admin_address();
     edge.wait_until_ready();
     let complete = edge.configuration_with("/name", json!("n0"));
 
@@ -225,7 +225,7 @@
         assert_eq!(response.status, status, "{class}");
     }
 
-    let dump = management_call(management_address, "DUMP\n");
+    let dump = call_admin_endpoint(admin_address, "DUMP\n");
     let of = |name: &str| dump_value(&dump, &format!("node.{name}"));
     assert_eq!(of("config_applied"), 1);
     assert_eq!(of("config_rejected"), invalid.len() as u64);
@@ -291,20 +291,20 @@
     let temporary = create_folder_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
     assert_ne!(predecessor.address, first.address, "no predecessor");
-    let predecessor_admin = predecessor.management_address();
+    let predecessor_admin = predecessor.admin_address();
     let mut persistent = TcpStream::connect(predecessor.address).expect("it listens");
     predecessor.wait_until_ready();
     let successor = predecessor.start_successor(&temporary);
     assert_eq!(successor.address, predecessor.address, "the same socket");
-    let successor_admin = successor.management_address();
-    while management_call(successor_admin, "HEALTH\n") != "YES\n" {}
-    assert_eq!(management_call(predecessor_admin, "HEALTH\n"), "YES\n");
+    let successor_admin = successor.admin_address();
+    while call_admin_endpoint(successor_admin, "HEALTH\n") != "YES\n" {}
+    assert_eq!(call_admin_endpoint(predecessor_admin, "HEALTH\n"), "YES\n");
     assert_served_on(&mut persistent, "q1", Connection::StaysOpen);
 
     predecessor.signal("TERM");
-    while management_call(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
+    while call_admin_endpoint(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
     assert_lookups_are_served(&successor, 2..12);
-    let dump = management_call(successor_admin, "DUMP\n");
+    let dump = call_admin_endpoint(successor_admin, "DUMP\n");
     let served = dump_value(&dump, "node.responses.lookup.ok");
     assert_eq!(served, 10, "new connections reach the successor");
     assert_served_on(&mut persistent, "q12", Connection::Closes);
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -1,10 +1,10 @@
 //! Queries, their retries, and the discovery of nodes.
 
+use crate::standin::admin_endpoint::{call_admin_endpoint, dump_value};
 use crate::standin::client::{Class, Shards};
 use crate::standin::data_node::{DataNode, NodeBehaviour};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{changed_endpoints, terminating};
-use crate::standin::management::{dump_value, management_call};
 use crate::support::query;
 use serde_json::json;
 use std::sync::{Arc, Mutex};
@@ -65,7 +65,7 @@
         edge.wait_until_ready();
         let response = query(&edge, "q1", Class(class), Shards(&[0]));
         assert_eq!(response.status, status);
-        let dump = management_call(edge.management_address(), "DUMP\n");
+        let dump = call_admin_endpoint(edge.admin_address(), "DUMP\n");
         let errors = dump_value(&dump, &format!("node.responses.{class}.errors"));
         assert_eq!(errors, u64::from(status != 200), "{dump}");
         let sent: usize = nodes.iter().map(|n| n.received_parts().len()).sum();
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,10 +1,11 @@
-//! Stand-ins on loopback for the socket tests: the process under test, its clients, and the servers
-//! that it calls.
+//! Support for tests that use sockets on the loopback interface: the process under test, clients, and
+//! stand-ins for the servers that the process connects to.
 #![allow(
     dead_code,
-    reason = "each test file is a program of its own and uses some of these"
+    reason = "each test target is compiled separately and uses only some of these items"
 )]
 
+pub mod admin_endpoint;
 pub mod client;
 pub mod data_node;
 pub mod deployment;
@@ -13,6 +14,5 @@
 pub mod frame_recorder;
 pub mod frames;
 pub mod http;
-pub mod management;
 pub mod process;
 pub mod threads;
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -62,8 +62,8 @@
     read_lines: Mutex<Vec<String>>,
     /// The thread that reads the log to its end.
     log_reader: Option<JoinHandle<()>>,
-    /// The management address, once the log has told it.
-    management: Mutex<Option<SocketAddr>>,
+    /// The address of the admin endpoint, once it was read from the log.
+    admin_address: Mutex<Option<SocketAddr>>,
 }
 
 impl Process {
@@ -149,7 +149,7 @@
             }
         });
         let address = ([127, 0, 0, 1], 0).into();
-        let management = Mutex::default();
+        let admin_address = Mutex::default();
         let mut process = Process {
             child,
             address,
@@ -157,15 +157,18 @@
             log: Mutex::new(log),
             read_lines: Mutex::default(),
             log_reader: Some(log_reader),
-            management,
+            admin_address,
         };
         process.address = last_address(&process.wait_for_log("listening for client connections"));
         process
     }
 
-    /// Returns the management address, as the log tells it.
-    pub fn management_address(&self) -> SocketAddr {
-        let mut known = self.management.lock().expect("known");
+    /// Returns the address of the admin endpoint, which is read from the log.
+    pub fn admin_address(&self) -> SocketAddr {
+        let mut known = self
+            .admin_address
+            .lock()
+            .expect("the mutex is not poisoned");
         *known.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
     }
 
