--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -38,7 +38,7 @@
         let nodes = [node];
         let discovery = serve_constant_list(complete_list(1, &all_in_service(&nodes)));
         let configuration = Deployment::BASIC.configuration(discovery, &nodes);
-        let process = LoggingProcess::start_platform(test, &configuration);
+        let process = LoggingProcess::start_platform_front(test, &configuration);
         let mut listening = process.wait_for("listening for client connections");
         let address: SocketAddr = listening.take_field("address").parse().expect("an address");
         let mut client = TcpStream::connect(address).expect("it listens");
--- a/tests/log_events/discovery.rs
+++ b/tests/log_events/discovery.rs
@@ -15,7 +15,7 @@
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
     let mut unusable_list = configuration.clone();
     unusable_list["known"] = json!("no list");
-    let process = LoggingProcess::start_platform("discovery", &unusable_list);
+    let process = LoggingProcess::start_platform_front("discovery", &unusable_list);
     let mut rejected_list = process.wait_for("cached endpoint list rejected");
     assert!(!rejected_list.take_field("error").is_empty());
     rejected_list.assert("WARN", json!({}));
@@ -46,7 +46,7 @@
     let addresses = addresses_of(&nodes);
     let discovery = ControlledDiscovery::new();
     let configuration = Deployment::BASIC.configuration(discovery.address(), &addresses);
-    let process = LoggingProcess::start_platform("stale", &configuration);
+    let process = LoggingProcess::start_platform_front("stale", &configuration);
     let mut watch = discovery.answer_watch(&complete_list(7, &all_in_service(&addresses)));
     watch.send(&complete_list(6, &all_in_service(&addresses)));
     process
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -9,7 +9,7 @@
 fn an_edge_logs_its_start_reloads_counters_and_shutdown() {
     let server = FeatureServer::healthy(0..6, 2);
     let row = inventory_row("a", &server, "devices");
-    let edge = LoggingProcess::start_edge("edge", &row);
+    let edge = LoggingProcess::start_feature_front("edge", &row);
     let mut listening = edge.wait_for("listening for client connections");
     listening.take_bound_address("address");
     listening.assert("INFO", json!({"service": "feature queries"}));
@@ -61,7 +61,8 @@
 fn a_text_line_has_the_level_the_message_and_the_fields() {
     let server = FeatureServer::healthy(0..6, 2);
     let admin = "mgmt = \"127.0.0.1:0\"";
-    let edge = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
+    let edge =
+        Process::start_feature_front("log-text", admin, &inventory_row("a", &server, "devices"));
     // A SIGHUP before that line may come before the process handles it.
     edge.admin_address();
     edge.signal("HUP");
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -115,7 +115,7 @@
     not_started.take_field_containing("error", &format!("cannot listen on {admin_address}: "));
     not_started.assert("WARN", json!({}));
     let _ = std::fs::remove_dir_all(temporary.parent().expect("its folder"));
-    let unusable = LoggingProcess::start_platform("unusable", &json!({"listen": "nowhere"}));
+    let unusable = LoggingProcess::start_platform_front("unusable", &json!({"listen": "nowhere"}));
     let mut error = unusable.wait_for("exiting with an error");
     error.take_field_containing("error", "config.json: ");
     error.assert("ERROR", json!({}));
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -1,7 +1,7 @@
 //! A process that logs JSON, and the events that it logs.
 
 use crate::standin::http::bind_loopback;
-use crate::standin::process::CLASSES;
+use crate::standin::process::FEATURE_CLASSES;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 
 impl LoggingProcess {
     /// Starts the front for feature queries with an admin endpoint and these rows of an inventory.
-    pub fn start_edge(test: &str, rows: &str) -> LoggingProcess {
+    pub fn start_feature_front(test: &str, rows: &str) -> LoggingProcess {
         let folder = create_folder(test);
         write_edge_file(&folder, "mgmt = \"127.0.0.1:0\"");
         write_inventory(&folder, rows);
@@ -39,7 +39,7 @@
     }
 
     /// Starts the platform's front with this configuration and without a folder for hand-overs.
-    pub fn start_platform(test: &str, configuration: &Value) -> LoggingProcess {
+    pub fn start_platform_front(test: &str, configuration: &Value) -> LoggingProcess {
         let folder = create_folder(test);
         let mut command = platform_command(&folder, configuration);
         command.env_remove("TMPDIR");
@@ -202,7 +202,8 @@
 
 /// Writes the settings of the front for feature queries.
 pub fn write_edge_file(folder: &Path, settings: &str) {
-    let text = format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
+    let text =
+        format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}");
     std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
 }
 
--- a/tests/ogc/faults.rs
+++ b/tests/ogc/faults.rs
@@ -22,7 +22,7 @@
         let healthy = FeatureServer::healthy(0..6, 2);
         let rows =
             inventory_row("bad", &bad, "devices") + &inventory_row("good", &healthy, "devices");
-        let edge = Process::start_edge(test, "", &rows);
+        let edge = Process::start_feature_front(test, "", &rows);
         for _ in 0..4 {
             let response = edge.get(ITEMS);
             assert_eq!(
@@ -47,7 +47,7 @@
     let a = FeatureServer::start(cut);
     let b = FeatureServer::start(cut);
     let rows = inventory_row("a", &a, "devices") + &inventory_row("b", &b, "devices");
-    let edge = Process::start_edge("once", "", &rows);
+    let edge = Process::start_feature_front("once", "", &rows);
     assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: once\r\n").status, 502);
     assert_eq!(a.count_requests(|_| true) + b.count_requests(|_| true), 1);
     assert_eq!(edge.get_with_headers(ITEMS, "X-Qos: none\r\n").status, 400);
@@ -58,7 +58,7 @@
     let healthy = FeatureServer::healthy(0..3, 10);
     let hung = FeatureServer::start(|_| Reply::Hang);
     let rows = inventory_row("a", &healthy, "devices/n") + &inventory_row("b", &hung, "devices/s");
-    let edge = Process::start_edge("hang", "", &rows);
+    let edge = Process::start_feature_front("hang", "", &rows);
     let timed_out = edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
     assert_eq!(
         (timed_out.status, timed_out.json()["status"].as_u64()),
@@ -93,7 +93,7 @@
     let rows = inventory_row("a", &healthy, "devices/n")
         + &inventory_row("b", &broken[0], "devices/s")
         + &inventory_row("c", &broken[1], "devices/s");
-    let edge = Process::start_edge("missing", "", &rows);
+    let edge = Process::start_feature_front("missing", "", &rows);
 
     let partial = edge.get_with_headers(ITEMS, "X-Qos: part\r\n");
 
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -23,7 +23,7 @@
     let rows_with_drain = inventory_row_in_state("a", &draining.server, "devices", "draining")
         + &inventory_row("b", &healthy, "devices")
         + &hung_row;
-    let edge = Process::start_edge("drain", "", &rows);
+    let edge = Process::start_feature_front("drain", "", &rows);
 
     std::thread::scope(|scope| {
         let client = scope.spawn(|| edge.get(ITEMS));
@@ -52,7 +52,7 @@
 #[test]
 fn queries_beyond_max_in_flight_are_rejected_with_retry_after() {
     let hung = FeatureServer::start(|_| Reply::Hang);
-    let edge = Process::start_edge(
+    let edge = Process::start_feature_front(
         "burst",
         "most_held = 4\nretry_after_ms = 1500",
         &inventory_row("a", &hung, "devices"),
@@ -82,7 +82,7 @@
 fn after_sigterm_pending_queries_are_answered_before_the_exit() {
     let gated = GatedServer::start(0..2, 2);
     let rows = inventory_row("a", &gated.server, "devices");
-    let mut edge = Process::start_edge("end", "", &rows);
+    let mut edge = Process::start_feature_front("end", "", &rows);
     std::thread::scope(|scope| {
         let client =
             scope.spawn(|| edge.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
@@ -99,7 +99,7 @@
 #[test]
 fn feature_queries_are_counted_by_class() {
     let server = FeatureServer::healthy(0..3, 2);
-    let edge = Process::start_edge(
+    let edge = Process::start_feature_front(
         "figures",
         "mgmt = \"127.0.0.1:0\"",
         &inventory_row("a", &server, "devices"),
@@ -136,7 +136,7 @@
         // A process for each: one that knows the server to hang rejects queries by itself.
         let hung = FeatureServer::start(|_| Reply::Hang);
         let test = format!("unread-{bytes}");
-        let edge = Process::start_edge(&test, "", &inventory_row("a", &hung, "devices"));
+        let edge = Process::start_feature_front(&test, "", &inventory_row("a", &hung, "devices"));
         let request = format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n");
         disconnect_behind(send_request(&edge, &request), bytes);
         edge.wait_for_counter("queries_abandoned", 1);
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -11,7 +11,7 @@
     let north = FeatureServer::healthy(0..7, 3);
     let south = FeatureServer::healthy(100..105, 2);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("pages", "", &rows);
+    let edge = Process::start_feature_front("pages", "", &rows);
     let complete = edge.get(ITEMS);
     let all: Vec<String> = expected(0..7)
         .into_iter()
@@ -50,7 +50,7 @@
         Reply::Json(body) => Reply::CloseDelimited(body),
         other => other,
     });
-    let edge = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
+    let edge = Process::start_feature_front("close", "", &inventory_row("a", &server, "devices"));
     let response = edge.get(ITEMS);
     assert_eq!((response.status, response.ids()), (200, expected(0..6)));
     assert_eq!(server.count_requests(|_| true), 3);
@@ -100,7 +100,7 @@
         + &inventory_row("c", &endless, "endless")
         + &inventory_row("d", &large, "large");
     let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
-    let edge = Process::start_edge("links", settings, &rows);
+    let edge = Process::start_feature_front("links", settings, &rows);
 
     for name in ["away", "round", "large"] {
         let status = edge.get(&format!("/collections/{name}/items")).status;
@@ -125,7 +125,8 @@
     let other = FeatureServer::healthy(0..6, 2);
     let other_row = inventory_row("b", &other, "devices");
     let rows_with = |state| inventory_row_in_state("a", &server, "devices", state) + &other_row;
-    let edge = Process::start_edge("drained-link", "", &inventory_row("a", &server, "devices"));
+    let edge =
+        Process::start_feature_front("drained-link", "", &inventory_row("a", &server, "devices"));
     let first = edge.get(&format!("{ITEMS}?limit=2"));
     let next = first.link("next").expect("more features");
 
@@ -153,7 +154,7 @@
         inventory_row("a", &servers[0], first) + &inventory_row("b", &servers[1], "devices/n")
     };
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let edge = Process::start_edge("moved-link", settings, &rows("devices/n"));
+    let edge = Process::start_feature_front("moved-link", settings, &rows("devices/n"));
     let mut next = None;
     while servers[0].count_requests(|_| true) == 0 {
         next = edge.get(&format!("{ITEMS}?limit=2")).link("next");
--- a/tests/ogc/resources.rs
+++ b/tests/ogc/resources.rs
@@ -25,7 +25,7 @@
 #[test]
 fn core_resources_and_their_errors_are_served() {
     let server = FeatureServer::healthy(0..3, 10);
-    let edge = Process::start_edge("core", "", &inventory_row("a", &server, "devices"));
+    let edge = Process::start_feature_front("core", "", &inventory_row("a", &server, "devices"));
     assert_resources_are_served(&edge);
     assert_polygon_is_requested_as_its_envelope(&edge, &server);
     for target in UNKNOWN_TARGETS {
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -84,7 +84,7 @@
             .map(|(n, fault)| server(shards_of(n), fault.clone()))
             .collect();
         Run {
-            edge: Process::start_edge("run", SETTINGS, &inventory(&servers, None)),
+            edge: Process::start_feature_front("run", SETTINGS, &inventory(&servers, None)),
             servers,
             faults,
             over: AtomicBool::new(false),
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -89,7 +89,7 @@
     let north = server(0..20_000);
     let south = server(20_000..40_000);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("cost", "", &rows);
+    let edge = Process::start_feature_front("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
     let two = edge.get(&format!("{ITEMS}?limit=2"));
     assert_eq!(
@@ -127,7 +127,7 @@
     let rows = inventory_row("a", &a, "devices/n")
         + &inventory_row("b", &b, "devices/n")
         + &inventory_row("c", &other, "devices/s");
-    let edge = Process::start_edge("differ", "retry_after_ms = 50", &rows);
+    let edge = Process::start_feature_front("differ", "retry_after_ms = 50", &rows);
     let (ids, _) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
         // Each is down before one response, and both are up again at the next.
         down[0].store(response == 3, Relaxed);
@@ -161,7 +161,7 @@
     let north = server(0..50);
     let south = server(100..150);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let edge = Process::start_edge("cursors", "", &rows);
+    let edge = Process::start_feature_front("cursors", "", &rows);
     let next = edge
         .get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9"))
         .link("next")
@@ -186,7 +186,7 @@
     let [a, b] = [0, 1].map(|n| replica(&down[n], 0..1_000, |next| next));
     let rows = inventory_row("a", &a, "devices/n") + &inventory_row("b", &b, "devices/n");
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let edge = Process::start_edge("order", settings, &rows);
+    let edge = Process::start_feature_front("order", settings, &rows);
     let (ids, responses) = follow(&edge, &format!("{ITEMS}?limit=100"), |response| {
         down[0].store((2..5).contains(&response), Relaxed);
         down[1].store((6..9).contains(&response), Relaxed);
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -366,9 +366,11 @@
                 // All generations have one address, also one that no socket was handed over to.
                 configuration["listen"] = unused_address().to_string().into();
                 let temporary = Some(self.temporary.as_path());
-                Process::start_platform_in(&test, &configuration, descriptors, temporary)
+                Process::start_platform_front_in(&test, &configuration, descriptors, temporary)
+            }
+            Backend::Features(servers) => {
+                Process::start_feature_front(&test, "", &inventory(servers, None))
             }
-            Backend::Features(servers) => Process::start_edge(&test, "", &inventory(servers, None)),
         };
         RecordedProcess {
             process,
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -123,7 +123,7 @@
         discovery: SocketAddr,
         nodes: &[SocketAddr],
     ) -> Process {
-        Process::start_platform(
+        Process::start_platform_front(
             test,
             &self.configuration(discovery, nodes),
             self.descriptors,
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -28,7 +28,7 @@
 const START_CONFIGURATION: &str = "start.json";
 
 /// The classes of the front for feature queries.
-pub const CLASSES: &str = r#"
+pub const FEATURE_CLASSES: &str = r#"
 [[class]]
 name = "exact"
 aim_ms = 20000
@@ -68,10 +68,11 @@
 
 impl Process {
     /// Starts the front for feature queries with further settings and the rows of an inventory.
-    pub fn start_edge(test: &str, settings: &str, rows: &str) -> Process {
+    pub fn start_feature_front(test: &str, settings: &str, rows: &str) -> Process {
         let folder = create_folder(test);
-        let text =
-            format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{CLASSES}");
+        let text = format!(
+            "listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}"
+        );
         std::fs::write(folder.join("edge.toml"), text).expect("settings");
         write_inventory(&folder, rows);
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
@@ -84,12 +85,12 @@
     }
 
     /// Starts the platform's front with its configuration and a limit of file descriptors.
-    pub fn start_platform(test: &str, configuration: &Value, descriptors: usize) -> Process {
-        Process::start_platform_in(test, configuration, descriptors, None)
+    pub fn start_platform_front(test: &str, configuration: &Value, descriptors: usize) -> Process {
+        Process::start_platform_front_in(test, configuration, descriptors, None)
     }
 
     /// Starts the platform's front; it hands its sockets over in `temporary`, if that is given.
-    pub fn start_platform_in(
+    pub fn start_platform_front_in(
         test: &str,
         configuration: &Value,
         descriptors: usize,
