--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -92,7 +92,11 @@
             if client.get_mut().write_all(next.as_bytes()).is_err() {
                 break;
             }
-            let Some(ResponseHead { status, closes }) = read_response(&mut client) else {
+            let Some(ResponseHead {
+                status,
+                closes_connection,
+            }) = read_response(&mut client)
+            else {
                 assert!(
                     closed == 0,
                     "a connection accepted after the first Connection: close is answered"
@@ -101,7 +105,7 @@
             };
             answers += 1;
             assert!(status / 100 == 5, "{status}");
-            if closes {
+            if closes_connection {
                 closed += 1;
                 break;
             }
@@ -172,7 +176,7 @@
     reload_with_longer_deadline(&edge);
     let timed_out = ResponseHead {
         status: 504,
-        closes: false,
+        closes_connection: false,
     };
     assert_eq!(read_response(&mut client), Some(timed_out));
     let read = client.read(&mut [0]).expect("closed in good order");
@@ -182,7 +186,10 @@
     let answer = read_response(&mut last).expect("an answer, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
-    assert!(answer.status / 100 == 5 && answer.closes, "{answer:?}");
+    assert!(
+        answer.status / 100 == 5 && answer.closes_connection,
+        "{answer:?}"
+    );
     assert!(edge.wait_for_exit(), "it exits by itself");
     assert!(
         started_at.elapsed().as_millis() < 900,
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -1,7 +1,7 @@
 //! Operation of the front: draining, overload, shutdown and counters.
 
 use crate::standin::admin_endpoint::call_admin_endpoint;
-use crate::standin::client::{disconnect_behind, send_request};
+use crate::standin::client::{send_request, send_trailing_bytes_and_disconnect};
 use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
 use crate::standin::process::Process;
 use crate::support::{expected, GatedServer, ITEMS};
@@ -138,7 +138,7 @@
         let test = format!("unread-{bytes}");
         let edge = Process::start_feature_front(&test, "", &inventory_row("a", &hung, "devices"));
         let request = format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n");
-        disconnect_behind(send_request(&edge, &request), bytes);
+        send_trailing_bytes_and_disconnect(send_request(&edge, &request), bytes);
         edge.wait_for_counter("queries_abandoned", 1);
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -74,9 +74,9 @@
         new_discovery.requests()[0].contains("since=1"),
         "it resumes from the last version"
     );
-    let before = nodes[0].received_parts().len();
+    let before = nodes[0].received_part_ids().len();
     assert_lookups_are_served(&edge, 1..10);
-    assert_eq!(nodes[0].received_parts().len(), before);
+    assert_eq!(nodes[0].received_part_ids().len(), before);
     drop(first);
 }
 
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -24,7 +24,7 @@
         });
         let (edge, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
         edge.wait_until_ready();
-        let seen = |node: &DataNode| node.received_parts().len();
+        let seen = |node: &DataNode| node.received_part_ids().len();
         for n in 0..1_000 {
             assert_eq!(
                 query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
@@ -37,7 +37,7 @@
         }
         let met = nodes
             .each_ref()
-            .map(|node| (seen(node), node.connections()));
+            .map(|node| (seen(node), node.connection_count()));
         assert!(
             met.iter().all(|(parts, links)| *parts > 120 && *links > 1),
             "parts and connections: {met:?}"
@@ -63,7 +63,7 @@
         );
         while nodes
             .iter()
-            .map(DataNode::closed_connections)
+            .map(DataNode::closed_connection_count)
             .sum::<usize>()
             <= n
         {
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -27,7 +27,7 @@
             json!({"full": true, "pieces": [cell(0), cell(1), cell(2)]})
         );
     }
-    let open: Vec<usize> = nodes.iter().map(DataNode::connections).collect();
+    let open: Vec<usize> = nodes.iter().map(DataNode::connection_count).collect();
     // Not one each: if the machine pauses, an answer is overdue, and the next parts take another
     // connection.
     assert!(
@@ -68,7 +68,7 @@
         let dump = call_admin_endpoint(edge.admin_address(), "DUMP\n");
         let errors = dump_value(&dump, &format!("node.responses.{class}.errors"));
         assert_eq!(errors, u64::from(status != 200), "{dump}");
-        let sent: usize = nodes.iter().map(|n| n.received_parts().len()).sum();
+        let sent: usize = nodes.iter().map(|n| n.received_part_ids().len()).sum();
         assert_eq!(
             sent,
             if status == 200 { 2 } else { 1 },
@@ -97,14 +97,14 @@
             break;
         }
     }
-    let before = nodes[0].received_parts().len();
+    let before = nodes[0].received_part_ids().len();
     for n in 1..10 {
         assert_eq!(
             query(&edge, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
             200
         );
     }
-    assert_eq!(nodes[0].received_parts().len(), before);
+    assert_eq!(nodes[0].received_part_ids().len(), before);
 }
 
 #[test]
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -142,7 +142,7 @@
     edge.wait_until_ready();
     std::thread::scope(|scope| {
         let first = scope.spawn(|| query(&edge, "q1", Class("lookup"), Shards(&[0])).status);
-        while nodes.iter().all(|n| n.received_parts().is_empty()) {
+        while nodes.iter().all(|n| n.received_part_ids().is_empty()) {
             std::thread::yield_now();
         }
         assert_eq!(
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -1,7 +1,8 @@
 //! Clients that disconnect while their query waits: nothing of it is sent afterwards.
 
 use crate::standin::client::{
-    disconnect_behind, query, read_until_close, send_request, Class, QueryRequest, Shards,
+    query, read_until_close, send_request, send_trailing_bytes_and_disconnect, Class, QueryRequest,
+    Shards,
 };
 use crate::standin::data_node::{DataNode, RecordingNode, UnreachableNode};
 use crate::standin::deployment::Deployment;
@@ -180,7 +181,7 @@
     edge.signal("CONT");
     assert!(read_until_close(stays).starts_with("HTTP/1.1 200"));
     edge.wait_for_counter("queries_abandoned", 20);
-    let mut received: Vec<_> = nodes.iter().flat_map(DataNode::received_parts).collect();
+    let mut received: Vec<_> = nodes.iter().flat_map(DataNode::received_part_ids).collect();
     received.sort();
     assert_eq!(received, ["stays.0", "stays.1"]);
 }
@@ -197,7 +198,7 @@
     for (abandoned, bytes) in [(1, 1_500_000), (2, 3_000_000), (3, 60_000_000)] {
         let id = format!("left{abandoned}");
         let request = QueryRequest::new(&id, Class("look"), Shards(&[0]));
-        disconnect_behind(send_request(&edge, &request.to_http()), bytes);
+        send_trailing_bytes_and_disconnect(send_request(&edge, &request.to_http()), bytes);
         edge.wait_for_counter("queries_abandoned", abandoned);
     }
 }
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -34,11 +34,11 @@
     let recording = RecordingNode::start(unreachable);
     drop(edge);
     assert_eq!(recording.wait_until_closed(), Vec::<String>::new());
-    let mut received = healthy.received_parts();
+    let mut received = healthy.received_part_ids();
     received.sort();
     received.dedup();
     assert_eq!(received.len(), 16, "each part once");
-    assert_eq!(healthy.received_parts().len(), 16);
+    assert_eq!(healthy.received_part_ids().len(), 16);
 }
 
 #[test]
@@ -91,13 +91,13 @@
     assert_eq!(query(&edge, "q0", Class("once"), Shards(&[0])).status, 200);
     edge.wait_for_counter("server_connections_idle_closed", 1);
     assert_eq!(query(&edge, "q1", Class("once"), Shards(&[0])).status, 200);
-    let open: usize = nodes.iter().map(DataNode::connections).sum();
+    let open: usize = nodes.iter().map(DataNode::connection_count).sum();
     assert_eq!(
         (
             open,
             nodes
                 .iter()
-                .map(|n| n.received_parts().len())
+                .map(|n| n.received_part_ids().len())
                 .sum::<usize>()
         ),
         (2, 2)
@@ -140,7 +140,7 @@
     let hung = QueryRequest::new("hung", Class("once"), Shards(&[0])).close_connection();
     let hung = send_request(&edge, &hung.to_http());
     edge.wait_for_counter("attempts_fully_written", 2);
-    assert_eq!(node.connections(), 1);
+    assert_eq!(node.connection_count(), 1);
 
     wait_for_start_tolerance();
     let restarted = in_service(0, node.address).started_at(unix_ms());
@@ -149,11 +149,11 @@
     let started = Instant::now();
     assert!(read_until_close(hung).starts_with("HTTP/1.1 502"));
     assert!(started.elapsed() < Duration::from_secs(20));
-    assert_eq!(node.received_parts(), ["idle.0", "hung.0"]);
+    assert_eq!(node.received_part_ids(), ["idle.0", "hung.0"]);
 
     let next = query(&edge, "next", Class("once"), Shards(&[0]));
-    assert_eq!((next.status, node.connections()), (200, 2));
-    assert_eq!(node.received_parts(), ["idle.0", "hung.0", "next.0"]);
+    assert_eq!((next.status, node.connection_count()), (200, 2));
+    assert_eq!(node.received_part_ids(), ["idle.0", "hung.0", "next.0"]);
 }
 
 /// Guards against the same for a connection that is idle when the list comes: a part that must not
@@ -181,13 +181,13 @@
             query(&edge, "after", Class("once"), Shards(&[0])).status,
             200
         );
-        assert_eq!(node.connections(), connections);
+        assert_eq!(node.connection_count(), connections);
         // The same start again ends nothing.
         watch.send(&changed_endpoints(revision, &[restarted]));
         assert_eq!(
             query(&edge, "again", Class("once"), Shards(&[0])).status,
             200
         );
-        assert_eq!(node.connections(), connections);
+        assert_eq!(node.connection_count(), connections);
     }
 }
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -77,7 +77,7 @@
         );
         assert!(second.request.contains("since=1"), "{}", second.request);
         edge.wait_for_counter("endpoint_updates", 3);
-        let received_before = nodes[0].received_parts().len();
+        let received_before = nodes[0].received_part_ids().len();
         assert_draining(&edge, &nodes[0], &[0, 1, 2, 3], received_before);
         drop(silent_watch);
     }
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -32,7 +32,7 @@
         );
     }
     assert_eq!(
-        node.received_parts().len(),
+        node.received_part_ids().len(),
         received_before,
         "it is draining"
     );
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -215,7 +215,10 @@
                 Ok(response) => {
                     let content = self.judge(request, &response);
                     let status = response.status;
-                    (RequestEnd::Answered { status, content }, !response.closes)
+                    (
+                        RequestEnd::Answered { status, content },
+                        !response.closes_connection,
+                    )
                 }
                 Err(kind) => (end_of(kind), false),
             },
--- a/tests/soak/response.rs
+++ b/tests/soak/response.rs
@@ -8,7 +8,7 @@
 /// A complete response.
 pub struct Response {
     pub status: u16,
-    pub closes: bool,
+    pub closes_connection: bool,
     pub body: Vec<u8>,
 }
 
@@ -49,10 +49,10 @@
     let head = std::str::from_utf8(&bytes[..end]).expect("a head of text");
     let mut lines = head.split("\r\n");
     let status = lines.next()?.split(' ').nth(1)?.parse().expect("a status");
-    let mut closes = false;
+    let mut closes_connection = false;
     let mut length = 0;
     for line in lines {
-        closes |= line == "Connection: close";
+        closes_connection |= line == "Connection: close";
         if let Some(text) = line.strip_prefix("Content-Length: ") {
             length = text.parse().expect("a length");
         }
@@ -60,7 +60,7 @@
     let body = bytes[end + 4..].to_vec();
     (body.len() >= length).then_some(Response {
         status,
-        closes,
+        closes_connection,
         body,
     })
 }
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -115,7 +115,7 @@
     /// The status code.
     pub status: u16,
     /// Whether the response announces the close of the connection.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Reads the next response on a persistent connection; `None` if the connection ends before it.
@@ -133,7 +133,7 @@
     client.read_exact(&mut vec![0; length]).ok()?;
     Some(ResponseHead {
         status,
-        closes: head.iter().any(|line| line == "Connection: close"),
+        closes_connection: head.iter().any(|line| line == "Connection: close"),
     })
 }
 
@@ -200,7 +200,7 @@
 
 /// Sends bytes behind a request until so many are sent or the process reads no more of them, and
 /// disconnects.
-pub fn disconnect_behind(mut client: TcpStream, bytes: usize) {
+pub fn send_trailing_bytes_and_disconnect(mut client: TcpStream, bytes: usize) {
     client.set_write_timeout(Some(STALL_TIMEOUT)).expect("set");
     let chunk = [b'x'; 64 * 1024];
     let mut sent = 0;
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -38,17 +38,17 @@
 #[derive(Default)]
 struct NodeLog {
     /// The ids of the parts, in order.
-    received_parts: Mutex<Vec<String>>,
+    received_part_ids: Mutex<Vec<String>>,
     /// The number of accepted connections.
-    connections: Mutex<usize>,
+    connection_count: Mutex<usize>,
     /// The number of connections that the node closed by itself.
-    closed_connections: Mutex<usize>,
+    closed_connection_count: Mutex<usize>,
 }
 
 impl NodeLog {
     /// Records a part and returns its number, from 1.
     fn record_part(&self, id: &str) -> usize {
-        let mut received = self.received_parts.lock().expect("log");
+        let mut received = self.received_part_ids.lock().expect("log");
         received.push(id.to_owned());
         received.len()
     }
@@ -81,12 +81,12 @@
         let threads = OwnedThreads::default();
         let serving = threads.0.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
-            *shared.connections.lock().expect("count") += 1;
+            *shared.connection_count.lock().expect("count") += 1;
             let log = shared.clone();
             let behaviour = behaviour.clone();
             serving.serve(move || {
                 if serve(stream, &log, &*behaviour).is_ok() {
-                    *log.closed_connections.lock().expect("count") += 1;
+                    *log.closed_connection_count.lock().expect("count") += 1;
                 }
             });
         });
@@ -98,19 +98,19 @@
     }
 
     /// Returns the ids of the received parts, in order.
-    pub fn received_parts(&self) -> Vec<String> {
-        self.log.received_parts.lock().expect("log").clone()
+    pub fn received_part_ids(&self) -> Vec<String> {
+        self.log.received_part_ids.lock().expect("log").clone()
     }
 
     /// Returns the number of accepted connections.
-    pub fn connections(&self) -> usize {
-        *self.log.connections.lock().expect("count")
+    pub fn connection_count(&self) -> usize {
+        *self.log.connection_count.lock().expect("count")
     }
 
     /// Returns the number of connections that the node closed by itself after a part; those that
     /// the process gave up do not count.
-    pub fn closed_connections(&self) -> usize {
-        *self.log.closed_connections.lock().expect("count")
+    pub fn closed_connection_count(&self) -> usize {
+        *self.log.closed_connection_count.lock().expect("count")
     }
 }
 
