--- a/tests/ogc/faults.rs
+++ b/tests/ogc/faults.rs
@@ -1,7 +1,7 @@
 //! Faulty feature servers: retries, timeouts and partial responses.
 
 use crate::standin::feature_server::{
-    healthy_reply, inventory_row, query_parameter, FeatureServer, Reply,
+    healthy_response, inventory_row, query_parameter, FeatureServer, ServerResponse,
 };
 use crate::standin::process::Process;
 use crate::support::{expected, ITEMS};
@@ -10,13 +10,16 @@
 fn failed_and_truncated_pages_are_retried_elsewhere_without_duplicates() {
     let cut = |target: &str| match (
         query_parameter(target, "offset"),
-        healthy_reply(target, 0..6, 2),
+        healthy_response(target, 0..6, 2),
     ) {
-        (Some(4), Reply::Json(body)) => Reply::Truncated(body),
-        (_, reply) => reply,
+        (Some(4), ServerResponse::Json(body)) => ServerResponse::Truncated(body),
+        (_, response) => response,
     };
     for (test, bad) in [
-        ("errors", FeatureServer::start(|_| Reply::Status(500))),
+        (
+            "errors",
+            FeatureServer::start(|_| ServerResponse::Status(500)),
+        ),
         ("cut", FeatureServer::start(cut)),
     ] {
         let healthy = FeatureServer::healthy(0..6, 2);
@@ -40,8 +43,8 @@
 
 #[test]
 fn parts_of_a_non_idempotent_class_are_not_retried() {
-    let cut = |target: &str| match healthy_reply(target, 0..6, 2) {
-        Reply::Json(body) => Reply::Truncated(body),
+    let cut = |target: &str| match healthy_response(target, 0..6, 2) {
+        ServerResponse::Json(body) => ServerResponse::Truncated(body),
         other => other,
     };
     let a = FeatureServer::start(cut);
@@ -56,7 +59,7 @@
 #[test]
 fn a_hanging_server_causes_a_timeout_or_a_partial_response() {
     let healthy = FeatureServer::healthy(0..3, 10);
-    let hung = FeatureServer::start(|_| Reply::Hang);
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
     let rows = inventory_row("a", &healthy, "devices/n") + &inventory_row("b", &hung, "devices/s");
     let edge = Process::start_feature_front("hang", "", &rows);
     let timed_out = edge.get_with_headers(ITEMS, "X-Qos: brief\r\n");
@@ -85,8 +88,8 @@
     // Both servers of shard s return its first page and fail at the next: the shard is begun anew
     // at the second server and breaks again.
     let first_page_only = |target: &str| match query_parameter(target, "offset") {
-        Some(_) => Reply::Status(500),
-        None => healthy_reply(target, 100..106, 2),
+        Some(_) => ServerResponse::Status(500),
+        None => healthy_response(target, 100..106, 2),
     };
     let healthy = FeatureServer::healthy(0..3, 10);
     let broken = [0, 1].map(|_| FeatureServer::start(first_page_only));
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -2,7 +2,9 @@
 
 use crate::standin::admin_endpoint::call_admin_endpoint;
 use crate::standin::client::{send_request, send_trailing_bytes_and_disconnect};
-use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
+use crate::standin::feature_server::{
+    inventory_row, inventory_row_in_state, FeatureServer, ServerResponse,
+};
 use crate::standin::process::Process;
 use crate::support::{expected, GatedServer, ITEMS};
 
@@ -17,7 +19,7 @@
 fn a_draining_server_gets_no_further_pages_and_a_failed_reload_changes_nothing() {
     let draining = GatedServer::start(0..6, 2);
     let healthy = FeatureServer::healthy(0..6, 2);
-    let hung = FeatureServer::start(|_| Reply::Hang);
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
     let hung_row = inventory_row("h", &hung, "hung");
     let rows = inventory_row("a", &draining.server, "devices") + &hung_row;
     let rows_with_drain = inventory_row_in_state("a", &draining.server, "devices", "draining")
@@ -51,7 +53,7 @@
 
 #[test]
 fn queries_beyond_max_in_flight_are_rejected_with_retry_after() {
-    let hung = FeatureServer::start(|_| Reply::Hang);
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
     let edge = Process::start_feature_front(
         "burst",
         "most_held = 4\nretry_after_ms = 1500",
@@ -134,7 +136,7 @@
 fn a_client_that_disconnects_behind_many_unread_bytes_is_seen_as_gone() {
     for bytes in [1_500_000, 3_000_000, 60_000_000] {
         // A process for each: one that knows the server to hang rejects queries by itself.
-        let hung = FeatureServer::start(|_| Reply::Hang);
+        let hung = FeatureServer::start(|_| ServerResponse::Hang);
         let test = format!("unread-{bytes}");
         let edge = Process::start_feature_front(&test, "", &inventory_row("a", &hung, "devices"));
         let request = format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -1,7 +1,7 @@
 //! Pages of feature servers: merged over shards, continued over `next` links, and bounded.
 
 use crate::standin::feature_server::{
-    healthy_reply, inventory_row, inventory_row_in_state, FeatureServer, Reply,
+    healthy_response, inventory_row, inventory_row_in_state, FeatureServer, ServerResponse,
 };
 use crate::standin::process::Process;
 use crate::support::{expected, ITEMS};
@@ -46,8 +46,8 @@
 #[test]
 fn all_pages_are_fetched_from_a_server_that_closes_after_each() {
     // Each page is fetched on a new connection, since the server has closed the one before.
-    let server = FeatureServer::start(|target| match healthy_reply(target, 0..6, 2) {
-        Reply::Json(body) => Reply::CloseDelimited(body),
+    let server = FeatureServer::start(|target| match healthy_response(target, 0..6, 2) {
+        ServerResponse::Json(body) => ServerResponse::CloseDelimited(body),
         other => other,
     });
     let edge = Process::start_feature_front("close", "", &inventory_row("a", &server, "devices"));
@@ -63,7 +63,7 @@
 ) -> FeatureServer {
     FeatureServer::start(move |target| {
         let href = next_link(target);
-        Reply::Json(format!(
+        ServerResponse::Json(format!(
             r#"{{"features":[{{"id":"d0"}}],"links":[{{"rel":"next","href":"{href}"}}]}}"#
         ))
     })
@@ -81,7 +81,9 @@
 /// Starts a server whose page has more than 100,000 bytes.
 fn start_with_large_page() -> FeatureServer {
     let padding = "x".repeat(100_000);
-    FeatureServer::start(move |_| Reply::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#)))
+    FeatureServer::start(move |_| {
+        ServerResponse::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#))
+    })
 }
 
 #[test]
--- a/tests/ogc/support.rs
+++ b/tests/ogc/support.rs
@@ -1,6 +1,6 @@
 //! Helpers of the tests of the front for feature queries.
 
-use crate::standin::feature_server::{healthy_reply, query_parameter, FeatureServer};
+use crate::standin::feature_server::{healthy_response, query_parameter, FeatureServer};
 use std::ops::Range;
 use std::sync::mpsc::{channel, Sender};
 use std::sync::Mutex;
@@ -29,7 +29,7 @@
             if query_parameter(target, "offset").is_none() {
                 gate.lock().expect("gate").recv().expect("opened");
             }
-            healthy_reply(target, ids.clone(), page)
+            healthy_response(target, ids.clone(), page)
         });
         GatedServer { server, opener }
     }
--- a/tests/ogc_run/servers.rs
+++ b/tests/ogc_run/servers.rs
@@ -1,6 +1,8 @@
 //! The feature servers of the run, and the faults that they are given.
 
-use crate::standin::feature_server::{healthy_reply, inventory_row_in_state, FeatureServer, Reply};
+use crate::standin::feature_server::{
+    healthy_response, inventory_row_in_state, FeatureServer, ServerResponse,
+};
 use std::ops::Range;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
@@ -33,21 +35,21 @@
             .into_iter()
             .find(|s| target.contains(&format!("/{}/", SHARDS[*s])))
             .expect("its shard");
-        let reply = healthy_reply(target, ids(shard), 10);
+        let response = healthy_response(target, ids(shard), 10);
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         // About every other page fails: if all did, the fault would be met on first pages only.
         let fails = (seed >> 33).is_multiple_of(2);
-        match (FAULTS[fault.load(Relaxed)], reply) {
-            ("errors", _) if fails => Reply::Status(500),
-            ("hang", _) => Reply::Hang,
-            ("truncate", Reply::Json(body)) if fails => Reply::Truncated(body),
-            ("slow", reply) => {
+        match (FAULTS[fault.load(Relaxed)], response) {
+            ("errors", _) if fails => ServerResponse::Status(500),
+            ("hang", _) => ServerResponse::Hang,
+            ("truncate", ServerResponse::Json(body)) if fails => ServerResponse::Truncated(body),
+            ("slow", response) => {
                 std::thread::sleep(Duration::from_millis(30));
-                reply
+                response
             }
-            (_, reply) => reply,
+            (_, response) => response,
         }
     })
 }
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -3,7 +3,7 @@
 
 mod standin;
 
-use standin::feature_server::{inventory_row, query_parameter, FeatureServer, Reply};
+use standin::feature_server::{inventory_row, query_parameter, FeatureServer, ServerResponse};
 use standin::process::Process;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
@@ -11,7 +11,11 @@
 const ITEMS: &str = "/collections/devices/items";
 
 /// Returns a page by `limit` and `offset`; `order` gives the feature at each place of the server.
-fn page(target: &str, ids: &std::ops::Range<usize>, order: &dyn Fn(usize) -> usize) -> Reply {
+fn page(
+    target: &str,
+    ids: &std::ops::Range<usize>,
+    order: &dyn Fn(usize) -> usize,
+) -> ServerResponse {
     let size = query_parameter(target, "limit").unwrap_or(10).min(500);
     let from = query_parameter(target, "offset").unwrap_or(0);
     let to = (from + size).min(ids.len());
@@ -20,7 +24,7 @@
     let path = target.split('?').next().unwrap_or_default();
     let next = format!(r#"{{"rel":"next","href":"{path}?limit={size}&offset={to}"}}"#);
     let links = if to < ids.len() { next } else { String::new() };
-    Reply::Json(format!(
+    ServerResponse::Json(format!(
         r#"{{"type":"FeatureCollection","numberMatched":{},"features":[{}],"links":[{links}]}}"#,
         ids.len(),
         list.join(",")
@@ -35,7 +39,7 @@
 ) -> FeatureServer {
     let down = down.clone();
     FeatureServer::start(move |target| match down.load(Relaxed) {
-        true => Reply::Status(500),
+        true => ServerResponse::Status(500),
         false => page(target, &ids, &order),
     })
 }
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -2,7 +2,9 @@
 
 use crate::clients::{FEATURES_PER_SHARD, PAGE, SHARDS};
 use crate::history::ForwardRecord;
-use crate::standin::feature_server::{healthy_reply, query_parameter, FeatureServer, Reply};
+use crate::standin::feature_server::{
+    healthy_response, query_parameter, FeatureServer, ServerResponse,
+};
 use crate::standin::frames::{read_part_ids, write_answer};
 use crate::standin::http::accept_on_thread;
 use crate::standin::threads::OwnedThreads;
@@ -163,15 +165,17 @@
             );
         }
         let from = shard * FEATURES_PER_SHARD;
-        let reply = healthy_reply(target, from..from + FEATURES_PER_SHARD, PAGE);
-        match (fault, reply) {
-            (Fault::None, reply) => reply,
-            (Fault::Error, _) => Reply::Status(500),
-            (Fault::Reject, _) => Reply::Status(503),
-            (Fault::Hang, _) => Reply::Hang,
-            (Fault::Late, Reply::Json(body)) => Reply::Late(LATE_ANSWER, body),
-            (Fault::Disconnect | Fault::Invalid, Reply::Json(body)) => Reply::Truncated(body),
-            (_, reply) => reply,
+        let response = healthy_response(target, from..from + FEATURES_PER_SHARD, PAGE);
+        match (fault, response) {
+            (Fault::None, response) => response,
+            (Fault::Error, _) => ServerResponse::Status(500),
+            (Fault::Reject, _) => ServerResponse::Status(503),
+            (Fault::Hang, _) => ServerResponse::Hang,
+            (Fault::Late, ServerResponse::Json(body)) => ServerResponse::Late(LATE_ANSWER, body),
+            (Fault::Disconnect | Fault::Invalid, ServerResponse::Json(body)) => {
+                ServerResponse::Truncated(body)
+            }
+            (_, response) => response,
         }
     })
 }
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -1,4 +1,4 @@
-//! Stand-in feature servers: owns their replies, healthy and faulty, and the record of their
+//! Stand-in feature servers: owns their responses, healthy and faulty, and the record of their
 //! requests.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The reply of a feature server to a request.
-pub enum Reply {
+/// The response of a feature server to a request.
+pub enum ServerResponse {
     /// 200 with this body.
     Json(String),
     /// This status, without a body.
@@ -25,7 +25,7 @@
     Truncated(String),
 }
 
-type Behaviour = Box<dyn FnMut(&str) -> Reply + Send>;
+type Behaviour = Box<dyn FnMut(&str) -> ServerResponse + Send>;
 
 /// A feature server; its behaviour is a function of the request's target.
 pub struct FeatureServer {
@@ -37,8 +37,8 @@
 }
 
 impl FeatureServer {
-    /// Starts a server; the behaviour gives the reply to each target.
-    pub fn start(behaviour: impl FnMut(&str) -> Reply + Send + 'static) -> FeatureServer {
+    /// Starts a server; the behaviour gives the response to each target.
+    pub fn start(behaviour: impl FnMut(&str) -> ServerResponse + Send + 'static) -> FeatureServer {
         let targets: Arc<Mutex<Vec<String>>> = Arc::default();
         let log = targets.clone();
         let behaviour: Arc<Mutex<Behaviour>> = Arc::new(Mutex::new(Box::new(behaviour)));
@@ -58,7 +58,7 @@
 
     /// Starts a healthy server of these features, in pages of so many.
     pub fn healthy(ids: Range<usize>, page: usize) -> FeatureServer {
-        FeatureServer::start(move |target| healthy_reply(target, ids.clone(), page))
+        FeatureServer::start(move |target| healthy_response(target, ids.clone(), page))
     }
 
     /// Returns the targets of all requests, in order.
@@ -86,33 +86,38 @@
             .unwrap_or_default()
             .to_owned();
         log.lock().expect("log").push(target.clone());
-        let reply = (behaviour.lock().expect("behaviour"))(&target);
-        let ends = matches!(reply, Reply::CloseDelimited(_) | Reply::Truncated(_));
-        if write_reply(&mut stream, reply).is_err() || ends {
+        let response = (behaviour.lock().expect("behaviour"))(&target);
+        let ends = matches!(
+            response,
+            ServerResponse::CloseDelimited(_) | ServerResponse::Truncated(_)
+        );
+        if write_response(&mut stream, response).is_err() || ends {
             return;
         }
     }
 }
 
-fn write_reply(stream: &mut TcpStream, reply: Reply) -> Result<()> {
-    match reply {
-        Reply::Late(time, body) => {
+fn write_response(stream: &mut TcpStream, response: ServerResponse) -> Result<()> {
+    match response {
+        ServerResponse::Late(time, body) => {
             std::thread::sleep(time);
-            write_reply(stream, Reply::Json(body))
+            write_response(stream, ServerResponse::Json(body))
         }
-        Reply::Json(body) => {
+        ServerResponse::Json(body) => {
             write!(
                 stream,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             )
         }
-        Reply::Status(status) => write!(stream, "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n"),
-        Reply::Hang => Ok(()),
-        Reply::CloseDelimited(body) => {
+        ServerResponse::Status(status) => {
+            write!(stream, "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")
+        }
+        ServerResponse::Hang => Ok(()),
+        ServerResponse::CloseDelimited(body) => {
             write!(stream, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}")
         }
-        Reply::Truncated(body) => {
+        ServerResponse::Truncated(body) => {
             write!(
                 stream,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
@@ -141,15 +146,15 @@
     )
 }
 
-/// Returns the reply of a healthy server: a page of features with a next link, or one feature.
-pub fn healthy_reply(target: &str, ids: Range<usize>, page: usize) -> Reply {
+/// Returns the response of a healthy server: a page of features with a next link, or one feature.
+pub fn healthy_response(target: &str, ids: Range<usize>, page: usize) -> ServerResponse {
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
         let id = id.trim_start_matches('d').parse().unwrap_or(usize::MAX);
         return if ids.contains(&id) {
-            Reply::Json(feature(id))
+            ServerResponse::Json(feature(id))
         } else {
-            Reply::Status(404)
+            ServerResponse::Status(404)
         };
     }
     let from = ids.start + query_parameter(target, "offset").unwrap_or(0);
@@ -164,7 +169,7 @@
         String::new()
     };
     let features = features.join(",");
-    Reply::Json(format!(
+    ServerResponse::Json(format!(
         r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#
     ))
 }
