--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -78,7 +78,7 @@
     // clients.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment {
-        descriptors: 60,
+        descriptor_limit: 60,
         ..Deployment::BASIC
     }
     .start("silent", &nodes);
@@ -142,7 +142,7 @@
 fn queries_are_served_while_descriptors_are_exhausted() {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (edge, _changes) = Deployment {
-        descriptors: 40,
+        descriptor_limit: 40,
         ..Deployment::BASIC
     }
     .start("descriptors", &nodes);
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -350,14 +350,14 @@
         let test = format!("soak-{}", self.script.seed);
         let process = match &self.backend {
             Backend::Platform { nodes, discovery } => {
-                let descriptors = if self.script.crowd {
+                let descriptor_limit = if self.script.crowd {
                     CROWDED_DESCRIPTORS
                 } else {
                     1024
                 };
                 let site = Deployment {
                     latency_objective_ms: OBJECTIVE_MS,
-                    descriptors,
+                    descriptor_limit,
                     max_batch: 4,
                     ..Deployment::ALL_EFFECTS
                 };
@@ -366,7 +366,7 @@
                 // All generations have one address, also one that no socket was handed over to.
                 configuration["listen"] = unused_address().to_string().into();
                 let temporary = Some(self.temporary.as_path());
-                Process::start_platform_front_in(&test, &configuration, descriptors, temporary)
+                Process::start_platform_front_in(&test, &configuration, descriptor_limit, temporary)
             }
             Backend::Features(servers) => {
                 Process::start_feature_front(&test, "", &inventory(servers, None))
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -76,7 +76,7 @@
     /// The time after which an idle connection to a data node is closed.
     pub idle_timeout_ms: Option<u64>,
     /// The limit of file descriptors.
-    pub descriptors: usize,
+    pub descriptor_limit: usize,
 }
 
 impl Deployment {
@@ -91,7 +91,7 @@
         shards_per_node: 1,
         connect_timeout_ms: None,
         idle_timeout_ms: None,
-        descriptors: 1024,
+        descriptor_limit: 1024,
     };
 
     /// Four shards a node, long time-outs, and a class of each effect: `look`, `once` (not
@@ -107,11 +107,11 @@
     };
 
     /// Starts the process over these nodes, with discovery that knows them in service.
-    pub fn start(&self, test: &str, nodes: &[DataNode]) -> (Process, Discovery) {
+    pub fn start(&self, test_name: &str, nodes: &[DataNode]) -> (Process, Discovery) {
         let addresses = addresses_of(nodes);
         let discovery = Discovery::start(complete_list(1, &all_in_service(&addresses)));
         (
-            self.start_with_discovery(test, discovery.address, &addresses),
+            self.start_with_discovery(test_name, discovery.address, &addresses),
             discovery,
         )
     }
@@ -119,14 +119,14 @@
     /// Starts the process with discovery at this address and returns at once.
     pub fn start_with_discovery(
         &self,
-        test: &str,
+        test_name: &str,
         discovery: SocketAddr,
         nodes: &[SocketAddr],
     ) -> Process {
         Process::start_platform_front(
-            test,
+            test_name,
             &self.configuration(discovery, nodes),
-            self.descriptors,
+            self.descriptor_limit,
         )
     }
 
@@ -134,11 +134,11 @@
     /// is ready.
     pub fn start_controlled(
         &self,
-        test: &str,
+        test_name: &str,
         discovery: &ControlledDiscovery,
         nodes: &[SocketAddr],
     ) -> (Process, Watch) {
-        let process = self.start_with_discovery(test, discovery.address(), nodes);
+        let process = self.start_with_discovery(test_name, discovery.address(), nodes);
         let watch = discovery.answer_watch(&complete_list(1, &all_in_service(nodes)));
         process.wait_until_ready();
         (process, watch)
@@ -148,7 +148,7 @@
     pub fn configuration(&self, discovery: SocketAddr, nodes: &[SocketAddr]) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1f",
             "mgmt": "127.0.0.1:0",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.descriptors},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.descriptor_limit},
             "settings": self.settings(nodes.len()),
             "known": endpoint_list_json(0, ListKind::Complete, &all_in_service(nodes))})
     }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -68,8 +68,8 @@
 
 impl Process {
     /// Starts the front for feature queries with further settings and the rows of an inventory.
-    pub fn start_feature_front(test: &str, settings: &str, rows: &str) -> Process {
-        let folder = create_folder(test);
+    pub fn start_feature_front(test_name: &str, settings: &str, rows: &str) -> Process {
+        let folder = create_folder(test_name);
         let text = format!(
             "listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}"
         );
@@ -85,25 +85,29 @@
     }
 
     /// Starts the platform's front with its configuration and a limit of file descriptors.
-    pub fn start_platform_front(test: &str, configuration: &Value, descriptors: usize) -> Process {
-        Process::start_platform_front_in(test, configuration, descriptors, None)
+    pub fn start_platform_front(
+        test_name: &str,
+        configuration: &Value,
+        descriptor_limit: usize,
+    ) -> Process {
+        Process::start_platform_front_in(test_name, configuration, descriptor_limit, None)
     }
 
     /// Starts the platform's front; it hands its sockets over in `temporary`, if that is given.
     pub fn start_platform_front_in(
-        test: &str,
+        test_name: &str,
         configuration: &Value,
-        descriptors: usize,
+        descriptor_limit: usize,
         temporary: Option<&Path>,
     ) -> Process {
-        let folder = create_folder(test);
+        let folder = create_folder(test_name);
         for file in [CONFIGURATION, START_CONFIGURATION] {
             std::fs::write(folder.join(file), configuration.to_string()).expect("a configuration");
         }
         let mut command = Command::new("sh");
         command
             .arg("-c")
-            .arg(format!("ulimit -n {descriptors}; exec \"$0\""))
+            .arg(format!("ulimit -n {descriptor_limit}; exec \"$0\""))
             .arg(env!("CARGO_BIN_EXE_quinceflow"));
         for name in [
             "NODE_LISTEN",
@@ -340,10 +344,10 @@
 }
 
 /// Creates a folder of its own for a process, also where two tests have the same name.
-fn create_folder(test: &str) -> PathBuf {
+fn create_folder(test_name: &str) -> PathBuf {
     static FOLDERS: AtomicUsize = AtomicUsize::new(0);
     let number = FOLDERS.fetch_add(1, Relaxed);
-    let name = format!("{test}-{}-{number}", std::process::id());
+    let name = format!("{test_name}-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
