--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -7,10 +7,10 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The time in seconds that a client waits for the answer of a query, as its header says.
+/// The default timeout of a query, which a client sends in a header, in seconds.
 const QUERY_TIMEOUT_SECONDS: f64 = 30.0;
-/// The time after which a client that can send nothing more gives up.
-const STALL_TIMEOUT: Duration = Duration::from_millis(200);
+/// The time after which a client that cannot write any more bytes disconnects.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 /// The statement of each query.
 const STATEMENT: &str = "c41e77d0";
 
@@ -18,11 +18,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Class<'a>(pub &'a str);
 
-/// The numbers of a query's shards, of which each is a part.
+/// The numbers of a query's shards. The query has one part for each shard.
 #[derive(Debug, Clone, Copy)]
 pub struct Shards<'a>(pub &'a [u32]);
 
-/// A request for a query, as the platform's clients send it.
+/// A request with a query, as clients of the platform front send it.
 pub struct QueryRequest<'a> {
     id: &'a str,
     class: Class<'a>,
@@ -32,8 +32,7 @@
 }
 
 impl<'a> QueryRequest<'a> {
-    /// Returns a query with this trace id and class over these shards, on a connection that is kept
-    /// open.
+    /// Returns a request with this trace id, class and shards that keeps its connection open.
     pub fn new(id: &'a str, class: Class<'a>, shards: Shards<'a>) -> QueryRequest<'a> {
         let timeout_seconds = QUERY_TIMEOUT_SECONDS;
         QueryRequest {
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Sets how long the client waits for the answer.
+    /// Sets how long the client waits for the answer, in seconds.
     pub fn timeout_seconds(self, timeout_seconds: f64) -> QueryRequest<'a> {
         QueryRequest {
             timeout_seconds,
@@ -83,29 +82,31 @@
     }
 }
 
-/// Sends a query on a connection of its own and returns the response.
+/// Sends a query on a new connection and returns the response.
 pub fn query(process: &Process, id: &str, class: Class, shards: Shards) -> Response {
     send_query(process, QueryRequest::new(id, class, shards))
 }
 
-/// Sends a request on a connection of its own and returns the response.
+/// Sends a request on a new connection, which is closed after the response, and returns the response.
 pub fn send_query(process: &Process, request: QueryRequest) -> Response {
     process.send_request(&request.close_connection().to_http())
 }
 
-/// Sends a request and returns the connection on which its response will arrive.
+/// Sends a request on a new connection and returns the connection without reading the response.
 pub fn send_request(process: &Process, request: &str) -> TcpStream {
-    let mut client = TcpStream::connect(process.address).expect("it listens");
-    client.write_all(request.as_bytes()).expect("it reads");
+    let mut client = TcpStream::connect(process.address).expect("the process accepts connections");
+    client
+        .write_all(request.as_bytes())
+        .expect("the request is sent");
     client
 }
 
-/// Reads all that arrives until the connection closes without a reset.
+/// Reads a connection until the process closes it, and returns the text. Fails at a reset.
 pub fn read_until_close(mut client: TcpStream) -> String {
     let mut text = String::new();
     client
         .read_to_string(&mut text)
-        .expect("an answer, and no reset");
+        .expect("the process closes the connection without a reset");
     text
 }
 
@@ -118,7 +119,8 @@
     pub closes_connection: bool,
 }
 
-/// Reads the next response on a persistent connection; `None` if the connection ends before it.
+/// Reads the next response on a persistent connection. Returns `None` if the connection ends before
+/// the response is complete or the response is malformed.
 pub fn read_response(client: &mut BufReader<TcpStream>) -> Option<ResponseHead> {
     let head: Vec<_> = client
         .by_ref()
@@ -137,27 +139,29 @@
     })
 }
 
-/// A response, as read to the end of its connection.
+/// A response that was read to the end of its connection.
 #[derive(Debug)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The header fields by their names in lower case.
+    /// The values of the header fields by field name in lower case.
     pub headers: BTreeMap<String, String>,
     /// The body as text.
     pub body: String,
 }
 
 impl Response {
-    /// Parses the text of a response that ends with its connection.
+    /// Parses the complete text that was received on a connection.
     pub fn parse(text: &str) -> Response {
-        let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+        let (head, body) = text
+            .split_once("\r\n\r\n")
+            .expect("the response has a complete head");
         let mut lines = head.lines();
         let status = lines
             .next()
-            .and_then(|l| l.split(' ').nth(1))
-            .and_then(|s| s.parse().ok())
-            .expect("a status");
+            .and_then(|line| line.split(' ').nth(1))
+            .and_then(|status| status.parse().ok())
+            .expect("the response has a status code");
         let header = |line: &str| {
             line.split_once(": ")
                 .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
@@ -171,22 +175,28 @@
 
     /// Parses the body, which must be JSON.
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.body).unwrap_or_else(|e| panic!("{e}: {self:?}"))
+        serde_json::from_str(&self.body)
+            .unwrap_or_else(|error| panic!("body is not JSON: {error}: {self:?}"))
     }
 
-    /// Returns the ids of the features, in order.
+    /// Returns the ids of the features in the body, in order.
     pub fn ids(&self) -> Vec<String> {
         let json = self.json();
         let features = json["features"]
             .as_array()
-            .unwrap_or_else(|| panic!("no features: {self:?}"));
+            .unwrap_or_else(|| panic!("response has no features: {self:?}"));
         features
             .iter()
-            .map(|feature| feature["id"].as_str().expect("an id").to_owned())
+            .map(|feature| {
+                feature["id"]
+                    .as_str()
+                    .expect("the feature has an id")
+                    .to_owned()
+            })
             .collect()
     }
 
-    /// Returns the target of the link of that relation, without scheme and host.
+    /// Returns the target, without scheme and host, of the link in the body that has this relation.
     pub fn link(&self, relation: &str) -> Option<String> {
         let json = self.json();
         let link = json["links"]
@@ -198,10 +208,12 @@
     }
 }
 
-/// Sends bytes behind a request until so many are sent or the process reads no more of them, and
-/// disconnects.
+/// Sends bytes that belong to no request until `bytes` of them are sent or the process stops reading,
+/// and disconnects.
 pub fn send_trailing_bytes_and_disconnect(mut client: TcpStream, bytes: usize) {
-    client.set_write_timeout(Some(STALL_TIMEOUT)).expect("set");
+    client
+        .set_write_timeout(Some(WRITE_TIMEOUT))
+        .expect("the write timeout is set");
     let chunk = [b'x'; 64 * 1024];
     let mut sent = 0;
     while sent < bytes {
--- a/tests/standin/frames.rs
+++ b/tests/standin/frames.rs
@@ -1,12 +1,12 @@
-//! Frames between the process under test and data nodes: a length of four bytes, a letter for the
-//! kind, and text. Owns the reading and writing of them.
+//! Reads and writes the frames between the process under test and data nodes. A frame consists of a
+//! length of four bytes, a letter that denotes its kind, and text.
 
 use std::io::{Read, Result, Write};
 use std::net::TcpStream;
 
 /// The kind of a frame that carries a call of one or more parts.
 pub const CALL: u8 = b'q';
-/// The kind of a frame that cancels a part.
+/// The kind of a frame that cancels an attempt at a part.
 pub const CANCEL: u8 = b'c';
 /// The kind of a frame that answers a part.
 pub const ANSWER: u8 = b'a';
@@ -19,14 +19,14 @@
     stream.write_all(&bytes)
 }
 
-/// Writes the answer of a part: the id, the outcome, and the value.
+/// Writes the answer to an attempt at a part. The text has the part's id, the outcome and the value.
 pub fn write_answer(stream: &mut TcpStream, text: &str) -> Result<()> {
     write_frame(stream, ANSWER, text)
 }
 
-/// A frame as it was read.
+/// A frame that was read.
 pub struct Frame {
-    /// The kind: one of the constants of this module.
+    /// The letter that denotes the kind.
     pub kind: u8,
     /// The text after the kind.
     pub text: String,
@@ -41,11 +41,11 @@
     stream.read_exact(&mut text)?;
     Ok(Frame {
         kind: head[4],
-        text: String::from_utf8(text).expect("text"),
+        text: String::from_utf8(text).expect("the text of the frame is UTF-8"),
     })
 }
 
-/// Reads the next call; cancels before it are skipped.
+/// Reads frames up to the next call and returns the text of the call.
 pub fn read_call(stream: &mut TcpStream) -> Result<String> {
     loop {
         let frame = read_frame(stream)?;
@@ -55,30 +55,30 @@
     }
 }
 
-/// Reads the next call and returns the ids of its parts; cancels before it are skipped.
+/// Reads frames up to the next call and returns the ids of the parts in the call.
 pub fn read_part_ids(stream: &mut TcpStream) -> Result<Vec<String>> {
     Ok(call_part_ids(&read_call(stream)?))
 }
 
-/// Returns the ids of the parts of a call.
+/// Returns the ids of the parts in the text of a call.
 pub fn call_part_ids(call: &str) -> Vec<String> {
     let mut rest = call;
     let mut ids = Vec::new();
     while let Some((line, after)) = rest.split_once('\n') {
-        let words: Vec<&str> = line.split(' ').collect();
-        let payload_length: usize = words[3].parse().expect("a length");
-        ids.push(words[0].to_owned());
+        let fields: Vec<&str> = line.split(' ').collect();
+        let payload_length: usize = fields[3].parse().expect("the length is a number");
+        ids.push(fields[0].to_owned());
         rest = &after[payload_length..];
     }
     ids
 }
 
-/// Serves every part on this connection until it ends; `received` is called with each part's id
-/// first.
-pub fn serve_parts(mut stream: TcpStream, mut received: impl FnMut(&str)) -> Result<()> {
+/// Answers every part that arrives on a connection, until the connection ends. Calls `on_received`
+/// with the id of each part before it answers.
+pub fn serve_parts(mut stream: TcpStream, mut on_received: impl FnMut(&str)) -> Result<()> {
     loop {
         for id in read_part_ids(&mut stream)? {
-            received(&id);
+            on_received(&id);
             write_answer(&mut stream, &format!("{id} served 18 -\ncell"))?;
         }
     }
