--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -5,7 +5,7 @@
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{all_in_service, complete_list, serve_constant_list};
 use crate::standin::http::accept_on_thread;
-use crate::standin::threads::OwnedThreads;
+use crate::standin::threads::OwnedThreadGroup;
 use crate::support::{
     create_folder, platform_command, refusing_address, with_descriptors, LoggingProcess,
 };
@@ -17,7 +17,7 @@
 fn unusable_answers_of_data_nodes_are_logged_with_the_nodes_address() {
     // The answer to any call: a frame of five bytes that is no answer.
     let mut open = Vec::new();
-    let threads = OwnedThreads::default();
+    let threads = OwnedThreadGroup::default();
     let corrupt = accept_on_thread(&threads.0, move |mut stream| {
         let _ = stream.write_all(b"\0\0\0\x05hello");
         open.push(stream);
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -7,7 +7,7 @@
 };
 use crate::standin::frames::{read_part_ids, write_answer};
 use crate::standin::http::accept_on_thread;
-use crate::standin::threads::OwnedThreads;
+use crate::standin::threads::OwnedThreadGroup;
 use std::io::{Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -79,21 +79,21 @@
 /// A data node of the platform's front.
 pub struct SoakNode {
     pub address: SocketAddr,
-    _threads: OwnedThreads,
+    _threads: OwnedThreadGroup,
 }
 
 impl SoakNode {
     /// Starts the node with this number.
     pub fn start(number: usize, context: &ServerContext) -> SoakNode {
-        let threads = OwnedThreads::default();
-        let serving = threads.0.clone();
+        let threads = OwnedThreadGroup::default();
+        let thread_group = threads.0.clone();
         let rng = Arc::new(Mutex::new(context.rng(number)));
         let context = context.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
             let context = context.clone();
             let rng = rng.clone();
             // The connection ends with the process, or by a fault.
-            serving.serve(move || drop(serve_parts(number, &stream, &context, &rng)));
+            thread_group.spawn(move || drop(serve_parts(number, &stream, &context, &rng)));
         });
         SoakNode {
             address,
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -2,7 +2,7 @@
 
 use super::frames::{read_call, serve_parts, write_answer};
 use super::http::accept_on_thread;
-use super::threads::OwnedThreads;
+use super::threads::OwnedThreadGroup;
 use std::io::{Read, Result, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -59,7 +59,7 @@
     /// The address at which the node listens.
     pub address: SocketAddr,
     log: Arc<NodeLog>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl DataNode {
@@ -78,13 +78,13 @@
         let log = Arc::new(NodeLog::default());
         let shared = log.clone();
         let behaviour = Arc::new(behaviour);
-        let threads = OwnedThreads::default();
-        let serving = threads.0.clone();
+        let threads = OwnedThreadGroup::default();
+        let thread_group = threads.0.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
             *shared.connection_count.lock().expect("count") += 1;
             let log = shared.clone();
             let behaviour = behaviour.clone();
-            serving.serve(move || {
+            thread_group.spawn(move || {
                 if serve(stream, &log, &*behaviour).is_ok() {
                     *log.closed_connection_count.lock().expect("count") += 1;
                 }
@@ -225,7 +225,7 @@
 /// A data node that serves every part and reads its connections to their ends.
 pub struct RecordingNode {
     recording: Arc<Mutex<Recording>>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl RecordingNode {
@@ -233,15 +233,15 @@
     pub fn start(node: UnreachableNode) -> RecordingNode {
         let recording = Arc::new(Mutex::new(Recording::default()));
         let shared = recording.clone();
-        let threads = OwnedThreads::default();
-        let serving = threads.0.clone();
-        threads.0.listen(move || {
+        let threads = OwnedThreadGroup::default();
+        let thread_group = threads.0.clone();
+        threads.0.spawn_detached(move || {
             drop(node.listener.accept());
             drop(node.queued);
             for stream in node.listener.incoming().flatten() {
                 let recording = shared.clone();
                 recording.lock().expect("recording").open_connections += 1;
-                serving.serve(move || {
+                thread_group.spawn(move || {
                     let record = |id: &str| {
                         recording
                             .lock()
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -5,7 +5,7 @@
     accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head,
     write_line_chunk,
 };
-use super::threads::{OwnedThreads, Threads};
+use super::threads::{OwnedThreadGroup, ThreadGroup};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -118,7 +118,7 @@
     updates: Sender<String>,
     /// The request lines of the watches.
     requests: Arc<Mutex<Vec<String>>>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl Discovery {
@@ -127,7 +127,7 @@
         let (updates, pending) = channel::<String>();
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let log = requests.clone();
-        let threads = OwnedThreads::default();
+        let threads = OwnedThreadGroup::default();
         let address = accept_on_thread(&threads.0, move |mut stream| {
             let request = read_request_line(&mut lines_of(&stream)).unwrap_or_default();
             if is_abandoned(&stream) {
@@ -163,7 +163,7 @@
 /// Starts discovery that answers any number of watches with this line and sends nothing more.
 pub fn serve_constant_list(first: String) -> SocketAddr {
     let mut open = Vec::new();
-    accept_on_thread(&Threads::default(), move |mut stream| {
+    accept_on_thread(&ThreadGroup::default(), move |mut stream| {
         let _ = write_chunked_head(&mut stream);
         let _ = write_line_chunk(&mut stream, &first);
         open.push(stream);
@@ -267,7 +267,7 @@
     /// The address at which discovery listens.
     pub address: SocketAddr,
     state: Arc<Mutex<SwitchedState>>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl SwitchedDiscovery {
@@ -280,7 +280,7 @@
             watches: Vec::new(),
             unanswered: Vec::new(),
         }));
-        let threads = OwnedThreads::default();
+        let threads = OwnedThreadGroup::default();
         let shared = state.clone();
         let address = accept_on_thread(&threads.0, move |mut stream| {
             let _ = read_request_line(&mut lines_of(&stream));
@@ -294,7 +294,7 @@
             }
         });
         let beating = Arc::downgrade(&state);
-        threads.0.listen(move || {
+        threads.0.spawn_detached(move || {
             while let Some(state) = beating.upgrade() {
                 state.lock().expect("state").send_list();
                 drop(state);
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -2,7 +2,7 @@
 //! requests.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
-use super::threads::OwnedThreads;
+use super::threads::OwnedThreadGroup;
 use std::io::{Result, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::ops::Range;
@@ -33,7 +33,7 @@
     pub address: SocketAddr,
     /// The targets of all requests, in order.
     targets: Arc<Mutex<Vec<String>>>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl FeatureServer {
@@ -42,12 +42,12 @@
         let targets: Arc<Mutex<Vec<String>>> = Arc::default();
         let log = targets.clone();
         let behaviour: Arc<Mutex<Behaviour>> = Arc::new(Mutex::new(Box::new(behaviour)));
-        let threads = OwnedThreads::default();
-        let serving = threads.0.clone();
+        let threads = OwnedThreadGroup::default();
+        let thread_group = threads.0.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
             let log = log.clone();
             let behaviour = behaviour.clone();
-            serving.serve(move || serve(stream, &log, &behaviour));
+            thread_group.spawn(move || serve(stream, &log, &behaviour));
         });
         FeatureServer {
             address,
--- a/tests/standin/frame_recorder.rs
+++ b/tests/standin/frame_recorder.rs
@@ -2,7 +2,7 @@
 
 use super::frames::{call_part_ids, read_frame, Frame, CALL};
 use super::process::Process;
-use super::threads::OwnedThreads;
+use super::threads::OwnedThreadGroup;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -40,27 +40,27 @@
     addresses: Vec<SocketAddr>,
     /// Whether the process has ended: the next connection at each node is the recorder's own.
     over: Arc<AtomicBool>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl FrameRecorder {
     /// Starts to accept at each listener, whose index is the node's.
     pub fn start(listeners: [TcpListener; 2]) -> FrameRecorder {
         let (sender, frames) = channel();
-        let threads = OwnedThreads::default();
+        let threads = OwnedThreadGroup::default();
         let over = Arc::new(AtomicBool::new(false));
         let mut addresses = Vec::new();
         for (node, listener) in listeners.into_iter().enumerate() {
             addresses.push(listener.local_addr().expect("bound"));
-            let (sender, over, serving) = (sender.clone(), over.clone(), threads.0.clone());
-            threads.0.serve(move || {
+            let (sender, over, thread_group) = (sender.clone(), over.clone(), threads.0.clone());
+            threads.0.spawn(move || {
                 for stream in listener.incoming() {
                     let stream = stream.expect("a connection");
                     if over.load(Relaxed) && is_own(&stream) {
                         return;
                     }
                     let sender = sender.clone();
-                    serving.serve(move || record_frames(node, stream, &sender));
+                    thread_group.spawn(move || record_frames(node, stream, &sender));
                 }
             });
         }
--- a/tests/standin/http.rs
+++ b/tests/standin/http.rs
@@ -1,6 +1,6 @@
 //! The listeners of stand-in servers, and the subset of HTTP/1.1 that the servers use.
 
-use super::threads::Threads;
+use super::threads::ThreadGroup;
 use std::io::{BufRead, BufReader, Lines, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -15,12 +15,12 @@
 /// Starts a thread that passes the connections to a free loopback port to `accept` for as long as the
 /// test program runs. Returns the address.
 pub fn accept_on_thread(
-    threads: &Threads,
+    thread_group: &ThreadGroup,
     mut accept: impl FnMut(TcpStream) + Send + 'static,
 ) -> SocketAddr {
     let listener = bind_loopback();
     let address = listener.local_addr().expect("the listener is bound");
-    threads.listen(move || listener.incoming().flatten().for_each(&mut accept));
+    thread_group.spawn_detached(move || listener.incoming().flatten().for_each(&mut accept));
     address
 }
 
--- a/tests/standin/threads.rs
+++ b/tests/standin/threads.rs
@@ -1,61 +1,66 @@
-//! Threads of the stand-ins: a panic on one of them fails the test that owns the stand-in.
+//! The threads of stand-ins. A panic on one of them fails the test that owns the stand-in.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// The time that a stand-in waits at its end for threads that still serve a connection, for
-/// example since the process under test outlives it.
+/// The time for which a stand-in that is dropped waits for its threads. Threads that serve a
+/// connection may run for longer, for example if the process under test is still connected.
 const END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The state of the threads of a stand-in.
+/// The state of a thread group.
 #[derive(Default)]
 struct State {
-    /// The number of threads that serve a connection.
-    serving: usize,
-    /// The messages of the threads that panicked.
+    /// The number of running threads without the detached ones.
+    running: usize,
+    /// The panic messages of the threads that panicked.
     panics: Vec<String>,
 }
 
-/// Starts threads and records their panics.
+/// Starts threads and records their panics. Clones share their threads.
 #[derive(Clone, Default)]
-pub struct Threads {
+pub struct ThreadGroup {
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-impl Threads {
-    /// Starts a thread that serves a connection to its end.
-    pub fn serve(&self, run: impl FnOnce() + Send + 'static) {
-        self.with_state(|state| state.serving += 1);
+impl ThreadGroup {
+    /// Starts a thread for which [`ThreadGroup::wait_until_idle`] waits.
+    pub fn spawn(&self, run: impl FnOnce() + Send + 'static) {
+        self.with_state(|state| state.running += 1);
         let threads = self.clone();
         std::thread::spawn(move || {
             threads.record_panic(run);
-            threads.with_state(|state| state.serving -= 1);
+            threads.with_state(|state| state.running -= 1);
         });
     }
 
-    /// Starts a thread that accepts connections for as long as the test program lives.
-    pub fn listen(&self, run: impl FnOnce() + Send + 'static) {
+    /// Starts a thread that may run until the test program exits, for example since it accepts
+    /// connections.
+    pub fn spawn_detached(&self, run: impl FnOnce() + Send + 'static) {
         let threads = self.clone();
         std::thread::spawn(move || threads.record_panic(run));
     }
 
-    /// Waits until no thread serves a connection, at most for this time. Returns whether none does.
+    /// Waits until no thread runs except the detached ones, or until the timeout. Returns whether no
+    /// such thread runs.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         let (state, changed) = &*self.shared;
         let started = Instant::now();
-        let mut state = state.lock().expect("state");
-        while state.serving > 0 {
-            let left = timeout.saturating_sub(started.elapsed());
-            if left.is_zero() {
+        let mut state = state.lock().expect("the mutex is not poisoned");
+        while state.running > 0 {
+            let remaining = timeout.saturating_sub(started.elapsed());
+            if remaining.is_zero() {
                 return false;
             }
-            state = changed.wait_timeout(state, left).expect("state").0;
+            state = changed
+                .wait_timeout(state, remaining)
+                .expect("the mutex is not poisoned")
+                .0;
         }
         true
     }
 
-    /// Returns the messages of the threads that panicked so far.
+    /// Returns the panic messages of the threads that have panicked so far.
     pub fn panics(&self) -> Vec<String> {
         self.with_state(|state| state.panics.clone())
     }
@@ -71,17 +76,17 @@
 
     fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let (state, changed) = &*self.shared;
-        let result = change(&mut state.lock().expect("state"));
+        let result = change(&mut state.lock().expect("the mutex is not poisoned"));
         changed.notify_all();
         result
     }
 }
 
-/// The threads of one stand-in. At its end it fails the test if one of them has panicked.
+/// The threads of one stand-in. Dropping it fails the test if one of them has panicked.
 #[derive(Default)]
-pub struct OwnedThreads(pub Threads);
+pub struct OwnedThreadGroup(pub ThreadGroup);
 
-impl Drop for OwnedThreads {
+impl Drop for OwnedThreadGroup {
     fn drop(&mut self) {
         if std::thread::panicking() {
             return;
@@ -90,7 +95,7 @@
         let panics = self.0.panics();
         assert!(
             panics.is_empty(),
-            "a stand-in's thread panicked: {panics:?}"
+            "threads of a stand-in panicked: {panics:?}"
         );
     }
 }
