--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -22,7 +22,7 @@
         let _ = stream.write_all(b"\0\0\0\x05hello");
         open.push(stream);
     });
-    let partial = DataNode::start(|_| NodeBehaviour::PartialResponse);
+    let partial = DataNode::start(|_| NodeBehaviour::TruncatedAnswer);
     for (test, node, message) in [
         (
             "corrupt",
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -12,10 +12,7 @@
     // Answers take milliseconds, so that no attempt is in flight for the 0.4 s after which a
     // connection is given up for age: it is given up for its silence, and half an answer has no end
     // in later bytes.
-    for fault in [
-        NodeBehaviour::StopResponding,
-        NodeBehaviour::PartialResponse,
-    ] {
+    for fault in [NodeBehaviour::StopAnswering, NodeBehaviour::TruncatedAnswer] {
         let nodes = [(); 2].map(|()| {
             DataNode::start(move |part| match part {
                 100 => fault,
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -123,7 +123,7 @@
     // The node answers the first part and then nothing on that connection; it has restarted.
     let first_connection_hangs = |part| match part {
         1 => NodeBehaviour::Serve,
-        2 => NodeBehaviour::StopResponding,
+        2 => NodeBehaviour::StopAnswering,
         _ => NodeBehaviour::Serve,
     };
     let node = DataNode::start(first_connection_hangs);
