--- a/tests/soak/backend.rs
+++ b/tests/soak/backend.rs
@@ -3,7 +3,7 @@
 use crate::clients::SHARDS;
 use crate::script::{FrontKind, Script};
 use crate::servers::{start_feature_server, ServerContext, SoakNode};
-use crate::standin::discovery::SwitchedDiscovery;
+use crate::standin::discovery::FaultyDiscovery;
 use crate::standin::feature_server::{inventory_row_in_state, FeatureServer};
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 pub enum Backend {
     Platform {
         nodes: Vec<SoakNode>,
-        discovery: SwitchedDiscovery,
+        discovery: FaultyDiscovery,
     },
     Features(Vec<FeatureServer>),
 }
@@ -25,7 +25,7 @@
         FrontKind::Platform => {
             let nodes: Vec<SoakNode> = (0..SERVERS).map(|n| SoakNode::start(n, servers)).collect();
             let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-            let discovery = SwitchedDiscovery::start(&addresses);
+            let discovery = FaultyDiscovery::start(&addresses);
             Backend::Platform { nodes, discovery }
         }
         FrontKind::Features => Backend::Features(
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -192,12 +192,12 @@
         match &self.backend {
             Backend::Platform { nodes, discovery } => {
                 let address = nodes[server].address;
-                discovery.announce(self.revision + 1, terminating(server, address));
+                discovery.update_endpoint(self.revision + 1, terminating(server, address));
                 let told_at = self.start.elapsed();
                 std::thread::sleep(duration);
                 let ended_at = self.start.elapsed();
                 let restarted = in_service(server, address).started_at(unix_ms());
-                discovery.announce(self.revision + 2, restarted);
+                discovery.update_endpoint(self.revision + 2, restarted);
                 self.drains.push(DrainRecord {
                     server,
                     told_at,
@@ -235,7 +235,7 @@
                 .map(|n| in_service(n, nodes[n].address))
                 .collect();
             self.revision += 1;
-            discovery.cut_list(&changed_endpoints(self.revision, &all));
+            discovery.send_truncated_list(&changed_endpoints(self.revision, &all));
         }
     }
 
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments of the platform's front: its configuration, and its start over data nodes.
+//! Deployments of the platform front: the configuration, and the start of the process.
 
 use super::data_node::{addresses_of, DataNode};
 use super::discovery::{
@@ -9,18 +9,18 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Nanoseconds in a millisecond: the configuration has times in nanoseconds.
+/// The number of nanoseconds, the unit of times in the configuration, in a millisecond.
 const NANOS_PER_MS: u64 = 1_000_000;
 
 /// A class of queries in a deployment.
 #[derive(Clone, Copy)]
 pub struct ClassTemplate {
     name: &'static str,
-    /// The effect as the configuration names it.
+    /// The effect's name in the configuration.
     effect: &'static str,
-    /// The latency objective; `None`: the deployment's.
+    /// The latency objective; `None` stands for that of the deployment.
     latency_objective_ms: Option<u64>,
-    /// The least share of the parts that an answer needs, from 0 to 1.
+    /// The minimum share of the parts that an answer needs, from 0 to 1.
     min_share: f64,
 }
 
@@ -35,6 +35,7 @@
     }
 }
 
+/// The classes of [`Deployment::BASIC`].
 const BASIC_CLASSES: &[ClassTemplate] = &[
     ClassTemplate::new("lookup", "read_like"),
     ClassTemplate {
@@ -44,6 +45,7 @@
     ClassTemplate::new("send", "non_idempotent"),
 ];
 
+/// The classes of [`Deployment::ALL_EFFECTS`].
 const ALL_EFFECT_CLASSES: &[ClassTemplate] = &[
     ClassTemplate::new("look", "read_like"),
     ClassTemplate::new("once", "non_idempotent"),
@@ -54,33 +56,36 @@
     ClassTemplate::new("key", "idempotency_key"),
 ];
 
-/// The settings of a deployment that tests choose. `None` leaves the key out of the configuration.
+/// The settings of a deployment that tests choose. A setting that is `None` is left out of the
+/// configuration.
 #[derive(Clone, Copy)]
 pub struct Deployment {
     /// The classes of queries, in the order of the configuration.
     pub classes: &'static [ClassTemplate],
-    /// The latency objective of each class without one of its own; deadlines are twice as long.
+    /// The latency objective of the classes that do not set one. The deadline of each class is twice
+    /// its objective.
     pub latency_objective_ms: u64,
-    /// The time for which data nodes recognize a repeated part.
+    /// The time for which data nodes recognize a repeated part, for all classes.
     pub deduplication_window_ms: Option<u64>,
-    /// Whether discovery pushes changes; otherwise it is polled.
+    /// Whether the discovery agent pushes changes; otherwise it is polled.
     pub push_discovery: bool,
-    /// Whether data nodes may be sent cancels.
+    /// Whether data nodes support the cancellation of attempts.
     pub cancellation: bool,
-    /// The most parts in a call.
+    /// The maximum number of parts in a call.
     pub max_batch: u32,
     /// The number of shards for each data node.
     pub shards_per_node: usize,
-    /// The time in which a connection to a data node must be established.
+    /// The time within which a connection to a data node must be established.
     pub connect_timeout_ms: Option<u64>,
     /// The time after which an idle connection to a data node is closed.
     pub idle_timeout_ms: Option<u64>,
-    /// The limit of file descriptors.
+    /// The process's limit of open file descriptors.
     pub descriptor_limit: usize,
 }
 
 impl Deployment {
-    /// One shard a node; classes `lookup`, `brief` (short deadline) and `send` (not idempotent).
+    /// One shard per data node, and the classes `lookup`, `brief` (short deadline) and `send` (not
+    /// idempotent).
     pub const BASIC: Deployment = Deployment {
         classes: BASIC_CLASSES,
         latency_objective_ms: 10_000,
@@ -94,8 +99,8 @@
         descriptor_limit: 1024,
     };
 
-    /// Four shards a node, long time-outs, and a class of each effect: `look`, `once` (not
-    /// idempotent), `some` (half of the shards suffice) and `key` (idempotency key).
+    /// Four shards per data node, long timeouts, and classes of every effect: `look`, `once` (not
+    /// idempotent), `some` (half of the parts suffice) and `key` (idempotency key).
     pub const ALL_EFFECTS: Deployment = Deployment {
         classes: ALL_EFFECT_CLASSES,
         latency_objective_ms: 20_000,
@@ -106,7 +111,7 @@
         ..Deployment::BASIC
     };
 
-    /// Starts the process over these nodes, with discovery that knows them in service.
+    /// Starts the process with these data nodes, and a discovery agent that lists them in service.
     pub fn start(&self, test_name: &str, nodes: &[DataNode]) -> (Process, Discovery) {
         let addresses = addresses_of(nodes);
         let discovery = Discovery::start(complete_list(1, &all_in_service(&addresses)));
@@ -116,7 +121,7 @@
         )
     }
 
-    /// Starts the process with discovery at this address and returns at once.
+    /// Starts the process with a discovery agent at this address. Does not wait until it is ready.
     pub fn start_with_discovery(
         &self,
         test_name: &str,
@@ -130,8 +135,8 @@
         )
     }
 
-    /// Starts the process, answers its first watch with these nodes in service, and waits until it
-    /// is ready.
+    /// Starts the process, answers its first watch with a list that has these data nodes in service,
+    /// and waits until the process is ready.
     pub fn start_controlled(
         &self,
         test_name: &str,
@@ -144,7 +149,7 @@
         (process, watch)
     }
 
-    /// Returns the configuration, with these nodes as the known list.
+    /// Returns the configuration. Its initial endpoint list has these data nodes in service.
     pub fn configuration(&self, discovery: SocketAddr, nodes: &[SocketAddr]) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "1f",
             "mgmt": "127.0.0.1:0",
@@ -195,7 +200,7 @@
     }
 }
 
-/// Sets a time in nanoseconds, if there is one.
+/// Sets a time, which the configuration has in nanoseconds, if it is given.
 fn set_time(settings: &mut Value, key: &str, milliseconds: Option<u64>) {
     if let Some(milliseconds) = milliseconds {
         settings[key] = json!(milliseconds * NANOS_PER_MS);
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for discovery: one that answers by itself, and one whose watches the test answers.
-//! Owns the lists of endpoints that they send.
+//! Stand-ins for the discovery agent, and the endpoint lists that they send.
 
 use super::http::{
     accept_on_thread, bind_loopback, lines_of, read_request_line, write_chunked_head,
@@ -13,22 +12,23 @@
 use std::sync::{Arc, Mutex, Once};
 use std::time::Duration;
 
-/// After this time a test that waits for what never arrives fails instead of hanging.
+/// The time after which the test program exits with a failure, so that a test that waits in vain does
+/// not hang.
 const WATCHDOG_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// An endpoint as discovery lists it. The index is the pod group, and the unique id is made from
-/// it.
+/// An entry of an endpoint list.
 #[derive(Clone, Copy)]
 pub struct ListedEndpoint {
+    /// The pod group, from which the unique id is derived too.
     index: usize,
     address: SocketAddr,
     state: &'static str,
-    /// The time of its last start since the Unix epoch; 0 for long ago.
+    /// The time of the server's last start since the Unix epoch; 0 if it has run for a long time.
     started_unix_ms: u64,
 }
 
 impl ListedEndpoint {
-    /// Sets the time of the last start.
+    /// Sets the time of the server's last start, in milliseconds since the Unix epoch.
     pub fn started_at(self, started_unix_ms: u64) -> ListedEndpoint {
         ListedEndpoint {
             started_unix_ms,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns an endpoint in service.
+/// Returns the entry of a server in service.
 pub fn in_service(index: usize, address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint {
         index,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns an endpoint that drains.
+/// Returns the entry of a server that drains.
 pub fn terminating(index: usize, address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint {
         index,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns these endpoints in service, indexed by their places.
+/// Returns the entries of these servers in service. The index of each is its position.
 pub fn all_in_service(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
     addresses
         .iter()
@@ -66,26 +66,26 @@
         .collect()
 }
 
-/// The extent of a list of endpoints.
+/// The kind of an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// The list has all endpoints.
+    /// The list has the entries of all servers.
     Complete,
-    /// The list has the endpoints that have changed.
+    /// The list has only the entries that have changed.
     Change,
 }
 
-/// Returns the list of all endpoints at this revision, as discovery sends it.
+/// Returns the text of a complete endpoint list.
 pub fn complete_list(revision: u64, endpoints: &[ListedEndpoint]) -> String {
     endpoint_list_json(revision, ListKind::Complete, endpoints).to_string()
 }
 
-/// Returns the list of the endpoints that changed with this revision, as discovery sends it.
+/// Returns the text of a list of the entries that changed with this revision.
 pub fn changed_endpoints(revision: u64, endpoints: &[ListedEndpoint]) -> String {
     endpoint_list_json(revision, ListKind::Change, endpoints).to_string()
 }
 
-/// Returns a list of endpoints as JSON.
+/// Returns an endpoint list as JSON.
 pub fn endpoint_list_json(revision: u64, kind: ListKind, endpoints: &[ListedEndpoint]) -> Value {
     let complete = kind == ListKind::Complete;
     let target = |endpoint: &ListedEndpoint| {
@@ -101,18 +101,22 @@
     json!({"rev": revision, "all": complete, "targets": endpoints.iter().map(target).collect::<Vec<_>>()})
 }
 
-/// Whether the process has closed a watch because another one, requested beside it, was answered
-/// first.
-fn is_abandoned(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("set");
-    let ended = matches!(stream.peek(&mut [0]), Ok(0));
-    stream.set_nonblocking(false).expect("set");
-    ended
+/// Returns whether the process has closed a watch, which it does if no answer arrives in time.
+fn is_closed_by_process(stream: &TcpStream) -> bool {
+    stream
+        .set_nonblocking(true)
+        .expect("the stream is set to non-blocking");
+    let closed = matches!(stream.peek(&mut [0]), Ok(0));
+    stream
+        .set_nonblocking(false)
+        .expect("the stream is set to blocking");
+    closed
 }
 
-/// Discovery that answers each watch with its first line; lines sent later follow.
+/// A discovery agent that answers every watch with the same first line. The test sends the lines that
+/// follow.
 pub struct Discovery {
-    /// The address at which discovery listens.
+    /// The address at which the agent listens.
     pub address: SocketAddr,
     /// The lines to send on the open watch.
     updates: Sender<String>,
@@ -122,21 +126,24 @@
 }
 
 impl Discovery {
-    /// Starts discovery with the first line of every watch.
-    pub fn start(first: String) -> Discovery {
-        let (updates, pending) = channel::<String>();
+    /// Starts an agent that answers every watch with this line.
+    pub fn start(first_line: String) -> Discovery {
+        let (updates, pending_updates) = channel::<String>();
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
-        let log = requests.clone();
+        let shared = requests.clone();
         let threads = OwnedThreadGroup::default();
         let address = accept_on_thread(&threads.0, move |mut stream| {
             let request = read_request_line(&mut lines_of(&stream)).unwrap_or_default();
-            if is_abandoned(&stream) {
+            if is_closed_by_process(&stream) {
                 return;
             }
-            log.lock().expect("log").push(request);
+            shared
+                .lock()
+                .expect("the mutex is not poisoned")
+                .push(request);
             let _ = write_chunked_head(&mut stream);
-            let _ = write_line_chunk(&mut stream, &first);
-            while pending
+            let _ = write_line_chunk(&mut stream, &first_line);
+            while pending_updates
                 .recv()
                 .is_ok_and(|line| write_line_chunk(&mut stream, &line).is_ok())
             {}
@@ -151,26 +158,32 @@
 
     /// Sends a line on the open watch.
     pub fn send(&self, line: &str) {
-        self.updates.send(line.to_owned()).expect("discovery runs");
+        self.updates
+            .send(line.to_owned())
+            .expect("the discovery agent is running");
     }
 
-    /// Returns the request lines of the watches so far.
+    /// Returns the request lines of all watches so far, in order.
     pub fn requests(&self) -> Vec<String> {
-        self.requests.lock().expect("log").clone()
+        self.requests
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone()
     }
 }
 
-/// Starts discovery that answers any number of watches with this line and sends nothing more.
-pub fn serve_constant_list(first: String) -> SocketAddr {
-    let mut open = Vec::new();
+/// Starts a discovery agent that answers every watch with this line only and keeps all watches open.
+/// Returns its address.
+pub fn serve_constant_list(list: String) -> SocketAddr {
+    let mut open_watches = Vec::new();
     accept_on_thread(&ThreadGroup::default(), move |mut stream| {
         let _ = write_chunked_head(&mut stream);
-        let _ = write_line_chunk(&mut stream, &first);
-        open.push(stream);
+        let _ = write_line_chunk(&mut stream, &list);
+        open_watches.push(stream);
     })
 }
 
-/// Discovery whose watches the test accepts and answers.
+/// A discovery agent whose watches the test accepts and answers.
 pub struct ControlledDiscovery {
     /// The listener for watches.
     pub listener: TcpListener,
@@ -184,20 +197,20 @@
     pub request: String,
 }
 
-/// Ends the test program after [`WATCHDOG_TIMEOUT`].
+/// Starts a thread that exits the test program after [`WATCHDOG_TIMEOUT`].
 fn start_watchdog() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| {
         std::thread::spawn(|| {
             std::thread::sleep(WATCHDOG_TIMEOUT);
-            eprintln!("a test waits for something that never arrives");
+            eprintln!("the tests did not finish within the watchdog timeout");
             std::process::exit(101);
         });
     });
 }
 
 impl ControlledDiscovery {
-    /// Starts to listen, and starts the watchdog of these tests.
+    /// Starts to listen, and starts the watchdog of the test program.
     pub fn new() -> ControlledDiscovery {
         start_watchdog();
         ControlledDiscovery {
@@ -205,141 +218,142 @@
         }
     }
 
-    /// Returns the address at which discovery listens.
+    /// Returns the address at which the agent listens.
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("the listener is bound")
     }
 
-    /// Accepts the next watch that the process opens, without an answer.
+    /// Accepts the next watch that the process opens, and does not answer it.
     pub fn accept_watch(&self) -> Watch {
         loop {
-            let (stream, _) = self.listener.accept().expect("a watch");
+            let (stream, _) = self.listener.accept().expect("the process opens a watch");
             let request = read_request_line(&mut lines_of(&stream)).unwrap_or_default();
-            if !is_abandoned(&stream) {
+            if !is_closed_by_process(&stream) {
                 return Watch { stream, request };
             }
         }
     }
 
     /// Accepts the next watch and answers it with this line.
-    pub fn answer_watch(&self, first: &str) -> Watch {
-        self.accept_watch().answer(first)
+    pub fn answer_watch(&self, first_line: &str) -> Watch {
+        self.accept_watch().answer(first_line)
     }
 }
 
 impl Watch {
-    /// Begins the answer, with this line first.
-    pub fn answer(mut self, first: &str) -> Watch {
-        write_chunked_head(&mut self.stream).expect("it listens");
-        self.send(first);
+    /// Sends the head of the response and this first line.
+    pub fn answer(mut self, first_line: &str) -> Watch {
+        write_chunked_head(&mut self.stream).expect("the watch is open");
+        self.send(first_line);
         self
     }
 
     /// Sends a line.
     pub fn send(&mut self, line: &str) {
-        write_line_chunk(&mut self.stream, line).expect("it listens");
+        write_line_chunk(&mut self.stream, line).expect("the watch is open");
     }
 
-    /// Ends the watch by a reset.
+    /// Closes the connection of the watch with a reset.
     pub fn reset(self) {
         let linger = rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO));
-        linger.expect("set");
+        linger.expect("the linger time is set");
     }
 }
 
-/// The interval at which [`SwitchedDiscovery`] sends the list again.
-const HEARTBEAT: Duration = Duration::from_millis(800);
+/// The interval at which [`FaultyDiscovery`] sends the list again.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// What a [`SwitchedDiscovery`] sends.
-struct SwitchedState {
+/// The state of a [`FaultyDiscovery`].
+struct FaultyDiscoveryState {
     endpoints: Vec<ListedEndpoint>,
     revision: u64,
-    /// Whether watches get nothing.
+    /// Whether the agent sends nothing.
     silent: bool,
-    /// The open watches that have their first list.
+    /// The open watches on which the first list was sent.
     watches: Vec<TcpStream>,
-    /// The watches that were opened while discovery was silent, which are never answered.
-    unanswered: Vec<TcpStream>,
+    /// The watches that were opened while the agent was silent. They are kept open and never answered.
+    unanswered_watches: Vec<TcpStream>,
 }
 
-/// Discovery that keeps the list of endpoints, and may fall silent or cut a list.
-pub struct SwitchedDiscovery {
-    /// The address at which discovery listens.
+/// A discovery agent with planted faults: the test can stop it from sending, and make it truncate a
+/// list.
+pub struct FaultyDiscovery {
+    /// The address at which the agent listens.
     pub address: SocketAddr,
-    state: Arc<Mutex<SwitchedState>>,
+    state: Arc<Mutex<FaultyDiscoveryState>>,
     threads: OwnedThreadGroup,
 }
 
-impl SwitchedDiscovery {
-    /// Starts with these endpoints in service.
-    pub fn start(addresses: &[SocketAddr]) -> SwitchedDiscovery {
-        let state = Arc::new(Mutex::new(SwitchedState {
+impl FaultyDiscovery {
+    /// Starts an agent that lists these servers in service.
+    pub fn start(addresses: &[SocketAddr]) -> FaultyDiscovery {
+        let state = Arc::new(Mutex::new(FaultyDiscoveryState {
             endpoints: all_in_service(addresses),
             revision: 1,
             silent: false,
             watches: Vec::new(),
-            unanswered: Vec::new(),
+            unanswered_watches: Vec::new(),
         }));
         let threads = OwnedThreadGroup::default();
         let shared = state.clone();
         let address = accept_on_thread(&threads.0, move |mut stream| {
             let _ = read_request_line(&mut lines_of(&stream));
-            let mut state = shared.lock().expect("state");
+            let mut state = shared.lock().expect("the mutex is not poisoned");
             if state.silent {
-                state.unanswered.push(stream);
+                state.unanswered_watches.push(stream);
             } else if write_chunked_head(&mut stream).is_ok() {
                 let list = complete_list(state.revision, &state.endpoints);
                 let _ = write_line_chunk(&mut stream, &list);
                 state.watches.push(stream);
             }
         });
-        let beating = Arc::downgrade(&state);
+        let weak_state = Arc::downgrade(&state);
         threads.0.spawn_detached(move || {
-            while let Some(state) = beating.upgrade() {
-                state.lock().expect("state").send_list();
+            while let Some(state) = weak_state.upgrade() {
+                state.lock().expect("the mutex is not poisoned").send_list();
                 drop(state);
-                std::thread::sleep(HEARTBEAT);
+                std::thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
-        SwitchedDiscovery {
+        FaultyDiscovery {
             address,
             state,
             threads,
         }
     }
 
-    /// Replaces an endpoint and sends the change on all watches.
-    pub fn announce(&self, revision: u64, endpoint: ListedEndpoint) {
-        let mut state = self.state.lock().expect("state");
+    /// Replaces the entry with the same index and sends the change on all watches.
+    pub fn update_endpoint(&self, revision: u64, endpoint: ListedEndpoint) {
+        let mut state = self.state.lock().expect("the mutex is not poisoned");
         state.revision = revision;
         state.endpoints[endpoint.index] = endpoint;
         state.send(&changed_endpoints(revision, &[endpoint]));
     }
 
-    /// Falls silent, or speaks again; watches that were opened meanwhile stay unanswered.
+    /// Stops or resumes sending. Watches that are opened while the agent is silent are never answered.
     pub fn set_silent(&self, silent: bool) {
-        self.state.lock().expect("state").silent = silent;
+        self.state.lock().expect("the mutex is not poisoned").silent = silent;
     }
 
-    /// Sends the beginning of a list and resets all watches.
-    pub fn cut_list(&self, list: &str) {
-        let mut state = self.state.lock().expect("state");
+    /// Sends the first half of a list on all watches and resets their connections.
+    pub fn send_truncated_list(&self, list: &str) {
+        let mut state = self.state.lock().expect("the mutex is not poisoned");
         for mut watch in state.watches.drain(..) {
             let half = &list.as_bytes()[..list.len() / 2];
             let _ = write!(watch, "{:x}\r\n", list.len() + 1);
             let _ = watch.write_all(half);
             let reset = rustix::net::sockopt::set_socket_linger(&watch, Some(Duration::ZERO));
-            reset.expect("set");
+            reset.expect("the linger time is set");
         }
     }
 }
 
-impl SwitchedState {
+impl FaultyDiscoveryState {
     fn send_list(&mut self) {
         self.send(&complete_list(self.revision, &self.endpoints));
     }
 
-    /// Sends a line on all watches that are open, unless discovery is silent.
+    /// Sends a line on all open watches, unless the agent is silent.
     fn send(&mut self, line: &str) {
         if !self.silent {
             self.watches
