--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -171,7 +171,7 @@
             (Fault::Error, _) => ServerResponse::Status(500),
             (Fault::Reject, _) => ServerResponse::Status(503),
             (Fault::Hang, _) => ServerResponse::Hang,
-            (Fault::Late, ServerResponse::Json(body)) => ServerResponse::Late(LATE_ANSWER, body),
+            (Fault::Late, ServerResponse::Json(body)) => ServerResponse::Delayed(LATE_ANSWER, body),
             (Fault::Disconnect | Fault::Invalid, ServerResponse::Json(body)) => {
                 ServerResponse::Truncated(body)
             }
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -1,5 +1,4 @@
-//! Stand-in feature servers: owns their responses, healthy and faulty, and the record of their
-//! requests.
+//! Stand-ins for feature servers, and their correct and faulty responses.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
 use super::threads::OwnedThreadGroup;
@@ -9,25 +8,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The response of a feature server to a request.
+/// What a feature server does when it receives a request.
 pub enum ServerResponse {
-    /// 200 with this body.
+    /// Sends status 200 with this body.
     Json(String),
-    /// This status, without a body.
+    /// Sends this status without a body.
     Status(u16),
-    /// 200 with this body, after this time.
-    Late(Duration, String),
-    /// No answer; the connection stays open.
+    /// Sends status 200 with this body after this delay.
+    Delayed(Duration, String),
+    /// Sends no response and keeps the connection open.
     Hang,
-    /// 200 with this body, which ends with the connection.
+    /// Sends status 200 with this body without a length, and closes the connection to end the body.
     CloseDelimited(String),
-    /// The head and half the body, then the connection ends.
+    /// Sends status 200 with the first half of this body and closes the connection.
     Truncated(String),
 }
 
+/// Returns the response to each target.
 type Behaviour = Box<dyn FnMut(&str) -> ServerResponse + Send>;
 
-/// A feature server; its behaviour is a function of the request's target.
+/// A feature server whose responses are determined by a function of the request's target.
 pub struct FeatureServer {
     /// The address at which the server listens.
     pub address: SocketAddr,
@@ -37,17 +37,17 @@
 }
 
 impl FeatureServer {
-    /// Starts a server; the behaviour gives the response to each target.
+    /// Starts a server; `behaviour` returns the response to each target.
     pub fn start(behaviour: impl FnMut(&str) -> ServerResponse + Send + 'static) -> FeatureServer {
         let targets: Arc<Mutex<Vec<String>>> = Arc::default();
-        let log = targets.clone();
+        let shared = targets.clone();
         let behaviour: Arc<Mutex<Behaviour>> = Arc::new(Mutex::new(Box::new(behaviour)));
         let threads = OwnedThreadGroup::default();
         let thread_group = threads.0.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
-            let log = log.clone();
+            let targets = shared.clone();
             let behaviour = behaviour.clone();
-            thread_group.spawn(move || serve(stream, &log, &behaviour));
+            thread_group.spawn(move || serve(stream, &targets, &behaviour));
         });
         FeatureServer {
             address,
@@ -56,28 +56,32 @@
         }
     }
 
-    /// Starts a healthy server of these features, in pages of so many.
-    pub fn healthy(ids: Range<usize>, page: usize) -> FeatureServer {
-        FeatureServer::start(move |target| healthy_response(target, ids.clone(), page))
+    /// Starts a healthy server that has the features with these ids.
+    pub fn healthy(ids: Range<usize>, page_size: usize) -> FeatureServer {
+        FeatureServer::start(move |target| healthy_response(target, ids.clone(), page_size))
     }
 
     /// Returns the targets of all requests, in order.
     pub fn requests(&self) -> Vec<String> {
-        self.targets.lock().expect("log").clone()
+        self.targets
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone()
     }
 
     /// Returns the number of requests whose target matches.
     pub fn count_requests(&self, matches: impl Fn(&str) -> bool) -> usize {
         self.targets
             .lock()
-            .expect("log")
+            .expect("the mutex is not poisoned")
             .iter()
             .filter(|target| matches(target))
             .count()
     }
 }
 
-fn serve(mut stream: TcpStream, log: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
+/// Responds to the requests on a connection until it ends.
+fn serve(mut stream: TcpStream, targets: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
     let mut lines = lines_of(&stream);
     while let Some(request_line) = read_request_line(&mut lines) {
         let target = request_line
@@ -85,13 +89,16 @@
             .nth(1)
             .unwrap_or_default()
             .to_owned();
-        log.lock().expect("log").push(target.clone());
-        let response = (behaviour.lock().expect("behaviour"))(&target);
-        let ends = matches!(
+        targets
+            .lock()
+            .expect("the mutex is not poisoned")
+            .push(target.clone());
+        let response = (behaviour.lock().expect("the mutex is not poisoned"))(&target);
+        let closes_connection = matches!(
             response,
             ServerResponse::CloseDelimited(_) | ServerResponse::Truncated(_)
         );
-        if write_response(&mut stream, response).is_err() || ends {
+        if write_response(&mut stream, response).is_err() || closes_connection {
             return;
         }
     }
@@ -99,8 +106,8 @@
 
 fn write_response(stream: &mut TcpStream, response: ServerResponse) -> Result<()> {
     match response {
-        ServerResponse::Late(time, body) => {
-            std::thread::sleep(time);
+        ServerResponse::Delayed(delay, body) => {
+            std::thread::sleep(delay);
             write_response(stream, ServerResponse::Json(body))
         }
         ServerResponse::Json(body) => {
@@ -128,7 +135,7 @@
     }
 }
 
-/// Returns the number that a target's query has under this name.
+/// Returns the value, which is a number, of a parameter in the query of a target.
 pub fn query_parameter(target: &str, name: &str) -> Option<usize> {
     let query = target.split_once('?')?.1;
     query
@@ -140,14 +147,16 @@
         .ok()
 }
 
+/// Returns the GeoJSON text of a feature.
 fn feature(id: usize) -> String {
     format!(
         r#"{{"type":"Feature","id":"d{id}","geometry":{{"type":"Point","coordinates":[{id},1]}},"properties":{{}}}}"#
     )
 }
 
-/// Returns the response of a healthy server: a page of features with a next link, or one feature.
-pub fn healthy_response(target: &str, ids: Range<usize>, page: usize) -> ServerResponse {
+/// Returns the response of a healthy server that has the features with these ids: a page of features
+/// with a `next` link if others follow, or the feature that the path names.
+pub fn healthy_response(target: &str, ids: Range<usize>, page_size: usize) -> ServerResponse {
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
         let id = id.trim_start_matches('d').parse().unwrap_or(usize::MAX);
@@ -158,7 +167,7 @@
         };
     }
     let from = ids.start + query_parameter(target, "offset").unwrap_or(0);
-    let to = (from + page).min(ids.end);
+    let to = (from + page_size).min(ids.end);
     let features: Vec<String> = (from..to).map(feature).collect();
     let next = if to < ids.end {
         format!(
@@ -174,13 +183,12 @@
     ))
 }
 
-/// Returns a line of the inventory for a server in service: the server's name and the collections
-/// that it serves.
+/// Returns the line of the inventory for a server in service that has these collections.
 pub fn inventory_row(name: &str, server: &FeatureServer, collections: &str) -> String {
     inventory_row_in_state(name, server, collections, "")
 }
 
-/// Returns a line of the inventory for a server in a state; an empty state means in service.
+/// Returns the line of the inventory for a server in this state. An empty state means in service.
 pub fn inventory_row_in_state(
     name: &str,
     server: &FeatureServer,
