--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -300,10 +300,10 @@
         further_signals(&ended.process, since);
         let kill_due = since + deadline + KILL_MARGIN;
         ended.record.kill_due_at = Some(kill_due.duration_since(self.start));
-        while ended.process.exit_status().is_none() && !self.is_past(kill_due) {
+        while ended.process.has_succeeded().is_none() && !self.is_past(kill_due) {
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        match ended.process.exit_status() {
+        match ended.process.has_succeeded() {
             Some(success) => ended.record.exited_with_success = success,
             None => {
                 ended.record.killed_at = Some(self.start.elapsed());
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -1,4 +1,4 @@
-//! The process under test: owns its start, its log, its signals and its configuration.
+//! The process under test: its start, log, signals and configuration.
 
 use super::client::Response;
 use serde_json::Value;
@@ -12,22 +12,22 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The time in which a counter must reach the value that a test waits for.
+/// The time within which a counter must reach the value that a test waits for.
 const COUNTER_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time in which a log line that a test waits for must come.
+/// The time within which a log line that a test waits for must be written.
 const LOG_TIMEOUT: Duration = Duration::from_secs(60);
-/// The time in which the process must be ready.
+/// The time within which the process must be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// The time in which the process must exit once a test waits for that.
+/// The time within which the process must exit when a test waits for that.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause between two checks whether the process has exited.
+/// The interval at which a test that waits checks whether the process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The configuration that the process reads again at SIGHUP.
-const CONFIGURATION: &str = "config.json";
-/// The configuration as it was at the start.
-const START_CONFIGURATION: &str = "start.json";
+/// The file of the configuration, which the process reloads at SIGHUP.
+const CONFIGURATION_FILE: &str = "config.json";
+/// The file that keeps the configuration of the start, which tests change.
+const INITIAL_CONFIGURATION_FILE: &str = "start.json";
 
-/// The classes of the front for feature queries.
+/// The classes of the feature front.
 pub const FEATURE_CLASSES: &str = r#"
 [[class]]
 name = "exact"
@@ -49,31 +49,31 @@
 effect = "unsafe"
 "#;
 
-/// A running process. Dropping it kills the process and removes its folder.
+/// A process under test. Dropping it kills the process and removes its folder.
 pub struct Process {
     child: Child,
-    /// The address for clients.
+    /// The address at which the process listens for clients.
     pub address: SocketAddr,
-    /// The folder of the configuration.
+    /// The folder of the process's files. A successor has one inside that of its predecessor.
     folder: PathBuf,
-    /// The lines of the log that no test has waited for yet.
+    /// The lines of the log that were not yet read by [`Process::wait_for_log`].
     log: Mutex<Receiver<String>>,
-    /// The lines of the log that a test has waited for or passed over.
+    /// The lines of the log that were read by [`Process::wait_for_log`].
     read_lines: Mutex<Vec<String>>,
-    /// The thread that reads the log to its end.
+    /// The thread that receives the log until the process closes it.
     log_reader: Option<JoinHandle<()>>,
     /// The address of the admin endpoint, once it was read from the log.
     admin_address: Mutex<Option<SocketAddr>>,
 }
 
 impl Process {
-    /// Starts the front for feature queries with further settings and the rows of an inventory.
+    /// Starts the feature front with additional settings and the rows of an inventory.
     pub fn start_feature_front(test_name: &str, settings: &str, rows: &str) -> Process {
         let folder = create_folder(test_name);
         let text = format!(
             "listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}"
         );
-        std::fs::write(folder.join("edge.toml"), text).expect("settings");
+        std::fs::write(folder.join("edge.toml"), text).expect("the settings are written");
         write_inventory(&folder, rows);
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
         command
@@ -84,7 +84,7 @@
         Process::spawn(command, folder)
     }
 
-    /// Starts the platform's front with its configuration and a limit of file descriptors.
+    /// Starts the platform front with this configuration and limit of open file descriptors.
     pub fn start_platform_front(
         test_name: &str,
         configuration: &Value,
@@ -93,16 +93,17 @@
         Process::start_platform_front_in(test_name, configuration, descriptor_limit, None)
     }
 
-    /// Starts the platform's front; it hands its sockets over in `temporary`, if that is given.
+    /// Starts the platform front. `temporary_folder`, if given, has the socket for a hand-over.
     pub fn start_platform_front_in(
         test_name: &str,
         configuration: &Value,
         descriptor_limit: usize,
-        temporary: Option<&Path>,
+        temporary_folder: Option<&Path>,
     ) -> Process {
         let folder = create_folder(test_name);
-        for file in [CONFIGURATION, START_CONFIGURATION] {
-            std::fs::write(folder.join(file), configuration.to_string()).expect("a configuration");
+        for file in [CONFIGURATION_FILE, INITIAL_CONFIGURATION_FILE] {
+            std::fs::write(folder.join(file), configuration.to_string())
+                .expect("the configuration is written");
         }
         let mut command = Command::new("sh");
         command
@@ -118,39 +119,40 @@
         ] {
             command.env_remove(name);
         }
-        command.env("NODE_CONFIG", folder.join(CONFIGURATION));
-        if let Some(temporary) = temporary {
-            command.env("TMPDIR", temporary);
+        command.env("NODE_CONFIG", folder.join(CONFIGURATION_FILE));
+        if let Some(temporary_folder) = temporary_folder {
+            command.env("TMPDIR", temporary_folder);
         }
         Process::spawn(command, folder)
     }
 
-    /// Starts a successor of this process with the same configuration. Both use this folder for
-    /// temporary files.
-    pub fn start_successor(&self, temporary: &Path) -> Process {
+    /// Starts a successor of this process with the same configuration. `temporary_folder` must be that
+    /// of this process.
+    pub fn start_successor(&self, temporary_folder: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
-        let start = self
+        let first_folder = self
             .folder
             .ancestors()
-            .find(|f| f.join(CONFIGURATION).exists())
-            .expect("its start");
+            .find(|folder| folder.join(CONFIGURATION_FILE).exists())
+            .expect("the folder of the first process has the configuration");
         command
-            .env("NODE_CONFIG", start.join(CONFIGURATION))
-            .env("TMPDIR", temporary);
+            .env("NODE_CONFIG", first_folder.join(CONFIGURATION_FILE))
+            .env("TMPDIR", temporary_folder);
         Process::spawn(command, self.folder.join("next"))
     }
 
+    /// Starts the process and waits until it listens for clients.
     fn spawn(mut command: Command, folder: PathBuf) -> Process {
         let mut child = command
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("the process starts");
         let (lines, log) = channel();
-        let errors = child.stderr.take().expect("piped");
+        let stderr = child.stderr.take().expect("the standard error is piped");
         let log_reader = std::thread::spawn(move || {
-            for line in BufReader::new(errors).lines() {
-                // The test may have ended its wait for further lines.
-                let _ = lines.send(line.expect("a line of text"));
+            for line in BufReader::new(stderr).lines() {
+                // The receiver may have been dropped.
+                let _ = lines.send(line.expect("the log is text"));
             }
         });
         let address = ([127, 0, 0, 1], 0).into();
@@ -170,24 +172,24 @@
 
     /// Returns the address of the admin endpoint, which is read from the log.
     pub fn admin_address(&self) -> SocketAddr {
-        let mut known = self
+        let mut address = self
             .admin_address
             .lock()
             .expect("the mutex is not poisoned");
-        *known.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
+        *address.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
     }
 
-    /// Waits for the next log line that contains this text and returns it. Fails with the log so
-    /// far if it does not come in time.
+    /// Waits for the next log line that contains this text and returns it. Panics with the log so far
+    /// if there is none within [`LOG_TIMEOUT`].
     pub fn wait_for_log(&self, text: &str) -> String {
         let started = Instant::now();
-        let log = self.log.lock().expect("log");
-        let mut read_lines = self.read_lines.lock().expect("lines");
+        let log = self.log.lock().expect("the mutex is not poisoned");
+        let mut read_lines = self.read_lines.lock().expect("the mutex is not poisoned");
         loop {
-            let left = LOG_TIMEOUT.saturating_sub(started.elapsed());
-            let line = log.recv_timeout(left).unwrap_or_else(|error| {
+            let remaining = LOG_TIMEOUT.saturating_sub(started.elapsed());
+            let line = log.recv_timeout(remaining).unwrap_or_else(|error| {
                 panic!(
-                    "no line with {text:?} ({error}) after:\n{}",
+                    "no log line with {text:?} ({error}) after:\n{}",
                     read_lines.join("\n")
                 )
             });
@@ -204,7 +206,7 @@
         self.wait_for_log("counters")
     }
 
-    /// Waits until a counter has at least this value.
+    /// Waits until a counter has reached this value.
     pub fn wait_for_counter(&self, counter: &str, value: u64) {
         let started = Instant::now();
         loop {
@@ -213,12 +215,12 @@
                 let value = word.strip_prefix(counter)?.strip_prefix('=')?;
                 value.parse::<u64>().ok()
             });
-            if current.expect("such a counter") >= value {
+            if current.expect("the log line has the counter") >= value {
                 return;
             }
             assert!(
                 started.elapsed() < COUNTER_TIMEOUT,
-                "{counter} never reaches {value}: {line}"
+                "{counter} did not reach {value} in time: {line}"
             );
             std::thread::yield_now();
         }
@@ -228,24 +230,32 @@
     pub fn wait_until_ready(&self) {
         let started = Instant::now();
         while self.get("/up").status != 200 {
-            assert!(started.elapsed() < START_TIMEOUT, "it is never ready");
+            assert!(
+                started.elapsed() < START_TIMEOUT,
+                "the process was not ready in time"
+            );
         }
     }
 
-    /// Returns the configuration of the start with another value at this JSON pointer.
+    /// Returns the configuration of the start with the value at this JSON pointer replaced.
     pub fn configuration_with(&self, pointer: &str, value: Value) -> String {
-        let text = std::fs::read(self.folder.join(START_CONFIGURATION)).expect("a configuration");
-        let mut configuration: Value = serde_json::from_slice(&text).expect("JSON");
-        *configuration.pointer_mut(pointer).expect("such a place") = value;
+        let text = std::fs::read(self.folder.join(INITIAL_CONFIGURATION_FILE))
+            .expect("the configuration is read");
+        let mut configuration: Value =
+            serde_json::from_slice(&text).expect("the configuration is JSON");
+        *configuration
+            .pointer_mut(pointer)
+            .expect("the configuration has the value") = value;
         configuration.to_string()
     }
 
-    /// Replaces the configuration; the process reads it again at SIGHUP.
+    /// Replaces the configuration. The process reloads it at SIGHUP.
     pub fn write_configuration(&self, text: &str) {
-        std::fs::write(self.folder.join(CONFIGURATION), text).expect("a configuration");
+        std::fs::write(self.folder.join(CONFIGURATION_FILE), text)
+            .expect("the configuration is written");
     }
 
-    /// Replaces the inventory; the process reads it again at SIGHUP.
+    /// Replaces the inventory. The process reloads it at SIGHUP.
     pub fn write_inventory(&self, rows: &str) {
         write_inventory(&self.folder, rows);
     }
@@ -257,18 +267,18 @@
         self.wait_for_log("inventory reloaded");
     }
 
-    /// Sends a signal by its name without `SIG`.
+    /// Sends the signal with this name, which is given without `SIG`.
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill")
+        let status = Command::new("kill")
             .arg(format!("-{name}"))
             .arg(self.child.id().to_string())
             .status();
-        assert!(sent.expect("kill runs").success());
+        assert!(status.expect("the command kill runs").success());
     }
 
-    /// Sends a signal by its name without `SIG`, if the process has not exited.
+    /// Sends the signal with this name, which is given without `SIG`, to a process that may have exited.
     pub fn signal_if_alive(&self, name: &str) {
-        // A process that has exited and is not waited for can still be signalled.
+        // Sending a signal to an exited process succeeds until the process is waited for.
         self.signal(name);
     }
 
@@ -277,28 +287,35 @@
         self.child.id()
     }
 
-    /// Returns whether the process has exited with success; `None` if it still runs.
-    pub fn exit_status(&mut self) -> Option<bool> {
-        let status = self.child.try_wait().expect("it is a child");
+    /// Returns whether the process has exited with success, or `None` if it is still running.
+    pub fn has_succeeded(&mut self) -> Option<bool> {
+        let status = self.child.try_wait().expect("the process is a child");
         status.map(|status| status.success())
     }
 
-    /// Returns all lines of the log of a process that has exited.
+    /// Returns all lines of the log. The process must have exited.
     pub fn finish_log(&mut self) -> Vec<String> {
         if let Some(reader) = self.log_reader.take() {
-            reader.join().expect("its log can be read");
+            reader.join().expect("the log is read to its end");
         }
-        let mut lines = std::mem::take(&mut *self.read_lines.lock().expect("lines"));
-        lines.extend(self.log.lock().expect("log").try_iter());
+        let mut lines =
+            std::mem::take(&mut *self.read_lines.lock().expect("the mutex is not poisoned"));
+        lines.extend(
+            self.log
+                .lock()
+                .expect("the mutex is not poisoned")
+                .try_iter(),
+        );
         lines
     }
 
-    /// Sends a GET request on a connection of its own.
+    /// Sends a GET request on a new connection and returns the response.
     pub fn get(&self, target: &str) -> Response {
         self.get_with_headers(target, "")
     }
 
-    /// Sends a GET request with further header lines, each ended by CR LF.
+    /// Sends a GET request with additional header lines, each of which ends with CR LF, on a new
+    /// connection and returns the response.
     pub fn get_with_headers(&self, target: &str, headers: &str) -> Response {
         self.send_request(&format!(
             "GET {target} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n{headers}\r\n",
@@ -306,23 +323,31 @@
         ))
     }
 
-    /// Sends these bytes on a connection of its own and reads to its end.
+    /// Sends the text of a request on a new connection and returns the response, which must close the
+    /// connection.
     pub fn send_request(&self, request: &str) -> Response {
-        let mut stream = TcpStream::connect(self.address).expect("it listens");
-        stream.write_all(request.as_bytes()).expect("it reads");
+        let mut stream = TcpStream::connect(self.address).expect("the process accepts connections");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the request is sent");
         let mut text = Vec::new();
-        stream.read_to_end(&mut text).expect("it answers");
-        Response::parse(&String::from_utf8(text).expect("text"))
+        stream
+            .read_to_end(&mut text)
+            .expect("the response is read to its end");
+        Response::parse(&String::from_utf8(text).expect("the response is text"))
     }
 
     /// Waits until the process has exited and returns whether it did so with success.
     pub fn wait_for_exit(&mut self) -> bool {
         let started = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("it is a child") {
+            if let Some(status) = self.child.try_wait().expect("the process is a child") {
                 return status.success();
             }
-            assert!(started.elapsed() < EXIT_TIMEOUT, "it never exits");
+            assert!(
+                started.elapsed() < EXIT_TIMEOUT,
+                "the process did not exit in time"
+            );
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
@@ -337,31 +362,32 @@
         if !std::thread::panicking() {
             assert!(
                 matches!(log_reader, None | Some(Ok(()))),
-                "its log cannot be read"
+                "the log was not read to its end"
             );
         }
     }
 }
 
-/// Creates a folder of its own for a process, also where two tests have the same name.
+/// Creates a folder for a process. Each folder has another name, even if two tests have the same name.
 fn create_folder(test_name: &str) -> PathBuf {
     static FOLDERS: AtomicUsize = AtomicUsize::new(0);
     let number = FOLDERS.fetch_add(1, Relaxed);
     let name = format!("{test_name}-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     folder
 }
 
-/// Returns the address in the last field of a log line.
+/// Returns the address in the last field of a log line, `address`.
 fn last_address(line: &str) -> SocketAddr {
     line.rsplit(' ')
         .next()
         .and_then(|word| word.strip_prefix("address=")?.parse().ok())
-        .expect("an address")
+        .expect("the line has an address")
 }
 
+/// Writes the inventory with these rows to the folder of a process.
 fn write_inventory(folder: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
-    std::fs::write(folder.join("i.csv"), text).expect("an inventory");
+    std::fs::write(folder.join("i.csv"), text).expect("the inventory is written");
 }
