--- a/tests/soak/backend.rs
+++ b/tests/soak/backend.rs
@@ -1,8 +1,8 @@
-//! The servers behind the process under test.
+//! The servers to which the process under test connects.
 
 use crate::clients::SHARDS;
 use crate::script::{FrontKind, Script};
-use crate::servers::{start_feature_server, ServerContext, SoakNode};
+use crate::servers::{start_faulty_feature_server, FaultyDataNode, ServerContext};
 use crate::standin::discovery::FaultyDiscovery;
 use crate::standin::feature_server::{inventory_row_in_state, FeatureServer};
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 /// The number of data nodes and of feature servers.
 pub const SERVERS: usize = 3;
 
-/// The servers behind the process, and where they are announced.
+/// The servers to which the process connects, and the discovery agent that lists them.
 pub enum Backend {
     Platform {
-        nodes: Vec<SoakNode>,
+        nodes: Vec<FaultyDataNode>,
         discovery: FaultyDiscovery,
     },
     Features(Vec<FeatureServer>),
@@ -23,20 +23,22 @@
 pub fn start_backend(script: &Script, servers: &ServerContext) -> Backend {
     match script.front {
         FrontKind::Platform => {
-            let nodes: Vec<SoakNode> = (0..SERVERS).map(|n| SoakNode::start(n, servers)).collect();
+            let nodes: Vec<FaultyDataNode> = (0..SERVERS)
+                .map(|n| FaultyDataNode::start(n, servers))
+                .collect();
             let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
             let discovery = FaultyDiscovery::start(&addresses);
             Backend::Platform { nodes, discovery }
         }
         FrontKind::Features => Backend::Features(
             (0..SERVERS)
-                .map(|n| start_feature_server(n, servers))
+                .map(|n| start_faulty_feature_server(n, servers))
                 .collect(),
         ),
     }
 }
 
-/// Returns the inventory of the feature servers, of which one may drain.
+/// Returns the inventory of the feature servers. `draining` is the index of a server that drains.
 pub fn inventory(servers: &[FeatureServer], draining: Option<usize>) -> String {
     let collections = SHARDS.map(|shard| format!("devices/{shard}")).join(";");
     let row = |(n, server): (usize, &FeatureServer)| {
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,53 +1,53 @@
-//! The checker of a recorded history: it knows nothing of the run but what was recorded.
+//! Checks a recorded history for violations of the service's rules. The history is the only input.
 //!
-//! Rules about what happens have no allowance for a slow machine. Bounds of time are the pages' with
-//! their slack, plus the delay that sleeping threads measured between the two times compared.
+//! Time limits are the documented ones, with a slack, plus the delay that sleeping threads measured
+//! between the two compared times, since the machine may be slow. All other rules are checked
+//! strictly.
 
-use crate::history::{Class, Content, ForwardRecord, History, RequestEnd, RequestRecord};
+use crate::history::{AttemptRecord, Class, Content, History, RequestEnd, RequestRecord};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The time after its timeout until which an answer is only late.
+/// The time by which an answer may exceed the timeout of its query.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// The time after which nothing may be forwarded for a client that left.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// The time after which nothing may be forwarded for a request that was answered: that of a part on
-/// its way.
+/// The time after a client has disconnected from which on no attempt may be received for its query.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// The time after the answer to a query from which on no attempt may be received for it. An attempt
+/// may have been in transit when the answer was sent.
 const ANSWERED_SLACK: Duration = Duration::from_millis(100);
-/// The time after which a server that drains may receive nothing new.
+/// The time after the announcement of a server's drain from which on it may receive no attempt.
 const DRAIN_SLACK: Duration = Duration::from_millis(300);
-/// The time after SIGTERM from which on a request that SIGKILL finds unanswered may be lost.
-const KILL_EXCUSES_AFTER: Duration = Duration::from_millis(700);
-
-/// The time after SIGTERM for which new connections keep coming, and are accepted.
-const ACCEPTS_AFTER_TERM: Duration = Duration::from_millis(400);
+/// The time after SIGTERM from which on a request may be lost if it is unanswered at the SIGKILL.
+const KILL_LOSS_ALLOWED_AFTER_TERM: Duration = Duration::from_millis(700);
+/// The time after SIGTERM for which the process accepts new connections.
+const ACCEPT_PERIOD_AFTER_TERM: Duration = Duration::from_millis(400);
 
 /// A rule of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request that was read gets one whole final answer in its time.
+    /// Each request that the process has read gets one complete response in time.
     Answer,
-    /// A response holds what it says.
+    /// The content of a response is correct.
     Content,
-    /// A close resets nothing that was read.
+    /// The process does not reset a connection with a request that it has read.
     Close,
-    /// Nothing is forwarded after the client left.
-    ClientLeft,
-    /// Nothing is forwarded after the final answer.
+    /// No attempt is sent for a query after its client has disconnected.
+    ClientDisconnected,
+    /// No attempt is sent for a query after its answer.
     FinalAnswer,
-    /// A part that is not idempotent never runs twice.
+    /// A part of a non-idempotent query is not executed twice.
     Duplicate,
-    /// A draining server gets nothing new.
+    /// No attempt is sent to a draining server.
     Drain,
-    /// Some process accepts whenever one is ready.
+    /// Connections are accepted whenever a process is ready.
     Accept,
-    /// A process ends before the kill, with success.
+    /// A process that gets SIGTERM exits with success before the SIGKILL.
     Exit,
-    /// No invariant is broken.
+    /// No invariant is violated.
     Invariant,
 }
 
-/// A breach of a rule.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -56,51 +56,51 @@
     pub text: String,
 }
 
-/// A loss that the pages allow, by the sentence.
+/// The reason why the loss of a request is allowed, as documented.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AllowedLoss {
-    /// "If that closing crosses a request that the coordinator has not read, the client sends that
-    /// request once more on a new connection."
+    /// The process closed the connection before it read the request. The client has to send the
+    /// request again on a new connection.
     CrossedClose,
-    /// "What SIGKILL finds unanswered is lost as well, if that request came more than 0.7 s after
-    /// SIGTERM."
-    KilledLate,
-    /// A process that is killed without SIGTERM loses what it had.
-    KilledAtAnyTime,
+    /// The request was sent more than [`KILL_LOSS_ALLOWED_AFTER_TERM`] after SIGTERM and was unanswered
+    /// at the SIGKILL.
+    KilledWhileDraining,
+    /// The request was unanswered when its process was killed without a SIGTERM.
+    KilledWithoutTerm,
 }
 
-/// Returns the breaches of all rules.
+/// Returns the violations of all rules.
 pub fn violations(history: &History) -> Vec<Violation> {
-    let forwards = forwards_by_request(history);
+    let attempts = attempts_by_request(history);
     let mut found = Vec::new();
     for request in &history.requests {
-        let of_request = forwards.get(&request.number).map_or(&[][..], Vec::as_slice);
+        let of_request = attempts.get(&request.number).map_or(&[][..], Vec::as_slice);
         found.extend(check_end(history, request, of_request));
-        found.extend(check_forwards(history, request, of_request));
+        found.extend(check_attempts(history, request, of_request));
     }
     found.extend(check_drains(history));
-    found.extend(check_accepts(history));
+    found.extend(check_refused_connects(history));
     found.extend(check_processes(history));
     found
 }
 
-/// Returns the number of losses that the pages allow.
+/// Returns the numbers of lost requests whose loss is allowed, by reason.
 pub fn allowed_losses(history: &History) -> BTreeMap<AllowedLoss, usize> {
-    let forwards = forwards_by_request(history);
+    let attempts = attempts_by_request(history);
     let mut counts = BTreeMap::new();
     for request in &history.requests {
-        let forwarded = forwards.contains_key(&request.number);
-        if let Some(loss) = allowed_loss(history, request, forwarded) {
+        let attempted = attempts.contains_key(&request.number);
+        if let Some(loss) = allowed_loss(history, request, attempted) {
             *counts.entry(loss).or_default() += 1;
         }
     }
     counts
 }
 
-fn forwards_by_request(history: &History) -> HashMap<usize, Vec<&ForwardRecord>> {
-    let mut by_request: HashMap<usize, Vec<&ForwardRecord>> = HashMap::new();
-    for forward in &history.forwards {
-        by_request.entry(forward.request).or_default().push(forward);
+fn attempts_by_request(history: &History) -> HashMap<usize, Vec<&AttemptRecord>> {
+    let mut by_request: HashMap<usize, Vec<&AttemptRecord>> = HashMap::new();
+    for attempt in &history.attempts {
+        by_request.entry(attempt.request).or_default().push(attempt);
     }
     by_request
 }
@@ -113,15 +113,16 @@
     }
 }
 
-/// Returns the sentence that allows the loss of a request without an answer, if one does.
+/// Returns why the loss of a request is allowed; `None` if the request was not lost or its loss is not
+/// allowed.
 fn allowed_loss(
     history: &History,
     request: &RequestRecord,
-    forwarded: bool,
+    attempted: bool,
 ) -> Option<AllowedLoss> {
     if !matches!(
         request.end,
-        RequestEnd::Unanswered { .. } | RequestEnd::NeverAnswered
+        RequestEnd::ConnectionEnded { .. } | RequestEnd::TimedOut
     ) {
         return None;
     }
@@ -129,23 +130,24 @@
         let Some(killed_at) = process.killed_at else {
             continue;
         };
-        let lived = request.sent_at <= killed_at && request.ended_at >= killed_at;
+        let was_pending = request.sent_at <= killed_at && request.ended_at >= killed_at;
         match process.terminated_at {
-            None if lived => return Some(AllowedLoss::KilledAtAnyTime),
-            Some(at) if lived && request.sent_at > at + KILL_EXCUSES_AFTER => {
-                return Some(AllowedLoss::KilledLate)
+            None if was_pending => return Some(AllowedLoss::KilledWithoutTerm),
+            Some(at) if was_pending && request.sent_at > at + KILL_LOSS_ALLOWED_AFTER_TERM => {
+                return Some(AllowedLoss::KilledWhileDraining)
             }
             _ => {}
         }
     }
-    let closed = matches!(request.end, RequestEnd::Unanswered { .. });
-    (closed && !forwarded).then_some(AllowedLoss::CrossedClose)
+    let connection_ended = matches!(request.end, RequestEnd::ConnectionEnded { .. });
+    (connection_ended && !attempted).then_some(AllowedLoss::CrossedClose)
 }
 
+/// Checks the time and the content of the response, or that the lack of one is allowed.
 fn check_end(
     history: &History,
     request: &RequestRecord,
-    forwards: &[&ForwardRecord],
+    attempts: &[&AttemptRecord],
 ) -> Option<Violation> {
     let latest = request.sent_at + request.timeout + ANSWER_SLACK;
     let latest = latest + history.delay_between(request.sent_at, request.ended_at);
@@ -154,27 +156,27 @@
             Rule::Answer,
             request,
             format!(
-                "answered at {:?}, {latest:?} at the latest",
+                "answered at {:?}, at the latest allowed at {latest:?}",
                 request.ended_at
             ),
         )),
         RequestEnd::Answered { status, content } => check_content(request, *status, content),
-        RequestEnd::ClientLeft => None,
-        end if allowed_loss(history, request, !forwards.is_empty()).is_some() => {
+        RequestEnd::ClientDisconnected => None,
+        end if allowed_loss(history, request, !attempts.is_empty()).is_some() => {
             let _ = end;
             None
         }
-        RequestEnd::Unanswered { reset: true } => Some(violation(
+        RequestEnd::ConnectionEnded { reset: true } => Some(violation(
             Rule::Close,
             request,
-            "forwarded, and reset without an answer",
+            "connection reset without a response after an attempt was sent",
         )),
-        RequestEnd::Unanswered { reset: false } => Some(violation(
+        RequestEnd::ConnectionEnded { reset: false } => Some(violation(
             Rule::Answer,
             request,
-            "forwarded, and closed without an answer",
+            "connection closed without a response after an attempt was sent",
         )),
-        RequestEnd::NeverAnswered => Some(violation(Rule::Answer, request, "never answered")),
+        RequestEnd::TimedOut => Some(violation(Rule::Answer, request, "no response in time")),
     }
 }
 
@@ -182,65 +184,69 @@
     let wrong = |text: String| Some(violation(Rule::Content, request, text));
     match (status, content, request.class) {
         (_, Content::Wrong(text), _) => wrong(text.clone()),
-        (200, Content::Error, _) => wrong("200 without an answer".to_owned()),
-        (200, Content::Partial, Class::Whole | Class::Once) => {
-            wrong("a partial answer of a class that needs all parts".to_owned())
+        (200, Content::Error, _) => wrong("status 200 without an answer".to_owned()),
+        (200, Content::Partial, Class::Complete | Class::NonIdempotent) => {
+            wrong("partial answer of a class that needs all parts".to_owned())
         }
         (200, _, _) | (409 | 410 | 429 | 500..=599, Content::Error, _) => None,
-        _ => wrong(format!("status {status} with {content:?}")),
+        _ => wrong(format!(
+            "unexpected status {status} with content {content:?}"
+        )),
     }
 }
 
-fn check_forwards(
+/// Checks the times of a query's attempts, and for a non-idempotent query their number.
+fn check_attempts(
     history: &History,
     request: &RequestRecord,
-    forwards: &[&ForwardRecord],
+    attempts: &[&AttemptRecord],
 ) -> Vec<Violation> {
     let mut found = Vec::new();
     let (rule, slack) = match request.end {
-        RequestEnd::ClientLeft => (Rule::ClientLeft, LEFT_SLACK),
+        RequestEnd::ClientDisconnected => (Rule::ClientDisconnected, DISCONNECT_SLACK),
         _ => (Rule::FinalAnswer, ANSWERED_SLACK),
     };
-    for forward in forwards {
-        let delay = history.delay_between(request.ended_at, forward.received_at);
-        if forward.received_at > request.ended_at + slack + delay {
+    for attempt in attempts {
+        let delay = history.delay_between(request.ended_at, attempt.received_at);
+        if attempt.received_at > request.ended_at + slack + delay {
             let text = format!(
-                "part {} received at {:?}",
-                forward.part, forward.received_at
+                "attempt at part {} received at {:?}",
+                attempt.part, attempt.received_at
             );
             found.push(violation(rule, request, text));
         }
     }
-    if request.class == Class::Once {
-        let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-        for forward in forwards.iter().filter(|forward| !forward.rejected) {
-            *runs.entry(&forward.part).or_default() += 1;
+    if request.class == Class::NonIdempotent {
+        let mut sent_counts: BTreeMap<&str, usize> = BTreeMap::new();
+        for attempt in attempts.iter().filter(|attempt| !attempt.rejected) {
+            *sent_counts.entry(&attempt.part).or_default() += 1;
         }
-        let repeated = runs.into_iter().filter(|(_, runs)| *runs > 1);
-        found.extend(repeated.map(|(part, runs)| {
+        let repeated = sent_counts.into_iter().filter(|(_, count)| *count > 1);
+        found.extend(repeated.map(|(part, count)| {
             violation(
                 Rule::Duplicate,
                 request,
-                format!("part {part} sent {runs} times"),
+                format!("part {part} sent {count} times"),
             )
         }));
     }
     found
 }
 
+/// Checks that draining servers received no attempts.
 fn check_drains(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     for drain in &history.drains {
-        for forward in history.forwards.iter().filter(|f| f.server == drain.server) {
-            let delay = history.delay_between(drain.told_at, forward.received_at);
-            let from = drain.told_at + DRAIN_SLACK + delay;
-            if forward.received_at > from && forward.received_at < drain.ended_at {
+        for attempt in history.attempts.iter().filter(|f| f.server == drain.server) {
+            let delay = history.delay_between(drain.announced_at, attempt.received_at);
+            let from = drain.announced_at + DRAIN_SLACK + delay;
+            if attempt.received_at > from && attempt.received_at < drain.ended_at {
                 found.push(Violation {
                     rule: Rule::Drain,
-                    request: Some(forward.request),
+                    request: Some(attempt.request),
                     text: format!(
-                        "server {} drains from {:?} on and received part {} at {:?}",
-                        drain.server, drain.told_at, forward.part, forward.received_at
+                        "server {}, draining since {:?}, received an attempt at part {} at {:?}",
+                        drain.server, drain.announced_at, attempt.part, attempt.received_at
                     ),
                 });
             }
@@ -249,11 +255,14 @@
     found
 }
 
-fn check_accepts(history: &History) -> Vec<Violation> {
-    let is_ready = |at: Duration| {
+/// Checks that no connection was refused while a process was ready.
+fn check_refused_connects(history: &History) -> Vec<Violation> {
+    let is_any_process_ready = |at: Duration| {
         history.processes.iter().any(|process| {
             let ready = process.ready_at.is_some_and(|ready| ready <= at);
-            let accepts_until = process.terminated_at.map(|at| at + ACCEPTS_AFTER_TERM);
+            let accepts_until = process
+                .terminated_at
+                .map(|at| at + ACCEPT_PERIOD_AFTER_TERM);
             let before = |end: Option<Duration>| end.is_none_or(|end| at < end);
             ready && before(accepts_until) && before(process.killed_at)
         })
@@ -261,17 +270,18 @@
     let refused = history
         .refused_connects
         .iter()
-        .filter(|refused| is_ready(refused.at));
-    let accept = |text| Violation {
+        .filter(|refused| is_any_process_ready(refused.at));
+    let accept_violation = |text| Violation {
         rule: Rule::Accept,
         request: None,
         text,
     };
     refused
-        .map(|refused| accept(format!("a connect was refused at {:?}", refused.at)))
+        .map(|refused| accept_violation(format!("connection refused at {:?}", refused.at)))
         .collect()
 }
 
+/// Checks the exits and the counters of the processes.
 fn check_processes(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     let mut add = |rule, text: String| {
@@ -285,7 +295,7 @@
         if process.killed_at.is_some() && process.terminated_at.is_some() {
             add(
                 Rule::Exit,
-                format!("process {index} had to be killed: {process:?}"),
+                format!("process {index} was killed after SIGTERM: {process:?}"),
             );
         }
         if let Some((due, exited)) = process.kill_due_at.zip(process.exited_at) {
@@ -293,7 +303,9 @@
             if exited > due + history.delay_between(terminated, exited) {
                 add(
                     Rule::Exit,
-                    format!("process {index} exited at {exited:?}, kill due at {due:?}"),
+                    format!(
+                        "process {index} exited at {exited:?}, after the kill was due at {due:?}"
+                    ),
                 );
             }
         }
@@ -308,7 +320,7 @@
             None if process.killed_at.is_some() => {}
             other => add(
                 Rule::Invariant,
-                format!("process {index}: broken invariants {other:?}"),
+                format!("process {index}: number of violated invariants is {other:?}"),
             ),
         }
     }
--- a/tests/soak/checker_tests.rs
+++ b/tests/soak/checker_tests.rs
@@ -1,8 +1,8 @@
-//! The checker can fail: for each rule a small history that breaks it, and what the pages allow.
+//! Tests that the checker detects a violation of each rule, and accepts what is allowed.
 
 use crate::checker::{allowed_losses, violations, AllowedLoss, Rule};
 use crate::history::{
-    Class, Content, Delay, DrainRecord, ForwardRecord, History, ProcessRecord, RefusedConnect,
+    AttemptRecord, Class, Content, Delay, DrainRecord, History, ProcessRecord, RefusedConnect,
     RequestEnd, RequestRecord,
 };
 use std::time::Duration;
@@ -15,7 +15,7 @@
     RequestEnd::Answered { status, content }
 }
 
-/// A request that is sent at 100 ms with a timeout of 400 ms and ends at 300 ms.
+/// Returns a request that is sent at 100 ms with a timeout of 400 ms and ends at 300 ms.
 fn request(class: Class, end: RequestEnd) -> RequestRecord {
     RequestRecord {
         number: 1,
@@ -27,8 +27,9 @@
     }
 }
 
-fn forward(at: u64) -> ForwardRecord {
-    ForwardRecord {
+/// Returns an attempt that is received at this time, in milliseconds.
+fn attempt(at: u64) -> AttemptRecord {
+    AttemptRecord {
         request: 1,
         part: "0".to_owned(),
         server: 2,
@@ -37,7 +38,7 @@
     }
 }
 
-/// A process that is ready at 50 ms, told to end at 5 s, and exits.
+/// Returns a process that is ready at 50 ms, gets SIGTERM at 5 s, and exits at 6 s.
 fn process() -> ProcessRecord {
     ProcessRecord {
         ready_at: Some(ms(50)),
@@ -50,20 +51,20 @@
     }
 }
 
-/// A sound history of one request with one part.
-fn sound() -> History {
+/// Returns a history without violations that has one request with one part.
+fn valid_history() -> History {
     History {
-        requests: vec![request(Class::Whole, answered(200, Content::Whole))],
-        forwards: vec![forward(120)],
+        requests: vec![request(Class::Complete, answered(200, Content::Complete))],
+        attempts: vec![attempt(120)],
         processes: vec![process()],
         ..History::default()
     }
 }
 
-/// Asserts that a change to the sound history breaks exactly this rule.
+/// Asserts that a change to the valid history violates this rule and no other.
 #[track_caller]
-fn assert_breaks(rule: Rule, change: impl FnOnce(&mut History)) {
-    let mut history = sound();
+fn assert_violates(rule: Rule, change: impl FnOnce(&mut History)) {
+    let mut history = valid_history();
     change(&mut history);
     let found = violations(&history);
     assert!(
@@ -72,78 +73,79 @@
     );
 }
 
+/// Asserts that a change to the valid history violates no rule.
 #[track_caller]
-fn assert_sound(change: impl FnOnce(&mut History)) {
-    let mut history = sound();
+fn assert_no_violation(change: impl FnOnce(&mut History)) {
+    let mut history = valid_history();
     change(&mut history);
     assert_eq!(violations(&history), []);
 }
 
 #[test]
-fn a_sound_history_breaks_no_rule() {
-    assert_sound(|_| {});
+fn valid_history_has_no_violation() {
+    assert_no_violation(|_| {});
 }
 
 #[test]
-fn an_answer_comes_in_time_but_for_the_delay_that_was_measured() {
+fn answer_may_exceed_its_time_limit_only_by_the_measured_delay() {
     let late = |history: &mut History| history.requests[0].ended_at = ms(1_001);
-    assert_breaks(Rule::Answer, late);
-    assert_sound(|history| {
+    assert_violates(Rule::Answer, late);
+    assert_no_violation(|history| {
         late(history);
         history.delays.push(Delay {
             ended_at: ms(600),
             length: ms(20),
         });
     });
-    assert_breaks(Rule::Answer, |history| {
+    assert_violates(Rule::Answer, |history| {
         late(history);
         history.delays.push(Delay {
             ended_at: ms(90),
             length: ms(20),
         });
     });
-    let never = |history: &mut History| history.requests[0].end = RequestEnd::NeverAnswered;
-    assert_breaks(Rule::Answer, never);
-    let closed = RequestEnd::Unanswered { reset: false };
-    assert_breaks(Rule::Answer, |history| {
+    let never = |history: &mut History| history.requests[0].end = RequestEnd::TimedOut;
+    assert_violates(Rule::Answer, never);
+    let closed = RequestEnd::ConnectionEnded { reset: false };
+    assert_violates(Rule::Answer, |history| {
         history.requests[0].end = closed.clone()
     });
 }
 
 #[test]
-fn a_response_holds_what_it_says() {
-    let wrong = Content::Wrong("a wrong piece".to_owned());
-    assert_breaks(Rule::Content, |history| {
+fn response_with_wrong_content_is_a_violation() {
+    let wrong = Content::Wrong("wrong piece".to_owned());
+    assert_violates(Rule::Content, |history| {
         history.requests[0].end = answered(200, wrong)
     });
     let partial = answered(200, Content::Partial);
-    for class in [Class::Whole, Class::Once] {
+    for class in [Class::Complete, Class::NonIdempotent] {
         let end = partial.clone();
-        assert_breaks(Rule::Content, |history| {
+        assert_violates(Rule::Content, |history| {
             history.requests[0] = request(class, end)
         });
     }
-    assert_sound(|history| history.requests[0] = request(Class::Partial, partial));
+    assert_no_violation(|history| history.requests[0] = request(Class::Partial, partial));
     let no_answer = answered(200, Content::Error);
-    assert_breaks(Rule::Content, |history| history.requests[0].end = no_answer);
+    assert_violates(Rule::Content, |history| history.requests[0].end = no_answer);
     let malformed = answered(400, Content::Error);
-    assert_breaks(Rule::Content, |history| history.requests[0].end = malformed);
-    assert_sound(|history| history.requests[0].end = answered(503, Content::Error));
+    assert_violates(Rule::Content, |history| history.requests[0].end = malformed);
+    assert_no_violation(|history| history.requests[0].end = answered(503, Content::Error));
 }
 
 #[test]
-fn a_close_resets_nothing_that_was_read() {
-    let reset = RequestEnd::Unanswered { reset: true };
-    assert_breaks(Rule::Close, |history| {
+fn reset_of_a_request_that_was_read_is_a_violation() {
+    let reset = RequestEnd::ConnectionEnded { reset: true };
+    assert_violates(Rule::Close, |history| {
         history.requests[0].end = reset.clone()
     });
-    // A close that crosses a request that was not read: nothing of it was forwarded.
+    // Without an attempt, the process closed the connection before it read the request.
     let crossed = |history: &mut History| {
         history.requests[0].end = reset.clone();
-        history.forwards.clear();
+        history.attempts.clear();
     };
-    assert_sound(crossed);
-    let mut history = sound();
+    assert_no_violation(crossed);
+    let mut history = valid_history();
     crossed(&mut history);
     assert_eq!(
         allowed_losses(&history),
@@ -152,50 +154,52 @@
 }
 
 #[test]
-fn nothing_is_forwarded_after_the_client_left_or_has_its_answer() {
-    let left = |history: &mut History, at| {
-        history.requests[0].end = RequestEnd::ClientLeft;
-        history.forwards.push(forward(at));
+fn attempt_after_a_disconnect_or_an_answer_is_a_violation() {
+    let attempt_after_disconnect = |history: &mut History, at| {
+        history.requests[0].end = RequestEnd::ClientDisconnected;
+        history.attempts.push(attempt(at));
     };
-    assert_breaks(Rule::ClientLeft, |history| left(history, 401));
-    assert_sound(|history| left(history, 399));
-    assert_breaks(Rule::FinalAnswer, |history| {
-        history.forwards.push(forward(401))
+    assert_violates(Rule::ClientDisconnected, |history| {
+        attempt_after_disconnect(history, 401)
+    });
+    assert_no_violation(|history| attempt_after_disconnect(history, 399));
+    assert_violates(Rule::FinalAnswer, |history| {
+        history.attempts.push(attempt(401))
     });
 }
 
 #[test]
-fn a_part_that_must_not_run_twice_is_sent_once() {
+fn second_attempt_of_a_non_idempotent_part_is_a_violation_unless_the_first_was_rejected() {
     let twice = |history: &mut History, rejected| {
-        history.requests[0].class = Class::Once;
-        history.forwards[0].rejected = rejected;
-        history.forwards.push(forward(150));
+        history.requests[0].class = Class::NonIdempotent;
+        history.attempts[0].rejected = rejected;
+        history.attempts.push(attempt(150));
     };
-    assert_breaks(Rule::Duplicate, |history| twice(history, false));
-    assert_sound(|history| twice(history, true));
-    assert_sound(|history| history.forwards.push(forward(150)));
+    assert_violates(Rule::Duplicate, |history| twice(history, false));
+    assert_no_violation(|history| twice(history, true));
+    assert_no_violation(|history| history.attempts.push(attempt(150)));
 }
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
-    let drain = |history: &mut History, server, told_at| {
-        history.forwards[0].received_at = ms(290);
+fn attempt_at_a_draining_server_is_a_violation() {
+    let drain = |history: &mut History, server, announced_at| {
+        history.attempts[0].received_at = ms(290);
         history.drains.push(DrainRecord {
             server,
-            told_at: ms(told_at),
+            announced_at: ms(announced_at),
             ended_at: ms(2_000),
         });
     };
-    assert_breaks(Rule::Drain, |history| {
+    assert_violates(Rule::Drain, |history| {
         drain(history, 2, 0);
-        history.forwards[0].received_at = ms(301);
+        history.attempts[0].received_at = ms(301);
     });
-    assert_sound(|history| drain(history, 2, 0));
-    assert_sound(|history| drain(history, 1, 0));
+    assert_no_violation(|history| drain(history, 2, 0));
+    assert_no_violation(|history| drain(history, 1, 0));
 }
 
 #[test]
-fn some_process_accepts_whenever_one_is_ready() {
+fn refused_connection_is_a_violation_while_a_process_is_ready() {
     let refused = |at| RefusedConnect { at: ms(at) };
     let serving = |history: &mut History| {
         history.processes.push(ProcessRecord {
@@ -204,57 +208,57 @@
             ..ProcessRecord::default()
         });
     };
-    assert_breaks(Rule::Accept, |history| {
+    assert_violates(Rule::Accept, |history| {
         serving(history);
         history.refused_connects.push(refused(7_000));
     });
-    assert_sound(|history| {
+    assert_no_violation(|history| {
         serving(history);
         history
             .refused_connects
             .extend([refused(20), refused(9_001)]);
     });
-    // New connections keep coming for up to 0.4 s after SIGTERM.
-    assert_breaks(Rule::Accept, |history| {
+    // New connections arrive for up to 0.4 s after SIGTERM.
+    assert_violates(Rule::Accept, |history| {
         history.refused_connects.push(refused(5_399));
     });
-    assert_sound(|history| history.refused_connects.push(refused(5_401)));
+    assert_no_violation(|history| history.refused_connects.push(refused(5_401)));
 }
 
 #[test]
-fn a_process_exits_with_success_before_the_kill_and_breaks_no_invariant() {
-    assert_breaks(Rule::Exit, |history| {
+fn failed_or_late_exit_and_violated_invariant_are_violations() {
+    assert_violates(Rule::Exit, |history| {
         history.processes[0].exited_with_success = false
     });
-    assert_breaks(Rule::Exit, |history| {
+    assert_violates(Rule::Exit, |history| {
         history.processes[0].killed_at = Some(ms(7_000))
     });
-    assert_breaks(Rule::Exit, |history| {
+    assert_violates(Rule::Exit, |history| {
         history.processes[0].exited_at = Some(ms(7_301))
     });
-    assert_breaks(Rule::Invariant, |history| {
+    assert_violates(Rule::Invariant, |history| {
         history.processes[0].broken_invariants = Some(1)
     });
-    assert_breaks(Rule::Invariant, |history| {
+    assert_violates(Rule::Invariant, |history| {
         history.processes[0].broken_invariants = None
     });
 }
 
 #[test]
-fn a_kill_excuses_only_what_the_page_says() {
+fn kill_allows_the_loss_of_requests_only_some_time_after_the_sigterm() {
     let unanswered_at_kill = |history: &mut History, sent_at| {
-        history.requests[0].end = RequestEnd::Unanswered { reset: true };
+        history.requests[0].end = RequestEnd::ConnectionEnded { reset: true };
         history.requests[0].sent_at = ms(sent_at);
         history.requests[0].ended_at = ms(7_000);
-        history.forwards[0].received_at = ms(6_900);
+        history.attempts[0].received_at = ms(6_900);
         history.processes[0].killed_at = Some(ms(6_990));
     };
-    let breaks = |sent_at| {
-        let mut history = sound();
+    let has_violation = |sent_at| {
+        let mut history = valid_history();
         unanswered_at_kill(&mut history, sent_at);
         let found = violations(&history);
         found.iter().any(|violation| violation.rule == Rule::Close)
     };
-    assert!(breaks(5_600), "it came 0.6 s after SIGTERM");
-    assert!(!breaks(5_800), "it came 0.8 s after SIGTERM");
+    assert!(has_violation(5_600), "request sent 0.6 s after SIGTERM");
+    assert!(!has_violation(5_800), "request sent 0.8 s after SIGTERM");
 }
--- a/tests/soak/delay.rs
+++ b/tests/soak/delay.rs
@@ -1,4 +1,5 @@
-//! Threads that sleep for short times and record for how long they were held up.
+//! Threads that sleep for short times and record by how much they woke up too late. The delays show how
+//! slow the machine is during a run.
 
 use crate::history::{delay_between, Delay};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -6,61 +7,70 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-const SLEEP: Duration = Duration::from_millis(5);
-/// Delays below this are usual and not recorded.
-const MIN_RECORDED: Duration = Duration::from_millis(2);
-/// The number of threads: a message passes as many from a client over the process to a server, and
-/// each of them may be held up.
+/// The duration of a sleep.
+const SLEEP_DURATION: Duration = Duration::from_millis(5);
+/// The minimum recorded delay. Shorter ones are usual.
+const MIN_RECORDED_DELAY: Duration = Duration::from_millis(2);
+/// The number of threads. A message from a client to a server passes through as many threads of the
+/// client, the process and the server, and each of them may be delayed.
 const THREADS: usize = 4;
 
-/// The running threads.
+/// Measures delays with sleeping threads.
 pub struct DelayMeter {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     delays: Arc<Mutex<Vec<Delay>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DelayMeter {
-    /// Starts the threads; times count from `start`.
+    /// Starts the threads. Times are relative to `start`.
     pub fn start(start: Instant) -> DelayMeter {
-        let over = Arc::new(AtomicBool::new(false));
+        let stop = Arc::new(AtomicBool::new(false));
         let delays: Arc<Mutex<Vec<Delay>>> = Arc::default();
         let measure = |_| {
-            let (over, delays) = (over.clone(), delays.clone());
-            std::thread::spawn(move || measure(start, &over, &delays))
+            let (stop, delays) = (stop.clone(), delays.clone());
+            std::thread::spawn(move || measure(start, &stop, &delays))
         };
         let threads = (0..THREADS).map(measure).collect();
         DelayMeter {
-            over,
+            stop,
             delays,
             threads,
         }
     }
 
-    /// Returns the delay so far between two times.
+    /// Returns the sum of the recorded delays that overlap the time from `from` to `to`.
     pub fn delay_between(&self, from: Duration, to: Duration) -> Duration {
-        delay_between(&self.delays.lock().expect("delays"), from, to)
+        delay_between(
+            &self.delays.lock().expect("the mutex is not poisoned"),
+            from,
+            to,
+        )
     }
 
-    /// Ends the threads and returns the delays.
+    /// Stops the threads and returns the delays.
     pub fn finish(self) -> Vec<Delay> {
-        self.over.store(true, Relaxed);
+        self.stop.store(true, Relaxed);
         for thread in self.threads {
-            thread.join().expect("it ends");
+            thread.join().expect("the thread does not panic");
         }
-        std::mem::take(&mut *self.delays.lock().expect("delays"))
+        std::mem::take(&mut *self.delays.lock().expect("the mutex is not poisoned"))
     }
 }
 
-fn measure(start: Instant, over: &AtomicBool, delays: &Mutex<Vec<Delay>>) {
-    while !over.load(Relaxed) {
+/// Sleeps repeatedly and records the delays until `stop` is set.
+fn measure(start: Instant, stop: &AtomicBool, delays: &Mutex<Vec<Delay>>) {
+    while !stop.load(Relaxed) {
         let before = Instant::now();
-        std::thread::sleep(SLEEP);
-        let length = before.elapsed().saturating_sub(SLEEP);
-        if length >= MIN_RECORDED {
+        std::thread::sleep(SLEEP_DURATION);
+        let length = before.elapsed().saturating_sub(SLEEP_DURATION);
+        if length >= MIN_RECORDED_DELAY {
             let ended_at = start.elapsed();
             let delay = Delay { ended_at, length };
-            delays.lock().expect("delays").push(delay);
+            delays
+                .lock()
+                .expect("the mutex is not poisoned")
+                .push(delay);
         }
     }
 }
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,45 +1,45 @@
-//! The recorded history of a run. All times count from the start of the run.
+//! The history of events that is recorded in a run. All times are relative to the start of the run.
 
 use std::time::Duration;
 
 /// The number of a request, unique in its run.
 pub type RequestNumber = usize;
 
-/// The effect of a request's class.
+/// The class of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// All parts are needed; parts may be repeated.
-    Whole,
-    /// An answer from half of the parts may be given.
+    /// An answer needs all parts. Attempts may be repeated.
+    Complete,
+    /// An answer needs at least half of the parts. Attempts may be repeated.
     Partial,
-    /// No part may run twice.
-    Once,
+    /// An answer needs all parts. No part may be executed twice.
+    NonIdempotent,
 }
 
-/// The content of a response, as its client judged it.
+/// The content of a response as classified by its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
-    /// The response has no answer: it is an error.
+    /// An error response, which has no answer.
     Error,
-    /// All that was asked for.
-    Whole,
-    /// Declared partial, with what it declares.
+    /// A correct answer that is declared complete.
+    Complete,
+    /// A correct answer that is declared partial.
     Partial,
-    /// Not what it says, or not what was asked for.
+    /// An answer that differs from the query or from what it declares, and the reason.
     Wrong(String),
 }
 
-/// The end of a request, as its client saw it.
+/// The end of a request as observed by its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// A complete response.
+    /// The client received a complete response.
     Answered { status: u16, content: Content },
-    /// The connection ended without a complete response.
-    Unanswered { reset: bool },
-    /// The client closed its connection before the answer.
-    ClientLeft,
-    /// No complete response came within the time for which the client reads.
-    NeverAnswered,
+    /// The connection was closed or reset before a complete response was received.
+    ConnectionEnded { reset: bool },
+    /// The client disconnected before it received a response.
+    ClientDisconnected,
+    /// The client received no complete response within the time for which it reads.
+    TimedOut,
 }
 
 /// A request that a client sent.
@@ -47,33 +47,33 @@
 pub struct RequestRecord {
     pub number: RequestNumber,
     pub class: Class,
-    /// The time of its last byte.
+    /// The time at which the last byte was sent.
     pub sent_at: Duration,
-    /// The time for which its client waits.
+    /// The timeout that the client sent with the request.
     pub timeout: Duration,
     pub end: RequestEnd,
     pub ended_at: Duration,
 }
 
-/// A part of a request that a server received.
+/// An attempt at a part of a query that a server received.
 #[derive(Debug, Clone)]
-pub struct ForwardRecord {
+pub struct AttemptRecord {
     pub request: RequestNumber,
-    /// The part: the shard, and the page of it.
+    /// The part, named by its shard.
     pub part: String,
     pub server: usize,
     pub received_at: Duration,
-    /// Whether the server told that it did not start the part.
+    /// Whether the server rejected the attempt, so that the part was not executed.
     pub rejected: bool,
 }
 
-/// A drain that discovery or the inventory told.
+/// A drain of a server that the discovery agent or the inventory announced.
 #[derive(Debug, Clone)]
 pub struct DrainRecord {
     pub server: usize,
-    /// The time at which the process had been told.
-    pub told_at: Duration,
-    /// The time at which the server was put into service again.
+    /// The time by which the drain was announced to the process.
+    pub announced_at: Duration,
+    /// The time at which the server was put back into service.
     pub ended_at: Duration,
 }
 
@@ -83,38 +83,39 @@
     /// The time of the first readiness check that succeeded.
     pub ready_at: Option<Duration>,
     pub terminated_at: Option<Duration>,
-    /// The time at which SIGKILL comes at the earliest after SIGTERM.
+    /// The time of the earliest SIGKILL after SIGTERM.
     pub kill_due_at: Option<Duration>,
     /// The time of the SIGKILL, if one was sent.
     pub killed_at: Option<Duration>,
-    /// The time at which the exit was noticed.
+    /// The time at which the run noticed the exit.
     pub exited_at: Option<Duration>,
-    /// Whether it exited by itself with success.
+    /// Whether it exited with success and without SIGKILL.
     pub exited_with_success: bool,
-    /// The counter of broken invariants at its exit, where it wrote it.
+    /// The counter of violated invariants at its exit, if the process logged it.
     pub broken_invariants: Option<u64>,
     pub peak_memory_kib: u64,
     pub peak_descriptors: usize,
 }
 
-/// A connect that was refused.
+/// A connection that a client tried to open and that was refused.
 #[derive(Debug, Clone, Copy)]
 pub struct RefusedConnect {
     pub at: Duration,
 }
 
-/// A time for which a sleeping thread was held up beyond its sleep.
+/// A delay of a sleeping thread, which woke up later than it should have.
 #[derive(Debug, Clone, Copy)]
 pub struct Delay {
     pub ended_at: Duration,
+    /// The time between the end of the sleep and the wake-up.
     pub length: Duration,
 }
 
-/// All that was recorded in a run.
+/// All events that were recorded in a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     pub requests: Vec<RequestRecord>,
-    pub forwards: Vec<ForwardRecord>,
+    pub attempts: Vec<AttemptRecord>,
     pub drains: Vec<DrainRecord>,
     pub processes: Vec<ProcessRecord>,
     pub refused_connects: Vec<RefusedConnect>,
@@ -122,22 +123,22 @@
 }
 
 impl History {
-    /// Returns the delay that the machine caused between two times.
+    /// Returns the sum of the delays of sleeping threads that overlap the time from `from` to `to`.
     pub fn delay_between(&self, from: Duration, to: Duration) -> Duration {
         delay_between(&self.delays, from, to)
     }
 
-    /// Returns the total delay that the machine caused, over all threads that measured it.
+    /// Returns the sum of all delays, over all sleeping threads.
     pub fn total_delay(&self) -> Duration {
         self.delays.iter().map(|delay| delay.length).sum()
     }
 }
 
-/// Returns the sum of the delays that overlap the time between two others.
+/// Returns the sum of the delays that overlap the time from `from` to `to`.
 pub fn delay_between(delays: &[Delay], from: Duration, to: Duration) -> Duration {
     let overlaps = |delay: &&Delay| {
-        let began_at = delay.ended_at.saturating_sub(delay.length);
-        delay.ended_at >= from && began_at <= to
+        let started_at = delay.ended_at.saturating_sub(delay.length);
+        delay.ended_at >= from && started_at <= to
     };
     let overlapping = delays.iter().filter(overlaps);
     overlapping.map(|delay| delay.length).sum()
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -1,4 +1,4 @@
-//! The report of a soak: a line for each seed, and a table at the end.
+//! The report of the soak test: a line for each seed, and a table at the end.
 
 use crate::checker::{allowed_losses, AllowedLoss, Violation};
 use crate::history::{Class, Content, History, RequestEnd, RequestRecord};
@@ -6,15 +6,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A run with more delay than this, over all threads that measure it, is reported as disturbed.
-const DISTURBED: Duration = Duration::from_millis(250);
+/// A run with a larger sum of delays, over all sleeping threads, is reported as disturbed.
+const DISTURBANCE_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// The sums over all seeds.
+/// Counts and maxima over all seeds.
 #[derive(Default)]
 pub struct Report {
     pub failed_seeds: Vec<u64>,
     disturbed_seeds: Vec<u64>,
+    /// The numbers of requests by class and outcome.
     requests: BTreeMap<(Class, String), usize>,
+    /// The numbers of lost requests whose loss is allowed, by reason.
     losses: BTreeMap<AllowedLoss, usize>,
     slowest_answer: Duration,
     longest_drain: Duration,
@@ -24,13 +26,14 @@
 }
 
 impl Report {
-    /// Adds a run, and prints its line; for a failed one, its script and the requests concerned.
+    /// Adds a run and prints its line. For a run with violations it also prints the script and the
+    /// requests concerned.
     pub fn add(&mut self, script: &Script, history: &History, violations: &[Violation]) {
         self.seeds += 1;
         for request in &history.requests {
             *self
                 .requests
-                .entry((request.class, kind(request)))
+                .entry((request.class, outcome(request)))
                 .or_default() += 1;
             if matches!(request.end, RequestEnd::Answered { .. }) {
                 self.slowest_answer = self.slowest_answer.max(request.ended_at - request.sent_at);
@@ -47,14 +50,14 @@
             self.peak_descriptors = self.peak_descriptors.max(process.peak_descriptors);
         }
         let delay = history.total_delay();
-        let disturbed = delay > DISTURBED;
+        let disturbed = delay > DISTURBANCE_THRESHOLD;
         println!(
-            "seed {}: {:?} {:?}, {} requests, {} forwards, delay {delay:?}{}, {} violations",
+            "seed {}: {:?} {:?}, {} requests, {} attempts, delay {delay:?}{}, {} violations",
             script.seed,
             script.front,
             script.ending,
             history.requests.len(),
-            history.forwards.len(),
+            history.attempts.len(),
             if disturbed { " (disturbed)" } else { "" },
             violations.len()
         );
@@ -67,9 +70,9 @@
         }
     }
 
-    /// Returns whether each class had requests.
+    /// Returns whether there were requests of every class.
     pub fn has_requests_of_every_class(&self) -> bool {
-        [Class::Whole, Class::Partial, Class::Once]
+        [Class::Complete, Class::Partial, Class::NonIdempotent]
             .iter()
             .all(|class| self.requests.keys().any(|(counted, _)| counted == class))
     }
@@ -78,8 +81,8 @@
     pub fn print(&self) {
         println!("{} seeds, failed {:?}", self.seeds, self.failed_seeds);
         println!("disturbed by the machine: {:?}", self.disturbed_seeds);
-        for ((class, kind), count) in &self.requests {
-            println!("  {class:?} {kind}: {count}");
+        for ((class, outcome), count) in &self.requests {
+            println!("  {class:?} {outcome}: {count}");
         }
         println!("allowed losses: {:?}", self.losses);
         println!(
@@ -93,21 +96,22 @@
     }
 }
 
-fn kind(request: &RequestRecord) -> String {
+/// Returns the name of a request's outcome in the table.
+fn outcome(request: &RequestRecord) -> String {
     match &request.end {
         RequestEnd::Answered { status, content } => match content {
-            Content::Whole => "whole".to_owned(),
+            Content::Complete => "complete".to_owned(),
             Content::Partial => "partial".to_owned(),
             Content::Wrong(_) => "wrong".to_owned(),
             Content::Error => status.to_string(),
         },
-        RequestEnd::Unanswered { .. } => "connection ended".to_owned(),
-        RequestEnd::ClientLeft => "client left".to_owned(),
-        RequestEnd::NeverAnswered => "never answered".to_owned(),
+        RequestEnd::ConnectionEnded { .. } => "connection ended".to_owned(),
+        RequestEnd::ClientDisconnected => "client disconnected".to_owned(),
+        RequestEnd::TimedOut => "timed out".to_owned(),
     }
 }
 
-/// Prints the script of a failed run, and the history of each request concerned.
+/// Prints the script of a run with violations, its processes and drains, and the requests concerned.
 fn print_failure(script: &Script, history: &History, violations: &[Violation]) {
     println!("  {script:?}");
     println!("  {:?}", history.processes);
@@ -119,7 +123,7 @@
         };
         let requests = history.requests.iter().filter(|r| r.number == number);
         requests.for_each(|request| println!("    {request:?}"));
-        let forwards = history.forwards.iter().filter(|f| f.request == number);
-        forwards.for_each(|forward| println!("    {forward:?}"));
+        let attempts = history.attempts.iter().filter(|f| f.request == number);
+        attempts.for_each(|attempt| println!("    {attempt:?}"));
     }
 }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,7 +1,8 @@
-//! A run: starts the process over its servers, lets clients send, and plays the script's end.
+//! A run of a script: starts the process, its servers and its clients, and ends the processes as the
+//! script says.
 
 use crate::backend::{inventory, start_backend, Backend, SERVERS};
-use crate::clients::{ClientContext, ClientsEnd};
+use crate::clients::{ClientContext, StopClientsOnDrop};
 use crate::delay::DelayMeter;
 use crate::history::{DrainRecord, History, ProcessRecord};
 use crate::probe::{is_ready, sample_resources, signal_after, unix_ms, unused_address};
@@ -16,19 +17,21 @@
 use std::time::{Duration, Instant};
 
 /// The latency objective of the platform's classes; their deadline is twice that.
-const OBJECTIVE_MS: u64 = 800;
-/// The longest deadline of the feature front's classes counts as this.
-const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The time after the longest deadline at which SIGKILL comes at the earliest.
+const LATENCY_OBJECTIVE_MS: u64 = 800;
+/// The longest deadline that the platform waits for before it kills a process. Classes of the feature
+/// front have longer deadlines.
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// The time from the longest deadline to the earliest SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// The descriptors of a process with a crowd of idle clients, and the number of these.
-const CROWDED_DESCRIPTORS: usize = 128;
-const CROWD: usize = 200;
-/// The interval at which the state of a process is polled.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The interval at which the exit of a process is looked for.
+/// The descriptor limit of a process whose descriptors idle connections exhaust.
+const LOW_DESCRIPTOR_LIMIT: usize = 128;
+/// The number of idle connections to such a process.
+const IDLE_CONNECTIONS: usize = 200;
+/// The interval of readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The interval at which a run checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// The time in which a process must be ready.
+/// The time within which a process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A run in progress.
@@ -37,12 +40,14 @@
     rng: fastrand::Rng,
     start: Instant,
     backend: Backend,
-    temporary: PathBuf,
+    /// The folder for the sockets of hand-overs.
+    temporary_folder: PathBuf,
     clients: Arc<ClientContext>,
     meter: DelayMeter,
-    /// The processes that have ended, whose folders their successors use.
+    /// The processes that have exited. They are kept since successors use their folders.
     ended: Mutex<Vec<Process>>,
     drains: Vec<DrainRecord>,
+    /// The revision of the last endpoint list.
     revision: u64,
 }
 
@@ -52,25 +57,25 @@
     record: ProcessRecord,
 }
 
-/// Plays a script and returns the history.
-pub fn play(script: &Script) -> History {
+/// Runs a script and returns the recorded history.
+pub fn run_script(script: &Script) -> History {
     let start = Instant::now();
     let meter = DelayMeter::start(start);
     let servers = ServerContext {
         start,
-        forwards: Arc::default(),
-        faulty: Arc::new(script.server_faults.into()),
+        attempts: Arc::default(),
+        faults_enabled: Arc::new(script.server_faults.into()),
         seed: script.seed,
     };
     let backend = start_backend(script, &servers);
-    let temporary = std::env::temp_dir().join(format!("qf-soak-{}", std::process::id()));
-    std::fs::create_dir_all(&temporary).expect("a folder");
+    let temporary_folder = std::env::temp_dir().join(format!("qf-soak-{}", std::process::id()));
+    std::fs::create_dir_all(&temporary_folder).expect("the folder is created");
     let clients = Arc::new(ClientContext {
         front: script.front,
         start,
         address: Mutex::new(([127, 0, 0, 1], 0).into()),
         connects_until: Mutex::default(),
-        over: false.into(),
+        stop: false.into(),
         next_number: 1.into(),
         requests: Mutex::default(),
         refused_connects: Mutex::default(),
@@ -80,28 +85,35 @@
         rng: fastrand::Rng::with_seed(script.seed ^ 0x50a4),
         start,
         backend,
-        temporary,
+        temporary_folder,
         clients,
         meter,
         ended: Mutex::default(),
         drains: Vec::new(),
         revision: 1,
     };
-    let processes = run.play();
+    let processes = run.execute();
     let Run {
         clients,
         meter,
         drains,
-        temporary,
+        temporary_folder,
         ..
     } = run;
-    let _ = std::fs::remove_dir_all(&temporary);
-    let requests = std::mem::take(&mut *clients.requests.lock().expect("requests"));
-    let refused_connects = std::mem::take(&mut *clients.refused_connects.lock().expect("refused"));
-    let forwards = std::mem::take(&mut *servers.forwards.lock().expect("forwards"));
+    let _ = std::fs::remove_dir_all(&temporary_folder);
+    let requests =
+        std::mem::take(&mut *clients.requests.lock().expect("the mutex is not poisoned"));
+    let refused_connects = std::mem::take(
+        &mut *clients
+            .refused_connects
+            .lock()
+            .expect("the mutex is not poisoned"),
+    );
+    let attempts =
+        std::mem::take(&mut *servers.attempts.lock().expect("the mutex is not poisoned"));
     History {
         requests,
-        forwards,
+        attempts,
         drains,
         processes,
         refused_connects,
@@ -110,13 +122,17 @@
 }
 
 impl Run<'_> {
-    /// Plays the script and returns the records of its processes.
-    fn play(&mut self) -> Vec<ProcessRecord> {
+    /// Runs the script and returns the records of its processes.
+    fn execute(&mut self) -> Vec<ProcessRecord> {
         let first = self.start_process();
-        *self.clients.address.lock().expect("address") = first.process.address;
+        *self
+            .clients
+            .address
+            .lock()
+            .expect("the mutex is not poisoned") = first.process.address;
         let clients = self.clients.clone();
-        let crowd: Vec<TcpStream> = if self.script.crowd {
-            (0..CROWD)
+        let idle_connections: Vec<TcpStream> = if self.script.exhausts_descriptors {
+            (0..IDLE_CONNECTIONS)
                 .filter_map(|_| TcpStream::connect(first.process.address).ok())
                 .collect()
         } else {
@@ -128,14 +144,15 @@
                 let seed = self.script.seed * 100 + client as u64;
                 scope.spawn(move || clients.run_client(seed));
             }
-            let _end = ClientsEnd(&clients);
-            self.play_processes(first)
+            let _stop_clients = StopClientsOnDrop(&clients);
+            self.run_processes(first)
         });
-        drop(crowd);
+        drop(idle_connections);
         records
     }
 
-    fn play_processes(&mut self, mut first: RecordedProcess) -> Vec<ProcessRecord> {
+    /// Serves clients with the first process, and ends it and its successors as the script says.
+    fn run_processes(&mut self, mut first: RecordedProcess) -> Vec<ProcessRecord> {
         if self.script.ending == Ending::TermDuringStart {
             return vec![self.end_last(first, |_, _| {})];
         }
@@ -165,11 +182,12 @@
                 when_ready,
             } => self.hand_over(first, generations, when_ready),
             Ending::SuccessorKilled { when_ready } => self.kill_successor(first, when_ready),
-            Ending::KilledAtAnyTime => vec![self.kill(first)],
+            Ending::KilledWithoutTerm => vec![self.kill(first)],
         }
     }
 
-    /// Serves clients for the script's time, with its reloads, drain and faults of discovery.
+    /// Waits for the script's time while clients are served, with the script's reloads, drain and faults
+    /// of discovery.
     fn serve(&mut self, process: &Process) {
         let until = Instant::now() + self.script.serve_for;
         for _ in 0..self.script.reloads {
@@ -180,12 +198,12 @@
             self.drain(process);
         }
         if self.script.discovery_faults {
-            self.disturb_discovery();
+            self.inject_discovery_fault();
         }
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
     }
 
-    /// Drains a server for a while; on the platform it comes back restarted.
+    /// Drains a server for a while. Afterwards a data node is listed as restarted.
     fn drain(&mut self, process: &Process) {
         let server = self.rng.usize(0..SERVERS);
         let duration = Duration::from_millis(self.rng.u64(600..1_200));
@@ -193,35 +211,35 @@
             Backend::Platform { nodes, discovery } => {
                 let address = nodes[server].address;
                 discovery.update_endpoint(self.revision + 1, terminating(server, address));
-                let told_at = self.start.elapsed();
+                let announced_at = self.start.elapsed();
                 std::thread::sleep(duration);
                 let ended_at = self.start.elapsed();
                 let restarted = in_service(server, address).started_at(unix_ms());
                 discovery.update_endpoint(self.revision + 2, restarted);
                 self.drains.push(DrainRecord {
                     server,
-                    told_at,
+                    announced_at,
                     ended_at,
                 });
                 self.revision += 2;
             }
             Backend::Features(servers) => {
                 process.reload_inventory(&inventory(servers, Some(server)));
-                let told_at = self.start.elapsed();
+                let announced_at = self.start.elapsed();
                 std::thread::sleep(duration);
                 let ended_at = self.start.elapsed();
                 process.reload_inventory(&inventory(servers, None));
                 self.drains.push(DrainRecord {
                     server,
-                    told_at,
+                    announced_at,
                     ended_at,
                 });
             }
         }
     }
 
-    /// Makes discovery silent, or cuts a list, for a while.
-    fn disturb_discovery(&mut self) {
+    /// Makes the discovery agent silent for a while, or makes it send a truncated list.
+    fn inject_discovery_fault(&mut self) {
         let Backend::Platform { nodes, discovery } = &self.backend else {
             return;
         };
@@ -239,6 +257,7 @@
         }
     }
 
+    /// Starts successors and ends their predecessors until the last generation, which is ended too.
     fn hand_over(
         &mut self,
         first: RecordedProcess,
@@ -262,6 +281,7 @@
         records
     }
 
+    /// Starts and kills a successor, and ends its predecessor some time later.
     fn kill_successor(&mut self, first: RecordedProcess, when_ready: bool) -> Vec<ProcessRecord> {
         let mut successor = self.start_successor(&first);
         if when_ready {
@@ -272,18 +292,23 @@
         vec![killed, self.end_last(first, |_, _| {})]
     }
 
-    /// Ends the last process: clients open connections for a while after the signal only.
+    /// Ends the last process. Clients stop to open connections a while after the signal.
     fn end_last(
         &mut self,
         ended: RecordedProcess,
         further_signals: impl FnOnce(&Process, Instant),
     ) -> ProcessRecord {
         let until = self.start.elapsed() + Duration::from_millis(self.rng.u64(200..400));
-        *self.clients.connects_until.lock().expect("connects") = Some(until);
+        *self
+            .clients
+            .connects_until
+            .lock()
+            .expect("the mutex is not poisoned") = Some(until);
         self.end(ended, further_signals)
     }
 
-    /// Sends SIGTERM and further signals, and waits for the exit until the earliest SIGKILL.
+    /// Sends SIGTERM and further signals and waits for the exit. Sends SIGKILL if the process has not
+    /// exited when the kill is due.
     fn end(
         &self,
         mut ended: RecordedProcess,
@@ -291,14 +316,14 @@
     ) -> ProcessRecord {
         sample_resources(&ended.process, &mut ended.record);
         let deadline = match self.script.front {
-            FrontKind::Platform => Duration::from_millis(2 * OBJECTIVE_MS),
-            FrontKind::Features => LONGEST_COUNTED_DEADLINE,
+            FrontKind::Platform => Duration::from_millis(2 * LATENCY_OBJECTIVE_MS),
+            FrontKind::Features => MAX_DEADLINE,
         };
-        let since = Instant::now();
+        let terminated_at = Instant::now();
         ended.record.terminated_at = Some(self.start.elapsed());
         ended.process.signal("TERM");
-        further_signals(&ended.process, since);
-        let kill_due = since + deadline + KILL_MARGIN;
+        further_signals(&ended.process, terminated_at);
+        let kill_due = terminated_at + deadline + KILL_MARGIN;
         ended.record.kill_due_at = Some(kill_due.duration_since(self.start));
         while ended.process.has_succeeded().is_none() && !self.is_past(kill_due) {
             std::thread::sleep(EXIT_POLL_INTERVAL);
@@ -313,11 +338,11 @@
         self.finish(ended)
     }
 
-    /// Returns whether a time is over, plus the delay that was measured in the longest drain
-    /// before it.
+    /// Returns whether a time has passed, plus the delay that was measured before it, within the time
+    /// of the longest graceful shutdown.
     fn is_past(&self, time: Instant) -> bool {
         let due = time.duration_since(self.start);
-        let from = due.saturating_sub(LONGEST_COUNTED_DEADLINE + KILL_MARGIN);
+        let from = due.saturating_sub(MAX_DEADLINE + KILL_MARGIN);
         self.start.elapsed() >= due + self.meter.delay_between(from, due)
     }
 
@@ -329,7 +354,7 @@
         self.finish(killed)
     }
 
-    /// Waits for the exit and reads the rest of the log.
+    /// Waits for the exit and reads the counter of violated invariants from the log.
     fn finish(&self, mut ended: RecordedProcess) -> ProcessRecord {
         ended.process.wait_for_exit();
         ended.record.exited_at = Some(self.start.elapsed());
@@ -342,34 +367,43 @@
                 .next()
         });
         ended.record.broken_invariants = broken.and_then(|number| number.parse().ok());
-        self.ended.lock().expect("ended").push(ended.process);
+        self.ended
+            .lock()
+            .expect("the mutex is not poisoned")
+            .push(ended.process);
         ended.record
     }
 
+    /// Starts the first process.
     fn start_process(&self) -> RecordedProcess {
-        let test = format!("soak-{}", self.script.seed);
+        let test_name = format!("soak-{}", self.script.seed);
         let process = match &self.backend {
             Backend::Platform { nodes, discovery } => {
-                let descriptor_limit = if self.script.crowd {
-                    CROWDED_DESCRIPTORS
+                let descriptor_limit = if self.script.exhausts_descriptors {
+                    LOW_DESCRIPTOR_LIMIT
                 } else {
                     1024
                 };
-                let site = Deployment {
-                    latency_objective_ms: OBJECTIVE_MS,
+                let deployment = Deployment {
+                    latency_objective_ms: LATENCY_OBJECTIVE_MS,
                     descriptor_limit,
                     max_batch: 4,
                     ..Deployment::ALL_EFFECTS
                 };
                 let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-                let mut configuration = site.configuration(discovery.address, &addresses);
-                // All generations have one address, also one that no socket was handed over to.
+                let mut configuration = deployment.configuration(discovery.address, &addresses);
+                // All generations have the same address, also a process without a hand-over.
                 configuration["listen"] = unused_address().to_string().into();
-                let temporary = Some(self.temporary.as_path());
-                Process::start_platform_front_in(&test, &configuration, descriptor_limit, temporary)
+                let temporary_folder = Some(self.temporary_folder.as_path());
+                Process::start_platform_front_in(
+                    &test_name,
+                    &configuration,
+                    descriptor_limit,
+                    temporary_folder,
+                )
             }
             Backend::Features(servers) => {
-                Process::start_feature_front(&test, "", &inventory(servers, None))
+                Process::start_feature_front(&test_name, "", &inventory(servers, None))
             }
         };
         RecordedProcess {
@@ -378,21 +412,25 @@
         }
     }
 
+    /// Starts a successor of a process.
     fn start_successor(&self, predecessor: &RecordedProcess) -> RecordedProcess {
         RecordedProcess {
             process: predecessor
                 .process
-                .start_successor(Path::new(&self.temporary)),
+                .start_successor(Path::new(&self.temporary_folder)),
             record: ProcessRecord::default(),
         }
     }
 
-    /// Waits until the process says that it is ready.
+    /// Waits until the readiness check succeeds and records the time.
     fn wait_until_ready(&self, process: &mut RecordedProcess) {
         let started = Instant::now();
         while !is_ready(process.process.address) {
-            assert!(started.elapsed() < READY_TIMEOUT, "it is never ready");
-            std::thread::sleep(POLL_INTERVAL);
+            assert!(
+                started.elapsed() < READY_TIMEOUT,
+                "the process was not ready in time"
+            );
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         process.record.ready_at = Some(self.start.elapsed());
     }
--- a/tests/soak/script.rs
+++ b/tests/soak/script.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// The protocol that the process serves.
+/// The front that the process under test serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrontKind {
     Platform,
     Features,
 }
 
-/// The way in which the processes of a run end.
+/// How the processes of a run end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     /// One SIGTERM.
@@ -18,20 +18,21 @@
     TermTwice,
     /// SIGHUP while the process drains.
     HupWhileDraining,
-    /// SIGTERM right after the process listens.
+    /// SIGTERM immediately after the process starts to listen.
     TermDuringStart,
-    /// SIGTERM right behind SIGHUP.
+    /// SIGTERM immediately after SIGHUP.
     TermDuringReload,
-    /// Successors take over; each predecessor is told to end once its successor is ready, or while
-    /// its successor starts.
+    /// Successors take over. Each predecessor gets SIGTERM when its successor is ready, or while the
+    /// successor is starting.
     HandOver {
         generations: usize,
         when_ready: bool,
     },
-    /// A successor is killed; its predecessor serves on and is then told to end.
+    /// A successor gets SIGKILL when it is ready, or while it is starting. Its predecessor continues to
+    /// serve and gets SIGTERM later.
     SuccessorKilled { when_ready: bool },
     /// SIGKILL without a SIGTERM.
-    KilledAtAnyTime,
+    KilledWithoutTerm,
 }
 
 /// The script of a run.
@@ -40,24 +41,26 @@
     pub seed: u64,
     pub front: FrontKind,
     pub ending: Ending,
-    /// The time for which clients are served before the end begins.
+    /// The time for which clients are served before the first process ends.
     pub serve_for: Duration,
     /// The number of SIGHUPs while clients are served, in quick succession.
     pub reloads: usize,
     /// The number of clients that send requests.
     pub clients: usize,
-    /// Whether idle clients fill the descriptors.
-    pub crowd: bool,
-    /// Whether servers fail, hang, reject, disconnect and answer late or with invalid bytes.
+    /// Whether idle connections exhaust the file descriptors of the process.
+    pub exhausts_descriptors: bool,
+    /// Whether servers fail, reject or ignore requests, disconnect, and answer late or with invalid
+    /// bytes.
     pub server_faults: bool,
     /// Whether a server drains for a while.
     pub drain: bool,
-    /// Whether discovery is silent, cuts a list, and comes back.
+    /// Whether the discovery agent is silent for a while or sends a truncated list.
     pub discovery_faults: bool,
 }
 
 impl Script {
-    /// Draws the script of a seed. The endings take turns, so that a few seeds have many.
+    /// Draws the script of a seed. The ending is derived from the seed's remainder, so that a few
+    /// consecutive seeds have many different endings.
     pub fn draw(seed: u64) -> Script {
         let mut rng = fastrand::Rng::with_seed(seed);
         let front = if rng.u8(0..3) > 0 {
@@ -79,7 +82,7 @@
             serve_for: Duration::from_millis(rng.u64(1_500..4_000)),
             reloads: rng.usize(0..4),
             clients: rng.usize(8..16),
-            crowd: platform && rng.u8(0..4) == 0,
+            exhausts_descriptors: platform && rng.u8(0..4) == 0,
             server_faults: rng.u8(0..4) > 0,
             drain,
             discovery_faults: platform && !drain && rng.bool(),
@@ -87,6 +90,7 @@
     }
 }
 
+/// Draws the ending of a script. Only the platform front has hand-overs.
 fn draw_ending(seed: u64, platform: bool, rng: &mut fastrand::Rng) -> Ending {
     match seed % 8 {
         0 => Ending::Term,
@@ -101,7 +105,7 @@
         6 if platform => Ending::SuccessorKilled {
             when_ready: rng.bool(),
         },
-        7 => Ending::KilledAtAnyTime,
+        7 => Ending::KilledWithoutTerm,
         _ => Ending::Term,
     }
 }
