--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -62,8 +62,8 @@
     /// The process closed the connection before it read the request. The client has to send the
     /// request again on a new connection.
     CrossedClose,
-    /// The request was sent more than [`KILL_LOSS_ALLOWED_AFTER_TERM`] after SIGTERM and was unanswered
-    /// at the SIGKILL.
+    /// The request was sent more than [`KILL_LOSS_ALLOWED_AFTER_TERM`] after SIGTERM and was
+    /// unanswered at the SIGKILL.
     KilledWhileDraining,
     /// The request was unanswered when its process was killed without a SIGTERM.
     KilledWithoutTerm,
@@ -113,8 +113,8 @@
     }
 }
 
-/// Returns why the loss of a request is allowed; `None` if the request was not lost or its loss is not
-/// allowed.
+/// Returns why the loss of a request is allowed; `None` if the request was not lost or its loss is
+/// not allowed.
 fn allowed_loss(
     history: &History,
     request: &RequestRecord,
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -25,8 +25,8 @@
 /// servers can identify the request.
 pub const BBOX_SCALE: f64 = 1e6;
 
-/// The time after a request's timeout for which its client still reads, to distinguish a late response
-/// from a missing one.
+/// The time after a request's timeout for which its client still reads, to distinguish a late
+/// response from a missing one.
 const LATE_READ_PERIOD: Duration = Duration::from_secs(3);
 /// The pause before a client tries to connect again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
@@ -258,9 +258,9 @@
         (end, stays_open)
     }
 
-    /// Reads a connection with trailing bytes until it ends, and returns whether it was reset. Unless
-    /// the process is shutting down, it must also read trailing bytes for a while after the end of the
-    /// response.
+    /// Reads a connection with trailing bytes until it ends, and returns whether it was reset.
+    /// Unless the process is shutting down, it must also read trailing bytes for a while after the
+    /// end of the response.
     fn is_reset(&self, stream: &mut TcpStream, writer: TrailingBytesWriter) -> bool {
         let _ = stream.set_read_timeout(Some(LATE_READ_PERIOD));
         let closed = stream.read_to_end(&mut Vec::new()).is_ok();
--- a/tests/soak/content.rs
+++ b/tests/soak/content.rs
@@ -5,8 +5,8 @@
 use serde_json::Value;
 
 /// Classifies an answer of the platform front. It must have at most one piece for each requested
-/// shard, with the shard's value, no other pieces, and at least half of the requested shards. It must
-/// be declared complete if and only if it has all of them.
+/// shard, with the shard's value, no other pieces, and at least half of the requested shards. It
+/// must be declared complete if and only if it has all of them.
 pub fn classify_platform_answer(shards: &[u32], json: &Value) -> Content {
     let pieces = json["pieces"].as_array().cloned().unwrap_or_default();
     let mut tablets: Vec<u64> = Vec::new();
@@ -39,9 +39,9 @@
     }
 }
 
-/// Classifies an answer of the feature front. It must have all features, in order, of the shards that
-/// it does not declare missing, and no others. If it has a `next` link, it may end before the last of
-/// these features, but must not be empty.
+/// Classifies an answer of the feature front. It must have all features, in order, of the shards
+/// that it does not declare missing, and no others. If it has a `next` link, it may end before the
+/// last of these features, but must not be empty.
 pub fn classify_feature_answer(json: &Value) -> Content {
     let ids: Vec<&str> = json["features"]
         .as_array()
--- a/tests/soak/delay.rs
+++ b/tests/soak/delay.rs
@@ -1,5 +1,5 @@
-//! Threads that sleep for short times and record by how much they woke up too late. The delays show how
-//! slow the machine is during a run.
+//! Threads that sleep for short times and record by how much they woke up too late. The delays show
+//! how slow the machine is during a run.
 
 use crate::history::{delay_between, Delay};
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,6 @@
-//! A soak test of starts, reloads and shutdowns on real sockets. Clients, data nodes, feature servers
-//! and the discovery agent have planted faults. Each seed determines a script, and a checker looks for
-//! violations of the service's rules in the recorded history.
+//! A soak test of starts, reloads and shutdowns on real sockets. Clients, data nodes, feature
+//! servers and the discovery agent have planted faults. Each seed determines a script, and a
+//! checker looks for violations of the service's rules in the recorded history.
 //!
 //! A few seeds run with the other tests. The long run is started by hand, see docs/soak.md:
 //! `SOAK_SEEDS=60 SOAK_FIRST_SEED=1 cargo test --release --locked --test soak -- --nocapture`.
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -111,7 +111,8 @@
     }
 }
 
-/// Prints the script of a run with violations, its processes and drains, and the requests concerned.
+/// Prints the script of a run with violations, its processes and drains, and the requests
+/// concerned.
 fn print_failure(script: &Script, history: &History, violations: &[Violation]) {
     println!("  {script:?}");
     println!("  {:?}", history.processes);
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,5 +1,5 @@
-//! A run of a script: starts the process, its servers and its clients, and ends the processes as the
-//! script says.
+//! A run of a script: starts the process, its servers and its clients, and ends the processes as
+//! the script says.
 
 use crate::backend::{inventory, start_backend, Backend, SERVERS};
 use crate::clients::{ClientContext, StopClientsOnDrop};
@@ -18,8 +18,8 @@
 
 /// The latency objective of the platform's classes; their deadline is twice that.
 const LATENCY_OBJECTIVE_MS: u64 = 800;
-/// The longest deadline that the platform waits for before it kills a process. Classes of the feature
-/// front have longer deadlines.
+/// The longest deadline that the platform waits for before it kills a process. Classes of the
+/// feature front have longer deadlines.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// The time from the longest deadline to the earliest SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Waits for the script's time while clients are served, with the script's reloads, drain and faults
-    /// of discovery.
+    /// Waits for the script's time while clients are served, with the script's reloads, drain and
+    /// faults of discovery.
     fn serve(&mut self, process: &Process) {
         let until = Instant::now() + self.script.serve_for;
         for _ in 0..self.script.reloads {
@@ -307,8 +307,8 @@
         self.end(ended, further_signals)
     }
 
-    /// Sends SIGTERM and further signals and waits for the exit. Sends SIGKILL if the process has not
-    /// exited when the kill is due.
+    /// Sends SIGTERM and further signals and waits for the exit. Sends SIGKILL if the process has
+    /// not exited when the kill is due.
     fn end(
         &self,
         mut ended: RecordedProcess,
@@ -338,8 +338,8 @@
         self.finish(ended)
     }
 
-    /// Returns whether a time has passed, plus the delay that was measured before it, within the time
-    /// of the longest graceful shutdown.
+    /// Returns whether a time has passed, plus the delay that was measured before it, within the
+    /// time of the longest graceful shutdown.
     fn is_past(&self, time: Instant) -> bool {
         let due = time.duration_since(self.start);
         let from = due.saturating_sub(MAX_DEADLINE + KILL_MARGIN);
--- a/tests/soak/script.rs
+++ b/tests/soak/script.rs
@@ -22,14 +22,14 @@
     TermDuringStart,
     /// SIGTERM immediately after SIGHUP.
     TermDuringReload,
-    /// Successors take over. Each predecessor gets SIGTERM when its successor is ready, or while the
-    /// successor is starting.
+    /// Successors take over. Each predecessor gets SIGTERM when its successor is ready, or while
+    /// the successor is starting.
     HandOver {
         generations: usize,
         when_ready: bool,
     },
-    /// A successor gets SIGKILL when it is ready, or while it is starting. Its predecessor continues to
-    /// serve and gets SIGTERM later.
+    /// A successor gets SIGKILL when it is ready, or while it is starting. Its predecessor
+    /// continues to serve and gets SIGTERM later.
     SuccessorKilled { when_ready: bool },
     /// SIGKILL without a SIGTERM.
     KilledWithoutTerm,
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -1,5 +1,5 @@
-//! Data nodes and feature servers that record the attempts that they receive and have random planted
-//! faults.
+//! Data nodes and feature servers that record the attempts that they receive and have random
+//! planted faults.
 
 use crate::clients::{FEATURES_PER_SHARD, PAGE_SIZE, SHARDS};
 use crate::history::AttemptRecord;
--- a/tests/standin/client.rs
+++ b/tests/standin/client.rs
@@ -87,7 +87,8 @@
     send_query(process, QueryRequest::new(id, class, shards))
 }
 
-/// Sends a request on a new connection, which is closed after the response, and returns the response.
+/// Sends a request on a new connection, which is closed after the response, and returns the
+/// response.
 pub fn send_query(process: &Process, request: QueryRequest) -> Response {
     process.send_request(&request.close_connection().to_http())
 }
@@ -208,8 +209,8 @@
     }
 }
 
-/// Sends bytes that belong to no request until `bytes` of them are sent or the process stops reading,
-/// and disconnects.
+/// Sends bytes that belong to no request until `bytes` of them are sent or the process stops
+/// reading, and disconnects.
 pub fn send_trailing_bytes_and_disconnect(mut client: TcpStream, bytes: usize) {
     client
         .set_write_timeout(Some(WRITE_TIMEOUT))
--- a/tests/standin/data_node.rs
+++ b/tests/standin/data_node.rs
@@ -76,7 +76,8 @@
         DataNode::start(|_| NodeBehaviour::Hang)
     }
 
-    /// Starts a node whose behaviour depends on the number of the part. The first part has number 1.
+    /// Starts a node whose behaviour depends on the number of the part. The first part has number
+    /// 1.
     pub fn start(behaviour: impl Fn(usize) -> NodeBehaviour + Send + Sync + 'static) -> DataNode {
         let record = Arc::new(NodeRecord::default());
         let shared = record.clone();
@@ -196,8 +197,8 @@
     )
 }
 
-/// Closes the sending side and waits until the process closes its side, which it does when it notices
-/// the close.
+/// Closes the sending side and waits until the process closes its side, which it does when it
+/// notices the close.
 fn close_and_wait(stream: &mut TcpStream) -> Result<()> {
     stream.shutdown(Shutdown::Write)?;
     stream.read(&mut [0; 64]).map(drop)
--- a/tests/standin/deployment.rs
+++ b/tests/standin/deployment.rs
@@ -62,8 +62,8 @@
 pub struct Deployment {
     /// The classes of queries, in the order of the configuration.
     pub classes: &'static [ClassTemplate],
-    /// The latency objective of the classes that do not set one. The deadline of each class is twice
-    /// its objective.
+    /// The latency objective of the classes that do not set one. The deadline of each class is
+    /// twice its objective.
     pub latency_objective_ms: u64,
     /// The time for which data nodes recognize a repeated part, for all classes.
     pub deduplication_window_ms: Option<u64>,
@@ -135,8 +135,8 @@
         )
     }
 
-    /// Starts the process, answers its first watch with a list that has these data nodes in service,
-    /// and waits until the process is ready.
+    /// Starts the process, answers its first watch with a list that has these data nodes in
+    /// service, and waits until the process is ready.
     pub fn start_controlled(
         &self,
         test_name: &str,
--- a/tests/standin/discovery.rs
+++ b/tests/standin/discovery.rs
@@ -12,8 +12,8 @@
 use std::sync::{Arc, Mutex, Once};
 use std::time::Duration;
 
-/// The time after which the test program exits with a failure, so that a test that waits in vain does
-/// not hang.
+/// The time after which the test program exits with a failure, so that a test that waits in vain
+/// does not hang.
 const WATCHDOG_TIMEOUT: Duration = Duration::from_secs(150);
 
 /// An entry of an endpoint list.
@@ -113,8 +113,8 @@
     closed
 }
 
-/// A discovery agent that answers every watch with the same first line. The test sends the lines that
-/// follow.
+/// A discovery agent that answers every watch with the same first line. The test sends the lines
+/// that follow.
 pub struct Discovery {
     /// The address at which the agent listens.
     pub address: SocketAddr,
@@ -172,8 +172,8 @@
     }
 }
 
-/// Starts a discovery agent that answers every watch with this line only and keeps all watches open.
-/// Returns its address.
+/// Starts a discovery agent that answers every watch with this line only and keeps all watches
+/// open. Returns its address.
 pub fn serve_constant_list(list: String) -> SocketAddr {
     let mut open_watches = Vec::new();
     accept_on_thread(&ThreadGroup::default(), move |mut stream| {
@@ -271,7 +271,8 @@
     silent: bool,
     /// The open watches on which the first list was sent.
     watches: Vec<TcpStream>,
-    /// The watches that were opened while the agent was silent. They are kept open and never answered.
+    /// The watches that were opened while the agent was silent. They are kept open and never
+    /// answered.
     unanswered_watches: Vec<TcpStream>,
 }
 
@@ -330,7 +331,8 @@
         state.send(&changed_endpoints(revision, &[endpoint]));
     }
 
-    /// Stops or resumes sending. Watches that are opened while the agent is silent are never answered.
+    /// Stops or resumes sending. Watches that are opened while the agent is silent are never
+    /// answered.
     pub fn set_silent(&self, silent: bool) {
         self.state.lock().expect("the mutex is not poisoned").silent = silent;
     }
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -154,8 +154,8 @@
     )
 }
 
-/// Returns the response of a healthy server that has the features with these ids: a page of features
-/// with a `next` link if others follow, or the feature that the path names.
+/// Returns the response of a healthy server that has the features with these ids: a page of
+/// features with a `next` link if others follow, or the feature that the path names.
 pub fn healthy_response(target: &str, ids: Range<usize>, page_size: usize) -> ServerResponse {
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
--- a/tests/standin/frame_recorder.rs
+++ b/tests/standin/frame_recorder.rs
@@ -38,8 +38,8 @@
 pub struct FrameRecorder {
     frames: Receiver<ReceivedFrame>,
     addresses: Vec<SocketAddr>,
-    /// Whether the process has exited. Each node then accepts one more connection, which the recorder
-    /// makes, and stops.
+    /// Whether the process has exited. Each node then accepts one more connection, which the
+    /// recorder makes, and stops.
     process_exited: Arc<AtomicBool>,
     threads: OwnedThreadGroup,
 }
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Kills the process, reads its connections until they end, and asserts that no further call was
-    /// sent on them.
+    /// Kills the process, reads its connections until they end, and asserts that no further call
+    /// was sent on them.
     pub fn assert_no_further_call(self, process: Process) {
         drop(process);
         self.process_exited.store(true, Relaxed);
--- a/tests/standin/frames.rs
+++ b/tests/standin/frames.rs
@@ -19,7 +19,8 @@
     stream.write_all(&bytes)
 }
 
-/// Writes the answer to an attempt at a part. The text has the part's id, the outcome and the value.
+/// Writes the answer to an attempt at a part. The text has the part's id, the outcome and the
+/// value.
 pub fn write_answer(stream: &mut TcpStream, text: &str) -> Result<()> {
     write_frame(stream, ANSWER, text)
 }
--- a/tests/standin/http.rs
+++ b/tests/standin/http.rs
@@ -12,8 +12,8 @@
     TcpListener::bind("127.0.0.1:0").expect("a port is free")
 }
 
-/// Starts a thread that passes the connections to a free loopback port to `accept` for as long as the
-/// test program runs. Returns the address.
+/// Starts a thread that passes the connections to a free loopback port to `accept` for as long as
+/// the test program runs. Returns the address.
 pub fn accept_on_thread(
     thread_group: &ThreadGroup,
     mut accept: impl FnMut(TcpStream) + Send + 'static,
@@ -29,7 +29,8 @@
     BufReader::new(stream.try_clone().expect("the socket is duplicated")).lines()
 }
 
-/// Reads a request without a body and returns its first line, or `None` if the connection has ended.
+/// Reads a request without a body and returns its first line, or `None` if the connection has
+/// ended.
 pub fn read_request_line(lines: &mut Lines<BufReader<TcpStream>>) -> Option<String> {
     let request_line = lines.next()?.ok()?;
     while lines
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,5 +1,5 @@
-//! Support for tests that use sockets on the loopback interface: the process under test, clients, and
-//! stand-ins for the servers that the process connects to.
+//! Support for tests that use sockets on the loopback interface: the process under test, clients,
+//! and stand-ins for the servers that the process connects to.
 #![allow(
     dead_code,
     reason = "each test target is compiled separately and uses only some of these items"
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -126,8 +126,8 @@
         Process::spawn(command, folder)
     }
 
-    /// Starts a successor of this process with the same configuration. `temporary_folder` must be that
-    /// of this process.
+    /// Starts a successor of this process with the same configuration. `temporary_folder` must be
+    /// that of this process.
     pub fn start_successor(&self, temporary_folder: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
         let first_folder = self
@@ -179,8 +179,8 @@
         *address.get_or_insert_with(|| last_address(&self.wait_for_log("admin endpoint listening")))
     }
 
-    /// Waits for the next log line that contains this text and returns it. Panics with the log so far
-    /// if there is none within [`LOG_TIMEOUT`].
+    /// Waits for the next log line that contains this text and returns it. Panics with the log so
+    /// far if there is none within [`LOG_TIMEOUT`].
     pub fn wait_for_log(&self, text: &str) -> String {
         let started = Instant::now();
         let log = self.log.lock().expect("the mutex is not poisoned");
@@ -276,7 +276,8 @@
         assert!(status.expect("the command kill runs").success());
     }
 
-    /// Sends the signal with this name, which is given without `SIG`, to a process that may have exited.
+    /// Sends the signal with this name, which is given without `SIG`, to a process that may have
+    /// exited.
     pub fn signal_if_alive(&self, name: &str) {
         // Sending a signal to an exited process succeeds until the process is waited for.
         self.signal(name);
@@ -323,8 +324,8 @@
         ))
     }
 
-    /// Sends the text of a request on a new connection and returns the response, which must close the
-    /// connection.
+    /// Sends the text of a request on a new connection and returns the response, which must close
+    /// the connection.
     pub fn send_request(&self, request: &str) -> Response {
         let mut stream = TcpStream::connect(self.address).expect("the process accepts connections");
         stream
@@ -368,7 +369,8 @@
     }
 }
 
-/// Creates a folder for a process. Each folder has another name, even if two tests have the same name.
+/// Creates a folder for a process. Each folder has another name, even if two tests have the same
+/// name.
 fn create_folder(test_name: &str) -> PathBuf {
     static FOLDERS: AtomicUsize = AtomicUsize::new(0);
     let number = FOLDERS.fetch_add(1, Relaxed);
--- a/tests/standin/threads.rs
+++ b/tests/standin/threads.rs
@@ -41,8 +41,8 @@
         std::thread::spawn(move || threads.record_panic(run));
     }
 
-    /// Waits until no thread runs except the detached ones, or until the timeout. Returns whether no
-    /// such thread runs.
+    /// Waits until no thread runs except the detached ones, or until the timeout. Returns whether
+    /// no such thread runs.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         let (state, changed) = &*self.shared;
         let started = Instant::now();
