--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -237,7 +237,11 @@
 fn check_drains(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     for drain in &history.drains {
-        for attempt in history.attempts.iter().filter(|f| f.server == drain.server) {
+        for attempt in history
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.server == drain.server)
+        {
             let delay = history.delay_between(drain.announced_at, attempt.received_at);
             let from = drain.announced_at + DRAIN_SLACK + delay;
             if attempt.received_at > from && attempt.received_at < drain.ended_at {
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -46,6 +46,7 @@
 /// The state that the clients of a run share.
 pub struct ClientContext {
     pub front: FrontKind,
+    /// The start of the run, to which recorded times are relative.
     pub start: Instant,
     /// The address of the process.
     pub address: Mutex<SocketAddr>,
--- a/tests/soak/report.rs
+++ b/tests/soak/report.rs
@@ -122,9 +122,15 @@
         let Some(number) = violation.request else {
             continue;
         };
-        let requests = history.requests.iter().filter(|r| r.number == number);
+        let requests = history
+            .requests
+            .iter()
+            .filter(|request| request.number == number);
         requests.for_each(|request| println!("    {request:?}"));
-        let attempts = history.attempts.iter().filter(|f| f.request == number);
+        let attempts = history
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.request == number);
         attempts.for_each(|attempt| println!("    {attempt:?}"));
     }
 }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -292,7 +292,7 @@
         vec![killed, self.end_last(first, |_, _| {})]
     }
 
-    /// Ends the last process. Clients stop to open connections a while after the signal.
+    /// Ends the last process. Clients stop opening connections a while after the signal.
     fn end_last(
         &mut self,
         ended: RecordedProcess,
@@ -338,8 +338,8 @@
         self.finish(ended)
     }
 
-    /// Returns whether a time has passed, plus the delay that was measured before it, within the
-    /// time of the longest graceful shutdown.
+    /// Returns whether a time has passed. The time is extended by the delay that was measured during
+    /// the longest possible shutdown before it.
     fn is_past(&self, time: Instant) -> bool {
         let due = time.duration_since(self.start);
         let from = due.saturating_sub(MAX_DEADLINE + KILL_MARGIN);
--- a/tests/soak/servers.rs
+++ b/tests/soak/servers.rs
@@ -21,6 +21,7 @@
 /// The state that the servers of a run share.
 #[derive(Clone)]
 pub struct ServerContext {
+    /// The start of the run, to which recorded times are relative.
     pub start: Instant,
     pub attempts: Arc<Mutex<Vec<AttemptRecord>>>,
     /// Whether the servers have planted faults.
