--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -82,6 +82,7 @@
 pub struct ProcessRecord {
     /// The time of the first readiness check that succeeded.
     pub ready_at: Option<Duration>,
+    /// The time of the first SIGTERM, if one was sent.
     pub terminated_at: Option<Duration>,
     /// The time of the earliest SIGKILL after SIGTERM.
     pub kill_due_at: Option<Duration>,
@@ -89,9 +90,9 @@
     pub killed_at: Option<Duration>,
     /// The time at which the run noticed the exit.
     pub exited_at: Option<Duration>,
-    /// Whether it exited with success and without SIGKILL.
+    /// Whether the process exited with success and without SIGKILL.
     pub exited_with_success: bool,
-    /// The counter of violated invariants at its exit, if the process logged it.
+    /// The counter of violated invariants at the exit, if the process logged it.
     pub broken_invariants: Option<u64>,
     pub peak_memory_kib: u64,
     pub peak_descriptors: usize,
