--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -3,6 +3,7 @@
 mod standin;
 
 use serde_json::json;
+use standin::admin_endpoint::call_admin_endpoint;
 use standin::client::{
     query, read_response, read_until_close, send_request, Class, QueryRequest, ResponseHead, Shards,
 };
@@ -11,7 +12,6 @@
 use standin::discovery::{all_in_service, complete_list, serve_constant_list, ControlledDiscovery};
 use standin::frames::{read_part_ids, write_answer};
 use standin::http::bind_loopback;
-use standin::management::management_call;
 use standin::process::Process;
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
@@ -93,7 +93,11 @@
             if client.get_mut().write_all(next.as_bytes()).is_err() {
                 break;
             }
-            let Some(ResponseHead { status, closes }) = read_response(&mut client) else {
+            let Some(ResponseHead {
+                status,
+                closes_connection,
+            }) = read_response(&mut client)
+            else {
                 assert!(
                     closed == 0,
                     "a connection accepted after the first Connection: close is answered"
@@ -102,7 +106,7 @@
             };
             responses += 1;
             assert!(status / 100 == 5, "{status}");
-            if closes {
+            if closes_connection {
                 closed += 1;
                 break;
             }
@@ -173,7 +177,7 @@
     reload_with_longer_deadline(&process);
     let timed_out = ResponseHead {
         status: 504,
-        closes: false,
+        closes_connection: false,
     };
     assert_eq!(read_response(&mut client), Some(timed_out));
     let read = client.read(&mut [0]).expect("closed without a reset");
@@ -183,7 +187,10 @@
     let answer = read_response(&mut last).expect("a response, and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
-    assert!(answer.status / 100 == 5 && answer.closes, "{answer:?}");
+    assert!(
+        answer.status / 100 == 5 && answer.closes_connection,
+        "{answer:?}"
+    );
     assert!(process.wait_for_exit(), "the process exits without a kill");
     assert!(
         started_at.elapsed().as_millis() < 900,
@@ -265,10 +272,10 @@
     let mut persistent = send_request(&predecessor, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
     let successor = predecessor.start_successor(&temporary);
-    while management_call(successor.management_address(), "HEALTH\n") != "YES\n" {}
-    let predecessor_admin = predecessor.management_address();
+    while call_admin_endpoint(successor.admin_address(), "HEALTH\n") != "YES\n" {}
+    let predecessor_admin = predecessor.admin_address();
     predecessor.signal("TERM");
-    while management_call(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
+    while call_admin_endpoint(predecessor_admin, "HEALTH\n") != "NO it is told to end\n" {}
     drop(successor);
     for n in 0..5 {
         assert_eq!(
--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -5,7 +5,7 @@
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{all_in_service, complete_list, serve_constant_list};
 use crate::standin::http::accept_on_thread;
-use crate::standin::threads::OwnedThreads;
+use crate::standin::threads::OwnedThreadGroup;
 use crate::support::{
     create_folder, platform_command, refusing_address, with_descriptors, LoggingProcess,
 };
@@ -17,12 +17,12 @@
 fn unusable_answers_of_data_nodes_are_logged_with_the_nodes_address() {
     // The answer to any attempt is a frame of five bytes that is not a valid answer.
     let mut open = Vec::new();
-    let threads = OwnedThreads::default();
+    let threads = OwnedThreadGroup::default();
     let corrupt = accept_on_thread(&threads.0, move |mut stream| {
         let _ = stream.write_all(b"\0\0\0\x05hello");
         open.push(stream);
     });
-    let partial = DataNode::start(|_| NodeBehaviour::PartialResponse);
+    let partial = DataNode::start(|_| NodeBehaviour::TruncatedAnswer);
     for (test, node, message) in [
         (
             "corrupt",
@@ -38,7 +38,7 @@
         let nodes = [node];
         let discovery = serve_constant_list(complete_list(1, &all_in_service(&nodes)));
         let configuration = Deployment::BASIC.configuration(discovery, &nodes);
-        let process = LoggingProcess::start_platform(test, &configuration);
+        let process = LoggingProcess::start_platform_front(test, &configuration);
         let mut listening = process.wait_for("listening for client connections");
         let address: SocketAddr = listening.take_field("address").parse().expect("an address");
         let mut client = TcpStream::connect(address).expect("the process listens");
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -9,7 +9,7 @@
 fn the_feature_front_logs_its_start_reloads_counters_and_shutdown() {
     let server = FeatureServer::healthy(0..6, 2);
     let row = inventory_row("a", &server, "devices");
-    let process = LoggingProcess::start_edge("edge", &row);
+    let process = LoggingProcess::start_feature_front("edge", &row);
     let mut listening = process.wait_for("listening for client connections");
     listening.take_bound_address("address");
     listening.assert("INFO", json!({"service": "feature queries"}));
@@ -68,10 +68,11 @@
 fn a_text_line_has_the_level_the_message_and_the_fields() {
     let server = FeatureServer::healthy(0..6, 2);
     let admin = "mgmt = \"127.0.0.1:0\"";
-    let process = Process::start_edge("log-text", admin, &inventory_row("a", &server, "devices"));
+    let process =
+        Process::start_feature_front("log-text", admin, &inventory_row("a", &server, "devices"));
     // A SIGHUP that is sent before the admin endpoint listens may arrive before the process handles
     // the signal.
-    process.management_address();
+    process.admin_address();
     process.signal("HUP");
     assert_eq!(
         process.wait_for_log("inventory"),
--- a/tests/ogc/faults.rs
+++ b/tests/ogc/faults.rs
@@ -1,7 +1,7 @@
 //! Faulty feature servers: retries, timeouts and partial responses.
 
 use crate::standin::feature_server::{
-    healthy_reply, inventory_row, query_parameter, FeatureServer, Reply,
+    healthy_response, inventory_row, query_parameter, FeatureServer, ServerResponse,
 };
 use crate::standin::process::Process;
 use crate::support::{feature_ids, ITEMS};
@@ -10,19 +10,22 @@
 fn failed_and_truncated_pages_are_retried_elsewhere_without_duplicates() {
     let truncate_third = |target: &str| match (
         query_parameter(target, "offset"),
-        healthy_reply(target, 0..6, 2),
+        healthy_response(target, 0..6, 2),
     ) {
-        (Some(4), Reply::Json(body)) => Reply::Truncated(body),
-        (_, reply) => reply,
+        (Some(4), ServerResponse::Json(body)) => ServerResponse::Truncated(body),
+        (_, response) => response,
     };
     for (test, bad) in [
-        ("errors", FeatureServer::start(|_| Reply::Status(500))),
+        (
+            "errors",
+            FeatureServer::start(|_| ServerResponse::Status(500)),
+        ),
         ("cut", FeatureServer::start(truncate_third)),
     ] {
         let healthy = FeatureServer::healthy(0..6, 2);
         let rows =
             inventory_row("bad", &bad, "devices") + &inventory_row("good", &healthy, "devices");
-        let process = Process::start_edge(test, "", &rows);
+        let process = Process::start_feature_front(test, "", &rows);
         for _ in 0..4 {
             let response = process.get(ITEMS);
             assert_eq!(
@@ -40,14 +43,14 @@
 
 #[test]
 fn parts_of_a_non_idempotent_class_are_not_retried() {
-    let truncate = |target: &str| match healthy_reply(target, 0..6, 2) {
-        Reply::Json(body) => Reply::Truncated(body),
+    let truncate = |target: &str| match healthy_response(target, 0..6, 2) {
+        ServerResponse::Json(body) => ServerResponse::Truncated(body),
         other => other,
     };
     let a = FeatureServer::start(truncate);
     let b = FeatureServer::start(truncate);
     let rows = inventory_row("a", &a, "devices") + &inventory_row("b", &b, "devices");
-    let process = Process::start_edge("once", "", &rows);
+    let process = Process::start_feature_front("once", "", &rows);
     assert_eq!(
         process.get_with_headers(ITEMS, "X-Qos: once\r\n").status,
         502
@@ -62,9 +65,9 @@
 #[test]
 fn a_hanging_server_causes_a_timeout_or_a_partial_response() {
     let healthy = FeatureServer::healthy(0..3, 10);
-    let hung = FeatureServer::start(|_| Reply::Hang);
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
     let rows = inventory_row("a", &healthy, "devices/n") + &inventory_row("b", &hung, "devices/s");
-    let process = Process::start_edge("hang", "", &rows);
+    let process = Process::start_feature_front("hang", "", &rows);
     let timed_out = process.get_with_headers(ITEMS, "X-Qos: brief\r\n");
     assert_eq!(
         (timed_out.status, timed_out.json()["status"].as_u64()),
@@ -91,15 +94,15 @@
     // Both servers of shard s return its first page and fail at the next one: the shard is started
     // over at the second server and fails again.
     let first_page_only = |target: &str| match query_parameter(target, "offset") {
-        Some(_) => Reply::Status(500),
-        None => healthy_reply(target, 100..106, 2),
+        Some(_) => ServerResponse::Status(500),
+        None => healthy_response(target, 100..106, 2),
     };
     let healthy = FeatureServer::healthy(0..3, 10);
     let broken = [0, 1].map(|_| FeatureServer::start(first_page_only));
     let rows = inventory_row("a", &healthy, "devices/n")
         + &inventory_row("b", &broken[0], "devices/s")
         + &inventory_row("c", &broken[1], "devices/s");
-    let process = Process::start_edge("missing", "", &rows);
+    let process = Process::start_feature_front("missing", "", &rows);
 
     let partial = process.get_with_headers(ITEMS, "X-Qos: part\r\n");
 
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -1,8 +1,10 @@
 //! Operation of the feature front: draining, overload, shutdown and counters.
 
-use crate::standin::client::{disconnect_behind, send_request};
-use crate::standin::feature_server::{inventory_row, inventory_row_in_state, FeatureServer, Reply};
-use crate::standin::management::management_call;
+use crate::standin::admin_endpoint::call_admin_endpoint;
+use crate::standin::client::{send_request, send_trailing_bytes_and_disconnect};
+use crate::standin::feature_server::{
+    inventory_row, inventory_row_in_state, FeatureServer, ServerResponse,
+};
 use crate::standin::process::Process;
 use crate::support::{feature_ids, GatedServer, ITEMS};
 
@@ -17,13 +19,13 @@
 fn a_draining_server_gets_no_further_pages_and_a_failed_reload_changes_nothing() {
     let draining = GatedServer::start(0..6, 2);
     let healthy = FeatureServer::healthy(0..6, 2);
-    let hung = FeatureServer::start(|_| Reply::Hang);
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
     let hung_row = inventory_row("h", &hung, "hung");
     let rows = inventory_row("a", &draining.server, "devices") + &hung_row;
     let rows_with_drain = inventory_row_in_state("a", &draining.server, "devices", "draining")
         + &inventory_row("b", &healthy, "devices")
         + &hung_row;
-    let process = Process::start_edge("drain", "", &rows);
+    let process = Process::start_feature_front("drain", "", &rows);
 
     std::thread::scope(|scope| {
         let client = scope.spawn(|| process.get(ITEMS));
@@ -51,8 +53,8 @@
 
 #[test]
 fn queries_beyond_max_in_flight_are_rejected_with_retry_after() {
-    let hung = FeatureServer::start(|_| Reply::Hang);
-    let process = Process::start_edge(
+    let hung = FeatureServer::start(|_| ServerResponse::Hang);
+    let process = Process::start_feature_front(
         "burst",
         "most_held = 4\nretry_after_ms = 1500",
         &inventory_row("a", &hung, "devices"),
@@ -82,7 +84,7 @@
 fn after_sigterm_pending_queries_are_answered_before_the_exit() {
     let gated = GatedServer::start(0..2, 2);
     let rows = inventory_row("a", &gated.server, "devices");
-    let mut process = Process::start_edge("end", "", &rows);
+    let mut process = Process::start_feature_front("end", "", &rows);
     std::thread::scope(|scope| {
         let client = scope
             .spawn(|| process.send_request(&format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n")));
@@ -99,12 +101,12 @@
 #[test]
 fn feature_queries_are_counted_by_class() {
     let server = FeatureServer::healthy(0..3, 2);
-    let process = Process::start_edge(
+    let process = Process::start_feature_front(
         "figures",
         "mgmt = \"127.0.0.1:0\"",
         &inventory_row("a", &server, "devices"),
     );
-    let dump = |call: &str| management_call(process.management_address(), call);
+    let dump = |call: &str| call_admin_endpoint(process.admin_address(), call);
     while dump("HEALTH\n") != "YES\n" {}
     assert_eq!(process.get(ITEMS).status, 200);
     assert_eq!(
@@ -138,11 +140,12 @@
     for bytes in [1_500_000, 3_000_000, 60_000_000] {
         // Each case has its own process, since a process that has recorded the hang would reject the
         // next query before it is sent.
-        let hung = FeatureServer::start(|_| Reply::Hang);
+        let hung = FeatureServer::start(|_| ServerResponse::Hang);
         let test = format!("unread-{bytes}");
-        let process = Process::start_edge(&test, "", &inventory_row("a", &hung, "devices"));
+        let process =
+            Process::start_feature_front(&test, "", &inventory_row("a", &hung, "devices"));
         let request = format!("GET {ITEMS} HTTP/1.1\r\nHost: x\r\n\r\n");
-        disconnect_behind(send_request(&process, &request), bytes);
+        send_trailing_bytes_and_disconnect(send_request(&process, &request), bytes);
         process.wait_for_counter("queries_abandoned", 1);
     }
 }
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -1,7 +1,7 @@
 //! Pages of feature servers: merged over shards, continued over `next` links, and bounded.
 
 use crate::standin::feature_server::{
-    healthy_reply, inventory_row, inventory_row_in_state, FeatureServer, Reply,
+    healthy_response, inventory_row, inventory_row_in_state, FeatureServer, ServerResponse,
 };
 use crate::standin::process::Process;
 use crate::support::{feature_ids, ITEMS};
@@ -11,7 +11,7 @@
     let north = FeatureServer::healthy(0..7, 3);
     let south = FeatureServer::healthy(100..105, 2);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let process = Process::start_edge("pages", "", &rows);
+    let process = Process::start_feature_front("pages", "", &rows);
     let complete = process.get(ITEMS);
     let all: Vec<String> = feature_ids(0..7)
         .into_iter()
@@ -46,11 +46,12 @@
 #[test]
 fn all_pages_are_fetched_from_a_server_that_closes_after_each() {
     // Each page is fetched on a new connection, since the server has closed the one before.
-    let server = FeatureServer::start(|target| match healthy_reply(target, 0..6, 2) {
-        Reply::Json(body) => Reply::CloseDelimited(body),
+    let server = FeatureServer::start(|target| match healthy_response(target, 0..6, 2) {
+        ServerResponse::Json(body) => ServerResponse::CloseDelimited(body),
         other => other,
     });
-    let process = Process::start_edge("close", "", &inventory_row("a", &server, "devices"));
+    let process =
+        Process::start_feature_front("close", "", &inventory_row("a", &server, "devices"));
     let response = process.get(ITEMS);
     assert_eq!((response.status, response.ids()), (200, feature_ids(0..6)));
     assert_eq!(server.count_requests(|_| true), 3);
@@ -63,7 +64,7 @@
 ) -> FeatureServer {
     FeatureServer::start(move |target| {
         let href = next_link(target);
-        Reply::Json(format!(
+        ServerResponse::Json(format!(
             r#"{{"features":[{{"id":"d0"}}],"links":[{{"rel":"next","href":"{href}"}}]}}"#
         ))
     })
@@ -81,7 +82,9 @@
 /// Starts a server whose page has more than 100,000 bytes.
 fn start_with_large_page() -> FeatureServer {
     let padding = "x".repeat(100_000);
-    FeatureServer::start(move |_| Reply::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#)))
+    FeatureServer::start(move |_| {
+        ServerResponse::Json(format!(r#"{{"features":[],"x":"{padding}"}}"#))
+    })
 }
 
 #[test]
@@ -100,7 +103,7 @@
         + &inventory_row("c", &endless, "endless")
         + &inventory_row("d", &large, "large");
     let settings = "attempts = 1\nmost_pages = 7\nmost_bytes = 50000";
-    let process = Process::start_edge("links", settings, &rows);
+    let process = Process::start_feature_front("links", settings, &rows);
 
     for name in ["away", "circular", "large"] {
         let status = process.get(&format!("/collections/{name}/items")).status;
@@ -126,7 +129,8 @@
     let other = FeatureServer::healthy(0..6, 2);
     let other_row = inventory_row("b", &other, "devices");
     let rows_with = |state| inventory_row_in_state("a", &server, "devices", state) + &other_row;
-    let process = Process::start_edge("drained-link", "", &inventory_row("a", &server, "devices"));
+    let process =
+        Process::start_feature_front("drained-link", "", &inventory_row("a", &server, "devices"));
     let first = process.get(&format!("{ITEMS}?limit=2"));
     let next = first.link("next").expect("more features");
 
@@ -154,7 +158,7 @@
         inventory_row("a", &servers[0], first) + &inventory_row("b", &servers[1], "devices/n")
     };
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let process = Process::start_edge("moved-link", settings, &rows("devices/n"));
+    let process = Process::start_feature_front("moved-link", settings, &rows("devices/n"));
     let mut next = None;
     while servers[0].count_requests(|_| true) == 0 {
         next = process.get(&format!("{ITEMS}?limit=2")).link("next");
--- a/tests/ogc/support.rs
+++ b/tests/ogc/support.rs
@@ -1,6 +1,6 @@
 //! Helpers of the tests of the feature front.
 
-use crate::standin::feature_server::{healthy_reply, query_parameter, FeatureServer};
+use crate::standin::feature_server::{healthy_response, query_parameter, FeatureServer};
 use std::ops::Range;
 use std::sync::mpsc::{channel, Sender};
 use std::sync::Mutex;
@@ -32,7 +32,7 @@
                     .recv()
                     .expect("the test opens the gate");
             }
-            healthy_reply(target, ids.clone(), page)
+            healthy_response(target, ids.clone(), page)
         });
         GatedServer { server, opener }
     }
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -86,7 +86,7 @@
             .map(|(n, fault)| start_server(shards_of(n), fault.clone()))
             .collect();
         Run {
-            process: Process::start_edge("run", SETTINGS, &inventory(&servers, None)),
+            process: Process::start_feature_front("run", SETTINGS, &inventory(&servers, None)),
             servers,
             faults,
             is_over: AtomicBool::new(false),
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -3,7 +3,7 @@
 
 mod standin;
 
-use standin::feature_server::{inventory_row, query_parameter, FeatureServer, Reply};
+use standin::feature_server::{inventory_row, query_parameter, FeatureServer, ServerResponse};
 use standin::process::Process;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::Arc;
@@ -11,7 +11,11 @@
 const ITEMS: &str = "/collections/devices/items";
 
 /// Returns a page by `limit` and `offset`; `order` returns the feature at each position.
-fn page(target: &str, ids: &std::ops::Range<usize>, order: &dyn Fn(usize) -> usize) -> Reply {
+fn page(
+    target: &str,
+    ids: &std::ops::Range<usize>,
+    order: &dyn Fn(usize) -> usize,
+) -> ServerResponse {
     let size = query_parameter(target, "limit").unwrap_or(10).min(500);
     let from = query_parameter(target, "offset").unwrap_or(0);
     let to = (from + size).min(ids.len());
@@ -20,7 +24,7 @@
     let path = target.split('?').next().unwrap_or_default();
     let next = format!(r#"{{"rel":"next","href":"{path}?limit={size}&offset={to}"}}"#);
     let links = if to < ids.len() { next } else { String::new() };
-    Reply::Json(format!(
+    ServerResponse::Json(format!(
         r#"{{"type":"FeatureCollection","numberMatched":{},"features":[{}],"links":[{links}]}}"#,
         ids.len(),
         features.join(",")
@@ -35,7 +39,7 @@
 ) -> FeatureServer {
     let down = down.clone();
     FeatureServer::start(move |target| match down.load(Relaxed) {
-        true => Reply::Status(500),
+        true => ServerResponse::Status(500),
         false => page(target, &ids, &order),
     })
 }
@@ -93,7 +97,7 @@
     let north = start_server(0..20_000);
     let south = start_server(20_000..40_000);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let process = Process::start_edge("cost", "", &rows);
+    let process = Process::start_feature_front("cost", "", &rows);
     let requests = || north.count_requests(|_| true) + south.count_requests(|_| true);
     let first_page = process.get(&format!("{ITEMS}?limit=2"));
     assert_eq!(
@@ -132,7 +136,7 @@
     let rows = inventory_row("a", &a, "devices/n")
         + &inventory_row("b", &b, "devices/n")
         + &inventory_row("c", &other, "devices/s");
-    let process = Process::start_edge("differ", "retry_after_ms = 50", &rows);
+    let process = Process::start_feature_front("differ", "retry_after_ms = 50", &rows);
     let (ids, _) = follow_next_links(&process, &format!("{ITEMS}?limit=100"), |response| {
         // Each is down before one response, and both are up again at the next.
         down[0].store(response == 3, Relaxed);
@@ -166,7 +170,7 @@
     let north = start_server(0..50);
     let south = start_server(100..150);
     let rows = inventory_row("a", &north, "devices/n") + &inventory_row("b", &south, "devices/s");
-    let process = Process::start_edge("cursors", "", &rows);
+    let process = Process::start_feature_front("cursors", "", &rows);
     let next = process
         .get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9"))
         .link("next")
@@ -191,7 +195,7 @@
     let [a, b] = [0, 1].map(|n| start_replica(&down[n], 0..1_000, |next| next));
     let rows = inventory_row("a", &a, "devices/n") + &inventory_row("b", &b, "devices/n");
     let settings = "[[collection]]\nid = \"devices\"\nsame_order = true\n";
-    let process = Process::start_edge("order", settings, &rows);
+    let process = Process::start_feature_front("order", settings, &rows);
     let (ids, responses) = follow_next_links(&process, &format!("{ITEMS}?limit=100"), |response| {
         down[0].store((2..5).contains(&response), Relaxed);
         down[1].store((6..9).contains(&response), Relaxed);
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -12,10 +12,7 @@
     // Answers take milliseconds, so no attempt is in flight for the 0.4 s after which a connection
     // is closed because an attempt is too old. It is closed because nothing arrives on it, or
     // because the bytes after half an answer do not complete the answer.
-    for fault in [
-        NodeBehaviour::StopResponding,
-        NodeBehaviour::PartialResponse,
-    ] {
+    for fault in [NodeBehaviour::StopAnswering, NodeBehaviour::TruncatedAnswer] {
         let nodes = [(); 2].map(|()| {
             DataNode::start(move |part| match part {
                 100 => fault,
@@ -24,7 +21,7 @@
         });
         let (process, _changes) = Deployment::BASIC.start(&format!("mute{}", fault as u8), &nodes);
         process.wait_until_ready();
-        let part_count = |node: &DataNode| node.received_parts().len();
+        let part_count = |node: &DataNode| node.received_part_ids().len();
         for n in 0..1_000 {
             assert_eq!(
                 query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
@@ -37,7 +34,7 @@
         }
         let counts = nodes
             .each_ref()
-            .map(|node| (part_count(node), node.connections()));
+            .map(|node| (part_count(node), node.connection_count()));
         assert!(
             counts
                 .iter()
@@ -65,7 +62,7 @@
         );
         while nodes
             .iter()
-            .map(DataNode::closed_connections)
+            .map(DataNode::closed_connection_count)
             .sum::<usize>()
             <= n
         {
@@ -80,7 +77,7 @@
     // clients need their descriptors.
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment {
-        descriptors: 60,
+        descriptor_limit: 60,
         ..Deployment::BASIC
     }
     .start("silent", &nodes);
@@ -147,7 +144,7 @@
 fn queries_are_served_while_descriptors_are_exhausted() {
     let nodes = [DataNode::serving(), DataNode::serving()];
     let (process, _changes) = Deployment {
-        descriptors: 40,
+        descriptor_limit: 40,
         ..Deployment::BASIC
     }
     .start("descriptors", &nodes);
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -1,10 +1,10 @@
 //! Queries, their retries, and changes of the endpoint list.
 
+use crate::standin::admin_endpoint::{call_admin_endpoint, dump_value};
 use crate::standin::client::{Class, Shards};
 use crate::standin::data_node::{DataNode, NodeBehaviour};
 use crate::standin::deployment::Deployment;
 use crate::standin::discovery::{changed_endpoints, terminating};
-use crate::standin::management::{dump_value, management_call};
 use crate::support::query;
 use serde_json::json;
 use std::sync::{Arc, Mutex};
@@ -32,7 +32,7 @@
             json!({"full": true, "pieces": [cell(0), cell(1), cell(2)]})
         );
     }
-    let open: Vec<usize> = nodes.iter().map(DataNode::connections).collect();
+    let open: Vec<usize> = nodes.iter().map(DataNode::connection_count).collect();
     // A node may have more than one: if the machine pauses, an answer is overdue, and the next parts
     // are sent on another connection.
     assert!(
@@ -70,10 +70,10 @@
         process.wait_until_ready();
         let response = query(&process, "q1", Class(class), Shards(&[0]));
         assert_eq!(response.status, status);
-        let dump = management_call(process.management_address(), "DUMP\n");
+        let dump = call_admin_endpoint(process.admin_address(), "DUMP\n");
         let errors = dump_value(&dump, &format!("node.responses.{class}.errors"));
         assert_eq!(errors, u64::from(status != 200), "{dump}");
-        let sent: usize = nodes.iter().map(|n| n.received_parts().len()).sum();
+        let sent: usize = nodes.iter().map(|n| n.received_part_ids().len()).sum();
         assert_eq!(
             sent,
             if status == 200 { 2 } else { 1 },
@@ -103,14 +103,14 @@
             break;
         }
     }
-    let before = nodes[0].received_parts().len();
+    let before = nodes[0].received_part_ids().len();
     for n in 1..10 {
         assert_eq!(
             query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
             200
         );
     }
-    assert_eq!(nodes[0].received_parts().len(), before);
+    assert_eq!(nodes[0].received_part_ids().len(), before);
 }
 
 #[test]
--- a/tests/standin/feature_server.rs
+++ b/tests/standin/feature_server.rs
@@ -1,53 +1,53 @@
-//! Stand-in feature servers: owns their replies, healthy and faulty, and the record of their
-//! requests.
+//! Stand-ins for feature servers, and their correct and faulty responses.
 
 use super::http::{accept_on_thread, lines_of, read_request_line};
-use super::threads::OwnedThreads;
+use super::threads::OwnedThreadGroup;
 use std::io::{Result, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::ops::Range;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The reply of a feature server to a request.
-pub enum Reply {
-    /// 200 with this body.
+/// What a feature server does when it receives a request.
+pub enum ServerResponse {
+    /// Sends status 200 with this body.
     Json(String),
-    /// This status, without a body.
+    /// Sends this status without a body.
     Status(u16),
-    /// 200 with this body, after this time.
-    Late(Duration, String),
-    /// No answer; the connection stays open.
+    /// Sends status 200 with this body after this delay.
+    Delayed(Duration, String),
+    /// Sends no response and keeps the connection open.
     Hang,
-    /// 200 with this body, which ends with the connection.
+    /// Sends status 200 with this body without a length, and closes the connection to end the body.
     CloseDelimited(String),
-    /// The head and half the body, then the connection ends.
+    /// Sends status 200 with the first half of this body and closes the connection.
     Truncated(String),
 }
 
-type Behaviour = Box<dyn FnMut(&str) -> Reply + Send>;
+/// Returns the response to each target.
+type Behaviour = Box<dyn FnMut(&str) -> ServerResponse + Send>;
 
-/// A feature server; its behaviour is a function of the request's target.
+/// A feature server whose responses are determined by a function of the request's target.
 pub struct FeatureServer {
     /// The address at which the server listens.
     pub address: SocketAddr,
     /// The targets of all requests, in order.
     targets: Arc<Mutex<Vec<String>>>,
-    threads: OwnedThreads,
+    threads: OwnedThreadGroup,
 }
 
 impl FeatureServer {
-    /// Starts a server; the behaviour gives the reply to each target.
-    pub fn start(behaviour: impl FnMut(&str) -> Reply + Send + 'static) -> FeatureServer {
+    /// Starts a server; `behaviour` returns the response to each target.
+    pub fn start(behaviour: impl FnMut(&str) -> ServerResponse + Send + 'static) -> FeatureServer {
         let targets: Arc<Mutex<Vec<String>>> = Arc::default();
-        let log = targets.clone();
+        let shared = targets.clone();
         let behaviour: Arc<Mutex<Behaviour>> = Arc::new(Mutex::new(Box::new(behaviour)));
-        let threads = OwnedThreads::default();
-        let serving = threads.0.clone();
+        let threads = OwnedThreadGroup::default();
+        let thread_group = threads.0.clone();
         let address = accept_on_thread(&threads.0, move |stream| {
-            let log = log.clone();
+            let targets = shared.clone();
             let behaviour = behaviour.clone();
-            serving.serve(move || serve(stream, &log, &behaviour));
+            thread_group.spawn(move || serve(stream, &targets, &behaviour));
         });
         FeatureServer {
             address,
@@ -56,28 +56,32 @@
         }
     }
 
-    /// Starts a healthy server of these features, in pages of so many.
-    pub fn healthy(ids: Range<usize>, page: usize) -> FeatureServer {
-        FeatureServer::start(move |target| healthy_reply(target, ids.clone(), page))
+    /// Starts a healthy server that has the features with these ids.
+    pub fn healthy(ids: Range<usize>, page_size: usize) -> FeatureServer {
+        FeatureServer::start(move |target| healthy_response(target, ids.clone(), page_size))
     }
 
     /// Returns the targets of all requests, in order.
     pub fn requests(&self) -> Vec<String> {
-        self.targets.lock().expect("log").clone()
+        self.targets
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone()
     }
 
     /// Returns the number of requests whose target matches.
     pub fn count_requests(&self, matches: impl Fn(&str) -> bool) -> usize {
         self.targets
             .lock()
-            .expect("log")
+            .expect("the mutex is not poisoned")
             .iter()
             .filter(|target| matches(target))
             .count()
     }
 }
 
-fn serve(mut stream: TcpStream, log: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
+/// Responds to the requests on a connection until it ends.
+fn serve(mut stream: TcpStream, targets: &Mutex<Vec<String>>, behaviour: &Mutex<Behaviour>) {
     let mut lines = lines_of(&stream);
     while let Some(request_line) = read_request_line(&mut lines) {
         let target = request_line
@@ -85,34 +89,42 @@
             .nth(1)
             .unwrap_or_default()
             .to_owned();
-        log.lock().expect("log").push(target.clone());
-        let reply = (behaviour.lock().expect("behaviour"))(&target);
-        let ends = matches!(reply, Reply::CloseDelimited(_) | Reply::Truncated(_));
-        if write_reply(&mut stream, reply).is_err() || ends {
+        targets
+            .lock()
+            .expect("the mutex is not poisoned")
+            .push(target.clone());
+        let response = (behaviour.lock().expect("the mutex is not poisoned"))(&target);
+        let closes_connection = matches!(
+            response,
+            ServerResponse::CloseDelimited(_) | ServerResponse::Truncated(_)
+        );
+        if write_response(&mut stream, response).is_err() || closes_connection {
             return;
         }
     }
 }
 
-fn write_reply(stream: &mut TcpStream, reply: Reply) -> Result<()> {
-    match reply {
-        Reply::Late(time, body) => {
-            std::thread::sleep(time);
-            write_reply(stream, Reply::Json(body))
+fn write_response(stream: &mut TcpStream, response: ServerResponse) -> Result<()> {
+    match response {
+        ServerResponse::Delayed(delay, body) => {
+            std::thread::sleep(delay);
+            write_response(stream, ServerResponse::Json(body))
         }
-        Reply::Json(body) => {
+        ServerResponse::Json(body) => {
             write!(
                 stream,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             )
         }
-        Reply::Status(status) => write!(stream, "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n"),
-        Reply::Hang => Ok(()),
-        Reply::CloseDelimited(body) => {
+        ServerResponse::Status(status) => {
+            write!(stream, "HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n")
+        }
+        ServerResponse::Hang => Ok(()),
+        ServerResponse::CloseDelimited(body) => {
             write!(stream, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}")
         }
-        Reply::Truncated(body) => {
+        ServerResponse::Truncated(body) => {
             write!(
                 stream,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
@@ -123,7 +135,7 @@
     }
 }
 
-/// Returns the number that a target's query has under this name.
+/// Returns the value, which is a number, of a parameter in the query of a target.
 pub fn query_parameter(target: &str, name: &str) -> Option<usize> {
     let query = target.split_once('?')?.1;
     query
@@ -135,25 +147,27 @@
         .ok()
 }
 
+/// Returns the GeoJSON text of a feature.
 fn feature(id: usize) -> String {
     format!(
         r#"{{"type":"Feature","id":"d{id}","geometry":{{"type":"Point","coordinates":[{id},1]}},"properties":{{}}}}"#
     )
 }
 
-/// Returns the reply of a healthy server: a page of features with a next link, or one feature.
-pub fn healthy_reply(target: &str, ids: Range<usize>, page: usize) -> Reply {
+/// Returns the response of a healthy server that has the features with these ids: a page of
+/// features with a `next` link if others follow, or the feature that the path names.
+pub fn healthy_response(target: &str, ids: Range<usize>, page_size: usize) -> ServerResponse {
     let path = target.split('?').next().unwrap_or_default();
     if let Some((_, id)) = path.split_once("/items/") {
         let id = id.trim_start_matches('d').parse().unwrap_or(usize::MAX);
         return if ids.contains(&id) {
-            Reply::Json(feature(id))
+            ServerResponse::Json(feature(id))
         } else {
-            Reply::Status(404)
+            ServerResponse::Status(404)
         };
     }
     let from = ids.start + query_parameter(target, "offset").unwrap_or(0);
-    let to = (from + page).min(ids.end);
+    let to = (from + page_size).min(ids.end);
     let features: Vec<String> = (from..to).map(feature).collect();
     let next = if to < ids.end {
         format!(
@@ -164,18 +178,17 @@
         String::new()
     };
     let features = features.join(",");
-    Reply::Json(format!(
+    ServerResponse::Json(format!(
         r#"{{"type":"FeatureCollection","features":[{features}],"links":[{next}]}}"#
     ))
 }
 
-/// Returns a line of the inventory for a server in service: the server's name and the collections
-/// that it serves.
+/// Returns the line of the inventory for a server in service that has these collections.
 pub fn inventory_row(name: &str, server: &FeatureServer, collections: &str) -> String {
     inventory_row_in_state(name, server, collections, "")
 }
 
-/// Returns a line of the inventory for a server in a state; an empty state means in service.
+/// Returns the line of the inventory for a server in this state. An empty state means in service.
 pub fn inventory_row_in_state(
     name: &str,
     server: &FeatureServer,
