--- a/testkit/src/conformance.rs
+++ b/testkit/src/conformance.rs
@@ -23,7 +23,7 @@
 
 /// Returns all checks in the order in which they run.
 fn all_checks() -> impl Iterator<Item = &'static Check> {
-    let parts = [
+    let check_lists = [
         core::CHECKS,
         items::CHECKS,
         encodings::CHECKS,
@@ -32,5 +32,5 @@
         filters::CHECKS,
         filter_functions::CHECKS,
     ];
-    parts.into_iter().flatten()
+    check_lists.into_iter().flatten()
 }
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -49,41 +49,41 @@
 }
 
 /// Result of the body of a check.
-pub(super) type Verdict = Result<(), Stop>;
+pub(super) type Verdict = Result<(), EarlyExit>;
 
 /// Reason why a check stops early.
 #[derive(Debug)]
-pub(super) enum Stop {
+pub(super) enum EarlyExit {
     /// Requirement that does not hold.
     Failed(String),
     /// Requirement that does not apply.
     NotApplicable(String),
 }
 
-impl Stop {
-    /// Creates the reason of a check that does not apply.
-    pub(super) fn not_applicable(reason: impl Into<String>) -> Stop {
-        Stop::NotApplicable(reason.into())
+impl EarlyExit {
+    /// Creates the reason for a check that does not apply.
+    pub(super) fn not_applicable(reason: impl Into<String>) -> EarlyExit {
+        EarlyExit::NotApplicable(reason.into())
     }
 }
 
-impl From<&str> for Stop {
+impl From<&str> for EarlyExit {
     fn from(reason: &str) -> Self {
-        Stop::Failed(reason.to_owned())
+        EarlyExit::Failed(reason.to_owned())
     }
 }
 
-impl From<ClientError> for Stop {
+impl From<ClientError> for EarlyExit {
     fn from(error: ClientError) -> Self {
-        Stop::Failed(error.to_string())
+        EarlyExit::Failed(error.to_string())
     }
 }
 
-impl From<Stop> for Outcome {
-    fn from(stop: Stop) -> Self {
-        match stop {
-            Stop::Failed(reason) => Outcome::Fail(reason),
-            Stop::NotApplicable(reason) => Outcome::NotApplicable(reason),
+impl From<EarlyExit> for Outcome {
+    fn from(exit: EarlyExit) -> Self {
+        match exit {
+            EarlyExit::Failed(reason) => Outcome::Fail(reason),
+            EarlyExit::NotApplicable(reason) => Outcome::NotApplicable(reason),
         }
     }
 }
@@ -93,17 +93,18 @@
     if condition {
         Ok(())
     } else {
-        Err(Stop::Failed(reason()))
+        Err(EarlyExit::Failed(reason()))
     }
 }
 
-/// Requires the same ids; the reason counts the missing and the excess ones.
-pub(super) fn require_same(what: &str, found: &[String], expected: &[String]) -> Verdict {
+/// Requires both lists to contain the same ids in the same order. The reason of a failure counts the
+/// missing and the unexpected ids.
+pub(super) fn require_same_ids(subject: &str, found: &[String], expected: &[String]) -> Verdict {
     require(found == expected, || {
         let missing = expected.iter().filter(|id| !found.contains(id)).count();
         let extra = found.iter().filter(|id| !expected.contains(id)).count();
         format!(
-            "{what}: {} features in place of {}, {missing} missing, {extra} unexpected",
+            "{subject}: {} features in place of {}, {missing} missing, {extra} unexpected",
             found.len(),
             expected.len()
         )
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -2,7 +2,7 @@
 
 use super::check::{require, Check, Verdict};
 use super::documents::{
-    api_definition, get_api_definition, require_links, require_status, require_typed_links,
+    get_api_definition, get_api_definition_json, require_links, require_status, require_typed_links,
 };
 use super::Suite;
 use serde_json::Value as Json;
@@ -34,7 +34,7 @@
         })
     }),
     Check::new("/conf/core/api-definition-success", CORE, |suite| {
-        let api = api_definition(suite)?;
+        let api = get_api_definition_json(suite)?;
         let is_version_3 = api["openapi"]
             .as_str()
             .is_some_and(|version| version.starts_with("3."));
@@ -48,9 +48,9 @@
         let classes = conformance["conformsTo"]
             .as_array()
             .ok_or("conformsTo is not an array")?;
-        let claimed =
+        let is_claimed =
             classes.iter().all(Json::is_string) && classes.iter().any(|class| class == CORE_URI);
-        require(claimed, || format!("{CORE_URI} is not claimed"))
+        require(is_claimed, || format!("{CORE_URI} is not claimed"))
     }),
     Check::new("/conf/core/fc-md-op", CORE, |suite| {
         suite.get_json("/collections").map(drop)
@@ -70,10 +70,10 @@
     Check::new("/conf/core/fc-md-items", CORE, |suite| {
         let json = suite.get_json("/collections")?;
         let collections = json["collections"].as_array().ok_or("no collections")?;
-        let described =
+        let is_described =
             |collection: &Json| collection["id"].is_string() && collection["links"].is_array();
         require(
-            !collections.is_empty() && collections.iter().all(described),
+            !collections.is_empty() && collections.iter().all(is_described),
             || "a collection lacks id or links".to_owned(),
         )
     }),
@@ -91,18 +91,19 @@
     Check::new("/conf/core/sfc-md-op", CORE, |suite| {
         suite.get_collection().map(drop)
     }),
-    Check::new("/conf/core/sfc-md-success", CORE, collection_is_as_listed),
+    Check::new("/conf/core/sfc-md-success", CORE, check_listed_collection),
     Check::new("/conf/core/sfc-md-unknown", CORE, |suite| {
         let response = suite.get("/collections/no-such-collection")?;
         require_status(&response, 404)
     }),
 ];
 
-fn collection_is_as_listed(suite: &mut Suite) -> Verdict {
+/// Requires the document of the collection to agree with its entry in the list of collections.
+fn check_listed_collection(suite: &mut Suite) -> Verdict {
     let collection = suite.get_collection()?;
     let json = suite.get_json("/collections")?;
     let mut collections = json["collections"].as_array().into_iter().flatten();
-    let listed = collections.find(|listed| listed["id"] == collection["id"]);
+    let listed = collections.find(|entry| entry["id"] == collection["id"]);
     let listed = listed.ok_or("the collection is not listed")?;
     require(
         COLLECTION_PROPERTIES
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -1,7 +1,7 @@
 //! Part 2: coordinate reference systems by reference.
 
-use super::check::{features_of, require, require_same, Check, Stop, Verdict};
-use super::documents::parameter;
+use super::check::{features_of, require, require_same_ids, Check, EarlyExit, Verdict};
+use super::documents::get_parameter;
 use super::samples::{point_of, BoundingBox, Point};
 use super::Suite;
 use crate::client::feature_id;
@@ -14,7 +14,7 @@
 const WGS84: &str = "http://www.opengis.net/def/crs/EPSG/0/4326";
 const WEB_MERCATOR: &str = "http://www.opengis.net/def/crs/EPSG/0/3857";
 const EPSG_PREFIX: &str = "http://www.opengis.net/def/crs/EPSG/0/";
-const UNKNOWN: &str = "http://www.opengis.net/def/crs/EPSG/0/1";
+const UNKNOWN_CRS: &str = "http://www.opengis.net/def/crs/EPSG/0/1";
 
 /// Maximum number of features whose coordinates are checked.
 const CHECKED_FEATURES: usize = 50;
@@ -33,28 +33,28 @@
 /// Scale factor of UTM on the central meridian.
 const UTM_SCALE: f64 = 0.9996;
 /// Length of a degree of longitude at the equator, in metres.
-const METRES_PER_LONGITUDE: f64 = 111_320.0;
+const METRES_PER_DEGREE_LONGITUDE: f64 = 111_320.0;
 /// Length of a degree of latitude at the equator, in metres.
-const METRES_PER_LATITUDE: f64 = 110_574.0;
-/// Tolerance of the estimated UTM easting, in metres.
-const UTM_EASTING_TOLERANCE: f64 = 3_000.0;
-/// Tolerance of the estimated UTM northing, in metres.
-const UTM_NORTHING_TOLERANCE: f64 = 30_000.0;
+const METRES_PER_DEGREE_LATITUDE: f64 = 110_574.0;
+/// Tolerance of the estimated UTM easting.
+const UTM_EASTING_TOLERANCE_METRES: f64 = 3_000.0;
+/// Tolerance of the estimated UTM northing.
+const UTM_NORTHING_TOLERANCE_METRES: f64 = 30_000.0;
 
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new("/conf/crs/crs-uri", CRS, |suite| {
-        let systems = listed_systems(suite)?;
+        let crs_uris = get_listed_crs(suite)?;
         require(
-            systems
+            crs_uris
                 .iter()
                 .all(|uri| uri.starts_with("http://www.opengis.net/def/crs/")),
             || "the identifier of a reference system is not a URI".to_owned(),
         )
     }),
     Check::new("/conf/crs/fc-md-crs-list", CRS, |suite| {
-        let systems = listed_systems(suite)?;
-        require(systems.iter().any(|uri| uri == CRS84), || {
+        let crs_uris = get_listed_crs(suite)?;
+        require(crs_uris.iter().any(|uri| uri == CRS84), || {
             "CRS84 is not listed".to_owned()
         })
     }),
@@ -66,25 +66,25 @@
     }),
     Check::new("/conf/crs/fc-md-storageCrs-valid-value", CRS, |suite| {
         let collection = suite.get_collection()?;
-        let systems = listed_systems(suite)?;
+        let crs_uris = get_listed_crs(suite)?;
         require(
-            systems
+            crs_uris
                 .iter()
                 .any(|uri| collection["storageCrs"] == uri.as_str()),
             || "storageCrs is not among the systems".to_owned(),
         )
     }),
     Check::new("/conf/crs/fc-crs-definition", CRS, |suite| {
-        parameter(suite, "crs").map(drop)
+        get_parameter(suite, "crs").map(drop)
     }),
     Check::new("/conf/crs/fc-bbox-crs-definition", CRS, |suite| {
-        parameter(suite, "bbox-crs").map(drop)
+        get_parameter(suite, "bbox-crs").map(drop)
     }),
     Check::new("/conf/crs/fc-crs-valid-value", CRS, |suite| {
-        require_unknown_system(suite, &format!("crs={UNKNOWN}"))
+        require_unknown_crs_rejected(suite, &format!("crs={UNKNOWN_CRS}"))
     }),
     Check::new("/conf/crs/fc-bbox-crs-valid-value", CRS, |suite| {
-        require_unknown_system(suite, &format!("bbox=1,1,2,2&bbox-crs={UNKNOWN}"))
+        require_unknown_crs_rejected(suite, &format!("bbox=1,1,2,2&bbox-crs={UNKNOWN_CRS}"))
     }),
     Check::new("/conf/crs/fc-crs-default-value", CRS, |suite| {
         let default = suite.get_items("limit=5")?;
@@ -95,12 +95,12 @@
     }),
     Check::new("/conf/crs/fc-crs-action", CRS, |suite| {
         require_projection(suite, WGS84, |Point { x, y }| Point { x: y, y: x })?;
-        if listed_systems(suite)?.iter().any(|uri| uri == WEB_MERCATOR) {
+        if get_listed_crs(suite)?.iter().any(|uri| uri == WEB_MERCATOR) {
             require_projection(suite, WEB_MERCATOR, web_mercator)?;
         }
         Ok(())
     }),
-    Check::new("/conf/crs/fc-crs-utm", CRS, utm_coordinates_are_plausible),
+    Check::new("/conf/crs/fc-crs-utm", CRS, check_utm_coordinates),
     Check::new("/conf/crs/bbox-crs-action", CRS, |suite| {
         let bbox = suite.middle_box()?;
         let BoundingBox {
@@ -112,7 +112,7 @@
         let found = suite.get_ids(&format!(
             "bbox={south},{west},{north},{east}&bbox-crs={WGS84}"
         ))?;
-        require_same(
+        require_same_ids(
             "bbox-crs",
             &found,
             &suite.expected_ids(|feature| bbox.contains(feature)),
@@ -134,7 +134,9 @@
         let original = point_of(first);
         let feature = suite.get_json(&format!("{}/{id}?crs={WGS84}", suite.items_path()))?;
         let (Some(found), Some(Point { x, y })) = (point_of(&feature), original) else {
-            return Err(Stop::not_applicable("the first feature is not a point"));
+            return Err(EarlyExit::not_applicable(
+                "the first feature is not a point",
+            ));
         };
         require(is_near(found, Point { x: y, y: x }), || {
             format!("{} {} in place of {y} {x}", found.x, found.y)
@@ -142,17 +144,18 @@
     }),
 ];
 
-/// Returns the reference systems that the collection lists.
-fn listed_systems(suite: &mut Suite) -> Result<Vec<String>, Stop> {
+/// Requests the collection and returns the URIs of the reference systems that it lists.
+fn get_listed_crs(suite: &mut Suite) -> Result<Vec<String>, EarlyExit> {
     let collection = suite.get_collection()?;
-    let systems = collection["crs"].as_array().ok_or("crs is no list")?;
-    Ok(systems
+    let crs_uris = collection["crs"].as_array().ok_or("crs is no list")?;
+    Ok(crs_uris
         .iter()
         .filter_map(|uri| uri.as_str().map(str::to_owned))
         .collect())
 }
 
-fn require_unknown_system(suite: &mut Suite, query: &str) -> Verdict {
+/// Requires status 400 for a query with an unknown reference system.
+fn require_unknown_crs_rejected(suite: &mut Suite, query: &str) -> Verdict {
     let response = suite.get(&format!("{}?{query}", suite.items_path()))?;
     require(response.status == 400, || {
         format!("status {} for an unknown reference system", response.status)
@@ -221,7 +224,7 @@
 
 impl UtmZone {
     /// Returns the zone that contains a point.
-    fn of(Point { x, y }: Point) -> UtmZone {
+    fn containing(Point { x, y }: Point) -> UtmZone {
         let number = ((x + 180.0) / UTM_ZONE_DEGREES).floor() as u32 + 1;
         let code = if y >= 0.0 {
             UTM_NORTH_CODE
@@ -236,30 +239,32 @@
 
     /// Estimates the easting and northing of a point, in metres.
     fn estimate(&self, Point { x, y }: Point) -> Point {
-        let meridian = f64::from(self.number) * UTM_ZONE_DEGREES - 183.0;
-        let east = (x - meridian) * METRES_PER_LONGITUDE * y.to_radians().cos() * UTM_SCALE;
+        let central_meridian = f64::from(self.number) * UTM_ZONE_DEGREES - 183.0;
+        let east =
+            (x - central_meridian) * METRES_PER_DEGREE_LONGITUDE * y.to_radians().cos() * UTM_SCALE;
         Point {
             x: UTM_FALSE_EASTING_METRES + east,
-            y: y * METRES_PER_LATITUDE,
+            y: y * METRES_PER_DEGREE_LATITUDE,
         }
     }
 }
 
-fn utm_coordinates_are_plausible(suite: &mut Suite) -> Verdict {
+/// Compares the coordinates in the UTM zone of the first point with an estimate.
+fn check_utm_coordinates(suite: &mut Suite) -> Verdict {
     let first = suite
         .first_point()
-        .ok_or_else(|| Stop::not_applicable("no feature is a point"))?;
-    let zone = UtmZone::of(first);
-    if !listed_systems(suite)?.contains(&zone.uri) {
-        return Err(Stop::not_applicable("UTM is not listed"));
+        .ok_or_else(|| EarlyExit::not_applicable("no feature is a point"))?;
+    let zone = UtmZone::containing(first);
+    if !get_listed_crs(suite)?.contains(&zone.uri) {
+        return Err(EarlyExit::not_applicable("UTM is not listed"));
     }
-    let projected = get_projected(suite, &zone)?;
+    let projected = get_projected_features(suite, &zone)?;
     let mut checked = projected.iter().take(CHECKED_FEATURES);
     checked.try_for_each(|feature| require_near_estimate(suite, &zone, feature))
 }
 
 /// Requests features in the reference system of a zone, sorted by id if the service can sort.
-fn get_projected(suite: &mut Suite, zone: &UtmZone) -> Result<Vec<Json>, Stop> {
+fn get_projected_features(suite: &mut Suite, zone: &UtmZone) -> Result<Vec<Json>, EarlyExit> {
     let items = suite.items_path();
     let uri = &zone.uri;
     suite
@@ -274,11 +279,13 @@
     let id = feature_id(feature);
     let original = find_point(&suite.features, &id);
     let (Some(found), Some(original)) = (point_of(feature), original) else {
-        return Err(Stop::Failed(format!("feature {id} is not found again")));
+        return Err(EarlyExit::Failed(format!(
+            "feature {id} is not found again"
+        )));
     };
     let estimate = zone.estimate(original);
-    let is_close = (found.x - estimate.x).abs() < UTM_EASTING_TOLERANCE
-        && (found.y - estimate.y).abs() < UTM_NORTHING_TOLERANCE;
+    let is_close = (found.x - estimate.x).abs() < UTM_EASTING_TOLERANCE_METRES
+        && (found.y - estimate.y).abs() < UTM_NORTHING_TOLERANCE_METRES;
     require(is_close, || {
         let Point { x, y } = estimate;
         format!(
--- a/testkit/src/conformance/documents.rs
+++ b/testkit/src/conformance/documents.rs
@@ -1,6 +1,6 @@
 //! Access to the documents of a service: links, the API definition, and errors.
 
-use super::check::{require, Stop, Verdict};
+use super::check::{require, EarlyExit, Verdict};
 use super::Suite;
 use crate::client::Response;
 use serde_json::Value as Json;
@@ -13,23 +13,23 @@
         .map(str::to_owned)
 }
 
-/// Requires links with all of these relations.
-pub(super) fn require_links(document: &Json, what: &str, relations: &[&str]) -> Verdict {
+/// Requires the document to have links with all of these relations.
+pub(super) fn require_links(document: &Json, subject: &str, relations: &[&str]) -> Verdict {
     let missing: Vec<_> = relations
         .iter()
         .filter(|relation| link_of(document, relation).is_none())
         .collect();
     require(missing.is_empty(), || {
-        format!("{what}: no link {missing:?}")
+        format!("{subject}: no link {missing:?}")
     })
 }
 
 /// Requires every link to have a relation and a media type.
-pub(super) fn require_typed_links(document: &Json, what: &str) -> Verdict {
+pub(super) fn require_typed_links(document: &Json, subject: &str) -> Verdict {
     let mut links = document["links"].as_array().into_iter().flatten();
     require(
         links.all(|link| link["rel"].is_string() && link["type"].is_string()),
-        || format!("{what}: a link has no rel or type"),
+        || format!("{subject}: a link has no rel or type"),
     )
 }
 
@@ -40,21 +40,21 @@
     })
 }
 
-/// Returns the API definition of the service.
-pub(super) fn api_definition(suite: &mut Suite) -> Result<Json, Stop> {
+/// Requests the API definition and returns it as JSON.
+pub(super) fn get_api_definition_json(suite: &mut Suite) -> Result<Json, EarlyExit> {
     Ok(get_api_definition(suite)?.json())
 }
 
 /// Requests the API definition and returns the response.
-pub(super) fn get_api_definition(suite: &mut Suite) -> Result<Response, Stop> {
+pub(super) fn get_api_definition(suite: &mut Suite) -> Result<Response, EarlyExit> {
     let landing = suite.get_json("/")?;
     let href = link_of(&landing, "service-desc").ok_or("no link service-desc")?;
     suite.follow(&href)
 }
 
-/// Returns the definition of a parameter of the items.
-pub(super) fn parameter(suite: &mut Suite, name: &str) -> Result<Json, Stop> {
-    let api = api_definition(suite)?;
+/// Requests the API definition and returns the definition of a parameter of the items path.
+pub(super) fn get_parameter(suite: &mut Suite, name: &str) -> Result<Json, EarlyExit> {
+    let api = get_api_definition_json(suite)?;
     let parameters =
         api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"].as_array();
     let found = parameters
@@ -63,5 +63,5 @@
         .find(|parameter| parameter["name"] == name);
     found
         .cloned()
-        .ok_or_else(|| Stop::Failed(format!("the API has no parameter {name}")))
+        .ok_or_else(|| EarlyExit::Failed(format!("the API has no parameter {name}")))
 }
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -1,9 +1,9 @@
 //! Part 1: HTTP, GeoJSON, HTML and OpenAPI 3.0; and caching, compression and problem details (RFC
 //! 9457), which no class requires.
 
-use super::check::{require, Check, Stop, Verdict};
+use super::check::{require, Check, EarlyExit, Verdict};
 use super::core::CORE;
-use super::documents::{api_definition, require_status};
+use super::documents::{get_api_definition_json, require_status};
 use super::Suite;
 use crate::client::{feature_id, Header, Request};
 use serde_json::Value as Json;
@@ -46,10 +46,10 @@
         let path = suite.items_path();
         let head = suite.send(&Request::new("HEAD", &path, &[]))?;
         let get = suite.get(&path)?;
-        let is_head_of_get = head.status == 200
+        let matches_get = head.status == 200
             && head.body.is_empty()
             && head.header("content-type") == get.header("content-type");
-        require(is_head_of_get, || {
+        require(matches_get, || {
             format!("HEAD: status {}, {} bytes", head.status, head.body.len())
         })
     }),
@@ -57,19 +57,20 @@
         let path = suite.items_path();
         let tag = suite.get(&path)?.header("etag").to_owned();
         if tag.is_empty() {
-            return Err(Stop::not_applicable("no ETag is sent"));
+            return Err(EarlyExit::not_applicable("no ETag is sent"));
         }
-        let again = suite.get_with(&path, &[Header::new("If-None-Match", &tag)])?;
-        require(again.status == 304 && again.body.is_empty(), || {
-            format!("status {} for a current ETag", again.status)
-        })
+        let revalidation = suite.get_with(&path, &[Header::new("If-None-Match", &tag)])?;
+        require(
+            revalidation.status == 304 && revalidation.body.is_empty(),
+            || format!("status {} for a current ETag", revalidation.status),
+        )
     }),
     Check::new("/conf/core/gzip", ANY, |suite| {
         let path = format!("{}?limit=200", suite.items_path());
         let plain = suite.get(&path)?;
         let compressed = suite.get_with(&path, &[Header::new("Accept-Encoding", "gzip")])?;
         if compressed.header("content-encoding") != "gzip" {
-            return Err(Stop::not_applicable("responses are not compressed"));
+            return Err(EarlyExit::not_applicable("responses are not compressed"));
         }
         let is_same = compressed.json()["features"] == plain.json()["features"];
         require(
@@ -116,13 +117,13 @@
         }
         Ok(())
     }),
-    Check::new("/conf/html/content", HTML, html_shows_and_draws_features),
+    Check::new("/conf/html/content", HTML, check_html_page),
     Check::new("/conf/html/negotiation", HTML, |suite| {
         let response = suite.get_with("/collections", &[Header::new("Accept", "image/png")])?;
         require_status(&response, 406)
     }),
     Check::new("/conf/oas30/completeness", OPEN_API, |suite| {
-        let api = api_definition(suite)?;
+        let api = get_api_definition_json(suite)?;
         let missing: Vec<_> = API_PATHS
             .iter()
             .filter(|path| !api["paths"][**path]["get"].is_object())
@@ -132,7 +133,7 @@
         })
     }),
     Check::new("/conf/oas30/exceptions-codes", OPEN_API, |suite| {
-        let api = api_definition(suite)?;
+        let api = get_api_definition_json(suite)?;
         let responses = &api["paths"]["/collections/{collectionId}/items"]["get"]["responses"];
         let has_error =
             |status: &str| responses[status].is_object() || responses["default"].is_object();
@@ -161,7 +162,8 @@
         && (geometry.is_null() || has_known_type())
 }
 
-fn html_shows_and_draws_features(suite: &mut Suite) -> Verdict {
+/// Requires the HTML page of the items to list and draw every feature.
+fn check_html_page(suite: &mut Suite) -> Verdict {
     let page = suite
         .get(&format!("{}?f=html&limit=5", suite.items_path()))?
         .text();
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -4,13 +4,13 @@
 mod search;
 mod temporal;
 
-use super::check::{Check, Stop, Verdict};
-use super::filters::{number_is, quoted, require_matches};
+use super::check::{Check, EarlyExit, Verdict};
+use super::filters::{escape_literal, number_is, require_matches};
 use super::samples::{point_of, text_of, BoundingBox, QueryableKind, Sample};
 use super::Suite;
-use search::search_by_post_is_right;
+use search::check_search_by_post;
 use serde_json::Value as Json;
-use temporal::temporal_predicates_are_right;
+use temporal::check_temporal_predicates;
 
 const COMPARISON: &str = "conf/advanced-comparison-operators";
 const CASE: &str = "conf/case-insensitive-comparison";
@@ -25,27 +25,28 @@
 /// Class of the checks that always apply.
 const ANY: &str = "";
 
-/// Width of the range of numbers that ends at the median.
-const SPAN: f64 = 20.0;
-/// Number of characters of a text that a pattern starts with.
-const PATTERN_LENGTH: usize = 3;
+/// Width of the range of numbers whose upper end is the median.
+const RANGE_WIDTH: f64 = 20.0;
+/// Number of leading characters of a sample text from which a pattern is made.
+const PREFIX_LENGTH: usize = 3;
+
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
     Check::new(
         "/req/advanced-comparison-operators/like-predicate",
         COMPARISON,
         |suite| {
-            let Sample { name, value } = suite.text()?;
-            let start: String = value
+            let Sample { name, value } = suite.text_sample()?;
+            let prefix: String = value
                 .chars()
-                .take(PATTERN_LENGTH)
-                .filter(|letter| !"%_\\'".contains(*letter))
+                .take(PREFIX_LENGTH)
+                .filter(|character| !"%_\\'".contains(*character))
                 .collect();
-            require_matches(suite, &format!("{name} LIKE '{start}%'"), |feature| {
-                text_of(feature, &name).is_some_and(|text| text.starts_with(&start))
+            require_matches(suite, &format!("{name} LIKE '{prefix}%'"), |feature| {
+                text_of(feature, &name).is_some_and(|text| text.starts_with(&prefix))
             })?;
-            require_matches(suite, &format!("{name} NOT LIKE '{start}%'"), |feature| {
-                text_of(feature, &name).is_some_and(|text| !text.starts_with(&start))
+            require_matches(suite, &format!("{name} NOT LIKE '{prefix}%'"), |feature| {
+                text_of(feature, &name).is_some_and(|text| !text.starts_with(&prefix))
             })
         },
     ),
@@ -56,8 +57,8 @@
             let Sample {
                 name,
                 value: median,
-            } = suite.median()?;
-            let low = median - SPAN;
+            } = suite.median_number()?;
+            let low = median - RANGE_WIDTH;
             require_matches(
                 suite,
                 &format!("{name} BETWEEN {low} AND {median}"),
@@ -72,7 +73,7 @@
             let Sample {
                 name,
                 value: median,
-            } = suite.median()?;
+            } = suite.median_number()?;
             let lowest = suite.sorted_numbers(&name)?[0];
             require_matches(
                 suite,
@@ -85,8 +86,8 @@
         "/req/case-insensitive-comparison/casei-function",
         CASE,
         |suite| {
-            let Sample { name, value } = suite.text()?;
-            let upper = quoted(&value.to_uppercase());
+            let Sample { name, value } = suite.text_sample()?;
+            let upper = escape_literal(&value.to_uppercase());
             let lower = value.to_lowercase();
             require_matches(
                 suite,
@@ -99,14 +100,14 @@
         "/req/accent-insensitive-comparison/accenti-function",
         ACCENT,
         |suite| {
-            let name = suite.text()?.name;
+            let name = suite.text_sample()?.name;
             let mut texts = suite
                 .features
                 .iter()
                 .filter_map(|feature| text_of(feature, &name));
             let accented = texts.find(|text| without_accents(text) != *text);
-            let accented =
-                accented.ok_or_else(|| Stop::not_applicable("no text with an accent is there"))?;
+            let accented = accented
+                .ok_or_else(|| EarlyExit::not_applicable("no text with an accent is there"))?;
             let plain = without_accents(accented);
             require_matches(
                 suite,
@@ -122,7 +123,7 @@
         BASIC_SPATIAL,
         |suite| {
             let bbox = suite.middle_box()?;
-            let name = suite.geometry()?;
+            let name = suite.geometry_queryable()?;
             let filter = format!("S_INTERSECTS({name},BBOX({}))", bbox.to_query());
             require_matches(suite, &filter, |feature| bbox.contains(feature))
         },
@@ -131,10 +132,10 @@
         "/req/basic-spatial-functions/point",
         BASIC_SPATIAL,
         |suite| {
-            let name = suite.geometry()?;
+            let name = suite.geometry_queryable()?;
             let point = suite
                 .first_point()
-                .ok_or_else(|| Stop::not_applicable("no point"))?;
+                .ok_or_else(|| EarlyExit::not_applicable("no point"))?;
             let filter = format!("S_INTERSECTS({name},POINT({} {}))", point.x, point.y);
             require_matches(suite, &filter, |feature| point_of(feature) == Some(point))
         },
@@ -144,7 +145,7 @@
         BASIC_SPATIAL_PLUS,
         |suite| {
             let bbox = suite.middle_box()?;
-            let name = suite.geometry()?;
+            let name = suite.geometry_queryable()?;
             let BoundingBox {
                 west,
                 south,
@@ -162,17 +163,17 @@
     Check::new(
         "/req/spatial-functions/spatial-predicates",
         SPATIAL,
-        spatial_predicates_are_right,
+        check_spatial_predicates,
     ),
     Check::new(
         "/req/temporal-functions/temporal-predicates",
         TEMPORAL,
-        temporal_predicates_are_right,
+        check_temporal_predicates,
     ),
     Check::new(
         "/req/array-functions/array-predicates",
         ARRAY,
-        array_predicates_are_right,
+        check_array_predicates,
     ),
     Check::new(
         "/req/property-property/property-property",
@@ -181,7 +182,7 @@
             let Sample {
                 name,
                 value: median,
-            } = suite.median()?;
+            } = suite.median_number()?;
             require_matches(suite, &format!("{median} < {name}"), |feature| {
                 number_is(feature, &name, |n| n > median)
             })?;
@@ -194,7 +195,7 @@
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         require_matches(
             suite,
             &format!("{name} * 2 + 1 > {}", 2.0 * median + 1.0),
@@ -210,7 +211,7 @@
             })
         })
     }),
-    Check::new("/req/search/post", ANY, search_by_post_is_right),
+    Check::new("/req/search/post", ANY, check_search_by_post),
 ];
 
 /// Removes the accents that occur in the test data from a text.
@@ -218,9 +219,9 @@
     text.replace('é', "e").replace('ä', "a")
 }
 
-fn spatial_predicates_are_right(suite: &mut Suite) -> Verdict {
+fn check_spatial_predicates(suite: &mut Suite) -> Verdict {
     let bbox = suite.middle_box()?;
-    let name = suite.geometry()?;
+    let name = suite.geometry_queryable()?;
     let polygon = bbox.to_polygon();
     require_matches(suite, &format!("S_WITHIN({name},{polygon})"), |feature| {
         bbox.contains_strictly(feature)
@@ -255,14 +256,14 @@
         .collect()
 }
 
-fn array_predicates_are_right(suite: &mut Suite) -> Verdict {
+fn check_array_predicates(suite: &mut Suite) -> Verdict {
     let name = suite.queryable(QueryableKind::Array)?;
     let mut arrays = suite
         .features
         .iter()
         .map(|feature| elements_of(feature, &name));
     let sample = arrays.find(|elements| elements.len() > 1);
-    let sample = sample.ok_or_else(|| Stop::not_applicable("no array of two"))?;
+    let sample = sample.ok_or_else(|| EarlyExit::not_applicable("no array of two"))?;
     let first = &sample[0];
     let second = &sample[1];
     let is_either = |element: &String| element == first || element == second;
--- a/testkit/src/conformance/filter_functions/search.rs
+++ b/testkit/src/conformance/filter_functions/search.rs
@@ -1,6 +1,6 @@
 //! Searches by POST with a filter in CQL2 JSON.
 
-use super::super::check::{require, require_same, Stop, Verdict};
+use super::super::check::{require, require_same_ids, EarlyExit, Verdict};
 use super::super::filters::number_is;
 use super::super::samples::{BoundingBox, Sample};
 use super::super::Suite;
@@ -13,19 +13,19 @@
 const SEARCH_LIMIT: usize = 500;
 
 /// Checks a search for numbers above the median in a polygon of ten thousand points.
-pub(super) fn search_by_post_is_right(suite: &mut Suite) -> Verdict {
+pub(super) fn check_search_by_post(suite: &mut Suite) -> Verdict {
     let Sample {
         name,
         value: median,
-    } = suite.median()?;
+    } = suite.median_number()?;
     let bbox = suite.middle_box()?;
-    let geometry = suite.geometry()?;
+    let geometry = suite.geometry_queryable()?;
     let above = json!({"op": ">", "args": [{"property": name}, median]});
     let polygon = json!({"type": "Polygon", "coordinates": [ring_of(bbox)]});
     let within = json!({"op": "s_intersects", "args": [{"property": geometry}, polygon]});
     let response = post_search(suite, &json!({"op": "and", "args": [above, within]}))?;
     if matches!(response.status, 404 | 405) {
-        return Err(Stop::not_applicable("there is no POST /search"));
+        return Err(EarlyExit::not_applicable("there is no POST /search"));
     }
     require(response.status == 200, || {
         format!(
@@ -44,11 +44,11 @@
             format!("{} features", found.len())
         });
     }
-    require_same("an area of 10,000 points", &found, &expected)
+    require_same_ids("an area of 10,000 points", &found, &expected)
 }
 
 /// Sends a search of the collection with a filter in CQL2 JSON and returns the response.
-fn post_search(suite: &mut Suite, filter: &Json) -> Result<Response, Stop> {
+fn post_search(suite: &mut Suite, filter: &Json) -> Result<Response, EarlyExit> {
     let search = json!({
         "collections": [suite.collection],
         "limit": SEARCH_LIMIT,
@@ -71,14 +71,14 @@
         east,
         north,
     } = bbox;
-    let between = |from: f64, to: f64, number: u32| {
-        from + (to - from) * f64::from(number) / f64::from(POINTS_PER_EDGE)
+    let interpolate = |from: f64, to: f64, index: u32| {
+        from + (to - from) * f64::from(index) / f64::from(POINTS_PER_EDGE)
     };
     let edge = |from: [f64; 2], to: [f64; 2]| {
-        (0..POINTS_PER_EDGE).map(move |number| {
+        (0..POINTS_PER_EDGE).map(move |index| {
             [
-                between(from[0], to[0], number),
-                between(from[1], to[1], number),
+                interpolate(from[0], to[0], index),
+                interpolate(from[1], to[1], index),
             ]
         })
     };
--- a/testkit/src/conformance/filter_functions/temporal.rs
+++ b/testkit/src/conformance/filter_functions/temporal.rs
@@ -6,8 +6,8 @@
 use super::super::Suite;
 use serde_json::Value as Json;
 
-/// Checks the predicates on the median time of the samples.
-pub(super) fn temporal_predicates_are_right(suite: &mut Suite) -> Verdict {
+/// Checks the temporal predicates against the median of a time property.
+pub(super) fn check_temporal_predicates(suite: &mut Suite) -> Verdict {
     let sample = suite.median_time()?;
     require_instant_predicates(suite, &sample)?;
     require_interval_predicates(suite, &sample)
@@ -55,9 +55,9 @@
         &format!("T_DISJOINT({name},INTERVAL('..','{time}'))"),
         |feature| instant_is(feature, name, |instant| instant > time.as_str()),
     )?;
-    // All features are later than the interval's start.
-    let during = format!("T_DURING({name},INTERVAL('2001-01-01T00:00:00Z','{time}'))");
-    require_matches(suite, &during, |feature| {
+    // The interval starts before the times of all features of the test data.
+    let filter = format!("T_DURING({name},INTERVAL('2001-01-01T00:00:00Z','{time}'))");
+    require_matches(suite, &filter, |feature| {
         instant_is(feature, name, |instant| instant < time.as_str())
     })
 }
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -1,7 +1,7 @@
 //! Part 3 and the basic classes of CQL2: queryables, filter parameters, comparisons and logic.
 
-use super::check::{all_unique, require, require_same, Check, Stop, Verdict};
-use super::documents::{link_of, parameter};
+use super::check::{all_unique, require, require_same_ids, Check, EarlyExit, Verdict};
+use super::documents::{get_parameter, link_of};
 use super::samples::{number_of, text_of, BoundingBox, QueryableKind, Sample};
 use super::suite::FilterLanguage;
 use super::Suite;
@@ -92,22 +92,22 @@
             let value = suite.sorted_numbers(&name)?[0];
             let found = suite.get_ids(&format!("{name}={value}"))?;
             let expected = suite.expected_ids(|feature| number_of(feature, &name) == Some(value));
-            require_same("a queryable as parameter", &found, &expected)
+            require_same_ids("a queryable as parameter", &found, &expected)
         },
     ),
     Check::new("/req/filter/filter-param", FILTER, |suite| {
-        parameter(suite, "filter")?;
+        get_parameter(suite, "filter")?;
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         let filter = format!("{name} > {median}");
         require_matches(suite, &filter, |feature| {
             number_is(feature, &name, |n| n > median)
         })
     }),
     Check::new("/req/filter/filter-lang-param", FILTER, |suite| {
-        parameter(suite, "filter-lang")?;
+        get_parameter(suite, "filter-lang")?;
         let items = suite.items_path();
         let response = suite.get(&format!("{items}?filter=a=1&filter-lang=no-such-language"))?;
         require(response.status == 400, || {
@@ -116,7 +116,7 @@
     }),
     Check::new("/req/filter/filter-crs-param", FILTER, |suite| {
         let bbox = suite.middle_box()?;
-        let name = suite.geometry()?;
+        let name = suite.geometry_queryable()?;
         let BoundingBox {
             west,
             south,
@@ -136,7 +136,7 @@
         );
         query.append_pair("filter-crs", WGS84);
         let found = suite.get_ids(&query.finish())?;
-        require_same(
+        require_same_ids(
             "filter-crs",
             &found,
             &suite.expected_ids(|feature| bbox.contains(feature)),
@@ -146,7 +146,7 @@
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         let bbox = suite.middle_box()?;
         let found = suite.get_ids(&format!(
             "bbox={}&filter={name}%3E{median}",
@@ -155,7 +155,7 @@
         let expected = suite.expected_ids(|feature| {
             bbox.contains(feature) && number_is(feature, &name, |n| n > median)
         });
-        require_same("a box and a filter", &found, &expected)
+        require_same_ids("a box and a filter", &found, &expected)
     }),
     Check::new("/req/filter/invalid", FILTER, |suite| {
         for filter in INVALID_FILTERS {
@@ -171,7 +171,7 @@
         FEATURES_FILTER,
         |suite| {
             if suite.queryables.is_empty() {
-                return Err(Stop::not_applicable("no queryables are declared"));
+                return Err(EarlyExit::not_applicable("no queryables are declared"));
             }
             let response = suite.get(&format!(
                 "{}?filter=no_such_queryable=1",
@@ -186,7 +186,7 @@
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         let path = format!(
             "{}?limit=37&filter={name}%3C%3D{median}",
             suite.items_path()
@@ -197,13 +197,13 @@
         })?;
         ids.sort();
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n <= median));
-        require_same("a filter over pages", &ids, &expected)
+        require_same_ids("a filter over pages", &ids, &expected)
     }),
     Check::new("/req/cql2-text/validate", CQL2_TEXT, |suite| {
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         let filter =
             format!("( {name}>{median} oR nOt ({name} <= {median}) ) AND \"{name}\" >= {median}.0");
         require_matches(suite, &filter, |feature| {
@@ -214,20 +214,20 @@
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         let property = json!({"property": name});
         let above = json!({"op": ">", "args": [property, median]});
         let not_equal = json!({"op": "not", "args": [{"op": "=", "args": [property, -1]}]});
         let filter = json!({"op": "and", "args": [above, not_equal]});
         let found = suite.get_filtered(&filter.to_string(), FilterLanguage::Json)?;
         let expected = suite.expected_ids(|feature| number_is(feature, &name, |n| n > median));
-        require_same("CQL2 JSON", &found, &expected)
+        require_same_ids("CQL2 JSON", &found, &expected)
     }),
     Check::new("/req/basic-cql2/cql2-filter", BASIC_CQL2, |suite| {
         let Sample {
             name,
             value: median,
-        } = suite.median()?;
+        } = suite.median_number()?;
         for Comparison { operator, holds } in COMPARISONS {
             let filter = format!("{name} {operator} {median}");
             require_matches(suite, &filter, |feature| {
@@ -236,9 +236,9 @@
         }
         Ok(())
     }),
-    Check::new("/req/basic-cql2/logic", BASIC_CQL2, logic_is_right),
+    Check::new("/req/basic-cql2/logic", BASIC_CQL2, check_logic),
     Check::new("/req/basic-cql2/is-null", BASIC_CQL2, |suite| {
-        let name = suite.nullable_text()?;
+        let name = suite.nullable_text_queryable()?;
         let is_null = |feature: &Json| feature["properties"][&name].is_null();
         require_matches(suite, &format!("{name} IS NULL"), is_null)?;
         require_matches(suite, &format!("{name} IS NOT NULL"), |feature| {
@@ -252,8 +252,8 @@
         )
     }),
     Check::new("/req/basic-cql2/text", BASIC_CQL2, |suite| {
-        let Sample { name, value } = suite.text()?;
-        let filter = format!("{name} = '{}'", quoted(&value));
+        let Sample { name, value } = suite.text_sample()?;
+        let filter = format!("{name} = '{}'", escape_literal(&value));
         require_matches(suite, &filter, |feature| {
             text_of(feature, &name) == Some(value.as_str())
         })
@@ -268,11 +268,12 @@
     }),
 ];
 
-fn logic_is_right(suite: &mut Suite) -> Verdict {
+/// Checks `AND`, `OR` and `NOT`.
+fn check_logic(suite: &mut Suite) -> Verdict {
     let Sample {
         name,
         value: median,
-    } = suite.median()?;
+    } = suite.median_number()?;
     let flag = suite.queryable(QueryableKind::Boolean)?;
     let flag_of = |feature: &Json| feature["properties"][&flag].as_bool();
     let is_above = |feature: &Json| number_is(feature, &name, |n| n > median);
@@ -296,8 +297,8 @@
     number_of(feature, name).is_some_and(holds)
 }
 
-/// Escapes a text for a CQL2 literal.
-pub(super) fn quoted(text: &str) -> String {
+/// Escapes a text for use in a CQL2 literal.
+pub(super) fn escape_literal(text: &str) -> String {
     text.replace('\'', "''")
 }
 
@@ -308,5 +309,5 @@
     matches: impl Fn(&Json) -> bool,
 ) -> Verdict {
     let found = suite.get_filtered(filter, FilterLanguage::Text)?;
-    require_same(filter, &found, &suite.expected_ids(matches))
+    require_same_ids(filter, &found, &suite.expected_ids(matches))
 }
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -1,8 +1,10 @@
 //! Part 1, Core: the items of a collection, their parameters, pages and single features.
 
-use super::check::{require, require_same, Check, Stop, Verdict};
+use super::check::{require, require_same_ids, Check, EarlyExit, Verdict};
 use super::core::CORE;
-use super::documents::{link_of, parameter, require_links, require_status, require_typed_links};
+use super::documents::{
+    get_parameter, link_of, require_links, require_status, require_typed_links,
+};
 use super::samples::text_of;
 use super::Suite;
 use crate::client::feature_id;
@@ -26,20 +28,20 @@
         let json = suite.get_json(&suite.items_path())?;
         let are_features = json["features"]
             .as_array()
-            .is_some_and(|list| list.iter().all(|f| f["type"] == "Feature"));
+            .is_some_and(|list| list.iter().all(|feature| feature["type"] == "Feature"));
         require(json["type"] == "FeatureCollection" && are_features, || {
             "the response is not a feature collection".to_owned()
         })
     }),
     Check::new("/conf/core/fc-limit-definition", CORE, |suite| {
-        let limit = parameter(suite, "limit")?;
+        let limit = get_parameter(suite, "limit")?;
         let schema = &limit["schema"];
-        let defined = limit["in"] == "query"
+        let is_defined = limit["in"] == "query"
             && schema["type"] == "integer"
             && schema["minimum"] == 1
             && schema["maximum"].is_u64()
             && schema["default"].is_u64();
-        require(defined, || format!("limit is defined as {limit}"))
+        require(is_defined, || format!("limit is defined as {limit}"))
     }),
     Check::new("/conf/core/fc-limit-response", CORE, |suite| {
         for limit in [1, 3, 10] {
@@ -51,7 +53,7 @@
         Ok(())
     }),
     Check::new("/conf/core/fc-bbox-definition", CORE, |suite| {
-        let bbox = parameter(suite, "bbox")?;
+        let bbox = get_parameter(suite, "bbox")?;
         let schema = &bbox["schema"];
         let is_number_list = schema["type"] == "array" && schema["items"]["type"] == "number";
         require(is_number_list && bbox["explode"] == false, || {
@@ -62,10 +64,10 @@
         let bbox = suite.middle_box()?;
         let found = suite.get_ids(&format!("bbox={}", bbox.to_query()))?;
         let expected = suite.expected_ids(|feature| bbox.contains(feature));
-        require_same("bbox", &found, &expected)
+        require_same_ids("bbox", &found, &expected)
     }),
     Check::new("/conf/core/fc-time-definition", CORE, |suite| {
-        let datetime = parameter(suite, "datetime")?;
+        let datetime = get_parameter(suite, "datetime")?;
         require(
             datetime["in"] == "query" && datetime["schema"]["type"] == "string",
             || format!("datetime is defined as {datetime}"),
@@ -77,7 +79,7 @@
         let expected = suite.expected_ids(|feature| {
             text_of(feature, &time.name).is_none_or(|instant| instant >= time.value.as_str())
         });
-        require_same("datetime", &found, &expected)
+        require_same_ids("datetime", &found, &expected)
     }),
     Check::new("/conf/core/query-param-unknown", CORE, |suite| {
         let response = suite.get(&format!("{}?no-such-parameter=1", suite.items_path()))?;
@@ -86,8 +88,8 @@
     Check::new("/conf/core/query-param-invalid", CORE, |suite| {
         for invalid in INVALID_PARAMETERS {
             let response = suite.get(&format!("{}?{invalid}", suite.items_path()))?;
-            require_status(&response, 400).map_err(|stop| match stop {
-                Stop::Failed(reason) => Stop::Failed(format!("{invalid}: {reason}")),
+            require_status(&response, 400).map_err(|exit| match exit {
+                EarlyExit::Failed(reason) => EarlyExit::Failed(format!("{invalid}: {reason}")),
                 not_applicable => not_applicable,
             })?;
         }
@@ -102,13 +104,13 @@
             || "no next link although more features exist".to_owned(),
         )
     }),
-    Check::new("/conf/core/fc-next-complete", CORE, next_links_are_complete),
+    Check::new("/conf/core/fc-next-complete", CORE, check_next_links),
     Check::new("/conf/core/fc-timeStamp", CORE, |suite| {
         let json = suite.get_json(&suite.items_path())?;
-        let stamp = json["timeStamp"].as_str().unwrap_or_default();
+        let timestamp = json["timeStamp"].as_str().unwrap_or_default();
         require(
-            stamp.len() >= 20 && stamp.contains('T') && stamp.starts_with("20"),
-            || format!("timeStamp is {stamp:?}"),
+            timestamp.len() >= 20 && timestamp.contains('T') && timestamp.starts_with("20"),
+            || format!("timeStamp is {timestamp:?}"),
         )
     }),
     Check::new("/conf/core/fc-numberMatched", CORE, |suite| {
@@ -120,9 +122,9 @@
                     suite.features.len()
                 )
             }),
-            None if json.get("numberMatched").is_none() => {
-                Err(Stop::not_applicable("numberMatched is optional and absent"))
-            }
+            None if json.get("numberMatched").is_none() => Err(EarlyExit::not_applicable(
+                "numberMatched is optional and absent",
+            )),
             None => Err("numberMatched is not a number".into()),
         }
     }),
@@ -161,8 +163,9 @@
     json["features"].as_array().map_or(0, Vec::len)
 }
 
-/// Requires pages of another size to have the features that the suite was opened with.
-fn next_links_are_complete(suite: &mut Suite) -> Verdict {
+/// Requires a traversal of the `next` links with another page size to return the features that the
+/// suite read when it was opened, each once.
+fn check_next_links(suite: &mut Suite) -> Verdict {
     let features = suite.get_all(&format!("{}?limit=97", suite.items_path()))?;
     let mut ids: Vec<String> = features.iter().map(feature_id).collect();
     let count = ids.len();
@@ -174,15 +177,15 @@
             count - ids.len()
         )
     })?;
-    require_same(
+    require_same_ids(
         "pages of 97 beside pages of 500",
         &ids,
         &suite.expected_ids(|_| true),
     )
 }
 
-/// Requests the feature in the middle by its id.
-fn get_middle_feature(suite: &mut Suite) -> Result<Json, Stop> {
+/// Requests the feature in the middle of the list by its id.
+fn get_middle_feature(suite: &mut Suite) -> Result<Json, EarlyExit> {
     let id = feature_id(suite.middle_feature()?);
     suite.get_json(&format!("{}/{id}", suite.items_path()))
 }
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -1,6 +1,6 @@
 //! Sample values of the service's features, from which checks build their queries.
 
-use super::check::Stop;
+use super::check::EarlyExit;
 use super::Suite;
 use serde_json::Value as Json;
 
@@ -138,10 +138,10 @@
 
 impl Suite {
     /// Returns a box in the middle of all points that contains about a quarter of them.
-    pub(super) fn middle_box(&self) -> Result<BoundingBox, Stop> {
+    pub(super) fn middle_box(&self) -> Result<BoundingBox, EarlyExit> {
         let points: Vec<Point> = self.features.iter().filter_map(point_of).collect();
         if points.len() < MIN_POINTS {
-            return Err(Stop::not_applicable("too few points"));
+            return Err(EarlyExit::not_applicable("too few points"));
         }
         let quartiles = |coordinate: fn(&Point) -> f64| {
             let mut all: Vec<f64> = points.iter().map(coordinate).collect();
@@ -159,17 +159,17 @@
     }
 
     /// Returns the first feature.
-    pub(super) fn first_feature(&self) -> Result<&Json, Stop> {
+    pub(super) fn first_feature(&self) -> Result<&Json, EarlyExit> {
         self.features
             .first()
-            .ok_or_else(|| Stop::not_applicable("the collection has no features"))
+            .ok_or_else(|| EarlyExit::not_applicable("the collection has no features"))
     }
 
     /// Returns the feature in the middle of the list.
-    pub(super) fn middle_feature(&self) -> Result<&Json, Stop> {
+    pub(super) fn middle_feature(&self) -> Result<&Json, EarlyExit> {
         self.features
             .get(self.features.len() / 2)
-            .ok_or_else(|| Stop::not_applicable("the collection has no features"))
+            .ok_or_else(|| EarlyExit::not_applicable("the collection has no features"))
     }
 
     /// Returns the location of the first feature that is a point.
@@ -178,7 +178,7 @@
     }
 
     /// Returns the name of a queryable of this kind for which some feature has a value.
-    pub(super) fn queryable(&self, kind: QueryableKind) -> Result<String, Stop> {
+    pub(super) fn queryable(&self, kind: QueryableKind) -> Result<String, EarlyExit> {
         let value_type = kind.value_type();
         let format = kind.format_prefix();
         let fits = |(name, schema): &(&String, &Json)| {
@@ -187,7 +187,7 @@
             let has_values = || {
                 self.features
                     .iter()
-                    .any(|f| !f["properties"][name.as_str()].is_null())
+                    .any(|feature| !feature["properties"][name.as_str()].is_null())
             };
             schema_type == value_type
                 && schema_format.starts_with(format)
@@ -196,26 +196,26 @@
         };
         let found = self.queryables.iter().find(fits);
         found.map(|(name, _)| name.clone()).ok_or_else(|| {
-            Stop::NotApplicable(format!("no queryable of type {value_type} {format}"))
+            EarlyExit::NotApplicable(format!("no queryable of type {value_type} {format}"))
         })
     }
 
-    /// Returns all values of a number in ascending order.
-    pub(super) fn sorted_numbers(&self, name: &str) -> Result<Vec<f64>, Stop> {
+    /// Returns the values of a numeric property of all features in ascending order.
+    pub(super) fn sorted_numbers(&self, name: &str) -> Result<Vec<f64>, EarlyExit> {
         let mut numbers: Vec<f64> = self
             .features
             .iter()
-            .filter_map(|f| number_of(f, name))
+            .filter_map(|feature| number_of(feature, name))
             .collect();
         numbers.sort_by(f64::total_cmp);
         if numbers.is_empty() {
-            return Err(Stop::not_applicable("no feature has a number"));
+            return Err(EarlyExit::not_applicable("no feature has a number"));
         }
         Ok(numbers)
     }
 
     /// Returns a numeric queryable and its median.
-    pub(super) fn median(&self) -> Result<Sample<f64>, Stop> {
+    pub(super) fn median_number(&self) -> Result<Sample<f64>, EarlyExit> {
         let name = self.queryable(QueryableKind::Number)?;
         let numbers = self.sorted_numbers(&name)?;
         Ok(Sample {
@@ -225,7 +225,7 @@
     }
 
     /// Returns the name of the geometry queryable.
-    pub(super) fn geometry(&self) -> Result<String, Stop> {
+    pub(super) fn geometry_queryable(&self) -> Result<String, EarlyExit> {
         let is_geometry = |schema: &Json| {
             schema["format"]
                 .as_str()
@@ -237,11 +237,11 @@
             .find(|(_, schema)| is_geometry(schema));
         found
             .map(|(name, _)| name.clone())
-            .ok_or_else(|| Stop::not_applicable("no geometry queryable is declared"))
+            .ok_or_else(|| EarlyExit::not_applicable("no geometry queryable is declared"))
     }
 
     /// Returns a text queryable that all features have, and the value of the middle feature.
-    pub(super) fn text(&self) -> Result<Sample<String>, Stop> {
+    pub(super) fn text_sample(&self) -> Result<Sample<String>, EarlyExit> {
         let fits = |(name, schema): &(&String, &Json)| {
             schema["type"] == "string"
                 && schema.get("format").is_none()
@@ -252,19 +252,20 @@
         };
         let found = self.queryables.iter().find(fits);
         let name = found.map(|(name, _)| name.clone());
-        let name = name.ok_or_else(|| Stop::not_applicable("no text that all features have"))?;
+        let name =
+            name.ok_or_else(|| EarlyExit::not_applicable("no text that all features have"))?;
         let middle = &self.features[self.features.len() / 2];
         let value = text_of(middle, &name).unwrap_or_default().to_owned();
         Ok(Sample { name, value })
     }
 
     /// Returns a date or time queryable and its median.
-    pub(super) fn median_time(&self) -> Result<Sample<String>, Stop> {
+    pub(super) fn median_time(&self) -> Result<Sample<String>, EarlyExit> {
         let name = self.queryable(QueryableKind::Time)?;
         let mut times: Vec<&str> = self
             .features
             .iter()
-            .filter_map(|f| text_of(f, &name))
+            .filter_map(|feature| text_of(feature, &name))
             .collect();
         times.sort_unstable();
         let value = times[times.len() / 2].to_owned();
@@ -272,18 +273,18 @@
     }
 
     /// Returns the name of a text queryable that some features have and others lack.
-    pub(super) fn nullable_text(&self) -> Result<String, Stop> {
-        let nulls = |name: &str| {
+    pub(super) fn nullable_text_queryable(&self) -> Result<String, EarlyExit> {
+        let null_count = |name: &str| {
             self.features
                 .iter()
-                .filter(|f| f["properties"][name].is_null())
+                .filter(|feature| feature["properties"][name].is_null())
                 .count()
         };
         let is_nullable =
-            |name: &str| name != "id" && (1..self.features.len()).contains(&nulls(name));
+            |name: &str| name != "id" && (1..self.features.len()).contains(&null_count(name));
         let found = self.queryables.iter().find(|(name, _)| is_nullable(name));
         let text = found.filter(|(_, schema)| schema["type"] == "string");
         text.map(|(name, _)| name.clone())
-            .ok_or_else(|| Stop::not_applicable("no text that some features lack"))
+            .ok_or_else(|| EarlyExit::not_applicable("no text that some features lack"))
     }
 }
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -1,6 +1,6 @@
 //! Part 5: schemas and sortables; and sorting and selection of properties.
 
-use super::check::{all_unique, require, Check, Stop, Verdict};
+use super::check::{all_unique, require, Check, EarlyExit, Verdict};
 use super::samples::{number_of, QueryableKind};
 use super::Suite;
 use crate::client::feature_id;
@@ -64,7 +64,7 @@
     }),
     Check::new("/conf/sorting/sortby-unknown", SORTING, |suite| {
         if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no sortables are declared"));
+            return Err(EarlyExit::not_applicable("no sortables are declared"));
         }
         let response = suite.get(&format!("{}?sortby=no-such-property", suite.items_path()))?;
         require(response.status == 400, || {
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -1,7 +1,7 @@
 //! Run of the checks against a service: its claims, its features and the requests that checks send.
 
 use super::all_checks;
-use super::check::{features_of, require, Check, CheckResult, Outcome, Stop};
+use super::check::{features_of, require, Check, CheckResult, EarlyExit, Outcome};
 use crate::client::{feature_id, target_of, Client, Header, Request, Response};
 use serde_json::Value as Json;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// Failed request for one of the documents that opening a service needs.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
-pub struct OpenError(Stop);
+pub struct OpenError(EarlyExit);
 
 /// Suite of checks against one collection of a service.
 pub struct Suite {
@@ -66,7 +66,7 @@
             queryables: BTreeMap::new(),
         };
         let conformance = suite.get("/conformance").map_err(OpenError)?.json();
-        suite.conformance_classes = texts(&conformance["conformsTo"]);
+        suite.conformance_classes = strings_in(&conformance["conformsTo"]);
         let collections = suite.get("/collections").map_err(OpenError)?.json();
         suite.collection = collections["collections"][0]["id"]
             .as_str()
@@ -90,7 +90,7 @@
         all_checks()
             .map(|check| CheckResult {
                 id: check.id,
-                outcome: self.outcome_of(check),
+                outcome: self.run_check(check),
             })
             .collect()
     }
@@ -98,7 +98,7 @@
     /// Runs one check by its identifier; returns `None` if it does not exist.
     pub fn run_one(&mut self, id: &str) -> Option<Outcome> {
         let check = all_checks().find(|check| check.id == id)?;
-        Some(self.outcome_of(check))
+        Some(self.run_check(check))
     }
 
     /// Assumes that the service claims every class, so that no check is skipped.
@@ -106,7 +106,8 @@
         self.conformance_classes = all_checks().map(|check| check.class.to_owned()).collect();
     }
 
-    fn outcome_of(&mut self, check: &Check) -> Outcome {
+    /// Runs a check if the service claims its conformance class.
+    fn run_check(&mut self, check: &Check) -> Outcome {
         let class = check.class;
         if !class.is_empty()
             && !self
@@ -118,7 +119,7 @@
         }
         match (check.run)(self) {
             Ok(()) => Outcome::Pass,
-            Err(stop) => stop.into(),
+            Err(exit) => exit.into(),
         }
     }
 
@@ -133,7 +134,7 @@
     }
 
     /// Sends a GET request and returns the response.
-    pub(super) fn get(&mut self, path: &str) -> Result<Response, Stop> {
+    pub(super) fn get(&mut self, path: &str) -> Result<Response, EarlyExit> {
         self.get_with(path, &[])
     }
 
@@ -142,19 +143,19 @@
         &mut self,
         path: &str,
         headers: &[Header<'_>],
-    ) -> Result<Response, Stop> {
+    ) -> Result<Response, EarlyExit> {
         self.send(&Request::new("GET", path, headers))
     }
 
-    /// Sends a request whose target is relative to the service's root. Temporary failures are
-    /// retried.
-    pub(super) fn send(&mut self, request: &Request<'_>) -> Result<Response, Stop> {
+    /// Sends a request whose target is relative to the root of the service. Retries rejected requests
+    /// and server errors up to [`MAX_ATTEMPTS`] attempts and then returns the last response.
+    pub(super) fn send(&mut self, request: &Request<'_>) -> Result<Response, EarlyExit> {
         let target = format!("{}{}", self.root, request.target);
         let request = Request {
             target: &target,
             ..*request
         };
-        let mut last = None;
+        let mut last_response = None;
         for _ in 0..MAX_ATTEMPTS {
             let response = self.client.send(&request)?;
             if !matches!(response.status, 429 | 500..=504) {
@@ -163,13 +164,13 @@
             if response.status == 503 {
                 std::thread::sleep(RETRY_BACKOFF);
             }
-            last = Some(response);
+            last_response = Some(response);
         }
-        last.ok_or_else(|| "no attempt was made".into())
+        last_response.ok_or_else(|| "no attempt was made".into())
     }
 
-    /// Requests a JSON object; fails if the response is not one.
-    pub(super) fn get_json(&mut self, path: &str) -> Result<Json, Stop> {
+    /// Requests a JSON object; fails if the status is not 200 or the body is not an object.
+    pub(super) fn get_json(&mut self, path: &str) -> Result<Json, EarlyExit> {
         let response = self.get(path)?;
         require(response.status == 200, || {
             format!("{path}: status {}", response.status)
@@ -180,17 +181,17 @@
     }
 
     /// Requests the document of the collection.
-    pub(super) fn get_collection(&mut self) -> Result<Json, Stop> {
+    pub(super) fn get_collection(&mut self) -> Result<Json, EarlyExit> {
         self.get_json(&format!("/collections/{}", self.collection))
     }
 
     /// Requests a page of the collection's items with this query.
-    pub(super) fn get_items(&mut self, query: &str) -> Result<Json, Stop> {
+    pub(super) fn get_items(&mut self, query: &str) -> Result<Json, EarlyExit> {
         self.get_json(&format!("{}?{query}", self.items_path()))
     }
 
     /// Requests the target of a link.
-    pub(super) fn follow(&mut self, href: &str) -> Result<Response, Stop> {
+    pub(super) fn follow(&mut self, href: &str) -> Result<Response, EarlyExit> {
         let path = self.without_root(&target_of(href));
         self.get(&path)
     }
@@ -200,8 +201,8 @@
         target.strip_prefix(&self.root).unwrap_or(target).to_owned()
     }
 
-    /// Requests all features of a query over its `next` links.
-    pub(super) fn get_all(&mut self, path: &str) -> Result<Vec<Json>, Stop> {
+    /// Requests all pages of a query by following the `next` links, and returns their features.
+    pub(super) fn get_all(&mut self, path: &str) -> Result<Vec<Json>, EarlyExit> {
         let mut features = Vec::new();
         let mut next = Some(path.to_owned());
         while let Some(path) = next {
@@ -220,8 +221,8 @@
         Ok(features)
     }
 
-    /// Requests the sorted ids of all items that a query matches.
-    pub(super) fn get_ids(&mut self, query: &str) -> Result<Vec<String>, Stop> {
+    /// Requests all items that a query matches and returns their sorted ids.
+    pub(super) fn get_ids(&mut self, query: &str) -> Result<Vec<String>, EarlyExit> {
         let features = self.get_all(&format!("{}?limit=500&{query}", self.items_path()))?;
         Ok(sorted_ids(&features))
     }
@@ -231,7 +232,7 @@
         &mut self,
         filter: &str,
         language: FilterLanguage,
-    ) -> Result<Vec<String>, Stop> {
+    ) -> Result<Vec<String>, EarlyExit> {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         query
             .append_pair("filter", filter)
@@ -252,10 +253,11 @@
     ids
 }
 
-fn texts(list: &Json) -> Vec<String> {
+/// Returns the strings in a JSON array.
+fn strings_in(list: &Json) -> Vec<String> {
     list.as_array()
         .into_iter()
         .flatten()
-        .filter_map(|text| text.as_str().map(str::to_owned))
+        .filter_map(|value| value.as_str().map(str::to_owned))
         .collect()
 }
