--- a/testkit/src/conformance.rs
+++ b/testkit/src/conformance.rs
@@ -1,8 +1,8 @@
-//! Conformance suite: the requirements of the abstract test suites of OGC API - Features (Parts 1,
-//! 2, 3, 5) and CQL2, checked from outside, each under its identifier.
+//! Conformance suite: checks over HTTP that a service meets the requirements of the abstract test
+//! suites of OGC API - Features (Parts 1, 2, 3, 5) and CQL2, each under its identifier.
 //!
-//! The features that a filter must match are computed here from the features themselves by plain
-//! comparisons, without any code of the program.
+//! The suite computes which features a filter must match by its own comparisons of the features,
+//! independently of the program's filter evaluator.
 
 mod check;
 mod core;
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -1,4 +1,4 @@
-//! Checks, their outcomes and the assertions that they share.
+//! Checks, their outcomes and the assertions that checks share.
 
 use super::Suite;
 use crate::client::ClientError;
@@ -51,7 +51,7 @@
 /// Result of the body of a check.
 pub(super) type Verdict = Result<(), EarlyExit>;
 
-/// Reason why a check stops early.
+/// Reason why a check ends before its last assertion has passed.
 #[derive(Debug)]
 pub(super) enum EarlyExit {
     /// Requirement that does not hold.
@@ -88,7 +88,7 @@
     }
 }
 
-/// Fails with this reason unless the condition holds.
+/// Returns [`EarlyExit::Failed`] with this reason unless the condition holds.
 pub(super) fn require(condition: bool, reason: impl FnOnce() -> String) -> Verdict {
     if condition {
         Ok(())
--- a/testkit/src/conformance/core.rs
+++ b/testkit/src/conformance/core.rs
@@ -7,10 +7,11 @@
 use super::Suite;
 use serde_json::Value as Json;
 
-/// Class of the checks of this module and of the items.
+/// Conformance class of the checks of this module and of [`super::items`].
 pub(super) const CORE: &str = "ogcapi-features-1/1.0/conf/core";
 const CORE_URI: &str = "http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core";
-/// Properties that a collection must have in common with its entry in the list of collections.
+/// Properties that must have the same value in a collection and in its entry in the list of
+/// collections.
 const COLLECTION_PROPERTIES: [&str; 6] =
     ["id", "title", "description", "extent", "itemType", "crs"];
 
--- a/testkit/src/conformance/crs.rs
+++ b/testkit/src/conformance/crs.rs
@@ -10,7 +10,7 @@
 
 const CRS: &str = "ogcapi-features-2/1.0/conf/crs";
 const CRS84: &str = "http://www.opengis.net/def/crs/OGC/1.3/CRS84";
-/// Reference system with latitude before longitude.
+/// Coordinate reference system with latitude before longitude.
 const WGS84: &str = "http://www.opengis.net/def/crs/EPSG/0/4326";
 const WEB_MERCATOR: &str = "http://www.opengis.net/def/crs/EPSG/0/3857";
 const EPSG_PREFIX: &str = "http://www.opengis.net/def/crs/EPSG/0/";
@@ -23,9 +23,9 @@
 
 /// Radius of the sphere of Web Mercator, in metres (EPSG 7030, semi-major axis).
 const EARTH_RADIUS_METRES: f64 = 6_378_137.0;
-/// EPSG code of a northern UTM zone less the number of the zone.
+/// EPSG code of a northern UTM zone minus the number of the zone.
 const UTM_NORTH_CODE: u32 = 32_600;
-/// EPSG code of a southern UTM zone less the number of the zone.
+/// EPSG code of a southern UTM zone minus the number of the zone.
 const UTM_SOUTH_CODE: u32 = 32_700;
 /// Width of a UTM zone, in degrees of longitude.
 const UTM_ZONE_DEGREES: f64 = 6.0;
@@ -162,6 +162,7 @@
     })
 }
 
+/// Requires the response to a query to name this reference system in `Content-Crs`.
 fn require_crs_header(suite: &mut Suite, query: &str, uri: &str) -> Verdict {
     let response = suite.get(&format!("{}?{query}", suite.items_path()))?;
     require(response.header("content-crs") == format!("<{uri}>"), || {
@@ -187,8 +188,8 @@
     }
 }
 
-/// Requires the coordinates of the first features to agree with this projection of longitude and
-/// latitude.
+/// Requires the coordinates of the first features in a reference system to agree with this
+/// projection of their longitude and latitude.
 fn require_projection(suite: &mut Suite, uri: &str, project: fn(Point) -> Point) -> Verdict {
     let projected = features_of(&suite.get_items(&format!("limit={CHECKED_FEATURES}&crs={uri}"))?);
     let originals = features_of(&suite.get_items(&format!("limit={CHECKED_FEATURES}"))?);
--- a/testkit/src/conformance/documents.rs
+++ b/testkit/src/conformance/documents.rs
@@ -1,11 +1,11 @@
-//! Access to the documents of a service: links, the API definition, and errors.
+//! Assertions on the links and the status of responses, and access to the API definition.
 
 use super::check::{require, EarlyExit, Verdict};
 use super::Suite;
 use crate::client::Response;
 use serde_json::Value as Json;
 
-/// Returns the target of the document's link with this relation.
+/// Returns the target of the document's first link with this relation.
 pub(super) fn link_of(document: &Json, relation: &str) -> Option<String> {
     let links = document["links"].as_array()?;
     links.iter().find(|link| link["rel"] == relation)?["href"]
@@ -33,7 +33,7 @@
     )
 }
 
-/// Requires a response with this status.
+/// Requires the response to have this status.
 pub(super) fn require_status(response: &Response, status: u16) -> Verdict {
     require(response.status == status, || {
         format!("status {} in place of {status}", response.status)
--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -1,5 +1,5 @@
 //! Part 1: HTTP, GeoJSON, HTML and OpenAPI 3.0; and caching, compression and problem details (RFC
-//! 9457), which no class requires.
+//! 9457), which no conformance class requires.
 
 use super::check::{require, Check, EarlyExit, Verdict};
 use super::core::CORE;
@@ -184,7 +184,7 @@
     })
 }
 
-/// Requires an error with problem details.
+/// Requires a request to fail with this status and problem details.
 fn require_problem(suite: &mut Suite, path: &str, status: u16) -> Verdict {
     let response = suite.get(path)?;
     let json = response.json();
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -1,5 +1,5 @@
-//! The classes of CQL2 beyond the basic ones: further comparisons, functions on text, space, time
-//! and arrays, and arithmetic; and searches by POST.
+//! The classes of CQL2 other than the basic ones: additional comparisons, functions on text, space,
+//! time and arrays, and arithmetic; and searches by POST.
 
 mod search;
 mod temporal;
@@ -214,7 +214,7 @@
     Check::new("/req/search/post", ANY, check_search_by_post),
 ];
 
-/// Removes the accents that occur in the test data from a text.
+/// Replaces the accented letters that occur in the test data by plain ones.
 fn without_accents(text: &str) -> String {
     text.replace('é', "e").replace('ä', "a")
 }
@@ -243,12 +243,12 @@
         &format!("S_EQUALS({name},POINT({} {}))", point.x, point.y),
         |feature| point_of(feature) == Some(point),
     )?;
-    // A point overlaps and crosses nothing.
+    // A point neither overlaps nor crosses a polygon.
     let filter = format!("S_OVERLAPS({name},{polygon}) OR S_CROSSES({name},{polygon})");
     require_matches(suite, &filter, |_| false)
 }
 
-/// Returns the elements of an array property of a feature; empty if the feature lacks it.
+/// Returns the texts of an array property of a feature; an empty list if the feature lacks it.
 fn elements_of(feature: &Json, name: &str) -> Vec<String> {
     let elements = feature["properties"][name].as_array().into_iter().flatten();
     elements
--- a/testkit/src/conformance/filter_functions/search.rs
+++ b/testkit/src/conformance/filter_functions/search.rs
@@ -7,9 +7,9 @@
 use crate::client::{Header, Request, Response};
 use serde_json::{json, Value as Json};
 
-/// Number of points on each of the four edges of the searched polygon.
+/// Number of points on each of the four edges of the polygon in the filter.
 const POINTS_PER_EDGE: u32 = 2_500;
-/// Limit of the search.
+/// Maximum number of features that the search requests.
 const SEARCH_LIMIT: usize = 500;
 
 /// Checks a search for numbers above the median in a polygon of ten thousand points.
@@ -63,7 +63,7 @@
     })
 }
 
-/// Returns a box as a closed ring with many points on each edge.
+/// Returns the boundary of a box as a closed ring with [`POINTS_PER_EDGE`] points on each edge.
 fn ring_of(bbox: BoundingBox) -> Vec<[f64; 2]> {
     let BoundingBox {
         west,
--- a/testkit/src/conformance/filter_functions/temporal.rs
+++ b/testkit/src/conformance/filter_functions/temporal.rs
@@ -1,4 +1,4 @@
-//! Predicates on instants and intervals.
+//! CQL2 predicates on instants and intervals.
 
 use super::super::check::Verdict;
 use super::super::filters::require_matches;
@@ -13,7 +13,7 @@
     require_interval_predicates(suite, &sample)
 }
 
-/// Returns whether a feature has an instant of this name that satisfies the predicate.
+/// Returns whether a feature has a time property of this name that satisfies the predicate.
 fn instant_is(feature: &Json, name: &str, holds: impl Fn(&str) -> bool) -> bool {
     text_of(feature, name).is_some_and(holds)
 }
--- a/testkit/src/conformance/filters.rs
+++ b/testkit/src/conformance/filters.rs
@@ -18,7 +18,7 @@
 
 /// Relation of links to queryables.
 const QUERYABLES_RELATION: &str = "http://www.opengis.net/def/rel/ogc/1.0/queryables";
-/// Reference system with latitude before longitude.
+/// Coordinate reference system with latitude before longitude.
 const WGS84: &str = "http://www.opengis.net/def/crs/EPSG/0/4326";
 /// Invalid filters, percent-encoded.
 const INVALID_FILTERS: [&str; 6] = ["((", "a%20=", "=1", "NOT", "a%20LIKE", "S_INTERSECTS(a)"];
@@ -244,7 +244,7 @@
         require_matches(suite, &format!("{name} IS NOT NULL"), |feature| {
             !is_null(feature)
         })?;
-        // A comparison with no value is unknown, and so is its negation.
+        // A comparison with a missing value is unknown, and so is its negation.
         require_matches(
             suite,
             &format!("NOT ({name} = 'no such value')"),
@@ -292,7 +292,7 @@
     })
 }
 
-/// Returns whether a feature has a number of this name that satisfies the predicate.
+/// Returns whether a feature has a numeric property of this name that satisfies the predicate.
 pub(super) fn number_is(feature: &Json, name: &str, holds: impl Fn(f64) -> bool) -> bool {
     number_of(feature, name).is_some_and(holds)
 }
--- a/testkit/src/conformance/items.rs
+++ b/testkit/src/conformance/items.rs
@@ -10,7 +10,7 @@
 use crate::client::feature_id;
 use serde_json::Value as Json;
 
-/// Parameters with invalid values.
+/// Query parameters with invalid values.
 const INVALID_PARAMETERS: [&str; 5] = [
     "limit=0",
     "limit=many",
--- a/testkit/src/conformance/samples.rs
+++ b/testkit/src/conformance/samples.rs
@@ -1,4 +1,4 @@
-//! Sample values of the service's features, from which checks build their queries.
+//! Sample values from the features of the service, from which checks build their queries.
 
 use super::check::EarlyExit;
 use super::Suite;
@@ -93,7 +93,7 @@
 pub(super) enum QueryableKind {
     /// Array of any elements.
     Array,
-    /// Truth value.
+    /// Boolean.
     Boolean,
     /// Number.
     Number,
@@ -102,6 +102,7 @@
 }
 
 impl QueryableKind {
+    /// Returns the `type` of the schema.
     fn value_type(self) -> &'static str {
         match self {
             QueryableKind::Array => "array",
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Returns the prefix of the format; empty for a schema without a format.
+    /// Returns the prefix of the `format` of the schema; empty for a schema without a format.
     fn format_prefix(self) -> &'static str {
         match self {
             QueryableKind::Array | QueryableKind::Boolean | QueryableKind::Number => "",
@@ -126,12 +127,12 @@
     pub(super) value: T,
 }
 
-/// Returns the number of this name of a feature.
+/// Returns the value of a numeric property of a feature.
 pub(super) fn number_of(feature: &Json, name: &str) -> Option<f64> {
     feature["properties"][name].as_f64()
 }
 
-/// Returns the text of this name of a feature.
+/// Returns the value of a text property of a feature.
 pub(super) fn text_of<'f>(feature: &'f Json, name: &str) -> Option<&'f str> {
     feature["properties"][name].as_str()
 }
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -97,6 +97,7 @@
 }
 
 impl Direction {
+    /// Returns the value of the `sortby` parameter for a property.
     fn sort_key(self, name: &str) -> String {
         match self {
             Direction::Ascending => name.to_owned(),
@@ -112,7 +113,7 @@
     }
 }
 
-/// Requires all features, sorted by a number in this direction.
+/// Requires a query sorted by a numeric property to return all features in this direction.
 fn require_sorted(suite: &mut Suite, name: &str, direction: Direction) -> Verdict {
     let key = direction.sort_key(name);
     let sorted = suite.get_all(&format!("{}?limit=300&sortby={key}", suite.items_path()))?;
--- a/testkit/src/conformance/suite.rs
+++ b/testkit/src/conformance/suite.rs
@@ -1,4 +1,5 @@
-//! Run of the checks against a service: its claims, its features and the requests that checks send.
+//! State of a suite for one service: the conformance classes that the service claims, its features,
+//! and the requests that checks send.
 
 use super::all_checks;
 use super::check::{features_of, require, Check, CheckResult, EarlyExit, Outcome};
@@ -13,7 +14,7 @@
 const MAX_FEATURES: usize = 20_000;
 /// Maximum number of attempts of a request that is rejected or fails at the server.
 const MAX_ATTEMPTS: usize = 40;
-/// Backoff after a 503.
+/// Time to wait before a retry after status 503.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Encoding of a CQL2 filter.
@@ -32,7 +33,7 @@
     }
 }
 
-/// Failed request for one of the documents that opening a service needs.
+/// Failure of a request for a document that the suite reads when it is opened.
 #[derive(Debug, Error)]
 #[error("{0:?}")]
 pub struct OpenError(EarlyExit);
@@ -52,7 +53,8 @@
 }
 
 impl Suite {
-    /// Reads the conformance classes that a service claims, and its first collection.
+    /// Reads the conformance classes that a service claims, and the id, features and queryables of its
+    /// first collection. Features or queryables that can't be read are left empty.
     ///
     /// # Errors
     /// Returns an error if the conformance page or the list of collections can't be requested.
@@ -95,7 +97,7 @@
             .collect()
     }
 
-    /// Runs one check by its identifier; returns `None` if it does not exist.
+    /// Runs the check with this identifier; returns `None` if it does not exist.
     pub fn run_one(&mut self, id: &str) -> Option<Outcome> {
         let check = all_checks().find(|check| check.id == id)?;
         Some(self.run_check(check))
@@ -227,7 +229,7 @@
         Ok(sorted_ids(&features))
     }
 
-    /// Requests the sorted ids of all items that a filter in this language matches.
+    /// Requests all items that a filter in this language matches and returns their sorted ids.
     pub(super) fn get_filtered(
         &mut self,
         filter: &str,
