--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -16,8 +16,8 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// Headers that the proxy sets itself.
-const OWN_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
+/// Response headers that the proxy sets itself, by their lower-case names.
+const PROXY_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
 
 /// Request before it is forwarded.
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
 /// Fault that can be injected.
 pub struct InjectedFault {
     /// Identifier of the check that must detect the fault.
-    pub found_by: &'static str,
+    pub detected_by: &'static str,
     /// Description of the incorrect behaviour.
     pub description: &'static str,
     scope: Scope,
@@ -79,7 +79,7 @@
 pub struct FaultInjector {
     /// Listening address.
     pub address: SocketAddr,
-    active: Arc<ActiveFault>,
+    active_fault: Arc<ActiveFault>,
 }
 
 type ActiveFault = Mutex<Option<&'static InjectedFault>>;
@@ -101,20 +101,23 @@
     pub fn start(service: SocketAddr) -> io::Result<FaultInjector> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let active: Arc<ActiveFault> = Arc::default();
-        let shared = active.clone();
+        let active_fault: Arc<ActiveFault> = Arc::default();
+        let shared_fault = active_fault.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let active = shared.clone();
-                std::thread::spawn(move || forward_connection(stream, service, &active));
+                let active_fault = shared_fault.clone();
+                std::thread::spawn(move || forward_connection(stream, service, &active_fault));
             }
         });
-        Ok(FaultInjector { address, active })
+        Ok(FaultInjector {
+            address,
+            active_fault,
+        })
     }
 
     /// Sets the fault to inject; `None` restores correct behaviour.
     pub fn inject(&self, fault: Option<&'static InjectedFault>) {
-        *lock(&self.active) = fault;
+        *lock(&self.active_fault) = fault;
     }
 }
 
@@ -122,14 +125,14 @@
 fn forward_connection(
     mut stream: TcpStream,
     service: SocketAddr,
-    active: &ActiveFault,
+    active_fault: &ActiveFault,
 ) -> Result<(), ForwardError> {
     stream.set_nodelay(true)?;
-    let own_address = stream.local_addr()?;
+    let proxy_address = stream.local_addr()?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut client = Client::new(service);
     while let Some(mut request) = read_request(&mut reader)? {
-        let fault = *lock(active);
+        let fault = *lock(active_fault);
         if let Some(fault) = fault {
             fault.alter_request(&mut request);
         }
@@ -137,7 +140,7 @@
         // Links must lead back to the proxy.
         let text = response
             .text()
-            .replace(&service.to_string(), &own_address.to_string());
+            .replace(&service.to_string(), &proxy_address.to_string());
         response.body = text.into_bytes();
         if let Some(fault) = fault {
             fault.alter_response(&request, &mut response);
@@ -201,18 +204,18 @@
     request: &ForwardedRequest,
     response: &Response,
 ) -> io::Result<()> {
-    let compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
-    let body = if compressed {
+    let is_compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
+    let body = if is_compressed {
         compress(&response.body)?
     } else {
         response.body.clone()
     };
     let mut bytes = format!("HTTP/1.1 {} X\r\n", response.status);
-    let passed_on = response
+    let forwarded_headers = response
         .headers
         .iter()
-        .filter(|header| !OWN_HEADERS.contains(&header.name));
-    for Header { name, value } in passed_on {
+        .filter(|header| !PROXY_HEADERS.contains(&header.name));
+    for Header { name, value } in forwarded_headers {
         bytes.push_str(&format!("{name}: {value}\r\n"));
     }
     bytes.push_str(&format!("content-length: {}\r\n\r\n", body.len()));
--- a/testkit/src/fault_injection/edits.rs
+++ b/testkit/src/fault_injection/edits.rs
@@ -45,7 +45,7 @@
     let parameters = &mut api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"];
     let position = parameters
         .as_array()
-        .and_then(|list| list.iter().position(|p| p["name"] == name));
+        .and_then(|list| list.iter().position(|parameter| parameter["name"] == name));
     &mut parameters[position.unwrap_or(0)]["schema"]
 }
 
@@ -55,14 +55,14 @@
         .target
         .split_once('?')
         .unwrap_or((&request.target, ""));
-    let others: Vec<&str> = query
+    let remaining: Vec<&str> = query
         .split('&')
         .filter(|pair| !pair.is_empty() && pair.split('=').next() != Some(name))
         .collect();
-    request.target = if others.is_empty() {
+    request.target = if remaining.is_empty() {
         path.to_owned()
     } else {
-        format!("{path}?{}", others.join("&"))
+        format!("{path}?{}", remaining.join("&"))
     };
 }
 
--- a/testkit/src/fault_injection/faults.rs
+++ b/testkit/src/fault_injection/faults.rs
@@ -11,7 +11,7 @@
 
 /// Returns all faults that can be injected, each with the check that must detect it.
 pub fn injected_faults() -> impl Iterator<Item = &'static InjectedFault> {
-    let classes = [
+    let fault_lists = [
         core::FAULTS,
         items::FAULTS,
         encodings::FAULTS,
@@ -19,5 +19,5 @@
         schemas::FAULTS,
         filters::FAULTS,
     ];
-    classes.into_iter().flatten()
+    fault_lists.into_iter().flatten()
 }
--- a/testkit/src/fault_injection/faults/crs.rs
+++ b/testkit/src/fault_injection/faults/crs.rs
@@ -9,7 +9,7 @@
 /// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
-        found_by: "/conf/crs/fc-md-crs-list",
+        detected_by: "/conf/crs/fc-md-crs-list",
         description: "CRS84 is not listed",
         scope: Scope::Path("/collections/devices"),
         alteration: Alteration::EditJson(|json| {
@@ -17,7 +17,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/crs/fc-md-storageCrs-valid-value",
+        detected_by: "/conf/crs/fc-md-storageCrs-valid-value",
         description: "the storage reference system is not listed",
         scope: Scope::Path("/collections/devices"),
         alteration: Alteration::EditJson(|json| {
@@ -25,13 +25,13 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/crs/fc-crs-valid-value",
+        detected_by: "/conf/crs/fc-crs-valid-value",
         description: "an unknown reference system is accepted",
         scope: Scope::Target("EPSG/0/1"),
         alteration: Alteration::RemoveParameters(&["crs"]),
     },
     InjectedFault {
-        found_by: "/conf/crs/fc-crs-action",
+        detected_by: "/conf/crs/fc-crs-action",
         description: "latitude and longitude are swapped",
         scope: Scope::TargetWithout {
             contained: "EPSG/0/4326",
@@ -42,13 +42,13 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/crs/bbox-crs-action",
+        detected_by: "/conf/crs/bbox-crs-action",
         description: "bbox-crs is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["bbox-crs"]),
     },
     InjectedFault {
-        found_by: "/conf/crs/ogc-crs-header-value",
+        detected_by: "/conf/crs/ogc-crs-header-value",
         description: "the header names another reference system",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
--- a/testkit/src/fault_injection/faults/encodings.rs
+++ b/testkit/src/fault_injection/faults/encodings.rs
@@ -8,7 +8,7 @@
 /// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
-        found_by: "/conf/core/http",
+        detected_by: "/conf/core/http",
         description: "HEAD has a body",
         scope: Scope::All,
         alteration: Alteration::EditRequest(|request| {
@@ -18,13 +18,13 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/core/cache",
+        detected_by: "/conf/core/cache",
         description: "If-None-Match is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveRequestHeader("if-none-match"),
     },
     InjectedFault {
-        found_by: "/conf/core/problem",
+        detected_by: "/conf/core/problem",
         description: "an error is plain text",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
@@ -36,7 +36,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/geojson/definition",
+        detected_by: "/conf/geojson/definition",
         description: "features are plain JSON",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
@@ -48,7 +48,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/geojson/content",
+        detected_by: "/conf/geojson/content",
         description: "a geometry has an unknown type",
         scope: Scope::All,
         alteration: Alteration::EditFeatures(|features| {
@@ -58,13 +58,13 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/html/definition",
+        detected_by: "/conf/html/definition",
         description: "HTML is not served",
         scope: Scope::All,
         alteration: Alteration::RemoveRequestHeader("accept"),
     },
     InjectedFault {
-        found_by: "/conf/html/content",
+        detected_by: "/conf/html/content",
         description: "features are not drawn",
         scope: Scope::All,
         alteration: Alteration::EditResponse(|response| {
@@ -74,7 +74,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/oas30/completeness",
+        detected_by: "/conf/oas30/completeness",
         description: "the API lacks the items",
         scope: Scope::Path("/api"),
         alteration: Alteration::EditJson(|api| {
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -8,37 +8,37 @@
 /// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
-        found_by: "/req/queryables/get-queryables-response",
+        detected_by: "/req/queryables/get-queryables-response",
         description: "the queryables have no $id",
         scope: Scope::PathSuffix("/queryables"),
         alteration: Alteration::EditJson(|schema| schema["$id"] = Json::Null),
     },
     InjectedFault {
-        found_by: "/req/filter/filter-param",
+        detected_by: "/req/filter/filter-param",
         description: "the filter is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["filter"]),
     },
     InjectedFault {
-        found_by: "/req/filter/filter-lang-param",
+        detected_by: "/req/filter/filter-lang-param",
         description: "any filter language is accepted",
         scope: Scope::Target("no-such-language"),
         alteration: Alteration::RemoveParameters(&["filter-lang", "filter"]),
     },
     InjectedFault {
-        found_by: "/req/filter/filter-crs-param",
+        detected_by: "/req/filter/filter-crs-param",
         description: "filter-crs is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["filter-crs"]),
     },
     InjectedFault {
-        found_by: "/req/features-filter/queryable-unknown",
+        detected_by: "/req/features-filter/queryable-unknown",
         description: "an unknown queryable is accepted",
         scope: Scope::Target("no_such_queryable"),
         alteration: Alteration::RemoveParameters(&["filter"]),
     },
     InjectedFault {
-        found_by: "/req/basic-cql2/cql2-filter",
+        detected_by: "/req/basic-cql2/cql2-filter",
         description: "less or equal is evaluated as less",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -47,7 +47,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/basic-cql2/is-null",
+        detected_by: "/req/basic-cql2/is-null",
         description: "features without a value match a negated comparison",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -56,7 +56,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/advanced-comparison-operators/between-predicate",
+        detected_by: "/req/advanced-comparison-operators/between-predicate",
         description: "BETWEEN excludes its lower end",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -65,7 +65,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/case-insensitive-comparison/casei-function",
+        detected_by: "/req/case-insensitive-comparison/casei-function",
         description: "CASEI is ignored",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -74,7 +74,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/spatial-functions/spatial-predicates",
+        detected_by: "/req/spatial-functions/spatial-predicates",
         description: "within is evaluated as disjoint",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -83,7 +83,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/temporal-functions/temporal-predicates",
+        detected_by: "/req/temporal-functions/temporal-predicates",
         description: "after is evaluated as before",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -92,7 +92,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/array-functions/array-predicates",
+        detected_by: "/req/array-functions/array-predicates",
         description: "equals is evaluated as overlaps",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -101,7 +101,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/arithmetic/arithmetic",
+        detected_by: "/req/arithmetic/arithmetic",
         description: "a product is evaluated as a sum",
         scope: Scope::All,
         alteration: Alteration::ReplaceInTarget {
@@ -110,7 +110,7 @@
         },
     },
     InjectedFault {
-        found_by: "/req/search/post",
+        detected_by: "/req/search/post",
         description: "the filter of a search is ignored",
         scope: Scope::All,
         alteration: Alteration::EditRequest(|request| {
--- a/testkit/src/fault_injection/faults/items.rs
+++ b/testkit/src/fault_injection/faults/items.rs
@@ -8,7 +8,7 @@
 /// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
-        found_by: "/conf/core/fc-response",
+        detected_by: "/conf/core/fc-response",
         description: "features have no type",
         scope: Scope::All,
         alteration: Alteration::EditFeatures(|features| {
@@ -18,7 +18,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-limit-definition",
+        detected_by: "/conf/core/fc-limit-definition",
         description: "limit is defined without a maximum",
         scope: Scope::Path("/api"),
         alteration: Alteration::EditJson(|api| {
@@ -26,55 +26,55 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-limit-response",
+        detected_by: "/conf/core/fc-limit-response",
         description: "one feature more than the limit",
         scope: Scope::All,
         alteration: Alteration::EditFeatures(|features| features.extend(features.first().cloned())),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-bbox-response",
+        detected_by: "/conf/core/fc-bbox-response",
         description: "bbox is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["bbox"]),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-time-response",
+        detected_by: "/conf/core/fc-time-response",
         description: "datetime is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["datetime"]),
     },
     InjectedFault {
-        found_by: "/conf/core/query-param-unknown",
+        detected_by: "/conf/core/query-param-unknown",
         description: "an unknown parameter is ignored",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["no-such-parameter"]),
     },
     InjectedFault {
-        found_by: "/conf/core/query-param-invalid",
+        detected_by: "/conf/core/query-param-invalid",
         description: "limit=0 is accepted",
         scope: Scope::Target("limit=0"),
         alteration: Alteration::RemoveParameters(&["limit"]),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-links",
+        detected_by: "/conf/core/fc-links",
         description: "there is no next link",
         scope: Scope::Target("limit=2"),
         alteration: Alteration::RemoveLink("next"),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-next-complete",
+        detected_by: "/conf/core/fc-next-complete",
         description: "each page lacks a feature",
         scope: Scope::Target("limit=97"),
         alteration: Alteration::EditFeatures(|features| drop(features.pop())),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-timeStamp",
+        detected_by: "/conf/core/fc-timeStamp",
         description: "the time stamp is malformed",
         scope: Scope::All,
         alteration: Alteration::EditJson(|json| json["timeStamp"] = "today".into()),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-numberMatched",
+        detected_by: "/conf/core/fc-numberMatched",
         description: "numberMatched is one too high",
         scope: Scope::All,
         alteration: Alteration::EditJson(|json| {
@@ -84,7 +84,7 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/core/fc-numberReturned",
+        detected_by: "/conf/core/fc-numberReturned",
         description: "numberReturned is one too high",
         scope: Scope::All,
         alteration: Alteration::EditJson(|json| {
@@ -93,19 +93,19 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/core/f-success",
+        detected_by: "/conf/core/f-success",
         description: "an id returns another feature",
         scope: Scope::Target("/items/"),
         alteration: Alteration::EditJson(|feature| feature["id"] = "other".into()),
     },
     InjectedFault {
-        found_by: "/conf/core/f-links",
+        detected_by: "/conf/core/f-links",
         description: "a feature has no link to its collection",
         scope: Scope::Target("/items/"),
         alteration: Alteration::RemoveLink("collection"),
     },
     InjectedFault {
-        found_by: "/conf/core/f-unknown",
+        detected_by: "/conf/core/f-unknown",
         description: "an unknown feature exists",
         scope: Scope::Target("no-such-feature"),
         alteration: Alteration::EditResponse(|response| response.status = 200),
--- a/testkit/src/fault_injection/faults/schemas.rs
+++ b/testkit/src/fault_injection/faults/schemas.rs
@@ -6,7 +6,7 @@
 /// Faults of these classes.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
-        found_by: "/conf/schemas/properties",
+        detected_by: "/conf/schemas/properties",
         description: "a property is not in the schema",
         scope: Scope::PathSuffix("/schema"),
         alteration: Alteration::EditJson(|schema| {
@@ -16,19 +16,19 @@
         }),
     },
     InjectedFault {
-        found_by: "/conf/sorting/sortby",
+        detected_by: "/conf/sorting/sortby",
         description: "the order is reversed",
         scope: Scope::Target("sortby"),
         alteration: Alteration::EditFeatures(|features| features.reverse()),
     },
     InjectedFault {
-        found_by: "/conf/sorting/sortby-ties",
+        detected_by: "/conf/sorting/sortby-ties",
         description: "features with equal keys are lost between pages",
         scope: Scope::Target("sortby"),
         alteration: Alteration::EditFeatures(|features| drop(features.pop())),
     },
     InjectedFault {
-        found_by: "/conf/property-selection/properties",
+        detected_by: "/conf/property-selection/properties",
         description: "all properties are returned",
         scope: Scope::All,
         alteration: Alteration::RemoveParameters(&["properties"]),
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -77,7 +77,7 @@
     let injector = FaultInjector::start(process.address)?;
     let address = match options.planted {
         Some(PlantedFault::ExcessFeatures) => {
-            injector.inject(injected_faults().find(|fault| fault.found_by == LIMIT_CHECK));
+            injector.inject(injected_faults().find(|fault| fault.detected_by == LIMIT_CHECK));
             injector.address
         }
         Some(PlantedFault::DuplicateRequests) => {
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -120,26 +120,26 @@
     let mut suite = Suite::open(injector.address, "/").expect("it answers");
     for fault in injected_faults() {
         injector.inject(None);
-        let healthy = suite.run_one(fault.found_by);
+        let healthy = suite.run_one(fault.detected_by);
         assert_eq!(
             healthy,
             Some(Outcome::Pass),
             "{} without a fault",
-            fault.found_by
+            fault.detected_by
         );
         injector.inject(Some(fault));
         // Some faults are seen only by a suite that is opened with them.
         let mut opened_faulty = Suite::open(injector.address, "/").expect("it answers");
         opened_faulty.claim_all();
         let outcomes = [
-            suite.run_one(fault.found_by),
-            opened_faulty.run_one(fault.found_by),
+            suite.run_one(fault.detected_by),
+            opened_faulty.run_one(fault.detected_by),
         ];
         let failed = |outcome: &Option<Outcome>| matches!(outcome, Some(Outcome::Fail(_)));
         assert!(
             outcomes.iter().any(failed),
             "{}: {}: {outcomes:?}",
-            fault.found_by,
+            fault.detected_by,
             fault.description
         );
     }
