--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Fault-injecting proxy: alters requests or responses of a correct service, so that each check of
-//! the conformance suite can be shown to fail.
+//! Fault-injecting proxy: alters requests to a correct service or its responses, to show that the
+//! checks of the conformance suite detect faults.
 
 mod alteration;
 mod edits;
@@ -19,7 +19,7 @@
 /// Response headers that the proxy sets itself, by their lower-case names.
 const PROXY_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
 
-/// Request before it is forwarded.
+/// Request that the proxy received and forwards, possibly altered.
 #[derive(Debug, Clone)]
 pub struct ForwardedRequest {
     method: String,
@@ -75,13 +75,14 @@
     }
 }
 
-/// Running proxy.
+/// Running proxy, which injects at most one fault at a time.
 pub struct FaultInjector {
     /// Listening address.
     pub address: SocketAddr,
     active_fault: Arc<ActiveFault>,
 }
 
+/// Fault that is injected at present, if any.
 type ActiveFault = Mutex<Option<&'static InjectedFault>>;
 
 /// Reason why a connection of the proxy failed.
@@ -94,7 +95,7 @@
 }
 
 impl FaultInjector {
-    /// Starts the proxy of a service on a free loopback port, without a fault.
+    /// Starts a proxy for the service at this address on a free loopback port, without a fault.
     ///
     /// # Errors
     /// Returns an error if no port is free.
@@ -137,7 +138,7 @@
             fault.alter_request(&mut request);
         }
         let mut response = forward(&mut client, &request)?;
-        // Links must lead back to the proxy.
+        // Makes the links point to the proxy, so that the client's next requests are altered too.
         let text = response
             .text()
             .replace(&service.to_string(), &proxy_address.to_string());
@@ -150,7 +151,7 @@
     Ok(())
 }
 
-/// Reads a request and returns it, or `None` at the end of the connection.
+/// Reads the next request; returns `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> io::Result<Option<ForwardedRequest>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
@@ -169,7 +170,7 @@
         };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => body_length = value.parse().unwrap_or(0),
-            // The client sets its own.
+            // The client sets these headers itself.
             "host" | "connection" => {}
             _ => headers.push(OwnedHeader {
                 name: name.to_owned(),
--- a/testkit/src/fault_injection/alteration.rs
+++ b/testkit/src/fault_injection/alteration.rs
@@ -1,4 +1,4 @@
-//! Alterations of requests and responses, and the requests that they apply to.
+//! Alterations of requests and responses, and scopes: the requests that a fault applies to.
 
 use super::edits::{
     edit_features, edit_json, remove_header, remove_parameter, remove_response_link,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Alteration that a fault makes.
+/// Alteration that a fault makes to a request or its response.
 #[derive(Clone, Copy)]
 pub(super) enum Alteration {
     /// Removal of parameters from the query of a request.
@@ -59,18 +59,18 @@
     },
     /// Any other edit of a request.
     EditRequest(fn(&mut ForwardedRequest)),
-    /// Removal of the links of a relation from a response.
+    /// Removal of the links with this relation from a response.
     RemoveLink(&'static str),
-    /// Edit of a JSON body.
+    /// Edit of the JSON body of a response.
     EditJson(fn(&mut Json)),
-    /// Edit of the features of a body.
+    /// Edit of the features of a response.
     EditFeatures(fn(&mut Vec<Json>)),
     /// Any other edit of a response.
     EditResponse(fn(&mut Response)),
 }
 
 impl Alteration {
-    /// Applies an alteration of requests; others have no effect.
+    /// Alters a request; alterations of responses have no effect.
     pub(super) fn alter_request(self, request: &mut ForwardedRequest) {
         match self {
             Alteration::RemoveParameters(names) => {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Applies an alteration of responses; others have no effect.
+    /// Alters a response; alterations of requests have no effect.
     pub(super) fn alter_response(self, response: &mut Response) {
         match self {
             Alteration::RemoveLink(relation) => remove_response_link(response, relation),
--- a/testkit/src/fault_injection/edits.rs
+++ b/testkit/src/fault_injection/edits.rs
@@ -21,14 +21,14 @@
     });
 }
 
-/// Removes the links of this relation from a document.
+/// Removes the links with this relation from a document.
 pub(super) fn remove_link(document: &mut Json, relation: &str) {
     if let Some(links) = document["links"].as_array_mut() {
         links.retain(|link| link["rel"] != relation);
     }
 }
 
-/// Removes the links of this relation from a response.
+/// Removes the links with this relation from a response.
 pub(super) fn remove_response_link(response: &mut Response, relation: &str) {
     edit_json(response, |json| remove_link(json, relation));
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the schema of a parameter of the items in an API definition.
+/// Returns the schema of a parameter of the items path in an API definition.
 pub(super) fn parameter_schema<'j>(api: &'j mut Json, name: &str) -> &'j mut Json {
     let parameters = &mut api["paths"]["/collections/{collectionId}/items"]["get"]["parameters"];
     let position = parameters
--- a/testkit/src/fault_injection/faults/core.rs
+++ b/testkit/src/fault_injection/faults/core.rs
@@ -6,7 +6,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/conf/core/root-success",
--- a/testkit/src/fault_injection/faults/crs.rs
+++ b/testkit/src/fault_injection/faults/crs.rs
@@ -6,7 +6,7 @@
 use crate::client::Header;
 use serde_json::json;
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/conf/crs/fc-md-crs-list",
--- a/testkit/src/fault_injection/faults/encodings.rs
+++ b/testkit/src/fault_injection/faults/encodings.rs
@@ -5,7 +5,7 @@
 use crate::client::Header;
 use serde_json::Value as Json;
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/conf/core/http",
--- a/testkit/src/fault_injection/faults/filters.rs
+++ b/testkit/src/fault_injection/faults/filters.rs
@@ -5,7 +5,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/req/queryables/get-queryables-response",
--- a/testkit/src/fault_injection/faults/items.rs
+++ b/testkit/src/fault_injection/faults/items.rs
@@ -5,7 +5,7 @@
 use super::super::InjectedFault;
 use serde_json::{json, Value as Json};
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/conf/core/fc-response",
--- a/testkit/src/fault_injection/faults/schemas.rs
+++ b/testkit/src/fault_injection/faults/schemas.rs
@@ -3,7 +3,7 @@
 use super::super::alteration::{Alteration, Scope};
 use super::super::InjectedFault;
 
-/// Faults of these classes.
+/// Faults that this module defines.
 pub(super) const FAULTS: &[InjectedFault] = &[
     InjectedFault {
         detected_by: "/conf/schemas/properties",
