--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -34,8 +34,8 @@
 const PAUSE: Duration = Duration::from_millis(500);
 /// Number of drains among the equally likely choices of the next event; the others are faults.
 const DRAIN_CHOICES: usize = 2;
-/// Number of marks reserved for each seed.
-const MARKS_PER_SEED: u64 = 1_000_000;
+/// Number of query ids reserved for each seed, so that runs with different seeds share no id.
+const QUERY_IDS_PER_SEED: u64 = 1_000_000;
 const SETTINGS: &str = "retry_after_ms = 300\nlearned_age_s = 5";
 /// Identifier of the check that detects a page with more features than its limit.
 const LIMIT_CHECK: &str = "/conf/core/fc-limit-response";
@@ -109,9 +109,9 @@
     inject: impl FnOnce() -> T,
 ) -> T {
     let stopped = AtomicBool::new(false);
-    let next_mark = AtomicU64::new(options.seed * MARKS_PER_SEED + 1);
+    let next_query_id = AtomicU64::new(options.seed * QUERY_IDS_PER_SEED + 1);
     let shared = SharedState {
-        next_mark: &next_mark,
+        next_query_id: &next_query_id,
         queries,
         report,
     };
@@ -141,8 +141,8 @@
 ) -> Result<Vec<Drain>, RunError> {
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let mut drains = Vec::new();
-    let started = Instant::now();
-    while started.elapsed() < options.duration {
+    let started_at = Instant::now();
+    while started_at.elapsed() < options.duration {
         let machine = rng.usize(..fleet.machines.len());
         let choice = rng.usize(..ALL_FAULTS.len() + DRAIN_CHOICES);
         match ALL_FAULTS.get(choice) {
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -19,9 +19,9 @@
 const MARGINS_WAITED: u32 = 4;
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
-/// Interval between queries that follow their links to the end, in queries.
-const QUERIES_PER_FOLLOWED: u8 = 4;
-/// Minimum share of the shards in an answer.
+/// Average number of queries for each query that follows its `next` links to the end.
+const QUERIES_PER_TRAVERSAL: u8 = 4;
+/// Minimum share of the shards that an answer must contain.
 const MIN_SHARE: f64 = 0.4;
 /// Tolerance of the comparison of shares.
 const SHARE_TOLERANCE: f64 = 1e-9;
@@ -29,9 +29,9 @@
 /// State that the clients of a scenario share.
 #[derive(Clone, Copy)]
 pub(super) struct SharedState<'a> {
-    /// Mark of the next query.
-    pub(super) next_mark: &'a AtomicU64,
-    /// Record of all queries.
+    /// Id of the next query.
+    pub(super) next_query_id: &'a AtomicU64,
+    /// Log of all queries.
     pub(super) queries: &'a QueryLog,
     /// Report of answers and violations.
     pub(super) report: &'a Mutex<Report>,
@@ -58,7 +58,7 @@
     missing: BTreeSet<String>,
     violations: Vec<AnswerViolation>,
     /// Whether the last page had no `next` link.
-    at_end: bool,
+    reached_end: bool,
 }
 
 impl<'a> ScenarioClient<'a> {
@@ -77,17 +77,17 @@
     pub(super) fn run_query(&mut self) {
         let query = Query {
             class: Class::ALL[self.rng.usize(..Class::ALL.len())],
-            mark: self.shared.next_mark.fetch_add(1, Relaxed),
-            follows_links: self.rng.u8(..QUERIES_PER_FOLLOWED) == 0,
+            id: self.shared.next_query_id.fetch_add(1, Relaxed),
+            follows_links: self.rng.u8(..QUERIES_PER_TRAVERSAL) == 0,
             limit: LIMITS[self.rng.usize(..LIMITS.len())],
         };
         self.shared.queries.record_query(&query);
         let answers = self.request_pages(&query);
-        let mark = query.mark;
+        let query_id = query.id;
         let class = query.class.name();
         let violations = answers.into_violations().into_iter();
         let violations = violations.map(|violation| Violation::Answer {
-            mark,
+            query_id,
             class,
             violation,
         });
@@ -97,7 +97,7 @@
     fn request_pages(&mut self, query: &Query) -> Answers {
         let mut answers = Answers::default();
         let mut next = Some(query.first_target());
-        let mut pages = 0;
+        let mut page_requests = 0;
         while let Some(target) = next.take() {
             let PageAnswer { response, kind } = self.request_page(query, &target, &mut answers);
             let Some(response) = response else {
@@ -108,14 +108,14 @@
                 AnswerKind::Complete | AnswerKind::Partial => {
                     answers.add_page(query, &response, kind);
                     let link = response.link("next");
-                    answers.at_end = link.is_none();
+                    answers.reached_end = link.is_none();
                     next = link.filter(|_| query.follows_links);
                 }
                 AnswerKind::Rejected if response.headers.get("retry-after").is_none() => {
                     answers.violations.push(AnswerViolation::NoRetryAfter);
                 }
                 AnswerKind::Rejected | AnswerKind::Failed | AnswerKind::DeadlineExceeded => {
-                    if query.retries_page(pages) {
+                    if query.retries_page(page_requests) {
                         std::thread::sleep(RETRY_BACKOFF);
                         next = Some(target);
                     }
@@ -126,22 +126,22 @@
                 }),
                 AnswerKind::StaleCursor | AnswerKind::Lost => {}
             }
-            pages += 1;
+            page_requests += 1;
         }
         answers
     }
 
     /// Requests one page and records its latency and kind.
     fn request_page(&mut self, query: &Query, target: &str, answers: &mut Answers) -> PageAnswer {
-        let started = Instant::now();
-        self.shared.queries.record_page(query.mark, started);
+        let started_at = Instant::now();
+        self.shared.queries.record_page(query.id, started_at);
         let timeout = TIMEOUT_SECONDS.to_string();
         let headers = [
             Header::new("X-Qos", query.class.name()),
             Header::new("X-Expires-In", &timeout),
         ];
         let response = self.client.get_with(target, &headers).ok();
-        let latency = started.elapsed();
+        let latency = started_at.elapsed();
         let kind = response.as_ref().map_or(AnswerKind::Lost, kind_of);
         lock(self.shared.report).record_answer(query.class.name(), kind, latency);
         if latency > Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN {
@@ -178,7 +178,7 @@
             self.violations
                 .push(AnswerViolation::WrongCompleteness { kind, missing });
         }
-        if query.class != Class::Part && kind == AnswerKind::Partial {
+        if query.class != Class::Partial && kind == AnswerKind::Partial {
             self.violations.push(AnswerViolation::PartialNotAllowed);
         }
         self.missing.extend(missing);
@@ -212,7 +212,7 @@
         if self.ids.iter().any(|id| shard_of_feature(id).is_none()) {
             self.violations.push(AnswerViolation::UnknownFeature);
         }
-        if self.at_end && !self.ids.is_empty() {
+        if self.reached_end && !self.ids.is_empty() {
             self.check_shards();
         }
         self.violations
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -13,7 +13,7 @@
 /// Number of features of each shard, more than a page.
 pub(super) const FEATURES_PER_SHARD: usize = 900;
 /// Number of device numbers reserved for each shard.
-const NUMBERS_PER_SHARD: usize = 10_000;
+const DEVICE_NUMBERS_PER_SHARD: usize = 10_000;
 /// Names of the shards.
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
 const CAPABILITIES: [Capabilities; 3] = [
@@ -63,9 +63,11 @@
         let machines: [Machine; MACHINES] = Default::default();
         let mut servers = Vec::new();
         for (machine_number, machine) in machines.iter().enumerate() {
-            for place in 0..SERVERS_PER_MACHINE {
-                let shard = shard_of_server(SERVERS_PER_MACHINE * machine_number + place);
-                let capabilities = CAPABILITIES[(machine_number + place) % CAPABILITIES.len()];
+            for server_in_machine in 0..SERVERS_PER_MACHINE {
+                let shard =
+                    shard_of_server(SERVERS_PER_MACHINE * machine_number + server_in_machine);
+                let capabilities =
+                    CAPABILITIES[(machine_number + server_in_machine) % CAPABILITIES.len()];
                 let server = FeatureServer::start(devices(device_numbers(shard)), capabilities)?;
                 let machine = machine.clone();
                 server.set_fault_script(move |request| machine.fault_of_request(request.number));
@@ -103,7 +105,7 @@
 }
 
 fn device_numbers(shard: usize) -> Range<usize> {
-    shard * NUMBERS_PER_SHARD..shard * NUMBERS_PER_SHARD + FEATURES_PER_SHARD
+    shard * DEVICE_NUMBERS_PER_SHARD..shard * DEVICE_NUMBERS_PER_SHARD + FEATURES_PER_SHARD
 }
 
 /// Returns the shard of a feature, or `None` if no server holds it.
--- a/testkit/src/fault_scenario/observer.rs
+++ b/testkit/src/fault_scenario/observer.rs
@@ -1,7 +1,7 @@
 //! Checks of the requests that the servers of a fault scenario received.
 
 use super::fleet::Fleet;
-use super::query::{mark_of_target, QueryLog};
+use super::query::{query_id_of_target, QueryLog};
 use super::report::{Report, Violation};
 use crate::feature_server::{Fault, LoggedRequest};
 use std::collections::BTreeMap;
@@ -21,8 +21,9 @@
 }
 
 impl Drain {
-    /// Returns the time since the drain started if it forbids a request at this time.
-    fn forbids(&self, at: Instant) -> Option<Duration> {
+    /// Returns the time since the start of the drain if the server must not receive a request at
+    /// `at`, and otherwise `None`.
+    fn elapsed_if_forbidden(&self, at: Instant) -> Option<Duration> {
         let forbidden = at > self.started_at + DRAIN_GRACE && at < self.ended_at;
         forbidden.then(|| at.duration_since(self.started_at))
     }
@@ -31,20 +32,22 @@
 /// Part of a query that is not idempotent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Part {
-    mark: u64,
+    query_id: u64,
+    /// Number of pages that the client had requested by the time of the request.
     page: usize,
     target: String,
 }
 
 /// Checks the logs of all servers and adds the results to the report.
 pub(super) fn observe(fleet: &Fleet, drains: &[Drain], queries: &QueryLog, report: &mut Report) {
-    let mut received: BTreeMap<Part, u32> = BTreeMap::new();
+    let mut request_counts: BTreeMap<Part, u32> = BTreeMap::new();
     for (index, server) in fleet.servers.iter().enumerate() {
         let log = server.log();
         report.server_requests += log.len() as u64;
         for request in log {
             let drains = drains.iter().filter(|drain| drain.server == index);
-            let forbidden = drains.filter_map(|drain| drain.forbids(request.received_at));
+            let forbidden =
+                drains.filter_map(|drain| drain.elapsed_if_forbidden(request.received_at));
             report
                 .violations
                 .extend(forbidden.map(|after| Violation::RequestWhileDraining {
@@ -53,16 +56,16 @@
                 }));
             if let Some(part) = non_idempotent_part(request, queries) {
                 report.non_idempotent_parts += 1;
-                *received.entry(part).or_default() += 1;
+                *request_counts.entry(part).or_default() += 1;
             }
         }
     }
     report.drains = drains.len() as u64;
-    let repeated = received.into_iter().filter(|(_, times)| *times > 1);
+    let repeated = request_counts.into_iter().filter(|(_, times)| *times > 1);
     report
         .violations
         .extend(repeated.map(|(part, times)| Violation::PartRepeated {
-            mark: part.mark,
+            query_id: part.query_id,
             times,
             target: part.target,
         }));
@@ -74,10 +77,10 @@
     if request.fault == Fault::TooManyRequests {
         return None;
     }
-    let mark = mark_of_target(&request.target)?;
-    let page = queries.non_idempotent_page(mark, request.received_at)?;
+    let query_id = query_id_of_target(&request.target)?;
+    let page = queries.non_idempotent_page(query_id, request.received_at)?;
     Some(Part {
-        mark,
+        query_id,
         page,
         target: request.target,
     })
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -6,29 +6,29 @@
 use std::time::Instant;
 
 /// Maximum number of page requests of a query, including retries.
-const MAX_PAGES: usize = 60;
+const MAX_PAGE_REQUESTS: usize = 60;
 
 /// Class of a query, by the guarantees that the scenario checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
-    /// Idempotent queries that need all shards.
-    Map,
-    /// Queries whose answers may be partial, from two fifths of the shards on.
-    Part,
+    /// Idempotent queries whose answers must contain all shards.
+    Complete,
+    /// Queries whose answers may be partial if they contain at least two fifths of the shards.
+    Partial,
     /// Queries that are not idempotent.
-    Once,
+    NonIdempotent,
 }
 
 impl Class {
     /// All classes.
-    pub(super) const ALL: [Class; 3] = [Class::Map, Class::Part, Class::Once];
+    pub(super) const ALL: [Class; 3] = [Class::Complete, Class::Partial, Class::NonIdempotent];
 
     /// Returns the name of the class in the settings.
     pub(super) fn name(self) -> &'static str {
         match self {
-            Class::Map => "map",
-            Class::Part => "part",
-            Class::Once => "once",
+            Class::Complete => "map",
+            Class::Partial => "part",
+            Class::NonIdempotent => "once",
         }
     }
 }
@@ -36,16 +36,19 @@
 /// Query with all pages that its client follows.
 pub(super) struct Query {
     pub(super) class: Class,
-    pub(super) mark: u64,
-    /// Whether `next` links are followed to the end.
+    pub(super) id: u64,
+    /// Whether the client follows the `next` links to the end.
     pub(super) follows_links: bool,
     pub(super) limit: usize,
 }
 
 impl Query {
-    /// Returns whether a failed page is requested again after this number of page requests.
-    pub(super) fn retries_page(&self, pages: usize) -> bool {
-        self.follows_links && self.class != Class::Once && pages > 0 && pages < MAX_PAGES
+    /// Returns whether the client retries a failed page after this number of page requests.
+    pub(super) fn retries_page(&self, page_requests: usize) -> bool {
+        self.follows_links
+            && self.class != Class::NonIdempotent
+            && page_requests > 0
+            && page_requests < MAX_PAGE_REQUESTS
     }
 
     /// Returns the target of the first page, with the mark as the fraction of the northern
@@ -53,13 +56,13 @@
     pub(super) fn first_target(&self) -> String {
         format!(
             "/collections/devices/items?limit={}&bbox=-180,-90,180,89.{}",
-            self.limit, self.mark
+            self.limit, self.id
         )
     }
 }
 
-/// Returns the mark of the query that a target belongs to.
-pub(super) fn mark_of_target(target: &str) -> Option<u64> {
+/// Returns the id of the query that a target belongs to.
+pub(super) fn query_id_of_target(target: &str) -> Option<u64> {
     let (_, bbox) = target.split_once("bbox=")?;
     let bbox = bbox.split('&').next()?;
     let north = bbox.rsplit("%2C").next()?.rsplit(',').next()?;
@@ -85,22 +88,24 @@
             class: query.class,
             pages_requested_at: Vec::new(),
         };
-        lock(&self.sent).insert(query.mark, sent);
+        lock(&self.sent).insert(query.id, sent);
     }
 
     /// Records the time at which a page of a recorded query is requested.
-    pub(super) fn record_page(&self, mark: u64, requested_at: Instant) {
-        if let Some(sent) = lock(&self.sent).get_mut(&mark) {
+    pub(super) fn record_page(&self, query_id: u64, requested_at: Instant) {
+        if let Some(sent) = lock(&self.sent).get_mut(&query_id) {
             sent.pages_requested_at.push(requested_at);
         }
     }
 
     /// Returns the number of pages of a non-idempotent query that had been requested by this time,
-    /// or `None` for other queries. A part must run at most once per page; the program sees the
-    /// next page as another query.
-    pub(super) fn non_idempotent_page(&self, mark: u64, at: Instant) -> Option<usize> {
+    /// or `None` for other queries. The number distinguishes the pages: a part must run at most once
+    /// per page, because the program treats the request for each page as a separate query.
+    pub(super) fn non_idempotent_page(&self, query_id: u64, at: Instant) -> Option<usize> {
         let sent = lock(&self.sent);
-        let query = sent.get(&mark).filter(|query| query.class == Class::Once)?;
+        let query = sent
+            .get(&query_id)
+            .filter(|query| query.class == Class::NonIdempotent)?;
         Some(
             query
                 .pages_requested_at
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -117,11 +117,11 @@
         /// Target of the request.
         target: String,
     },
-    /// Repeated part that must run at most once.
-    #[error("part of query {mark} came {times} times: {target}")]
+    /// Part that must run at most once but was received more than once.
+    #[error("part of query {query_id} came {times} times: {target}")]
     PartRepeated {
-        /// Mark of the query.
-        mark: u64,
+        /// Id of the query.
+        query_id: u64,
         /// Number of times the part was received.
         times: u32,
         /// Target of the requests.
@@ -131,10 +131,10 @@
     #[error("an invariant was broken")]
     Invariant,
     /// Violation by the answers to a query.
-    #[error("query {mark} of class {class}: {violation}")]
+    #[error("query {query_id} of class {class}: {violation}")]
     Answer {
-        /// Mark of the query.
-        mark: u64,
+        /// Id of the query.
+        query_id: u64,
         /// Class of the query.
         class: &'static str,
         /// Violation by the answers.
@@ -156,8 +156,8 @@
     /// Number of drains.
     pub drains: u64,
     /// Latency of the slowest answer.
-    pub slowest: Duration,
-    /// Counters of the program at the end.
+    pub max_latency: Duration,
+    /// Counters of the program at the end, as the line that it logs.
     pub counters: String,
 }
 
@@ -179,7 +179,7 @@
         latency: Duration,
     ) {
         *self.answers.entry(AnswerGroup { class, kind }).or_default() += 1;
-        self.slowest = self.slowest.max(latency);
+        self.max_latency = self.max_latency.max(latency);
     }
 
     /// Records the counters of the program, and a violation if one tells of a broken invariant.
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -206,7 +206,7 @@
         report.server_requests,
         report.non_idempotent_parts,
         report.drains,
-        report.slowest.as_millis()
+        report.max_latency.as_millis()
     );
     println!("{}", report.counters);
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
