--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -1,6 +1,7 @@
-//! Fault scenario: runs feature queries under injected faults and checks every rule from the wire.
+//! Fault scenario: runs feature queries under injected faults and checks the answers and the
+//! requests that the servers receive.
 //!
-//! Each query carries a unique mark, the last digits of a bounding box that contains every feature.
+//! Each query carries a unique id, the last digits of a bounding box that contains every feature.
 //! The program forwards the box to the servers, so their logs show which query a request belongs
 //! to.
 
@@ -28,24 +29,24 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 6;
-/// Duration of a fault or a drain.
+/// Duration of each fault and each drain.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
-/// Time between two faults.
+/// Time between the end of a fault or drain and the start of the next one.
 const PAUSE: Duration = Duration::from_millis(500);
-/// Number of drains among the equally likely choices of the next event; the others are faults.
+/// Weight of a drain in the random choice of the next event; each fault has the weight 1.
 const DRAIN_CHOICES: usize = 2;
 /// Number of query ids reserved for each seed, so that runs with different seeds share no id.
 const QUERY_IDS_PER_SEED: u64 = 1_000_000;
 const SETTINGS: &str = "retry_after_ms = 300\nlearned_age_s = 5";
-/// Identifier of the check that detects a page with more features than its limit.
+/// Identifier of the conformance check that detects a page with more features than its limit.
 const LIMIT_CHECK: &str = "/conf/core/fc-limit-response";
 
 /// Fault that is planted to prove that the observer detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// Requests that are logged twice by the servers.
+    /// The servers log each request twice.
     DuplicateRequests,
-    /// Answers with one feature more than their limit.
+    /// Each answer has one feature more than it should, and so can exceed its limit.
     ExcessFeatures,
 }
 
@@ -54,8 +55,8 @@
 pub struct ScenarioOptions {
     /// Duration of the fault injection.
     pub duration: Duration,
-    /// Seed of the random faults and queries. Faults start by the clock, so runs with one seed
-    /// differ.
+    /// Seed of the random faults and queries. The clock determines when faults start, so two runs
+    /// with the same seed differ.
     pub seed: u64,
     /// Planted fault, if any.
     pub planted: Option<PlantedFault>,
@@ -100,7 +101,7 @@
     Ok(report)
 }
 
-/// Runs the clients until `inject` returns, and returns its result.
+/// Runs the clients until `inject` returns, and returns the result of `inject`.
 fn run_clients<T>(
     address: SocketAddr,
     options: &ScenarioOptions,
@@ -132,8 +133,8 @@
     })
 }
 
-/// Injects faults and drains one after another for the duration of the scenario. Returns the
-/// drains.
+/// Injects random faults and drains one after another for the duration of the scenario. Returns
+/// the drains.
 fn inject_faults(
     fleet: &Fleet,
     process: &EdgeProcess,
@@ -158,7 +159,8 @@
     Ok(drains)
 }
 
-/// Drains a server for [`FAULT_DURATION`] by two reloads of the inventory.
+/// Drains a server for [`FAULT_DURATION`]: reloads the inventory with the server draining, and
+/// later in service.
 fn drain(fleet: &Fleet, process: &EdgeProcess, server: usize) -> Result<Drain, RunError> {
     process.reload_inventory(&fleet.inventory(Some(server)))?;
     let started_at = Instant::now();
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a fault scenario: send queries, follow links and check the answers.
+//! Clients of a fault scenario, which send queries, follow `next` links and check the answers.
 
 use super::fleet::{shard_of_feature, FEATURES_PER_SHARD, SHARDS};
 use super::query::{Class, Query, QueryLog};
@@ -11,11 +11,12 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Deadline that clients announce in a header, in seconds.
+/// Time from a request to its deadline, which clients send in `X-Expires-In`, in seconds.
 const TIMEOUT_SECONDS: f64 = 2.0;
-/// Lateness after which an answer counts as late: allowance for the network and a busy machine.
+/// Time after the deadline from which on an answer counts as late; allows for delays by the network
+/// and a busy machine.
 const NETWORK_MARGIN: Duration = Duration::from_millis(250);
-/// Number of network margins beyond its deadline that a client waits for a response.
+/// Number of network margins that a client waits for a response after the deadline.
 const MARGINS_WAITED: u32 = 4;
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
@@ -33,7 +34,7 @@
     pub(super) next_query_id: &'a AtomicU64,
     /// Log of all queries.
     pub(super) queries: &'a QueryLog,
-    /// Report of answers and violations.
+    /// Report to which answers and violations are added.
     pub(super) report: &'a Mutex<Report>,
 }
 
@@ -62,7 +63,8 @@
 }
 
 impl<'a> ScenarioClient<'a> {
-    /// Creates a client that announces [`TIMEOUT_SECONDS`] and waits a few margins longer.
+    /// Creates a client that waits for a response until [`MARGINS_WAITED`] network margins after the
+    /// deadline.
     pub(super) fn new(address: SocketAddr, seed: u64, shared: SharedState<'a>) -> Self {
         let mut client = Client::new(address);
         client.timeout = Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN * MARGINS_WAITED;
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Sends a random query, follows its links if it is to, and reports the violations.
+    /// Sends a random query, follows its links if the query requires it, and reports the violations.
     pub(super) fn run_query(&mut self) {
         let query = Query {
             class: Class::ALL[self.rng.usize(..Class::ALL.len())],
@@ -94,6 +96,7 @@
         lock(self.shared.report).violations.extend(violations);
     }
 
+    /// Requests the pages of a query and retries failed ones.
     fn request_pages(&mut self, query: &Query) -> Answers {
         let mut answers = Answers::default();
         let mut next = Some(query.first_target());
@@ -151,6 +154,7 @@
     }
 }
 
+/// Returns the kind of an answer by its status and headers.
 fn kind_of(response: &Response) -> AnswerKind {
     match response.status {
         200 if response.header("x-answer-whole") == "true" => AnswerKind::Complete,
@@ -164,7 +168,7 @@
 }
 
 impl Answers {
-    /// Checks a single page and adds its features.
+    /// Checks a page by itself and adds its features.
     fn add_page(&mut self, query: &Query, response: &Response, kind: AnswerKind) {
         let json = response.json();
         let missing: BTreeSet<String> = json["missing"]
@@ -203,7 +207,8 @@
     /// Checks all pages together and returns all violations.
     fn into_violations(mut self) -> Vec<AnswerViolation> {
         let unique: BTreeSet<&String> = self.ids.iter().collect();
-        // A feature that a server repeats on another page is detected only within one answer.
+        // The program detects a feature that a server repeats on another page only within one answer,
+        // not across the answers that are linked by `next`.
         if unique.len() != self.ids.len() {
             self.violations.push(AnswerViolation::DuplicateFeatures(
                 self.ids.len() - unique.len(),
@@ -218,7 +223,7 @@
         self.violations
     }
 
-    /// Requires every shard that is not reported missing to be complete.
+    /// Adds a violation for each incomplete shard that no page reported missing.
     fn check_shards(&mut self) {
         for (index, shard) in SHARDS.into_iter().enumerate() {
             let received = self
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -1,4 +1,5 @@
-//! Servers of a fault scenario: six machines of two servers each, which hold three shards.
+//! Servers of a fault scenario: six machines with two servers each, which together have three
+//! shards.
 
 use crate::feature_server::{
     devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState, ALL_FAULTS,
@@ -10,7 +11,7 @@
 
 const MACHINES: usize = 6;
 const SERVERS_PER_MACHINE: usize = 2;
-/// Number of features of each shard, more than a page.
+/// Number of features of each shard; more than a server returns in one page.
 pub(super) const FEATURES_PER_SHARD: usize = 900;
 /// Number of device numbers reserved for each shard.
 const DEVICE_NUMBERS_PER_SHARD: usize = 10_000;
@@ -36,8 +37,8 @@
             .store(index.map_or(0, |index| index + 1), Relaxed);
     }
 
-    /// Returns the fault of a request by its number: hangs and delays affect every request, other
-    /// faults every second one.
+    /// Returns the fault of the request with this number: hangs and delays affect every request,
+    /// other faults every second one.
     fn fault_of_request(&self, number: u64) -> Fault {
         let Some(index) = self.fault.load(Relaxed).checked_sub(1) else {
             return Fault::None;
@@ -77,7 +78,8 @@
         Ok(Fleet { machines, servers })
     }
 
-    /// Returns the rows of the inventory, with one server draining or none.
+    /// Returns the rows of the inventory, in which the server with the index `draining`, if any, is
+    /// draining and all others are in service.
     pub(super) fn inventory(&self, draining: Option<usize>) -> String {
         let row = |(index, server): (usize, &FeatureServer)| {
             let is_draining = draining == Some(index);
@@ -99,16 +101,17 @@
     }
 }
 
-/// Returns the shard of a server; each is held by four servers on four machines.
+/// Returns the shard of a server. Each shard has four replicas on four different machines.
 fn shard_of_server(server: usize) -> usize {
     (server / 4 + server % 2) % SHARDS.len()
 }
 
+/// Returns the numbers of the devices that are the features of a shard.
 fn device_numbers(shard: usize) -> Range<usize> {
     shard * DEVICE_NUMBERS_PER_SHARD..shard * DEVICE_NUMBERS_PER_SHARD + FEATURES_PER_SHARD
 }
 
-/// Returns the shard of a feature, or `None` if no server holds it.
+/// Returns the shard of a feature, or `None` if no server has the feature.
 pub(super) fn shard_of_feature(id: &str) -> Option<usize> {
     let number: usize = id.strip_prefix('d')?.parse().ok()?;
     (0..SHARDS.len()).find(|shard| device_numbers(*shard).contains(&number))
--- a/testkit/src/fault_scenario/observer.rs
+++ b/testkit/src/fault_scenario/observer.rs
@@ -1,4 +1,4 @@
-//! Checks of the requests that the servers of a fault scenario received.
+//! Checks of the requests in the logs of the servers of a fault scenario.
 
 use super::fleet::Fleet;
 use super::query::{query_id_of_target, QueryLog};
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time for which a draining server may still receive requests.
+/// Time after the start of a drain for which the server may still receive requests.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 /// Drain of a server.
 pub(super) struct Drain {
     /// Index of the server in the fleet.
     pub(super) server: usize,
-    /// Time at which the program had reloaded the inventory.
+    /// Time just after the program reloaded the inventory in which the server is draining.
     pub(super) started_at: Instant,
-    /// Time just before the program was notified of the end.
+    /// Time just before the reload that put the server back in service.
     pub(super) ended_at: Instant,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Part of a query that is not idempotent.
+/// Part of a non-idempotent query, which must run at most once.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Part {
     query_id: u64,
@@ -71,8 +71,8 @@
         }));
 }
 
-/// Returns the part that a request was for, if the part must run at most once and may have run. A
-/// request that was rejected unprocessed did not run and may be retried.
+/// Returns the part that a request belongs to, if the part must run at most once and may have run.
+/// A part whose request was rejected with status 429 did not run and may be retried.
 fn non_idempotent_part(request: LoggedRequest, queries: &QueryLog) -> Option<Part> {
     if request.fault == Fault::TooManyRequests {
         return None;
--- a/testkit/src/fault_scenario/query.rs
+++ b/testkit/src/fault_scenario/query.rs
@@ -1,4 +1,4 @@
-//! Queries of a fault scenario and the log of those that were sent.
+//! Queries of a fault scenario and the log of sent queries.
 
 use crate::sync::lock;
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 /// Maximum number of page requests of a query, including retries.
 const MAX_PAGE_REQUESTS: usize = 60;
 
-/// Class of a query, by the guarantees that the scenario checks.
+/// Class of a query; determines which guarantees the scenario checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Class {
     /// Idempotent queries whose answers must contain all shards.
@@ -23,7 +23,7 @@
     /// All classes.
     pub(super) const ALL: [Class; 3] = [Class::Complete, Class::Partial, Class::NonIdempotent];
 
-    /// Returns the name of the class in the settings.
+    /// Returns the name of the class in the settings of the program.
     pub(super) fn name(self) -> &'static str {
         match self {
             Class::Complete => "map",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Query with all pages that its client follows.
+/// Query that a client sends, with the pages that it links to.
 pub(super) struct Query {
     pub(super) class: Class,
     pub(super) id: u64,
@@ -51,8 +51,8 @@
             && page_requests < MAX_PAGE_REQUESTS
     }
 
-    /// Returns the target of the first page, with the mark as the fraction of the northern
-    /// latitude.
+    /// Returns the target of the first page, with the query id as the fractional digits of the
+    /// northern latitude.
     pub(super) fn first_target(&self) -> String {
         format!(
             "/collections/devices/items?limit={}&bbox=-180,-90,180,89.{}",
@@ -75,7 +75,7 @@
     pages_requested_at: Vec<Instant>,
 }
 
-/// Sent queries by mark.
+/// Log of sent queries, by query id.
 #[derive(Default)]
 pub(super) struct QueryLog {
     sent: Mutex<HashMap<u64, SentQuery>>,
--- a/testkit/src/fault_scenario/report.rs
+++ b/testkit/src/fault_scenario/report.rs
@@ -1,4 +1,4 @@
-//! Report of a fault scenario: counts of answers, and violations of the rules.
+//! Report of a fault scenario: counts of answers and requests, and violations of the rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,7 +12,7 @@
     StaleCursor,
     /// Status 502.
     Failed,
-    /// Status 200 with some of the shards.
+    /// Status 200 with only some of the shards.
     Partial,
     /// No response.
     Lost,
@@ -41,13 +41,13 @@
     }
 }
 
-/// Violation by the answers to one query.
+/// Violation of a rule by the answers to one query.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AnswerViolation {
-    /// Answer after the client's deadline, with its latency.
+    /// Answer that arrived later than the deadline and the network margin, with its latency.
     #[error("an answer after {} ms", .0.as_millis())]
     Late(Duration),
-    /// Connection that was closed or timed out.
+    /// Request whose connection was closed or timed out before a response.
     #[error("no final answer")]
     NoResponse,
     /// Answer that claims to be complete and lists missing shards, or the reverse.
@@ -67,7 +67,8 @@
         /// Shards that the answer reports missing.
         missing: BTreeSet<String>,
     },
-    /// Page with more features than its limit, or with another number than it claims.
+    /// Page with more features than its limit, or with a `numberReturned` that differs from its
+    /// number of features.
     #[error("{features} features, limit {limit}, numberReturned {number_returned}")]
     WrongCount {
         /// Number of features in the page.
@@ -88,10 +89,10 @@
         /// Body as text.
         body: String,
     },
-    /// Number of features that were received more than once over all pages.
+    /// Number of repetitions of features over all pages.
     #[error("{0} duplicate features")]
     DuplicateFeatures(usize),
-    /// Feature that no server holds.
+    /// Feature that no server has.
     #[error("a feature that no server holds")]
     UnknownFeature,
     /// Incomplete shard that is not reported missing although all pages were received.
@@ -99,7 +100,7 @@
     IncompleteShard {
         /// Number of features received.
         received: usize,
-        /// Number of features that the shard holds.
+        /// Number of features that the shard has.
         expected: usize,
         /// Name of the shard.
         shard: &'static str,
@@ -109,7 +110,7 @@
 /// Violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// Request at a draining server.
+    /// Request that a draining server received.
     #[error("a request {} ms into a drain: {target}", .after.as_millis())]
     RequestWhileDraining {
         /// Time since the drain started.
@@ -127,7 +128,7 @@
         /// Target of the requests.
         target: String,
     },
-    /// Broken invariant that the program counted itself.
+    /// Invariant violation that the program itself counted.
     #[error("an invariant was broken")]
     Invariant,
     /// Violation by the answers to a query.
@@ -149,9 +150,9 @@
     pub answers: BTreeMap<AnswerGroup, u64>,
     /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Number of requests at the servers.
+    /// Number of requests that the servers received.
     pub server_requests: u64,
-    /// Number of requests for parts of non-idempotent queries.
+    /// Number of received requests for parts of non-idempotent queries.
     pub non_idempotent_parts: u64,
     /// Number of drains.
     pub drains: u64,
@@ -182,7 +183,7 @@
         self.max_latency = self.max_latency.max(latency);
     }
 
-    /// Records the counters of the program, and a violation if one tells of a broken invariant.
+    /// Records the counters of the program, and a violation if they count a violated invariant.
     pub(super) fn record_counters(&mut self, counters: String) {
         if !counters.contains(" broken_invariants=0") {
             self.violations.push(Violation::Invariant);
