--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -1,5 +1,5 @@
-//! The conformance suite against the program over faulty feature servers, and against injected
-//! faults.
+//! Tests of the conformance suite against the program over faulty feature servers, and against
+//! injected faults; and tests of the program's discovery of capabilities.
 
 use quinceflow_testkit::client::{Client, Response};
 use quinceflow_testkit::conformance::{Outcome, Suite};
@@ -13,7 +13,7 @@
 const ITEMS: &str = "/collections/devices/items";
 
 /// Faults that the program must mask while another replica is healthy.
-const HIDDEN_FAULTS: [Fault; 8] = [
+const MASKED_FAULTS: [Fault; 8] = [
     Fault::InternalError,
     Fault::TruncatedBody,
     Fault::HtmlPage,
@@ -24,13 +24,13 @@
     Fault::Slow,
 ];
 
-/// Running program over two shards, each on two servers of different capabilities.
+/// Running program over two shards, each with two replicas on servers of different capabilities.
 struct Deployment {
     process: EdgeProcess,
     servers: Vec<FeatureServer>,
 }
 
-/// Shards of the servers of a deployment.
+/// Collection and shard of each server of a deployment.
 const SERVER_COLLECTIONS: [&str; 4] = [
     "devices/north",
     "devices/north",
@@ -41,7 +41,7 @@
 fn start_servers() -> Vec<FeatureServer> {
     let start_server = |from: usize, capabilities| {
         let features = devices(from..from + FEATURES_PER_SHARD);
-        FeatureServer::start(features, capabilities).expect("a stand-in")
+        FeatureServer::start(features, capabilities).expect("the stand-in server starts")
     };
     vec![
         start_server(0, Capabilities::FiltersAndSorting),
@@ -73,7 +73,7 @@
     fn start() -> Deployment {
         let servers = start_servers();
         let rows = inventory_rows(&servers);
-        // Capabilities are discovered again every second: they must not change what queries return.
+        // Capabilities are discovered again every second, which must not change what queries return.
         let settings = "retry_after_ms = 50\nlearned_age_s = 1\npage_size = 100";
         let program = find_program().expect("the program is built with the workspace");
         let configuration = Configuration {
@@ -81,7 +81,7 @@
             inventory_rows: &rows,
             tables: CLASSES,
         };
-        let process = EdgeProcess::start(&program, &configuration).expect("it starts");
+        let process = EdgeProcess::start(&program, &configuration).expect("the program starts");
         Deployment { process, servers }
     }
 }
@@ -90,34 +90,39 @@
 fn service_conforms_while_one_replica_of_each_shard_is_faulty() {
     let Deployment { process, servers } = Deployment::start();
     for server in servers.iter().step_by(2) {
-        // One in seven requests fails, each time by another fault.
+        // One in seven requests fails, with each of the faults in turn.
         server.set_fault_script(|request| match request.number % 7 {
-            3 => HIDDEN_FAULTS[(request.number / 7) as usize % HIDDEN_FAULTS.len()],
+            3 => MASKED_FAULTS[(request.number / 7) as usize % MASKED_FAULTS.len()],
             _ => Fault::None,
         });
     }
-    let mut suite = Suite::open(process.address, "/").expect("it answers");
+    let mut suite =
+        Suite::open(process.address, "/").expect("the service answers the suite's first requests");
     let results = suite.run();
-    // Every check must pass: none has a reason not to apply here.
-    let others: Vec<_> = results
+    // Every check applies to this deployment, so every check must pass.
+    let not_passed: Vec<_> = results
         .iter()
-        .filter(|r| !matches!(r.outcome, Outcome::Pass))
+        .filter(|result| !matches!(result.outcome, Outcome::Pass))
         .collect();
-    assert!(others.is_empty(), "{others:#?}");
-    assert!(results.len() >= 90, "{}", results.len());
-    let counters = process.counters().expect("counters");
-    assert!(counters.contains(" broken_invariants=0"), "{counters}");
+    assert!(not_passed.is_empty(), "{not_passed:#?}");
+    assert!(results.len() >= 90, "only {} checks ran", results.len());
+    let counters = process.counters().expect("the program logs its counters");
+    assert!(
+        counters.contains(" broken_invariants=0"),
+        "the program counted violated invariants: {counters}"
+    );
 }
 
 #[test]
-fn each_injected_fault_fails_the_check_that_must_find_it() {
+fn each_injected_fault_is_detected_by_its_check() {
     let Deployment {
         process,
         servers: _servers,
     } = Deployment::start();
-    let injector = FaultInjector::start(process.address).expect("it starts");
+    let injector = FaultInjector::start(process.address).expect("the proxy starts");
     assert!(injected_faults().count() >= 25);
-    let mut suite = Suite::open(injector.address, "/").expect("it answers");
+    let mut suite =
+        Suite::open(injector.address, "/").expect("the service answers the suite's first requests");
     for fault in injected_faults() {
         injector.inject(None);
         let healthy = suite.run_one(fault.detected_by);
@@ -128,12 +133,13 @@
             fault.detected_by
         );
         injector.inject(Some(fault));
-        // Some faults are seen only by a suite that is opened with them.
-        let mut opened_faulty = Suite::open(injector.address, "/").expect("it answers");
-        opened_faulty.claim_all();
+        // Some faults are detected only by a suite that is opened while they are injected.
+        let mut suite_opened_with_fault = Suite::open(injector.address, "/")
+            .expect("the service answers the suite's first requests");
+        suite_opened_with_fault.claim_all();
         let outcomes = [
             suite.run_one(fault.detected_by),
-            opened_faulty.run_one(fault.detected_by),
+            suite_opened_with_fault.run_one(fault.detected_by),
         ];
         let failed = |outcome: &Option<Outcome>| matches!(outcome, Some(Outcome::Fail(_)));
         assert!(
@@ -146,14 +152,14 @@
 }
 
 #[test]
-fn queryables_are_known_to_the_first_request() {
-    // The first request of a process knows the queryables without a filter before it: a queryable
-    // is a parameter, and another name is rejected.
+fn first_request_to_a_new_process_can_use_queryables() {
+    // A new process must discover the queryables before it answers its first request: a queryable
+    // is a parameter, and any other name is rejected.
     let first_response = |query: &str| -> Response {
         let deployment = Deployment::start();
         Client::new(deployment.process.address)
             .get(&format!("{ITEMS}?{query}"))
-            .expect("a response")
+            .expect("the program sends a response")
     };
     let all = devices(0..2 * FEATURES_PER_SHARD);
     let expected = all
@@ -170,11 +176,11 @@
 
 #[test]
 fn capabilities_are_discovered_for_a_class_with_a_long_latency_objective() {
-    // A discovery request must not be predicted to be late and rejected: the program would evaluate
-    // every filter by itself.
+    // If a discovery request is predicted to be late and is rejected, the program does not discover
+    // that the server can filter, and evaluates every filter itself.
     let features = devices(0..FEATURES_PER_SHARD);
-    let server =
-        FeatureServer::start(features, Capabilities::FiltersAndSorting).expect("a stand-in");
+    let server = FeatureServer::start(features, Capabilities::FiltersAndSorting)
+        .expect("the stand-in server starts");
     let program = find_program().expect("the program is built with the workspace");
     let classes = "[[class]]\nname = \"map\"\naim_ms = 8000\ndeadline_ms = 10000\n";
     let state = InventoryState::Unspecified;
@@ -188,20 +194,20 @@
         inventory_rows: &rows,
         tables: classes,
     };
-    let process = EdgeProcess::start(&program, &configuration).expect("it starts");
+    let process = EdgeProcess::start(&program, &configuration).expect("the program starts");
     let mut client = Client::new(process.address);
     let target = format!("{ITEMS}?filter=volts%3E200&sortby=-volts&limit=5");
-    let response = client.get(&target).expect("a response");
+    let response = client.get(&target).expect("the program sends a response");
     assert_eq!((response.status, response.ids().len()), (200, 5));
     let requested: Vec<String> = server
         .log()
         .into_iter()
         .map(|request| request.target)
         .collect();
-    let is_passed_on = |target: &String| {
+    let is_forwarded_query = |target: &String| {
         target.contains("filter=") && target.contains("sortby=-volts") && target.contains("limit=5")
     };
-    assert!(requested.iter().any(is_passed_on), "{requested:?}");
+    assert!(requested.iter().any(is_forwarded_query), "{requested:?}");
     let pages = requested
         .iter()
         .filter(|target| target.contains("/items"))
--- a/testkit/tests/fault_scenario.rs
+++ b/testkit/tests/fault_scenario.rs
@@ -1,4 +1,4 @@
-//! The observer of the fault scenario finds planted faults.
+//! Tests that the fault scenario detects planted faults.
 
 use quinceflow_testkit::fault_scenario::{
     self, AnswerViolation, PlantedFault, Report, ScenarioOptions, Violation,
@@ -13,24 +13,24 @@
         seed: 5,
         planted: Some(planted),
     };
-    fault_scenario::run(&program, &options).expect("it runs")
+    fault_scenario::run(&program, &options).expect("the scenario runs to its end")
 }
 
 #[test]
-fn planted_faults_are_found_on_the_wire() {
+fn planted_faults_are_detected() {
     let report = run_with(PlantedFault::DuplicateRequests);
-    let is_repeated = |violation: &Violation| {
+    let is_repeated_part = |violation: &Violation| {
         matches!(violation, Violation::PartRepeated { times: 2, .. })
             && violation.to_string().contains("came 2 times")
     };
     assert!(
-        report.violations.iter().any(is_repeated),
+        report.violations.iter().any(is_repeated_part),
         "{:?}",
         report.violations.first()
     );
 
     let report = run_with(PlantedFault::ExcessFeatures);
-    let is_excess = |violation: &Violation| {
+    let is_excess_features = |violation: &Violation| {
         let Violation::Answer {
             violation: answer, ..
         } = violation
@@ -41,7 +41,7 @@
             && violation.to_string().contains("features, limit")
     };
     assert!(
-        report.violations.iter().any(is_excess),
+        report.violations.iter().any(is_excess_features),
         "{:?}",
         report.violations.first()
     );
