--- a/testkit/src/conformance/encodings.rs
+++ b/testkit/src/conformance/encodings.rs
@@ -11,8 +11,8 @@
 const GEO_JSON: &str = "ogcapi-features-1/1.0/conf/geojson";
 const HTML: &str = "ogcapi-features-1/1.0/conf/html";
 const OPEN_API: &str = "ogcapi-features-1/1.0/conf/oas30";
-/// Class of the checks that always apply.
-const ANY: &str = "";
+/// Class suffix of the checks that apply to every service.
+const NO_CLASS: &str = "";
 
 /// Geometry types of GeoJSON (RFC 7946).
 const GEOMETRY_TYPES: [&str; 7] = [
@@ -53,7 +53,7 @@
             format!("HEAD: status {}, {} bytes", head.status, head.body.len())
         })
     }),
-    Check::new("/conf/core/cache", ANY, |suite| {
+    Check::new("/conf/core/cache", NO_CLASS, |suite| {
         let path = suite.items_path();
         let tag = suite.get(&path)?.header("etag").to_owned();
         if tag.is_empty() {
@@ -65,7 +65,7 @@
             || format!("status {} for a current ETag", revalidation.status),
         )
     }),
-    Check::new("/conf/core/gzip", ANY, |suite| {
+    Check::new("/conf/core/gzip", NO_CLASS, |suite| {
         let path = format!("{}?limit=200", suite.items_path());
         let plain = suite.get(&path)?;
         let compressed = suite.get_with(&path, &[Header::new("Accept-Encoding", "gzip")])?;
@@ -142,7 +142,7 @@
             || format!("responses: {responses}"),
         )
     }),
-    Check::new("/conf/core/problem", ANY, |suite| {
+    Check::new("/conf/core/problem", NO_CLASS, |suite| {
         let items = suite.items_path();
         require_problem(suite, &format!("{items}?filter=(("), 400)?;
         require_problem(suite, &format!("{items}?cursor=forged"), 400)?;
--- a/testkit/src/conformance/filter_functions.rs
+++ b/testkit/src/conformance/filter_functions.rs
@@ -12,18 +12,18 @@
 use serde_json::Value as Json;
 use temporal::check_temporal_predicates;
 
-const COMPARISON: &str = "conf/advanced-comparison-operators";
-const CASE: &str = "conf/case-insensitive-comparison";
-const ACCENT: &str = "conf/accent-insensitive-comparison";
+const ADVANCED_COMPARISON: &str = "conf/advanced-comparison-operators";
+const CASE_INSENSITIVE: &str = "conf/case-insensitive-comparison";
+const ACCENT_INSENSITIVE: &str = "conf/accent-insensitive-comparison";
 const BASIC_SPATIAL: &str = "conf/basic-spatial-functions";
 const BASIC_SPATIAL_PLUS: &str = "conf/basic-spatial-functions-plus";
 const SPATIAL: &str = "conf/spatial-functions";
 const TEMPORAL: &str = "conf/temporal-functions";
 const ARRAY: &str = "conf/array-functions";
-const PROPERTY: &str = "conf/property-property";
+const PROPERTY_PROPERTY: &str = "conf/property-property";
 const ARITHMETIC: &str = "conf/arithmetic";
-/// Class of the checks that always apply.
-const ANY: &str = "";
+/// Class suffix of the checks that apply to every service.
+const NO_CLASS: &str = "";
 
 /// Width of the range of numbers whose upper end is the median.
 const RANGE_WIDTH: f64 = 20.0;
@@ -34,7 +34,7 @@
 pub(super) const CHECKS: &[Check] = &[
     Check::new(
         "/req/advanced-comparison-operators/like-predicate",
-        COMPARISON,
+        ADVANCED_COMPARISON,
         |suite| {
             let Sample { name, value } = suite.text_sample()?;
             let prefix: String = value
@@ -52,7 +52,7 @@
     ),
     Check::new(
         "/req/advanced-comparison-operators/between-predicate",
-        COMPARISON,
+        ADVANCED_COMPARISON,
         |suite| {
             let Sample {
                 name,
@@ -68,7 +68,7 @@
     ),
     Check::new(
         "/req/advanced-comparison-operators/in-predicate",
-        COMPARISON,
+        ADVANCED_COMPARISON,
         |suite| {
             let Sample {
                 name,
@@ -84,7 +84,7 @@
     ),
     Check::new(
         "/req/case-insensitive-comparison/casei-function",
-        CASE,
+        CASE_INSENSITIVE,
         |suite| {
             let Sample { name, value } = suite.text_sample()?;
             let upper = escape_literal(&value.to_uppercase());
@@ -98,7 +98,7 @@
     ),
     Check::new(
         "/req/accent-insensitive-comparison/accenti-function",
-        ACCENT,
+        ACCENT_INSENSITIVE,
         |suite| {
             let name = suite.text_sample()?.name;
             let mut texts = suite
@@ -177,7 +177,7 @@
     ),
     Check::new(
         "/req/property-property/property-property",
-        PROPERTY,
+        PROPERTY_PROPERTY,
         |suite| {
             let Sample {
                 name,
@@ -211,7 +211,7 @@
             })
         })
     }),
-    Check::new("/req/search/post", ANY, check_search_by_post),
+    Check::new("/req/search/post", NO_CLASS, check_search_by_post),
 ];
 
 /// Replaces the accented letters that occur in the test data by plain ones.
--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -9,8 +9,8 @@
 const SCHEMAS: &str = "ogcapi-features-5/1.0/conf/schemas";
 const SORTABLES: &str = "ogcapi-features-5/1.0/conf/sortables";
 const SORTING: &str = "ogcapi-features-8/1.0/conf/sorting";
-/// Class of the checks that always apply.
-const ANY: &str = "";
+/// Class suffix of the checks that apply to every service.
+const NO_CLASS: &str = "";
 
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
@@ -71,7 +71,7 @@
             format!("status {}", response.status)
         })
     }),
-    Check::new("/conf/property-selection/properties", ANY, |suite| {
+    Check::new("/conf/property-selection/properties", NO_CLASS, |suite| {
         let name = suite.queryable(QueryableKind::Number)?;
         let json = suite.get_items(&format!("limit=5&properties={name}"))?;
         let has_only_this = |feature: &Json| {
