--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -34,6 +34,7 @@
     /// Suffix of the conformance class that a service must claim for the check to apply; empty if
     /// it always applies.
     pub(super) class: &'static str,
+    /// Body of the check.
     pub(super) run: fn(&mut Suite) -> Verdict,
 }
 
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -37,6 +37,7 @@
 const DRAIN_CHOICES: usize = 2;
 /// Number of query ids reserved for each seed, so that runs with different seeds share no id.
 const QUERY_IDS_PER_SEED: u64 = 1_000_000;
+/// Settings of the program.
 const SETTINGS: &str = "retry_after_ms = 300\nlearned_age_s = 5";
 /// Identifier of the conformance check that detects a page with more features than its limit.
 const LIMIT_CHECK: &str = "/conf/core/fc-limit-response";
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -13,14 +13,15 @@
 
 /// Time from a request to its deadline, which clients send in `X-Expires-In`, in seconds.
 const TIMEOUT_SECONDS: f64 = 2.0;
-/// Time after the deadline from which on an answer counts as late; allows for delays by the network
-/// and a busy machine.
+/// Time by which an answer may exceed its deadline, because of the network and a busy machine.
 const NETWORK_MARGIN: Duration = Duration::from_millis(250);
 /// Number of network margins that a client waits for a response after the deadline.
 const MARGINS_WAITED: u32 = 4;
+/// Time to wait before a page request is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Values of `limit`, of which each query takes one at random.
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
-/// Average number of queries for each query that follows its `next` links to the end.
+/// One in this many queries, on average, follows its `next` links to the end.
 const QUERIES_PER_TRAVERSAL: u8 = 4;
 /// Minimum share of the shards that an answer must contain.
 const MIN_SHARE: f64 = 0.4;
@@ -96,7 +97,7 @@
         lock(self.shared.report).violations.extend(violations);
     }
 
-    /// Requests the pages of a query and retries failed ones.
+    /// Requests the pages of a query and retries pages that were rejected or failed.
     fn request_pages(&mut self, query: &Query) -> Answers {
         let mut answers = Answers::default();
         let mut next = Some(query.first_target());
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -17,6 +17,7 @@
 const DEVICE_NUMBERS_PER_SHARD: usize = 10_000;
 /// Names of the shards.
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
+/// Capabilities that the servers of a machine have in turn.
 const CAPABILITIES: [Capabilities; 3] = [
     Capabilities::FiltersAndSorting,
     Capabilities::SimpleFilters,
