--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -169,7 +169,7 @@
 }
 
 impl Answers {
-    /// Checks a page by itself and adds its features.
+    /// Checks a page and adds its features and missing shards.
     fn add_page(&mut self, query: &Query, response: &Response, kind: AnswerKind) {
         let json = response.json();
         let missing: BTreeSet<String> = json["missing"]
