--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -9,16 +9,16 @@
     server.input().extend(bytes);
     server.on_end_of_stream();
     let mut errors = 0;
-    while let Some(polled) = server.next_request() {
-        match polled {
+    while let Some(result) = server.next_request() {
+        match result {
             Ok(_) => server.respond(Response::new(200, "", "x"), false),
-            Err(e) => {
+            Err(error) => {
                 errors += 1;
-                server.respond(Response::new(e.status(), "", ""), true);
+                server.respond(Response::new(error.status(), "", ""), true);
             }
         }
-        let n = server.output().len();
-        server.advance_output(n);
+        let written = server.output().len();
+        server.advance_output(written);
     }
     assert!(errors <= 1);
 });
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -29,7 +29,7 @@
 const FILTER: &str = "volts > 120 AND CASEI(name) LIKE 'meter%' AND \
                       S_INTERSECTS(geometry,POLYGON((-121 37,-120 37,-121 38,-121 37)))";
 
-fn area(points: usize) -> String {
+fn polygon_filter(points: usize) -> String {
     let ring: Vec<String> = (0..=points)
         .map(|point| {
             let angle = (point % points) as f64 / points as f64 * std::f64::consts::TAU;
@@ -39,7 +39,7 @@
     format!("S_INTERSECTS(geometry,POLYGON(({})))", ring.join(","))
 }
 
-fn body(count: usize) -> Vec<u8> {
+fn page_body(count: usize) -> Vec<u8> {
     let texts: Vec<String> = devices(0..count).iter().map(ToString::to_string).collect();
     let features = texts.join(",");
     format!(
@@ -56,13 +56,13 @@
 
 #[divan::bench(args = [100, 10_000])]
 fn parse_area_text(bencher: Bencher, points: usize) {
-    let text = area(points);
+    let text = polygon_filter(points);
     bencher.bench(|| parse_text(divan::black_box(&text)));
 }
 
 #[divan::bench(args = [100, 10_000])]
 fn parse_area_json(bencher: Bencher, points: usize) {
-    let text = to_json(&parse_text(&area(points)).expect("a filter")).to_string();
+    let text = to_json(&parse_text(&polygon_filter(points)).expect("a filter")).to_string();
     bencher.bench(|| parse_json(divan::black_box(&text)));
 }
 
@@ -82,17 +82,22 @@
 
 #[divan::bench(args = [4, 10_000])]
 fn evaluate_on_500_features(bencher: Bencher, points: usize) {
-    let matcher = Matcher::new(parse_text(&area(points)).expect("a filter"));
+    let matcher = Matcher::new(parse_text(&polygon_filter(points)).expect("a filter"));
     let texts: Vec<Vec<u8>> = devices(0..500)
         .iter()
-        .map(|f| f.to_string().into_bytes())
+        .map(|feature| feature.to_string().into_bytes())
         .collect();
-    bencher.bench(|| texts.iter().filter(|t| matcher.matches_text(t)).count());
+    bencher.bench(|| {
+        texts
+            .iter()
+            .filter(|text| matcher.matches_text(text))
+            .count()
+    });
 }
 
 #[divan::bench]
 fn read_page_of_500(bencher: Bencher) {
-    let body = body(500);
+    let body = page_body(500);
     bencher
         .with_inputs(|| body.clone())
         .bench_values(|body| parse_page(body, "127.0.0.1:9", "/c/items", None));
@@ -101,7 +106,7 @@
 #[divan::bench(args = [2, 16])]
 fn merge_500_from_shards(bencher: Bencher, shards: usize) {
     let pages: Vec<_> = (0..shards)
-        .map(|_| Arc::new(parse_page(body(500), "a:1", "/c", None).expect("a page")))
+        .map(|_| Arc::new(parse_page(page_body(500), "a:1", "/c", None).expect("a page")))
         .collect();
     bencher.bench(|| {
         let keys = vec![SortKey {
@@ -204,6 +209,6 @@
 ])]
 fn answer_of_500(bencher: Bencher, query: &str) {
     let front = deployed_front();
-    let page = body(500);
+    let page = page_body(500);
     bencher.bench(|| answer(&front, query, &page));
 }
--- a/testkit/benches/policy.rs
+++ b/testkit/benches/policy.rs
@@ -25,12 +25,12 @@
 /// Time between two batches, each of which submits one query.
 const BATCH_INTERVAL: Nanos = MILLISECOND;
 /// Number of queries in progress in the steady state.
-const OPEN_QUERIES: u64 = 50;
+const PENDING_QUERIES: u64 = 50;
 /// Time until a replica answers an attempt.
-const RESPONSE_TIME: Nanos = OPEN_QUERIES * BATCH_INTERVAL;
+const RESPONSE_TIME: Nanos = PENDING_QUERIES * BATCH_INTERVAL;
 
 /// Number of batches before the measurement, by which the steady state is reached.
-const WARM_UP_BATCHES: u64 = 4 * OPEN_QUERIES;
+const WARM_UP_BATCHES: u64 = 4 * PENDING_QUERIES;
 /// Number of batches of one measured run.
 const MEASURED_BATCHES: u64 = 200;
 
@@ -299,7 +299,7 @@
     }
 }
 
-/// Measures batches that each submit one query and complete another; [`OPEN_QUERIES`] are open.
+/// Measures batches that each submit one query and complete another; [`PENDING_QUERIES`] are open.
 #[divan::bench]
 fn steady_queries(bencher: Bencher) {
     bencher
@@ -310,7 +310,7 @@
             assert_eq!(simulation.retries, 0);
             assert_eq!(
                 simulation.answers,
-                WARM_UP_BATCHES + MEASURED_BATCHES - OPEN_QUERIES
+                WARM_UP_BATCHES + MEASURED_BATCHES - PENDING_QUERIES
             );
             simulation
         });
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -114,9 +114,11 @@
             none => none.insert(Connection::open(self.address, self.timeout)?),
         };
         connection.write(&request.to_bytes(self.address), self.timeout)?;
-        let ReadResponse { response, closes } =
-            connection.read_response(request.method == "HEAD")?;
-        if closes {
+        let ReadResponse {
+            response,
+            closes_connection,
+        } = connection.read_response(request.method == "HEAD")?;
+        if closes_connection {
             self.connection = None;
         }
         Ok(response)
--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of bytes of one read from the socket.
-const READ_SIZE: usize = 16 * 1024;
+const MAX_READ_BYTES: usize = 16 * 1024;
 /// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
 /// Line end of HTTP/1.1.
@@ -25,7 +25,7 @@
 pub(super) struct ReadResponse {
     pub(super) response: Response,
     /// Whether the server closes the connection after this response.
-    pub(super) closes: bool,
+    pub(super) closes_connection: bool,
 }
 
 struct Head {
@@ -54,10 +54,10 @@
     /// Reads the next response; `head_only` marks the response to a HEAD request.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
-        let mut closes = head
+        let mut closes_connection = head
             .headers
             .get("connection")
-            .is_some_and(|c| c.eq_ignore_ascii_case("close"));
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let mut body = if head_only || matches!(head.status, 204 | 304) {
             Vec::new()
         } else if head.headers.get("transfer-encoding").is_some() {
@@ -65,7 +65,7 @@
         } else if let Some(length) = head.headers.get("content-length") {
             self.read_exact(length.parse().map_err(|_| ClientError::ContentLength)?)?
         } else {
-            closes = true;
+            closes_connection = true;
             self.read_to_end()?
         };
         let encoded_length = body.len();
@@ -78,7 +78,10 @@
             body,
             encoded_length,
         };
-        Ok(ReadResponse { response, closes })
+        Ok(ReadResponse {
+            response,
+            closes_connection,
+        })
     }
 
     fn read_head(&mut self) -> Result<Head, ClientError> {
@@ -165,7 +168,7 @@
             return Err(ErrorKind::TimedOut.into());
         }
         self.stream.set_read_timeout(Some(time_left))?;
-        let mut bytes = [0; READ_SIZE];
+        let mut bytes = [0; MAX_READ_BYTES];
         let count = self.stream.read(&mut bytes)?;
         self.buffer.extend_from_slice(&bytes[..count]);
         Ok(count)
@@ -182,7 +185,7 @@
 }
 
 fn decompress(body: &[u8]) -> io::Result<Vec<u8>> {
-    let mut plain = Vec::new();
-    GzDecoder::new(body).read_to_end(&mut plain)?;
-    Ok(plain)
+    let mut decompressed = Vec::new();
+    GzDecoder::new(body).read_to_end(&mut decompressed)?;
+    Ok(decompressed)
 }
--- a/testkit/src/client/message.rs
+++ b/testkit/src/client/message.rs
@@ -116,7 +116,7 @@
     match href.split_once("://") {
         Some((_, rest)) => rest
             .find('/')
-            .map_or("/".to_owned(), |at| rest[at..].to_owned()),
+            .map_or("/".to_owned(), |start| rest[start..].to_owned()),
         None => href.to_owned(),
     }
 }
--- a/testkit/src/client/tests.rs
+++ b/testkit/src/client/tests.rs
@@ -57,8 +57,8 @@
 /// Guards against a reset that counts as the end of a body without a length.
 #[test]
 fn a_reset_does_not_end_a_body() {
-    let whole = "HTTP/1.1 200 OK\r\n\r\nab";
-    assert_eq!(body_of(whole).expect("a body"), "ab");
+    let complete = "HTTP/1.1 200 OK\r\n\r\nab";
+    assert_eq!(body_of(complete).expect("a body"), "ab");
     let address = serve(|mut stream| {
         stream.peek(&mut [0]).expect("a request");
         stream
@@ -67,7 +67,7 @@
     });
     let response = Client::new(address).get("/");
     assert!(
-        matches!(&response, Err(ClientError::Io(e)) if e.kind() == ErrorKind::ConnectionReset),
+        matches!(&response, Err(ClientError::Io(error)) if error.kind() == ErrorKind::ConnectionReset),
         "{response:?}"
     );
 }
@@ -88,7 +88,7 @@
     let response = client.get("/");
     let is_timeout = |kind| matches!(kind, ErrorKind::TimedOut | ErrorKind::WouldBlock);
     assert!(
-        matches!(&response, Err(ClientError::Io(e)) if is_timeout(e.kind())),
+        matches!(&response, Err(ClientError::Io(error)) if is_timeout(error.kind())),
         "{response:?}"
     );
     assert!(
--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -16,7 +16,7 @@
 /// Maximum number of features of one answer, by the `limit` of the examples.
 const MAX_EXAMPLE_FEATURES: usize = 1_000;
 /// Tolerance for points on the hypotenuse of the polygon, in degrees.
-const EDGE_TOLERANCE: f64 = 1e-12;
+const HYPOTENUSE_TOLERANCE: f64 = 1e-12;
 
 /// Settings of the collection.
 const COLLECTION: &str = "
@@ -50,7 +50,7 @@
 }
 
 impl ExpectedCount {
-    fn among(&self, devices: &[Json]) -> usize {
+    fn count_among(&self, devices: &[Json]) -> usize {
         match self {
             ExpectedCount::Exactly(count) => *count,
             ExpectedCount::Matching(matches) => {
@@ -124,7 +124,7 @@
         longitude,
         latitude,
     } = point_of(device);
-    (longitude + 121.0) + (latitude - 37.0) <= 1.0 + EDGE_TOLERANCE
+    (longitude + 121.0) + (latitude - 37.0) <= 1.0 + HYPOTENUSE_TOLERANCE
 }
 
 fn is_live_above_230_volts(device: &Json) -> bool {
@@ -143,14 +143,14 @@
     /// # Errors
     /// Returns an error if a server or the program can't be started.
     pub fn start(program: &Path) -> Result<Demo, RunError> {
-        let start = |from: usize, capabilities| {
+        let start_server = |from: usize, capabilities| {
             FeatureServer::start(devices(from..from + FEATURES_PER_SHARD), capabilities)
         };
         let servers = vec![
-            start(0, Capabilities::FiltersAndSorting)?,
-            start(0, Capabilities::FiltersAndSorting)?,
-            start(FEATURES_PER_SHARD, Capabilities::SimpleFilters)?,
-            start(FEATURES_PER_SHARD, Capabilities::Core)?,
+            start_server(0, Capabilities::FiltersAndSorting)?,
+            start_server(0, Capabilities::FiltersAndSorting)?,
+            start_server(FEATURES_PER_SHARD, Capabilities::SimpleFilters)?,
+            start_server(FEATURES_PER_SHARD, Capabilities::Core)?,
         ];
         let shards = [
             "devices/north",
@@ -158,7 +158,7 @@
             "devices/south",
             "devices/south",
         ];
-        let row = |(index, (server, shard)): (usize, (&FeatureServer, &str))| {
+        let format_row = |(index, (server, shard)): (usize, (&FeatureServer, &str))| {
             let name = format!("features-{}", index + 1);
             let state = InventoryState::InService;
             server.inventory_row(InventoryEntry {
@@ -167,7 +167,12 @@
                 state,
             })
         };
-        let rows: String = servers.iter().zip(shards).enumerate().map(row).collect();
+        let rows: String = servers
+            .iter()
+            .zip(shards)
+            .enumerate()
+            .map(format_row)
+            .collect();
         let tables = format!("{CLASSES}{COLLECTION}");
         let configuration = Configuration {
             settings: "mgmt = \"127.0.0.1:0\"",
@@ -185,24 +190,28 @@
     /// Returns an error if an example gets no response.
     pub fn check_once(&self) -> Result<bool, RunError> {
         let mut client = Client::new(self.process.address);
-        let all = devices(0..2 * FEATURES_PER_SHARD);
+        let all_devices = devices(0..2 * FEATURES_PER_SHARD);
         println!(
             "{:<26} {:>6} {:>9} {:>9} {:>9} {:>8}",
             "query", "status", "features", "expected", "requests", "ms"
         );
-        let mut all_right = true;
+        let mut all_as_expected = true;
         for example in &EXAMPLES {
-            all_right &= self.check(&mut client, example, example.expected.among(&all))?;
+            all_as_expected &= self.check(
+                &mut client,
+                example,
+                example.expected.count_among(&all_devices),
+            )?;
         }
         println!(
             "{}",
-            if all_right {
+            if all_as_expected {
                 "all as expected"
             } else {
                 "some answers are not as expected"
             }
         );
-        Ok(all_right)
+        Ok(all_as_expected)
     }
 
     fn check(
@@ -217,14 +226,14 @@
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         let requests = self.server_requests() - requests_before;
         let found = count_found(example, &response);
-        let right = response.status == 200 && found == expected.min(MAX_EXAMPLE_FEATURES);
+        let as_expected = response.status == 200 && found == expected.min(MAX_EXAMPLE_FEATURES);
         println!(
             "{:<26} {:>6} {found:>9} {expected:>9} {requests:>9} {elapsed_ms:>8.1}{}",
             example.description,
             response.status,
-            if right { "" } else { "  UNEXPECTED" }
+            if as_expected { "" } else { "  UNEXPECTED" }
         );
-        Ok(right)
+        Ok(as_expected)
     }
 
     fn server_requests(&self) -> u64 {
--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -129,8 +129,8 @@
     }
 
     /// Sets whether each request is logged twice, a fault that observers of the log must detect.
-    pub fn set_log_twice(&self, on: bool) {
-        self.state.log_twice.store(on, Relaxed);
+    pub fn set_log_twice(&self, enabled: bool) {
+        self.state.log_twice.store(enabled, Relaxed);
     }
 
     /// Formats the server's row of an inventory.
--- a/testkit/src/feature_server/capabilities.rs
+++ b/testkit/src/feature_server/capabilities.rs
@@ -8,7 +8,7 @@
 const CQL2_PREFIX: &str = "http://www.opengis.net/spec/cql2/1.0/conf/";
 const SIMPLE_FILTER_CLASSES: [&str; 3] = ["cql2-text", "basic-cql2", "basic-spatial-functions"];
 const FILTER_API_CLASSES: [&str; 3] = ["queryables", "filter", "features-filter"];
-const ALL_FILTER_CLASSES: [&str; 9] = [
+const ADVANCED_FILTER_CLASSES: [&str; 9] = [
     "advanced-comparison-operators",
     "case-insensitive-comparison",
     "accent-insensitive-comparison",
@@ -45,7 +45,7 @@
             );
         }
         if self == Capabilities::FiltersAndSorting {
-            classes.extend(ALL_FILTER_CLASSES.map(|name| format!("{CQL2_PREFIX}{name}")));
+            classes.extend(ADVANCED_FILTER_CLASSES.map(|name| format!("{CQL2_PREFIX}{name}")));
             classes.push(format!("{FEATURES_PREFIX}8/1.0/conf/sorting"));
         }
         json!({"conformsTo": classes})
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct WorkerSlots {
     capacity: Mutex<Option<Capacity>>,
-    busy: Mutex<usize>,
+    busy_slots: Mutex<usize>,
     slot_freed: Condvar,
 }
 
@@ -30,21 +30,21 @@
     }
 
     /// Waits for a slot and holds it for the service time of a response with this many features.
-    pub(super) fn work(&self, features: usize) {
+    pub(super) fn simulate_work(&self, feature_count: usize) {
         let Some(capacity) = *lock(&self.capacity) else {
             return;
         };
-        let mut busy = lock(&self.busy);
-        while *busy >= capacity.slots {
-            busy = self
+        let mut busy_slots = lock(&self.busy_slots);
+        while *busy_slots >= capacity.slots {
+            busy_slots = self
                 .slot_freed
-                .wait(busy)
+                .wait(busy_slots)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        *busy += 1;
-        drop(busy);
-        std::thread::sleep(capacity.base + capacity.per_feature * features as u32);
-        *lock(&self.busy) -= 1;
+        *busy_slots += 1;
+        drop(busy_slots);
+        std::thread::sleep(capacity.base + capacity.per_feature * feature_count as u32);
+        *lock(&self.busy_slots) -= 1;
         self.slot_freed.notify_one();
     }
 }
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -13,7 +13,7 @@
 const SLOW_DELAY: Duration = Duration::from_millis(60);
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
 const TRICKLED_BYTES: usize = 100;
-const RETRY_AFTER: &str = "Retry-After: 1\r\n";
+const RETRY_AFTER_HEADER: &str = "Retry-After: 1\r\n";
 
 /// State of a connection after a response.
 #[derive(PartialEq, Eq)]
@@ -47,8 +47,8 @@
             Fault::Hang => return Ok(Connection::Open),
             Fault::Disconnect => return Ok(Connection::Closed),
             Fault::InternalError => return write_status(stream, 500, ""),
-            Fault::ServiceUnavailable => return write_status(stream, 503, RETRY_AFTER),
-            Fault::TooManyRequests => return write_status(stream, 429, RETRY_AFTER),
+            Fault::ServiceUnavailable => return write_status(stream, 503, RETRY_AFTER_HEADER),
+            Fault::TooManyRequests => return write_status(stream, 429, RETRY_AFTER_HEADER),
             Fault::Slow => std::thread::sleep(SLOW_DELAY),
             _ => {}
         }
@@ -82,7 +82,7 @@
         let Some(text) = self.dataset.find(id) else {
             return Document::not_found();
         };
-        self.slots.work(1);
+        self.slots.simulate_work(1);
         Document::geo_json(text.to_owned())
     }
 }
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -33,17 +33,17 @@
         ItemsRequest { path, parameters }
     }
 
-    fn text(&self, name: &str) -> Option<&str> {
+    fn parameter(&self, name: &str) -> Option<&str> {
         self.parameters.get(name).map(String::as_str)
     }
 
-    fn number(&self, name: &str) -> Option<usize> {
-        self.text(name)?.parse().ok()
+    fn numeric_parameter(&self, name: &str) -> Option<usize> {
+        self.parameter(name)?.parse().ok()
     }
 
-    fn page_range(&self, selected: usize, fault: Fault) -> PageRange {
+    fn page_range(&self, selected_count: usize, fault: Fault) -> PageRange {
         let limit = self
-            .number("limit")
+            .numeric_parameter("limit")
             .unwrap_or(DEFAULT_LIMIT)
             .clamp(1, MAX_LIMIT);
         let limit = if fault == Fault::ShortPage {
@@ -51,16 +51,19 @@
         } else {
             limit
         };
-        let start = self.number("offset").unwrap_or(0).min(selected);
+        let start = self
+            .numeric_parameter("offset")
+            .unwrap_or(0)
+            .min(selected_count);
         PageRange {
             start,
-            end: (start + limit).min(selected),
+            end: (start + limit).min(selected_count),
         }
     }
 
     /// Returns the links of a page whose next page starts at `offset`.
-    fn links(&self, offset: usize, selected: usize) -> Json {
-        if offset >= selected {
+    fn links(&self, offset: usize, selected_count: usize) -> Json {
+        if offset >= selected_count {
             return json!([]);
         }
         let mut query = url::form_urlencoded::Serializer::new(String::new());
@@ -69,7 +72,7 @@
                 .iter()
                 .filter(|(name, _)| !matches!(name.as_str(), "offset" | "limit")),
         );
-        query.append_pair("limit", self.text("limit").unwrap_or("10"));
+        query.append_pair("limit", self.parameter("limit").unwrap_or("10"));
         if offset > 0 {
             query.append_pair("offset", &offset.to_string());
         }
@@ -82,7 +85,7 @@
     /// Returns a page of features, or an error document for an invalid request.
     pub(super) fn items(&self, items: &ItemsRequest<'_>, request: RegisteredRequest) -> Document {
         let mut selected: Vec<usize> = (0..self.dataset.features.len()).collect();
-        if let Some(filter) = items.text("filter") {
+        if let Some(filter) = items.parameter("filter") {
             if self.capabilities == Capabilities::Core {
                 return Document::bad_request("filters are not supported");
             }
@@ -92,17 +95,17 @@
             let matcher = Matcher::new(filter);
             selected.retain(|index| matcher.matches(&self.dataset.features[*index]));
         }
-        if let Some(bbox) = items.text("bbox") {
+        if let Some(bbox) = items.parameter("bbox") {
             let Some(bbox) = BoundingBox::parse(bbox) else {
                 return Document::bad_request("invalid bbox");
             };
             selected.retain(|index| bbox.contains(self.dataset.point(*index)));
         }
-        if let Some(interval) = items.text("datetime") {
+        if let Some(interval) = items.parameter("datetime") {
             let interval = TimeInterval::parse(interval);
             selected.retain(|index| interval.contains(self.dataset.installed(*index)));
         }
-        if let Some(keys) = items.text("sortby") {
+        if let Some(keys) = items.parameter("sortby") {
             if self.capabilities != Capabilities::FiltersAndSorting {
                 return Document::bad_request("sorting is not supported");
             }
@@ -119,7 +122,7 @@
     ) -> Document {
         let RegisteredRequest { number, fault } = request;
         let range = items.page_range(selected.len(), fault);
-        self.slots.work(range.end - range.start);
+        self.slots.simulate_work(range.end - range.start);
         let mut texts: Vec<&str> = selected[range.start..range.end]
             .iter()
             .map(|index| self.dataset.texts[*index].as_str())
@@ -185,12 +188,12 @@
             east,
             north,
         } = *self;
-        let across = if west <= east {
+        let contains_longitude = if west <= east {
             west <= longitude && longitude <= east
         } else {
             longitude >= west || longitude <= east
         };
-        across && south <= latitude && latitude <= north
+        contains_longitude && south <= latitude && latitude <= north
     }
 }
 
@@ -208,8 +211,9 @@
     }
 
     fn contains(&self, instant: &str) -> bool {
-        let is_open = |end: &str| matches!(end, "" | "..");
-        (is_open(self.start) || instant >= self.start) && (is_open(self.end) || instant <= self.end)
+        let is_unbounded = |end: &str| matches!(end, "" | "..");
+        (is_unbounded(self.start) || instant >= self.start)
+            && (is_unbounded(self.end) || instant <= self.end)
     }
 }
 
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -16,7 +16,7 @@
 /// Stack size of a client's thread, of which there may be hundreds.
 const CLIENT_STACK_BYTES: usize = 256 * 1024;
 /// Largest latency that the histogram records, in microseconds.
-const MAX_LATENCY_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 /// Precision of the histogram in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 3;
 
@@ -32,7 +32,7 @@
     /// Number of all other queries.
     pub failed: u64,
     /// Total size of the served response bodies, in bytes.
-    pub bytes: u64,
+    pub body_bytes: u64,
     /// Duration of the load.
     pub elapsed: Duration,
 }
@@ -63,8 +63,8 @@
     served: AtomicU64,
     rejected: AtomicU64,
     failed: AtomicU64,
-    bytes: AtomicU64,
-    latencies_micros: Mutex<Vec<u64>>,
+    body_bytes: AtomicU64,
+    latencies_us: Mutex<Vec<u64>>,
 }
 
 impl Recorder {
@@ -79,9 +79,10 @@
         match response {
             Ok(response) if response.status == 200 && latency <= timeout => {
                 self.served.fetch_add(1, Relaxed);
-                self.bytes.fetch_add(response.body.len() as u64, Relaxed);
-                let micros = (latency.as_micros() as u64).max(1);
-                lock(&self.latencies_micros).push(micros);
+                self.body_bytes
+                    .fetch_add(response.body.len() as u64, Relaxed);
+                let latency_us = (latency.as_micros() as u64).max(1);
+                lock(&self.latencies_us).push(latency_us);
             }
             Ok(response) if response.status == 503 => {
                 self.rejected.fetch_add(1, Relaxed);
@@ -95,17 +96,17 @@
     }
 
     fn finish(self, elapsed: Duration) -> LoadResult {
-        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, HISTOGRAM_DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, HISTOGRAM_DIGITS);
         let mut latencies = histogram.unwrap_or_else(|_| unreachable!("fixed bounds"));
-        for micros in into_inner(self.latencies_micros) {
-            latencies.saturating_record(micros);
+        for latency_us in into_inner(self.latencies_us) {
+            latencies.saturating_record(latency_us);
         }
         LoadResult {
             latencies,
             served: self.served.into_inner(),
             rejected: self.rejected.into_inner(),
             failed: self.failed.into_inner(),
-            bytes: self.bytes.into_inner(),
+            body_bytes: self.body_bytes.into_inner(),
             elapsed,
         }
     }
@@ -171,15 +172,15 @@
     /// Fails if the thread of a client cannot be started; the load then ends early.
     pub fn run(&self, target: impl Fn(u64) -> String + Sync) -> io::Result<LoadResult> {
         let recorder = Recorder::default();
-        let next = AtomicU64::new(0);
+        let next_number = AtomicU64::new(0);
         let started = Instant::now();
         std::thread::scope(|scope| {
             for _ in 0..MAX_IN_FLIGHT {
-                let client = || self.run_client(started, &next, &recorder, &target);
+                let client = || self.run_client(started, &next_number, &recorder, &target);
                 std::thread::Builder::new()
                     .stack_size(CLIENT_STACK_BYTES)
                     .spawn_scoped(scope, client)
-                    .inspect_err(|_| next.store(self.total(), Relaxed))?;
+                    .inspect_err(|_| next_number.store(self.total(), Relaxed))?;
             }
             Ok::<(), io::Error>(())
         })?;
@@ -194,14 +195,14 @@
     fn run_client(
         &self,
         started: Instant,
-        next: &AtomicU64,
+        next_number: &AtomicU64,
         recorder: &Recorder,
         target: &impl Fn(u64) -> String,
     ) {
         let total = self.total();
         let mut client = Client::new(self.address);
         loop {
-            let number = next.fetch_add(1, Relaxed);
+            let number = next_number.fetch_add(1, Relaxed);
             if number >= total {
                 return;
             }
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -216,14 +216,14 @@
 }
 
 fn run_measure(arguments: MeasureArguments) -> Result<bool, CommandError> {
-    let this = Version {
+    let this_version = Version {
         name: THIS_VERSION.to_owned(),
         program: arguments.program.path()?,
     };
     let name = arguments.baseline_name;
     let baseline = arguments.baseline.map(|program| Version { name, program });
     let plan = Plan {
-        versions: baseline.into_iter().chain([this]).collect(),
+        versions: baseline.into_iter().chain([this_version]).collect(),
         load_duration: Duration::from_secs(arguments.seconds),
         features_per_shard: arguments.features_per_shard,
     };
@@ -236,8 +236,12 @@
     let mut suite = Suite::open(resolve(&url)?, url.path())?;
     let results = suite.run();
     results.iter().for_each(print_result);
-    let count =
-        |matches: fn(&Outcome) -> bool| results.iter().filter(|r| matches(&r.outcome)).count();
+    let count = |matches: fn(&Outcome) -> bool| {
+        results
+            .iter()
+            .filter(|result| matches(&result.outcome))
+            .count()
+    };
     let failed = count(|outcome| matches!(outcome, Outcome::Fail(_)));
     let passed = count(|outcome| matches!(outcome, Outcome::Pass));
     println!(
--- a/testkit/src/measure.rs
+++ b/testkit/src/measure.rs
@@ -10,7 +10,7 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 use std::time::Duration;
-use tables::{measure_answers, measure_loads, measure_memory, measure_share};
+use tables::{measure_answers, measure_latencies, measure_memory, measure_throughput};
 use test_bed::TestBed;
 
 /// Name of the present version in the tables.
@@ -48,20 +48,20 @@
         plan.features_per_shard
     );
     measure_answers(plan, &bed, &mut text)?;
-    measure_loads(plan, &bed, &mut text)?;
+    measure_latencies(plan, &bed, &mut text)?;
     measure_memory(plan, &bed, &mut text)?;
-    measure_share(plan, &bed, &mut text)?;
+    measure_throughput(plan, &bed, &mut text)?;
     measure_overload(plan, &bed, &mut text)?;
     Ok(text)
 }
 
 /// Writes the header of a Markdown table.
 fn write_header(text: &mut String, columns: &[&str]) {
-    let rule = vec!["---"; columns.len()];
+    let separators = vec!["---"; columns.len()];
     let _ = writeln!(
         text,
         "| {} |\n| {} |",
         columns.join(" | "),
-        rule.join(" | ")
+        separators.join(" | ")
     );
 }
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Settings of a class with a short deadline.
-const SHORT_CLASSES: &str = "
+const SHORT_DEADLINE_CLASS: &str = "
 [[class]]
 name = \"map\"
 aim_ms = 1000
@@ -49,7 +49,7 @@
 /// Loads as multiples of the capacity of the servers.
 const LOAD_FACTORS: [f64; 3] = [0.5, 2.0, 4.0];
 /// Interval between queries that request a large answer, in queries.
-const QUERIES_PER_LARGE: u64 = 10;
+const QUERIES_PER_LARGE_ANSWER: u64 = 10;
 const LARGE_LIMIT: usize = 5_000;
 const SMALL_LIMIT: usize = 10;
 
@@ -131,7 +131,7 @@
 impl OverloadCase<'_> {
     fn run(&self, plan: &Plan, bed: &TestBed) -> Result<LoadResult, RunError> {
         let rows = bed.inventory();
-        let tables = format!("{SHORT_CLASSES}{}", self.limits.settings);
+        let tables = format!("{SHORT_DEADLINE_CLASS}{}", self.limits.settings);
         let configuration = Configuration {
             settings: SETTINGS,
             inventory_rows: &rows,
@@ -145,7 +145,7 @@
             timeout: OVERLOAD_TIMEOUT,
         };
         let load = open_loop.run(|number| {
-            let limit = if number % QUERIES_PER_LARGE == 0 {
+            let limit = if number % QUERIES_PER_LARGE_ANSWER == 0 {
                 LARGE_LIMIT
             } else {
                 SMALL_LIMIT
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -16,13 +16,13 @@
 const LARGE_PAGE_TARGET: &str = "/collections/devices/items?limit=5000";
 /// Target of the query that opens the connections before the measurement.
 const WARM_UP_TARGET: &str = "/collections/devices/items/d00001";
-const CLIENTS: [usize; 3] = [1, 8, 32];
+const CLIENT_COUNTS: [usize; 3] = [1, 8, 32];
 const MEMORY_CLIENTS: usize = 100;
-const SHARE_CLIENTS: usize = 8;
+const THROUGHPUT_CLIENTS: usize = 8;
 /// Maximum number of pages that are followed by `next`.
-const MAX_FOLLOWED_PAGES: usize = 200;
+const MAX_TRAVERSED_PAGES: usize = 200;
 /// Maximum duration of a traversal by `next`.
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(60);
+const TRAVERSAL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Name of the peak resident memory in `/proc/PID/status`.
 const PEAK_MEMORY: &str = "VmHWM";
@@ -76,7 +76,7 @@
 ];
 
 /// Columns of the table of latencies.
-const LOAD_COLUMNS: [&str; 8] = [
+const LATENCY_COLUMNS: [&str; 8] = [
     "program",
     "clients",
     "answers a second",
@@ -98,7 +98,7 @@
 ];
 
 /// Columns of the table of throughput.
-const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
+const THROUGHPUT_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
 
 /// Row of the table of single answers.
 struct AnswerRow<'a> {
@@ -203,7 +203,7 @@
     fn measure(&self) -> Result<AnswerRow<'a>, RunError> {
         let limit = self.limit;
         let mut client = Client::new(self.process.address);
-        client.timeout = FOLLOW_TIMEOUT;
+        client.timeout = TRAVERSAL_TIMEOUT;
         let work_before = self.bed.work();
         let started = Instant::now();
         let mut next = Some(format!("/collections/devices/items?limit={limit}"));
@@ -213,8 +213,9 @@
             let response = client.get(&target)?;
             features += response.ids().len();
             pages += 1;
-            let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
-            next = response.link("next").filter(|_| goes_on);
+            let is_within_limits =
+                pages < MAX_TRAVERSED_PAGES && started.elapsed() < TRAVERSAL_TIMEOUT;
+            next = response.link("next").filter(|_| is_within_limits);
         }
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         Ok(AnswerRow {
@@ -243,14 +244,18 @@
 }
 
 /// Measures latencies at three closed-loop loads.
-pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
+pub(super) fn measure_latencies(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
     let _ = writeln!(
         text,
         "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n"
     );
-    write_header(text, &LOAD_COLUMNS);
-    for clients in CLIENTS {
+    write_header(text, &LATENCY_COLUMNS);
+    for clients in CLIENT_COUNTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
             let closed_loop = ClosedLoop {
@@ -309,20 +314,24 @@
 }
 
 /// Measures throughput as a share of that of one server without the program.
-pub(super) fn measure_share(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
+pub(super) fn measure_throughput(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
     let direct_loop = ClosedLoop {
         address: bed.servers[0].address,
-        clients: SHARE_CLIENTS,
+        clients: THROUGHPUT_CLIENTS,
         duration: plan.load_duration,
     };
     let direct = direct_loop.run(SERVER_PAGE_TARGET);
     let _ = writeln!(
         text,
-        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried \
+        "`limit=100` by {THROUGHPUT_CLIENTS} clients, compared with one stand-in server queried \
          directly ({:.0} answers a second):\n",
         direct.served_per_second()
     );
-    write_header(text, &SHARE_COLUMNS);
+    write_header(text, &THROUGHPUT_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let load = ClosedLoop {
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 /// Settings of a class with a long deadline.
-const CLASSES: &str = "
+const LONG_DEADLINE_CLASS: &str = "
 [[class]]
 name = \"map\"
 aim_ms = 8000
@@ -51,22 +51,22 @@
 impl TestBed {
     /// Starts the servers.
     pub(super) fn start(features_per_shard: usize) -> io::Result<TestBed> {
-        let start = |from: usize| {
+        let start_server = |from: usize| {
             let features = devices(from..from + features_per_shard);
             FeatureServer::start(features, Capabilities::FiltersAndSorting)
         };
         let servers = vec![
-            start(0)?,
-            start(0)?,
-            start(features_per_shard)?,
-            start(features_per_shard)?,
+            start_server(0)?,
+            start_server(0)?,
+            start_server(features_per_shard)?,
+            start_server(features_per_shard)?,
         ];
         Ok(TestBed { servers })
     }
 
     /// Returns the rows of the inventory.
     pub(super) fn inventory(&self) -> String {
-        let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
+        let format_row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
             let name = format!("s{index}");
             let state = InventoryState::Unspecified;
             server.inventory_row(InventoryEntry {
@@ -79,7 +79,7 @@
             .iter()
             .zip(SERVER_COLLECTIONS)
             .enumerate()
-            .map(row)
+            .map(format_row)
             .collect()
     }
 
@@ -89,7 +89,7 @@
         let configuration = Configuration {
             settings: SETTINGS,
             inventory_rows: &rows,
-            tables: CLASSES,
+            tables: LONG_DEADLINE_CLASS,
         };
         EdgeProcess::start(program, &configuration)
     }
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -15,7 +15,7 @@
 /// File name of the edge file in the folder of a process.
 const EDGE_FILE: &str = "edge.toml";
 /// File name of the inventory in the folder of a process.
-const INVENTORY: &str = "i.csv";
+const INVENTORY_FILE: &str = "i.csv";
 
 /// Settings of three classes: `map` with a long deadline, `part` with partial answers, and `once`
 /// without retries.
@@ -88,8 +88,8 @@
             inventory_rows,
             tables,
         } = self;
-        let own_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"");
-        let text = format!("{own_settings}\n{settings}\n{tables}");
+        let fixed_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY_FILE}\"");
+        let text = format!("{fixed_settings}\n{settings}\n{tables}");
         std::fs::write(folder.join(EDGE_FILE), text)?;
         write_inventory(folder, inventory_rows)
     }
@@ -100,8 +100,8 @@
 /// # Errors
 /// Returns an error if the program is not there or the path of the current executable is unknown.
 pub fn find_program() -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe()?;
-    let candidates = own
+    let executable = std::env::current_exe()?;
+    let candidates = executable
         .ancestors()
         .skip(1)
         .take(2)
@@ -214,8 +214,8 @@
 
 /// Creates a folder for a process; each call returns another one.
 fn create_folder() -> io::Result<PathBuf> {
-    static STARTED: AtomicUsize = AtomicUsize::new(0);
-    let number = STARTED.fetch_add(1, Relaxed);
+    static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Relaxed);
     let folder = std::env::temp_dir().join(format!(
         "quinceflow-testkit-{}-{number}",
         std::process::id()
@@ -226,11 +226,11 @@
 
 /// Reads the log of a process from its standard error, line by line.
 fn read_log(child: &mut Child) -> Receiver<String> {
-    let (lines, log) = channel();
-    if let Some(errors) = child.stderr.take() {
+    let (line_sender, log) = channel();
+    if let Some(stderr) = child.stderr.take() {
         std::thread::spawn(move || {
-            let read = BufReader::new(errors).lines().map_while(Result::ok);
-            read.for_each(|line| drop(lines.send(line)));
+            let lines = BufReader::new(stderr).lines().map_while(Result::ok);
+            lines.for_each(|line| drop(line_sender.send(line)));
         });
     }
     log
@@ -238,7 +238,7 @@
 
 fn write_inventory(folder: &Path, rows: &str) -> io::Result<()> {
     std::fs::write(
-        folder.join(INVENTORY),
+        folder.join(INVENTORY_FILE),
         format!("name,address,collections,state\n{rows}"),
     )
 }
