--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::client::{Client, Response};
 use crate::error::RunError;
 use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
-use crate::process::{Configuration, EdgeProcess, CLASSES};
+use crate::process::{Configuration, FeatureFrontProcess, CLASSES};
 use serde_json::Value as Json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -30,7 +30,7 @@
 /// Running program over four feature servers: two shards with two servers of different capabilities
 /// each.
 pub struct Demo {
-    process: EdgeProcess,
+    process: FeatureFrontProcess,
     servers: Vec<FeatureServer>,
 }
 
@@ -179,7 +179,7 @@
             inventory_rows: &rows,
             tables: &tables,
         };
-        let process = EdgeProcess::start(program, &configuration)?;
+        let process = FeatureFrontProcess::start(program, &configuration)?;
         Ok(Demo { process, servers })
     }
 
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -15,7 +15,7 @@
 use crate::error::RunError;
 use crate::fault_injection::{injected_faults, FaultInjector};
 use crate::feature_server::ALL_FAULTS;
-use crate::process::{Configuration, EdgeProcess, CLASSES};
+use crate::process::{Configuration, FeatureFrontProcess, CLASSES};
 use crate::sync::into_inner;
 use client::{ScenarioClient, SharedState};
 use fleet::Fleet;
@@ -73,7 +73,7 @@
         inventory_rows: &rows,
         tables: CLASSES,
     };
-    let process = EdgeProcess::start(program, &configuration)?;
+    let process = FeatureFrontProcess::start(program, &configuration)?;
     let injector = FaultInjector::start(process.address)?;
     let address = match options.planted {
         Some(PlantedFault::ExcessFeatures) => {
@@ -136,7 +136,7 @@
 /// drains.
 fn inject_faults(
     fleet: &Fleet,
-    process: &EdgeProcess,
+    process: &FeatureFrontProcess,
     options: &ScenarioOptions,
 ) -> Result<Vec<Drain>, RunError> {
     let mut rng = fastrand::Rng::with_seed(options.seed);
@@ -159,7 +159,7 @@
 }
 
 /// Drains a server for [`FAULT_DURATION`] by two reloads of the inventory.
-fn drain(fleet: &Fleet, process: &EdgeProcess, server: usize) -> Result<Drain, RunError> {
+fn drain(fleet: &Fleet, process: &FeatureFrontProcess, server: usize) -> Result<Drain, RunError> {
     process.reload_inventory(&fleet.inventory(Some(server)))?;
     let started_at = Instant::now();
     std::thread::sleep(FAULT_DURATION);
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -5,7 +5,7 @@
 use crate::error::RunError;
 use crate::feature_server::Capacity;
 use crate::load::{LoadResult, OpenLoop};
-use crate::process::{Configuration, EdgeProcess};
+use crate::process::{Configuration, FeatureFrontProcess};
 use std::fmt::Write as _;
 use std::time::Duration;
 
@@ -137,7 +137,7 @@
             inventory_rows: &rows,
             tables: &tables,
         };
-        let process = EdgeProcess::start(&self.version.program, &configuration)?;
+        let process = FeatureFrontProcess::start(&self.version.program, &configuration)?;
         let open_loop = OpenLoop {
             address: process.address,
             rate: total_pages_per_second(bed) * self.factor / PAGES_PER_QUERY,
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -5,7 +5,7 @@
 use crate::client::Client;
 use crate::error::RunError;
 use crate::load::{ClosedLoop, LoadResult};
-use crate::process::EdgeProcess;
+use crate::process::FeatureFrontProcess;
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
 
@@ -192,7 +192,7 @@
 /// Traversal of `next` links to the last page.
 struct Traversal<'a> {
     version: &'a Version,
-    process: &'a EdgeProcess,
+    process: &'a FeatureFrontProcess,
     bed: &'a TestBed,
     /// Limit of the first page.
     limit: usize,
@@ -230,7 +230,7 @@
     }
 }
 
-fn memory_kib(process: &EdgeProcess, name: &str) -> u64 {
+fn memory_kib(process: &FeatureFrontProcess, name: &str) -> u64 {
     process.memory_kib(name).unwrap_or(0)
 }
 
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -2,7 +2,7 @@
 //! started.
 
 use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
-use crate::process::{Configuration, EdgeProcess, ProcessError};
+use crate::process::{Configuration, FeatureFrontProcess, ProcessError};
 use std::io;
 use std::path::Path;
 
@@ -84,14 +84,17 @@
     }
 
     /// Starts a version of the program over the servers.
-    pub(super) fn start_version(&self, program: &Path) -> Result<EdgeProcess, ProcessError> {
+    pub(super) fn start_version(
+        &self,
+        program: &Path,
+    ) -> Result<FeatureFrontProcess, ProcessError> {
         let rows = self.inventory();
         let configuration = Configuration {
             settings: SETTINGS,
             inventory_rows: &rows,
             tables: LONG_DEADLINE_CLASS,
         };
-        EdgeProcess::start(program, &configuration)
+        FeatureFrontProcess::start(program, &configuration)
     }
 
     /// Returns the cumulative work of the servers.
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -61,7 +61,7 @@
 
 /// Running program with an edge file of its own. Dropping this kills the process and removes its
 /// folder.
-pub struct EdgeProcess {
+pub struct FeatureFrontProcess {
     child: Child,
     /// Address that clients connect to.
     pub address: SocketAddr,
@@ -112,7 +112,7 @@
         .ok_or(ProcessError::NotBuilt)
 }
 
-impl EdgeProcess {
+impl FeatureFrontProcess {
     /// Starts `program` with this configuration and waits until it listens.
     ///
     /// # Errors
@@ -129,7 +129,7 @@
             .spawn()?;
         let log = read_log(&mut child);
         let address = ([127, 0, 0, 1], 0).into();
-        let mut process = EdgeProcess {
+        let mut process = FeatureFrontProcess {
             child,
             address,
             folder,
@@ -204,7 +204,7 @@
     }
 }
 
-impl Drop for EdgeProcess {
+impl Drop for FeatureFrontProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/testkit/tests/conformance.rs
+++ b/testkit/tests/conformance.rs
@@ -7,7 +7,7 @@
 use quinceflow_testkit::feature_server::{
     devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState,
 };
-use quinceflow_testkit::process::{find_program, Configuration, EdgeProcess, CLASSES};
+use quinceflow_testkit::process::{find_program, Configuration, FeatureFrontProcess, CLASSES};
 
 const FEATURES_PER_SHARD: usize = 150;
 const ITEMS: &str = "/collections/devices/items";
@@ -26,7 +26,7 @@
 
 /// Running program over two shards, each on two servers of different capabilities.
 struct Deployment {
-    process: EdgeProcess,
+    process: FeatureFrontProcess,
     servers: Vec<FeatureServer>,
 }
 
@@ -81,7 +81,7 @@
             inventory_rows: &rows,
             tables: CLASSES,
         };
-        let process = EdgeProcess::start(&program, &configuration).expect("it starts");
+        let process = FeatureFrontProcess::start(&program, &configuration).expect("it starts");
         Deployment { process, servers }
     }
 }
@@ -188,7 +188,7 @@
         inventory_rows: &rows,
         tables: classes,
     };
-    let process = EdgeProcess::start(&program, &configuration).expect("it starts");
+    let process = FeatureFrontProcess::start(&program, &configuration).expect("it starts");
     let mut client = Client::new(process.address);
     let target = format!("{ITEMS}?filter=volts%3E200&sortby=-volts&limit=5");
     let response = client.get(&target).expect("a response");
