--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -1,6 +1,7 @@
 //! Blocking HTTP/1.1 client with one persistent connection and one request at a time.
 //!
-//! Owns the connection and its retry after an idle close; leaves redirects, cookies and TLS out.
+//! A request is retried once if the server closed the idle connection. Redirects, cookies and TLS
+//! are not supported.
 
 mod connection;
 mod headers;
@@ -55,7 +56,7 @@
 pub struct Client {
     address: SocketAddr,
     connection: Option<Connection>,
-    /// Timeout of a complete response, from when its request is sent.
+    /// Timeout of the complete response, measured from the sending of its request.
     pub timeout: Duration,
 }
 
@@ -90,8 +91,8 @@
         self.send(&Request::new("GET", target, headers))
     }
 
-    /// Sends a request and returns its response. A request that meets a closed persistent
-    /// connection is resent once on a new one.
+    /// Sends a request and returns its response. If the server has closed the persistent
+    /// connection, the request is resent once on a new one.
     ///
     /// # Errors
     /// Returns an error if the server can't be reached, closes the connection before the end of the
--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -51,7 +51,8 @@
         self.stream.write_all(request)
     }
 
-    /// Reads the next response; `head_only` marks the response to a HEAD request.
+    /// Reads the next response; `head_only` is set for the response to a HEAD request, which has no
+    /// body.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
         let mut closes_connection = head
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Reads the line before a chunk. Extensions behind the size are ignored.
+    /// Reads the line before a chunk and returns the size of the chunk in bytes. Extensions after
+    /// the size are ignored.
     fn read_chunk_size(&mut self) -> Result<usize, ClientError> {
         let line = self.read_line()?;
         let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
@@ -122,7 +124,7 @@
         usize::from_str_radix(text.trim(), 16).map_err(|_| ClientError::ChunkSize)
     }
 
-    /// Reads a line and returns it without its end.
+    /// Reads a line and returns it without its line end.
     fn read_line(&mut self) -> io::Result<Vec<u8>> {
         let end = loop {
             match self
@@ -146,13 +148,14 @@
         Ok(self.buffer.drain(..length).collect())
     }
 
-    /// Reads a body that ends with its connection. A reset or a timeout is no end.
+    /// Reads a body that ends with its connection. A reset or a timeout is an error, not the end of
+    /// the body.
     fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
         while self.read_some()? > 0 {}
         Ok(std::mem::take(&mut self.buffer))
     }
 
-    /// Reads at least one byte into the buffer.
+    /// Reads at least one byte into the buffer; the end of the connection is an error.
     fn fill(&mut self) -> io::Result<()> {
         match self.read_some()? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
@@ -161,7 +164,7 @@
     }
 
     /// Reads into the buffer and returns the number of bytes, which is 0 at the end of the
-    /// connection. Fails after the deadline of the response.
+    /// connection. Returns an error after the deadline of the response.
     fn read_some(&mut self) -> io::Result<usize> {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
--- a/testkit/src/client/headers.rs
+++ b/testkit/src/client/headers.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Headers of a response, by lower-case name. Of headers with the same name, the last one counts.
+/// Headers of a response by lower-case name. Of headers with the same name, the last one is kept.
 #[derive(Debug, Clone, Default)]
 pub struct Headers {
     values: BTreeMap<String, String>,
--- a/testkit/src/client/message.rs
+++ b/testkit/src/client/message.rs
@@ -1,4 +1,4 @@
-//! HTTP requests and responses as plain data; their transfer is left to the connection.
+//! HTTP requests and responses as plain data; the connection transfers them.
 
 use super::headers::{Header, Headers};
 use serde_json::Value as Json;
@@ -13,7 +13,7 @@
     pub target: &'a str,
     /// Headers except `Host` and `Content-Length`, which the client sets.
     pub headers: &'a [Header<'a>],
-    /// Body; an empty one is not sent.
+    /// Body; if it is empty, the request has neither a body nor a `Content-Length`.
     pub body: &'a [u8],
 }
 
