--- a/testkit/src/feature_server.rs
+++ b/testkit/src/feature_server.rs
@@ -1,8 +1,9 @@
-//! Stand-in feature servers: OGC API - Features after the published standard, with scripted faults.
+//! Stand-in feature servers: OGC API - Features according to the published standard, with scripted
+//! faults.
 //!
 //! A server holds a shard of synthetic devices and serves pages of it by `limit` and `offset`. The
 //! filters that it declares are evaluated by the program's own evaluator; checks of the results use
-//! other code.
+//! independent code.
 
 mod capabilities;
 mod capacity;
@@ -38,11 +39,11 @@
 /// Request in the log of a server.
 #[derive(Debug, Clone)]
 pub struct LoggedRequest {
-    /// Time at which the head had been read.
+    /// Time at which the request was logged, after it had been read.
     pub received_at: Instant,
     /// Path and query.
     pub target: String,
-    /// Fault that the script chose.
+    /// Fault that the script chose for the response.
     pub fault: Fault,
 }
 
@@ -105,7 +106,7 @@
         *lock(&self.state.script) = Box::new(script);
     }
 
-    /// Sets the capacity of the server; `None` removes the bound.
+    /// Sets the capacity of the server; `None` removes the limit.
     pub fn set_capacity(&self, capacity: Option<Capacity>) {
         self.state.slots.set_capacity(capacity);
     }
--- a/testkit/src/feature_server/capabilities.rs
+++ b/testkit/src/feature_server/capabilities.rs
@@ -6,8 +6,11 @@
 const FEATURES_PREFIX: &str = "http://www.opengis.net/spec/ogcapi-features-";
 /// Prefix of the conformance classes of CQL2.
 const CQL2_PREFIX: &str = "http://www.opengis.net/spec/cql2/1.0/conf/";
+/// Conformance classes of CQL2 for simple filters.
 const SIMPLE_FILTER_CLASSES: [&str; 3] = ["cql2-text", "basic-cql2", "basic-spatial-functions"];
+/// Conformance classes of OGC API - Features, Part 3, for requests with filters.
 const FILTER_API_CLASSES: [&str; 3] = ["queryables", "filter", "features-filter"];
+/// Conformance classes of CQL2 for all other filters.
 const ADVANCED_FILTER_CLASSES: [&str; 9] = [
     "advanced-comparison-operators",
     "case-insensitive-comparison",
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -1,4 +1,4 @@
-//! Bound on the concurrent work of a feature server, with simulated service times.
+//! Concurrency limit of a feature server, with simulated service times.
 
 use crate::sync::lock;
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -9,13 +9,13 @@
 pub struct Capacity {
     /// Number of requests processed concurrently; others wait.
     pub slots: usize,
-    /// Service time of a request without its features.
+    /// Service time of a request, in addition to that of its features.
     pub base: Duration,
     /// Additional service time of each feature in the response.
     pub per_feature: Duration,
 }
 
-/// Worker slots of a server. Without a capacity, requests take no service time.
+/// Slots of a server, each for one request. Without a capacity, requests take no service time.
 #[derive(Default)]
 pub(super) struct WorkerSlots {
     capacity: Mutex<Option<Capacity>>,
--- a/testkit/src/feature_server/connection.rs
+++ b/testkit/src/feature_server/connection.rs
@@ -1,5 +1,5 @@
 //! Connections of a feature server: reads requests, routes them and writes responses with the
-//! chosen fault.
+//! faults that the script chooses.
 
 use super::dataset::queryables;
 use super::document::Document;
@@ -10,8 +10,11 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
+/// Delay of a response with [`Fault::Slow`].
 const SLOW_DELAY: Duration = Duration::from_millis(60);
+/// Interval between the bytes of a body with [`Fault::TrickledBody`].
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of bytes of such a body that are sent before the connection is closed.
 const TRICKLED_BYTES: usize = 100;
 const RETRY_AFTER_HEADER: &str = "Retry-After: 1\r\n";
 
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -1,9 +1,9 @@
-//! Synthetic devices: the features that servers hold, and their queryables.
+//! Synthetic devices, which are the features that servers hold, and their queryables.
 
 use serde_json::{json, Value as Json};
 use std::ops::Range;
 
-/// Features and their serialized texts, in the server's order.
+/// Features and their serialized texts, in the order in which the server returns them.
 pub(super) struct Dataset {
     pub(super) features: Vec<Json>,
     pub(super) texts: Vec<String>,
@@ -17,7 +17,7 @@
 }
 
 impl Dataset {
-    /// Serializes features and keeps both forms.
+    /// Creates a dataset of features with their serialized texts.
     pub(super) fn new(features: Vec<Json>) -> Dataset {
         let texts = features.iter().map(Json::to_string).collect();
         Dataset { features, texts }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the installation time of a device, which `datetime` selects by.
+    /// Returns the installation time of a device, to which the parameter `datetime` applies.
     pub(super) fn installed(&self, index: usize) -> &str {
         self.features[index]["properties"]["installed"]
             .as_str()
@@ -57,7 +57,7 @@
     }
 }
 
-/// Returns the devices with these numbers. A device is a function of its number alone.
+/// Returns the devices with these numbers. A device depends on its number alone.
 #[must_use]
 pub fn devices(numbers: Range<usize>) -> Vec<Json> {
     numbers.map(device).collect()
--- a/testkit/src/feature_server/document.rs
+++ b/testkit/src/feature_server/document.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value as Json};
 
-/// Media type of features and pages of them.
+/// Media type of a feature and of a page of features.
 pub(super) const GEO_JSON: &str = "application/geo+json";
 const HTML: &str = "text/html";
 const JSON: &str = "application/json";
@@ -16,7 +16,7 @@
 }
 
 impl Document {
-    /// Creates a response with features.
+    /// Creates a response with a feature or a page of features.
     pub(super) fn geo_json(body: String) -> Document {
         Document {
             status: 200,
--- a/testkit/src/feature_server/faults.rs
+++ b/testkit/src/feature_server/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a feature server can be told to show.
+//! Faults that a script can choose for the responses of a feature server.
 
 /// Fault of the response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,11 +31,11 @@
     Slow,
     /// Body that is sent byte by byte and never completed.
     TrickledBody,
-    /// Connection closed without a response, as by a process that exited.
+    /// Connection closed without a response, as when the process of the server exits.
     Disconnect,
 }
 
-/// All faults but [`Fault::None`].
+/// All faults except [`Fault::None`].
 pub const ALL_FAULTS: [Fault; 14] = [
     Fault::Disconnect,
     Fault::InternalError,
@@ -53,10 +53,10 @@
     Fault::TrickledBody,
 ];
 
-/// Received request, by which a script chooses a fault.
+/// Received request, for which a script chooses a fault.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedRequest<'a> {
-    /// Number of the request at its server, from 0.
+    /// Sequence number of the request at its server, from 0.
     pub number: u64,
     /// Path and query.
     pub target: &'a str,
--- a/testkit/src/feature_server/inventory.rs
+++ b/testkit/src/feature_server/inventory.rs
@@ -1,4 +1,4 @@
-//! Entries of an inventory that names feature servers.
+//! Entries of an inventory of feature servers.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 pub struct InventoryEntry<'a> {
     /// Name of the server.
     pub name: &'a str,
-    /// Collections that the server holds, with their shards.
+    /// Collections that the server holds, with their shards, such as `devices/north`.
     pub collections: &'a str,
     /// State of the server.
     pub state: InventoryState,
--- a/testkit/src/feature_server/items.rs
+++ b/testkit/src/feature_server/items.rs
@@ -25,7 +25,7 @@
 }
 
 impl<'a> ItemsRequest<'a> {
-    /// Parses the query of a request; of parameters with the same name, the last one counts.
+    /// Parses the query of a request; of parameters with the same name, the last one is used.
     pub(super) fn new(path: &'a str, query: &str) -> Self {
         let parameters = url::form_urlencoded::parse(query.as_bytes())
             .into_owned()
@@ -150,7 +150,7 @@
     }
 }
 
-/// Bounding box in degrees; one with west beyond east crosses the antimeridian.
+/// Bounding box in degrees; if its west is greater than its east, it crosses the antimeridian.
 struct BoundingBox {
     west: f64,
     south: f64,
@@ -197,8 +197,8 @@
     }
 }
 
-/// Closed interval of instants in RFC 3339 and UTC, which are ordered as texts. An open end is
-/// empty or `..`.
+/// Closed time interval. Its start and end are in the format of RFC 3339 and in UTC, so that they
+/// can be compared as texts; an unbounded one is empty or `..`.
 struct TimeInterval<'a> {
     start: &'a str,
     end: &'a str,
@@ -217,7 +217,7 @@
     }
 }
 
-/// Property to sort by.
+/// Property by which features are sorted, with the direction.
 struct SortKey<'a> {
     name: &'a str,
     descending: bool,
@@ -257,7 +257,7 @@
     }
 }
 
-/// Sorts a selection by keys separated by commas; the sort is stable.
+/// Sorts a selection by comma-separated keys; the sort is stable.
 fn sort(dataset: &Dataset, selected: &mut [usize], keys: &str) {
     let keys: Vec<SortKey<'_>> = keys.split(',').map(SortKey::parse).collect();
     selected.sort_by(|left, right| {
