--- a/testkit/src/demo.rs
+++ b/testkit/src/demo.rs
@@ -1,5 +1,4 @@
-//! Demonstration: the front for feature queries over stand-in servers, for manual use or one
-//! automatic check.
+//! Demonstration of the feature front with stand-in servers, for manual use or one automatic check.
 
 use crate::client::{Client, Response};
 use crate::error::RunError;
@@ -15,7 +14,7 @@
 const FEATURES_PER_SHARD: usize = 2_000;
 /// Maximum number of features of one answer, by the `limit` of the examples.
 const MAX_EXAMPLE_FEATURES: usize = 1_000;
-/// Tolerance for points on the hypotenuse of the polygon, in degrees.
+/// Tolerance for points on the hypotenuse of the triangle, in degrees.
 const HYPOTENUSE_TOLERANCE: f64 = 1e-12;
 
 /// Settings of the collection.
@@ -27,8 +26,8 @@
 bbox = [-121.0, 37.0, -119.0, 39.0]
 ";
 
-/// Running program over four feature servers: two shards with two servers of different capabilities
-/// each.
+/// Running program with four feature servers, two for each of two shards. The capabilities of the
+/// servers differ.
 pub struct Demo {
     process: FeatureFrontProcess,
     servers: Vec<FeatureServer>,
@@ -45,7 +44,7 @@
 enum ExpectedCount {
     /// Fixed number.
     Exactly(usize),
-    /// Number of the devices that satisfy a predicate.
+    /// Number of devices that satisfy a predicate.
     Matching(fn(&Json) -> bool),
 }
 
@@ -138,7 +137,7 @@
 }
 
 impl Demo {
-    /// Starts the feature servers and the program over them.
+    /// Starts the feature servers, and the program with the servers in its inventory.
     ///
     /// # Errors
     /// Returns an error if a server or the program can't be started.
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Test kit of quinceflow: stand-in servers, load, fault injection and conformance checks.
 //!
-//! Owns everything that exercises the program from outside. The program links none of it; the kit
-//! links the program's filter evaluator for its stand-in servers.
+//! This crate contains everything that exercises the program from outside. The program does not
+//! link it; the stand-in servers of this crate use the program's filter evaluator.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/testkit/src/load.rs
+++ b/testkit/src/load.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of concurrent queries of an open-loop load.
 const MAX_IN_FLIGHT: usize = 400;
-/// Minimum remaining time of a query; one with less fails without being sent.
+/// Minimum remaining time of a query; a query with less is not sent and counts as failed.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 /// Stack size of a client's thread, of which there may be hundreds.
 const CLIENT_STACK_BYTES: usize = 256 * 1024;
@@ -57,7 +57,7 @@
     }
 }
 
-/// Counters of a running load.
+/// Counters and latencies of a running load.
 #[derive(Default)]
 struct Recorder {
     served: AtomicU64,
@@ -68,8 +68,8 @@
 }
 
 impl Recorder {
-    /// Records a response or its absence with the latency since the query was due. A response later
-    /// than `timeout` counts as failed.
+    /// Records a response or an error, with the latency from the time at which the query was due. A
+    /// response later than `timeout` counts as failed.
     fn record(
         &self,
         response: Result<Response, ClientError>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Closed-loop load: each client sends one query after another.
+/// Closed-loop load: each client sends its next query after the response to the previous one.
 #[derive(Debug, Clone, Copy)]
 pub struct ClosedLoop {
     /// Address of the server.
@@ -159,17 +159,18 @@
     pub rate: f64,
     /// Duration of the arrivals.
     pub duration: Duration,
-    /// Time after which an unanswered query counts as failed and its connection is closed, from
-    /// when it was due.
+    /// Time after which an unanswered query counts as failed and its connection is closed, measured
+    /// from the time at which the query was due.
     pub timeout: Duration,
 }
 
 impl OpenLoop {
-    /// Runs the load; `target(number)` returns the target of a query. While `MAX_IN_FLIGHT` queries
-    /// are in flight, due queries start late and may fail without being sent.
+    /// Runs the load; `target(number)` returns the target of the query with this number, from 0.
+    /// While `MAX_IN_FLIGHT` queries are in flight, due queries start late and may fail without
+    /// being sent.
     ///
     /// # Errors
-    /// Fails if the thread of a client cannot be started; the load then ends early.
+    /// Returns an error if the thread of a client cannot be started; the load then ends early.
     pub fn run(&self, target: impl Fn(u64) -> String + Sync) -> io::Result<LoadResult> {
         let recorder = Recorder::default();
         let next_number = AtomicU64::new(0);
@@ -187,7 +188,7 @@
         Ok(recorder.finish(started.elapsed()))
     }
 
-    /// Returns the number of queries.
+    /// Returns the number of queries of the load.
     fn total(&self) -> u64 {
         (self.rate * self.duration.as_secs_f64()) as u64
     }
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -103,7 +103,7 @@
     json: Option<PathBuf>,
 }
 
-/// Planted fault as an argument of the command line.
+/// Planted fault as a command-line argument.
 #[derive(Clone, Copy)]
 struct PlantArgument(PlantedFault);
 
@@ -236,12 +236,8 @@
     let mut suite = Suite::open(resolve(&url)?, url.path())?;
     let results = suite.run();
     results.iter().for_each(print_result);
-    let count = |matches: fn(&Outcome) -> bool| {
-        results
-            .iter()
-            .filter(|result| matches(&result.outcome))
-            .count()
-    };
+    let count =
+        |matches: fn(&Outcome) -> bool| results.iter().filter(|r| matches(&r.outcome)).count();
     let failed = count(|outcome| matches!(outcome, Outcome::Fail(_)));
     let passed = count(|outcome| matches!(outcome, Outcome::Pass));
     println!(
--- a/testkit/src/measure.rs
+++ b/testkit/src/measure.rs
@@ -1,5 +1,5 @@
-//! Comparative measurements of the front for feature queries: several versions in one run over the
-//! same stand-in servers.
+//! Comparative measurements of the feature front: several versions of the program are measured in
+//! one run with the same stand-in servers.
 
 mod overload;
 mod tables;
@@ -13,7 +13,7 @@
 use tables::{measure_answers, measure_latencies, measure_memory, measure_throughput};
 use test_bed::TestBed;
 
-/// Name of the present version in the tables.
+/// Name of the current version in the tables.
 pub const THIS_VERSION: &str = "this version";
 
 /// Version of the program.
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -33,24 +33,29 @@
         settings: "[limits]\nmode = \"fixed\"\nadmission = false\n",
     },
 ];
-/// Limits of an earlier version, which may not support the setting.
+/// Default limits of an earlier version, which may not support the setting.
 const EARLIER_VERSION_LIMITS: &[Limits] = &[Limits {
     name: "",
     settings: "",
 }];
 
+/// Number of requests that a server processes concurrently.
 const SERVER_SLOTS: usize = 4;
+/// Service time of a page at a server.
 const PAGE_TIME: Duration = Duration::from_millis(20);
 /// Capacity of one server in pages per second: `SERVER_SLOTS / PAGE_TIME`.
 const PAGES_PER_SECOND: f64 = 200.0;
 /// Mean number of pages per query: two for a small answer, and twenty for one query in ten.
 const PAGES_PER_QUERY: f64 = 3.8;
+/// Timeout of a query, from the time at which it is due.
 const OVERLOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Loads as multiples of the capacity of the servers.
 const LOAD_FACTORS: [f64; 3] = [0.5, 2.0, 4.0];
-/// Interval between queries that request a large answer, in queries.
+/// One in this many queries requests a large answer.
 const QUERIES_PER_LARGE_ANSWER: u64 = 10;
+/// `limit` of a query that requests a large answer.
 const LARGE_LIMIT: usize = 5_000;
+/// `limit` of all other queries.
 const SMALL_LIMIT: usize = 10;
 
 /// Columns of the overload table.
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -11,17 +11,20 @@
 
 const KIB: u64 = 1024;
 const PAGE_TARGET: &str = "/collections/devices/items?limit=100";
-/// Target of the same page at a server.
+/// Target of a page of the same size at a server.
 const SERVER_PAGE_TARGET: &str = "/collections/north/items?limit=100";
 const LARGE_PAGE_TARGET: &str = "/collections/devices/items?limit=5000";
 /// Target of the query that opens the connections before the measurement.
 const WARM_UP_TARGET: &str = "/collections/devices/items/d00001";
+/// Numbers of concurrent clients in the measurement of latencies.
 const CLIENT_COUNTS: [usize; 3] = [1, 8, 32];
+/// Number of concurrent clients in the measurement of memory.
 const MEMORY_CLIENTS: usize = 100;
+/// Number of concurrent clients in the measurement of throughput.
 const THROUGHPUT_CLIENTS: usize = 8;
-/// Maximum number of pages that are followed by `next`.
+/// Maximum number of pages of a traversal of `next` links.
 const MAX_TRAVERSED_PAGES: usize = 200;
-/// Maximum duration of a traversal by `next`.
+/// Maximum duration of a traversal of `next` links, and timeout of each of its pages.
 const TRAVERSAL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Name of the peak resident memory in `/proc/PID/status`.
@@ -133,7 +136,7 @@
     }
 }
 
-/// Measures single answers, and the traversal of all pages over `next`.
+/// Measures single answers, and traversals of all pages by their `next` links.
 pub(super) fn measure_answers(
     plan: &Plan,
     bed: &TestBed,
@@ -161,7 +164,7 @@
     Ok(())
 }
 
-/// Measures a query in a process of its own, so that the memory peak belongs to this answer.
+/// Measures a query in a separate process, so that the peak memory is that of this answer.
 fn measure_single_query(
     version: &Version,
     query: &SingleQuery,
@@ -194,12 +197,12 @@
     version: &'a Version,
     process: &'a FeatureFrontProcess,
     bed: &'a TestBed,
-    /// Limit of the first page.
+    /// `limit` of the first request.
     limit: usize,
 }
 
 impl<'a> Traversal<'a> {
-    /// Follows the links and returns the row of the table.
+    /// Follows the links and returns a row of the table.
     fn measure(&self) -> Result<AnswerRow<'a>, RunError> {
         let limit = self.limit;
         let mut client = Client::new(self.process.address);
@@ -278,7 +281,7 @@
     Ok(())
 }
 
-/// Measures memory with a hundred clients that request large pages.
+/// Measures memory with [`MEMORY_CLIENTS`] clients that request large pages.
 pub(super) fn measure_memory(
     plan: &Plan,
     bed: &TestBed,
@@ -313,7 +316,7 @@
     Ok(())
 }
 
-/// Measures throughput as a share of that of one server without the program.
+/// Measures throughput as a share of the throughput of one server that is queried directly.
 pub(super) fn measure_throughput(
     plan: &Plan,
     bed: &TestBed,
--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -1,4 +1,4 @@
-//! Test bed of the measurements: four feature servers, over which versions of the program are
+//! Test bed of the measurements: four feature servers, with which versions of the program are
 //! started.
 
 use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
@@ -14,8 +14,8 @@
 deadline_ms = 10000
 ";
 
-/// Settings of every version. The limit of bytes is raised because an earlier version reads whole
-/// shards.
+/// Top-level settings of every version. The limit on the bytes of all pages of an answer is raised
+/// because an earlier version reads complete shards.
 pub(super) const SETTINGS: &str = "most_bytes = 33554432";
 
 /// Collections of the servers; each shard is held by two of them.
@@ -39,7 +39,7 @@
 }
 
 impl ServerWork {
-    /// Returns the work since an earlier reading.
+    /// Returns the work since an earlier measurement.
     pub(super) fn since(self, earlier: ServerWork) -> ServerWork {
         ServerWork {
             requests: self.requests - earlier.requests,
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// Starts a version of the program over the servers.
+    /// Starts a version of the program with the servers in its inventory.
     pub(super) fn start_version(
         &self,
         program: &Path,
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -18,7 +18,7 @@
 const INVENTORY_FILE: &str = "i.csv";
 
 /// Settings of three classes: `map` with a long deadline, `part` with partial answers, and `once`
-/// without retries.
+/// for queries that are not idempotent, whose parts are not retried if they may have run.
 pub const CLASSES: &str = "
 [[class]]
 name = \"map\"
@@ -59,8 +59,8 @@
     },
 }
 
-/// Running program with an edge file of its own. Dropping this kills the process and removes its
-/// folder.
+/// Running program that serves the feature front with its own edge file. Dropping this kills the
+/// process and removes its folder.
 pub struct FeatureFrontProcess {
     child: Child,
     /// Address that clients connect to.
@@ -72,7 +72,8 @@
 /// Configuration of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Configuration<'a> {
-    /// Top-level settings of the edge file, as TOML; the listening address is set by the process.
+    /// Top-level settings of the edge file, as TOML, except the listening address and the path of
+    /// the inventory, which [`FeatureFrontProcess::start`] sets.
     pub settings: &'a str,
     /// Rows of the inventory, as CSV without the header.
     pub inventory_rows: &'a str,
@@ -95,10 +96,12 @@
     }
 }
 
-/// Finds the program beside the current executable, or in the parent folder.
+/// Returns the path of the program, which is in the folder of the current executable or in the
+/// parent of that folder.
 ///
 /// # Errors
-/// Returns an error if the program is not there or the path of the current executable is unknown.
+/// Returns an error if the program is in neither folder, or if the path of the current executable
+/// cannot be determined.
 pub fn find_program() -> Result<PathBuf, ProcessError> {
     let executable = std::env::current_exe()?;
     let candidates = executable
@@ -212,7 +215,7 @@
     }
 }
 
-/// Creates a folder for a process; each call returns another one.
+/// Creates a folder for a process; each call creates a different one.
 fn create_folder() -> io::Result<PathBuf> {
     static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Relaxed);
@@ -224,7 +227,8 @@
     Ok(folder)
 }
 
-/// Reads the log of a process from its standard error, line by line.
+/// Starts a thread that reads the log of a process from its standard error, and returns the
+/// receiver of the log lines.
 fn read_log(child: &mut Child) -> Receiver<String> {
     let (line_sender, log) = channel();
     if let Some(stderr) = child.stderr.take() {
