--- a/fuzz/fuzz_targets/cursor.rs
+++ b/fuzz/fuzz_targets/cursor.rs
@@ -1,5 +1,5 @@
-//! Checks that arbitrary text is never accepted as a cursor, whose authentication needs a key that
-//! the fuzzer does not have.
+//! Checks that arbitrary text is never accepted as a cursor, because a cursor is authenticated with
+//! a key that the fuzzer does not have.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::cursor::{CursorError, CursorKey};
--- a/fuzz/fuzz_targets/filter.rs
+++ b/fuzz/fuzz_targets/filter.rs
@@ -1,5 +1,5 @@
-//! Checks that arbitrary text is a CQL2 filter or an error, and that a filter printed as text or
-//! JSON parses to the same filter.
+//! Checks that arbitrary text is parsed to a CQL2 filter or an error, and that a filter printed as
+//! text or JSON is parsed to the same filter.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::cql2::{parse_json, parse_text, to_json};
--- a/fuzz/fuzz_targets/head.rs
+++ b/fuzz/fuzz_targets/head.rs
@@ -1,5 +1,5 @@
-//! Checks that arbitrary bytes on a connection are HTTP requests and at most one error, after which
-//! nothing more is parsed.
+//! Checks that arbitrary bytes on a connection are parsed to HTTP requests and at most one error,
+//! after which nothing more is parsed.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::proto::http::{Response, ServerConnection};
--- a/fuzz/fuzz_targets/page.rs
+++ b/fuzz/fuzz_targets/page.rs
@@ -1,5 +1,6 @@
-//! Checks that an arbitrary body of a feature server is a page or rejected, that the features of a
-//! page are objects within its body, and that its next link is a path on the same server.
+//! Checks that an arbitrary body from a feature server is parsed to a page or rejected, that the
+//! features of a page are objects within its body, and that its next link is a path on the same
+//! server.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::page_request::parse_page;
--- a/fuzz/fuzz_targets/query.rs
+++ b/fuzz/fuzz_targets/query.rs
@@ -1,5 +1,5 @@
-//! Checks that arbitrary query strings and search bodies are parameters or errors, and that
-//! parameters are within their limits.
+//! Checks that arbitrary query strings and search bodies are parsed to parameters or errors, and
+//! that parameters are within their limits.
 #![no_main]
 use libfuzzer_sys::fuzz_target;
 use quinceflow::front::ogc::cql2::Queryables;
--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -1,5 +1,5 @@
-//! Micro-benchmarks of the front for feature queries: parsing, splitting, merging, rendering.
-//! `cargo bench -p quinceflow-testkit`
+//! Micro-benchmarks of the feature front: parsing and splitting of filters, merging and rendering
+//! of pages. They are run by `cargo bench -p quinceflow-testkit --bench front`.
 
 use divan::Bencher;
 use quinceflow::coordinator::{Answer, AttemptEnd, PartRequest, ServedPart, Token};
@@ -26,9 +26,11 @@
     divan::main();
 }
 
+/// Filter with a comparison, a case-insensitive pattern and an area.
 const FILTER: &str = "volts > 120 AND CASEI(name) LIKE 'meter%' AND \
                       S_INTERSECTS(geometry,POLYGON((-121 37,-120 37,-121 38,-121 37)))";
 
+/// Returns the text of a filter for the features in a polygon with this many vertices.
 fn polygon_filter(points: usize) -> String {
     let ring: Vec<String> = (0..=points)
         .map(|point| {
@@ -39,6 +41,7 @@
     format!("S_INTERSECTS(geometry,POLYGON(({})))", ring.join(","))
 }
 
+/// Returns the body of a page with this many features.
 fn page_body(count: usize) -> Vec<u8> {
     let texts: Vec<String> = devices(0..count).iter().map(ToString::to_string).collect();
     let features = texts.join(",");
@@ -62,13 +65,14 @@
 
 #[divan::bench(args = [100, 10_000])]
 fn parse_area_json(bencher: Bencher, points: usize) {
-    let text = to_json(&parse_text(&polygon_filter(points)).expect("a filter")).to_string();
+    let text =
+        to_json(&parse_text(&polygon_filter(points)).expect("the filter is valid")).to_string();
     bencher.bench(|| parse_json(divan::black_box(&text)));
 }
 
 #[divan::bench]
 fn split_filter(bencher: Bencher) {
-    let filter = parse_text(FILTER).expect("a filter");
+    let filter = parse_text(FILTER).expect("the filter is valid");
     let classes = ["cql2-text", "features-filter", "basic-cql2"]
         .map(str::to_owned)
         .into();
@@ -82,17 +86,12 @@
 
 #[divan::bench(args = [4, 10_000])]
 fn evaluate_on_500_features(bencher: Bencher, points: usize) {
-    let matcher = Matcher::new(parse_text(&polygon_filter(points)).expect("a filter"));
+    let matcher = Matcher::new(parse_text(&polygon_filter(points)).expect("the filter is valid"));
     let texts: Vec<Vec<u8>> = devices(0..500)
         .iter()
         .map(|feature| feature.to_string().into_bytes())
         .collect();
-    bencher.bench(|| {
-        texts
-            .iter()
-            .filter(|text| matcher.matches_text(text))
-            .count()
-    });
+    bencher.bench(|| texts.iter().filter(|t| matcher.matches_text(t)).count());
 }
 
 #[divan::bench]
@@ -106,7 +105,7 @@
 #[divan::bench(args = [2, 16])]
 fn merge_500_from_shards(bencher: Bencher, shards: usize) {
     let pages: Vec<_> = (0..shards)
-        .map(|_| Arc::new(parse_page(page_body(500), "a:1", "/c", None).expect("a page")))
+        .map(|_| Arc::new(parse_page(page_body(500), "a:1", "/c", None).expect("page is valid")))
         .collect();
     bencher.bench(|| {
         let keys = vec![SortKey {
@@ -136,10 +135,12 @@
     });
 }
 
-/// Returns a part with the response of a server's page.
+/// Interprets `body` as a server's page for a part, and returns the served part.
 fn serve(part: &PartRequest, body: &[u8]) -> ServedPart {
-    let context = part.context.as_ref().expect("a context");
-    let request = context.get::<PageRequest>().expect("a page request");
+    let context = part.context.as_ref().expect("the part has a context");
+    let request = context
+        .get::<PageRequest>()
+        .expect("the context is a page request");
     let fetched = FetchedResponse {
         status: 200,
         headers: Default::default(),
@@ -157,9 +158,12 @@
 /// Creates a front with the settings and the inventory of `deploy/`.
 fn deployed_front() -> OgcFront {
     let file = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/edge.toml"));
-    let edge = EdgeConfig::load(file).expect("sound");
+    let edge = EdgeConfig::load(file).expect("the edge file is valid");
     let catalog = SharedCatalog::default();
-    lock(&catalog).load(&edge.load_inventory().expect("sound"), Micros::ZERO);
+    lock(&catalog).load(
+        &edge.load_inventory().expect("the inventory is valid"),
+        Micros::ZERO,
+    );
     OgcFront::new(FrontDependencies {
         edge,
         catalog,
@@ -176,7 +180,10 @@
     server
         .input()
         .extend(format!("GET {target} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes());
-    server.next_request().expect("whole").expect("well formed")
+    server
+        .next_request()
+        .expect("the request is complete")
+        .expect("the request is well formed")
 }
 
 /// Answers a query with `page` as the page of every part, and returns the length of the answer.
@@ -199,8 +206,8 @@
     }
 }
 
-/// Measures a query from the bytes of its request to those of its answer, with the servers' pages
-/// of 500.
+/// Measures a query from the bytes of its request to those of its answer, with pages of 500
+/// features from the servers.
 #[divan::bench(args = [
     "limit=500",
     "limit=500&f=html",
--- a/testkit/benches/policy.rs
+++ b/testkit/benches/policy.rs
@@ -1,8 +1,8 @@
-//! Micro-benchmarks of the decision policy: batches of events under a steady load.
-//! `cargo bench -p quinceflow-testkit --bench policy`
+//! Micro-benchmarks of the decision policy: batches of events under a steady load. They are run by
+//! `cargo bench -p quinceflow-testkit --bench policy`.
 //!
-//! Uses the crate's public interface only. A simulated coordinator keeps the attempts in flight and
-//! reports their outcomes; the time of its own maps is part of the measurement.
+//! They use only the crate's public interface. A simulated coordinator keeps the attempts in flight
+//! and reports their outcomes; the time of its own maps is part of the measurement.
 
 use divan::counter::ItemsCount;
 use divan::Bencher;
@@ -16,7 +16,7 @@
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// Number of shards, of cells, and of a query's parts.
+/// Number of shards, which is also the number of cells and of the parts of a query.
 const SHARDS: u32 = 12;
 const CELLS_PER_SHARD: u32 = 2;
 const REPLICAS: u32 = 200;
@@ -24,19 +24,19 @@
 
 /// Time between two batches, each of which submits one query.
 const BATCH_INTERVAL: Nanos = MILLISECOND;
-/// Number of queries in progress in the steady state.
+/// Number of pending queries in the steady state.
 const PENDING_QUERIES: u64 = 50;
 /// Time until a replica answers an attempt.
 const RESPONSE_TIME: Nanos = PENDING_QUERIES * BATCH_INTERVAL;
 
-/// Number of batches before the measurement, by which the steady state is reached.
+/// Number of batches before the measurement, after which the steady state is reached.
 const WARM_UP_BATCHES: u64 = 4 * PENDING_QUERIES;
 /// Number of batches of one measured run.
 const MEASURED_BATCHES: u64 = 200;
 
-/// Number of replicas for each silent one.
+/// One in this many replicas is silent.
 const SILENT_REPLICA_RATIO: u64 = 10;
-/// Time after which other replicas are silent; the policy ejects those that stay silent.
+/// Time after which the set of silent replicas changes; the policy ejects those that stay silent.
 const SILENT_PERIOD: Nanos = 100 * MILLISECOND;
 
 fn main() {
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum SilentReplicas {
     None,
-    /// One of [`SILENT_REPLICA_RATIO`], others in each [`SILENT_PERIOD`].
+    /// One in [`SILENT_REPLICA_RATIO`] replicas; the set changes with each [`SILENT_PERIOD`].
     Rotating,
 }
 
@@ -134,7 +134,8 @@
     outcome: Outcome,
 }
 
-/// Coordinator with a policy, and replicas that answer after [`RESPONSE_TIME`] or not at all.
+/// Simulated coordinator with a policy, and replicas that answer after [`RESPONSE_TIME`] or not at
+/// all.
 struct Simulation {
     policy: DecisionPolicy,
     now: Nanos,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Takes the ends of attempts that are due and returns their events.
+    /// Removes the ends of attempts that are due and returns their events.
     fn due_outcomes(&mut self) -> Vec<Event> {
         let later = self.ends.split_off(&(self.now + 1));
         let due = std::mem::replace(&mut self.ends, later);
@@ -227,7 +228,7 @@
             .collect()
     }
 
-    /// Returns the event of an attempt's end, unless another end was reported already.
+    /// Returns the event of an attempt's end, or `None` if another end was already reported.
     fn outcome(&mut self, end: AttemptEnd) -> Option<Event> {
         let sent_at = self.sent_at.remove(&end.id)?;
         Some(Event::Outcome {
@@ -238,7 +239,7 @@
         })
     }
 
-    /// Has the policy handle the events, and carries out its actions.
+    /// Passes the events to the policy and executes its actions.
     fn handle(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, events, &mut actions);
@@ -285,7 +286,7 @@
         }
     }
 
-    /// Has the attempt's cancellation reported with the next batch.
+    /// Schedules the report of the attempt's cancellation for the next batch.
     fn cancel(&mut self, id: AttemptId) {
         let end = AttemptEnd {
             id,
@@ -299,7 +300,8 @@
     }
 }
 
-/// Measures batches that each submit one query and complete another; [`PENDING_QUERIES`] are open.
+/// Measures batches that each submit one query and complete another, while [`PENDING_QUERIES`]
+/// are pending.
 #[divan::bench]
 fn steady_queries(bencher: Bencher) {
     bencher
@@ -316,7 +318,8 @@
         });
 }
 
-/// Measures the same batches where a part of the replicas is silent and their parts are retried.
+/// Measures the same batches while some of the replicas are silent and the parts sent to them are
+/// retried.
 #[divan::bench]
 fn retries_of_silent_replicas(bencher: Bencher) {
     bencher
