--- a/testkit/benches/front.rs
+++ b/testkit/benches/front.rs
@@ -186,7 +186,8 @@
         .expect("the request is well formed")
 }
 
-/// Answers a query with `page` as the page of every part, and returns the length of the answer.
+/// Answers a query with `page` as the page of every part, and returns the length of the response
+/// body in bytes.
 fn answer(front: &OgcFront, query: &str, page: &[u8]) -> usize {
     let mut reaction = front.handle(items_request(query), Token(1), Micros::ZERO, true);
     loop {
--- a/testkit/src/feature_server/dataset.rs
+++ b/testkit/src/feature_server/dataset.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value as Json};
 use std::ops::Range;
 
-/// Features and their serialized texts, in the order in which the server returns them.
+/// Features and their serialized texts, in the order in which the server returns them by default.
 pub(super) struct Dataset {
     pub(super) features: Vec<Json>,
     pub(super) texts: Vec<String>,
@@ -65,6 +65,7 @@
 
 fn device(number: usize) -> Json {
     const KINDS: [&str; 4] = ["meter", "relay", "Wächter", "café sensor"];
+    // The factors are primes, which spread the locations over an area of 2 by 2 degrees.
     let longitude = -121.0 + (number * 7919 % 20_000) as f64 / 10_000.0;
     let latitude = 37.0 + (number * 104_729 % 20_000) as f64 / 10_000.0;
     let year = 2010 + number % 15;
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -107,10 +107,10 @@
     Ok(())
 }
 
-fn write_introduction(text: &mut String, total_pages: f64) {
+fn write_introduction(text: &mut String, pages_per_second: f64) {
     let _ = writeln!(
         text,
-        "Servers with 4 slots and 20 ms of work a page (together {total_pages:.0} pages a second); \
+        "Servers with 4 slots and 20 ms of work a page (together {pages_per_second:.0} pages a second); \
          clients request pages of 10 features (2 pages of servers, as both shards are queried) at \
          a constant rate with a timeout of 1 s; one query in ten requests 5,000 features. In time: \
          queries answered within 1 s of their arrival.\n"
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -9,7 +9,9 @@
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
 
+/// Number of bytes per KiB, and of KiB per MiB.
 const KIB: u64 = 1024;
+/// Target of a page at the feature front.
 const PAGE_TARGET: &str = "/collections/devices/items?limit=100";
 /// Target of a page of the same size at a server.
 const SERVER_PAGE_TARGET: &str = "/collections/north/items?limit=100";
@@ -110,6 +112,7 @@
     status: u16,
     features: usize,
     work: ServerWork,
+    /// Growth of the peak memory; for a traversal, the peak memory.
     memory_kib: u64,
     /// Elapsed time in milliseconds, formatted.
     elapsed: String,
