--- a/testkit/src/measure/test_bed.rs
+++ b/testkit/src/measure/test_bed.rs
@@ -1,21 +1,21 @@
-//! Test bed of the measurements: four feature servers, over which versions of the program are
+//! Test bed of the measurements: four feature servers, with which versions of the program are
 //! started.
 
 use crate::feature_server::{devices, Capabilities, FeatureServer, InventoryEntry, InventoryState};
-use crate::process::{Configuration, EdgeProcess, ProcessError};
+use crate::process::{Configuration, FeatureFrontProcess, ProcessError};
 use std::io;
 use std::path::Path;
 
 /// Settings of a class with a long deadline.
-const CLASSES: &str = "
+const LONG_DEADLINE_CLASS: &str = "
 [[class]]
 name = \"map\"
 aim_ms = 8000
 deadline_ms = 10000
 ";
 
-/// Settings of every version. The limit of bytes is raised because an earlier version reads whole
-/// shards.
+/// Top-level settings of every version. The limit on the bytes of all pages of an answer is raised
+/// because an earlier version reads complete shards.
 pub(super) const SETTINGS: &str = "most_bytes = 33554432";
 
 /// Collections of the servers; each shard is held by two of them.
@@ -39,7 +39,7 @@
 }
 
 impl ServerWork {
-    /// Returns the work since an earlier reading.
+    /// Returns the work since an earlier measurement.
     pub(super) fn since(self, earlier: ServerWork) -> ServerWork {
         ServerWork {
             requests: self.requests - earlier.requests,
@@ -51,22 +51,22 @@
 impl TestBed {
     /// Starts the servers.
     pub(super) fn start(features_per_shard: usize) -> io::Result<TestBed> {
-        let start = |from: usize| {
+        let start_server = |from: usize| {
             let features = devices(from..from + features_per_shard);
             FeatureServer::start(features, Capabilities::FiltersAndSorting)
         };
         let servers = vec![
-            start(0)?,
-            start(0)?,
-            start(features_per_shard)?,
-            start(features_per_shard)?,
+            start_server(0)?,
+            start_server(0)?,
+            start_server(features_per_shard)?,
+            start_server(features_per_shard)?,
         ];
         Ok(TestBed { servers })
     }
 
     /// Returns the rows of the inventory.
     pub(super) fn inventory(&self) -> String {
-        let row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
+        let format_row = |(index, (server, collection)): (usize, (&FeatureServer, &str))| {
             let name = format!("s{index}");
             let state = InventoryState::Unspecified;
             server.inventory_row(InventoryEntry {
@@ -79,19 +79,22 @@
             .iter()
             .zip(SERVER_COLLECTIONS)
             .enumerate()
-            .map(row)
+            .map(format_row)
             .collect()
     }
 
-    /// Starts a version of the program over the servers.
-    pub(super) fn start_version(&self, program: &Path) -> Result<EdgeProcess, ProcessError> {
+    /// Starts a version of the program with the servers in its inventory.
+    pub(super) fn start_version(
+        &self,
+        program: &Path,
+    ) -> Result<FeatureFrontProcess, ProcessError> {
         let rows = self.inventory();
         let configuration = Configuration {
             settings: SETTINGS,
             inventory_rows: &rows,
-            tables: CLASSES,
+            tables: LONG_DEADLINE_CLASS,
         };
-        EdgeProcess::start(program, &configuration)
+        FeatureFrontProcess::start(program, &configuration)
     }
 
     /// Returns the cumulative work of the servers.
