--- a/src/front/ogc/delivery.rs
+++ b/src/front/ogc/delivery.rs
@@ -31,7 +31,7 @@
 
 impl DeliveryOptions {
     /// Returns the options of a request, from its method and headers.
-    pub fn of(request: &HttpRequest) -> Self {
+    pub fn from_request(request: &HttpRequest) -> Self {
         let accept_encoding = request.headers.get("Accept-Encoding").unwrap_or_default();
         DeliveryOptions {
             accepts_gzip: accepts_gzip(accept_encoding),
@@ -92,8 +92,10 @@
 /// Returns whether the value of an `Accept-Encoding` header allows gzip. `*` stands for all codings
 /// that are not listed (RFC 9110, section 12.5.3).
 fn accepts_gzip(accept_encoding: &str) -> bool {
-    let elements: Vec<AcceptedCoding> =
-        accept_encoding.split(',').map(AcceptedCoding::of).collect();
+    let elements: Vec<AcceptedCoding> = accept_encoding
+        .split(',')
+        .map(AcceptedCoding::parse)
+        .collect();
     let named = elements.iter().find(|element| element.is_gzip());
     let listed = named.or_else(|| elements.iter().find(|element| element.name == "*"));
     listed.is_some_and(|element| !element.excluded)
@@ -107,7 +109,7 @@
 }
 
 impl AcceptedCoding<'_> {
-    fn of(element: &str) -> AcceptedCoding<'_> {
+    fn parse(element: &str) -> AcceptedCoding<'_> {
         let mut words = element.split(';').map(str::trim);
         let name = words.next().unwrap_or_default();
         let is_zero = |word: &str| {
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -12,7 +12,7 @@
     server
         .input()
         .extend(format!("{method} / HTTP/1.1\r\nHost: x\r\n{head}\r\n").as_bytes());
-    DeliveryOptions::of(
+    DeliveryOptions::from_request(
         &server
             .next_request()
             .expect("the request is complete")
--- a/src/front/ogc/mod.rs
+++ b/src/front/ogc/mod.rs
@@ -67,7 +67,7 @@
 
 impl Front for OgcFront {
     fn handle(&self, request: HttpRequest, token: Token, sent_at: Micros, ready: bool) -> Reaction {
-        let delivery = DeliveryOptions::of(&request);
+        let delivery = DeliveryOptions::from_request(&request);
         let incoming = IncomingRequest {
             state: &self.state,
             http: &request,
--- a/src/front/ogc/paging/sort_key.rs
+++ b/src/front/ogc/paging/sort_key.rs
@@ -57,7 +57,7 @@
 
 impl SortValues {
     /// Returns the position of a feature; `None` if the feature is not JSON.
-    pub fn of(
+    pub fn from_feature(
         feature: &[u8],
         keys: &[SortKey],
         descending: &Arc<[bool]>,
--- a/src/front/ogc/paging/sorted_merge.rs
+++ b/src/front/ogc/paging/sorted_merge.rs
@@ -266,7 +266,8 @@
 
     /// Selects a feature if it is among the first so far. Ignores features that are not valid JSON.
     fn insert(&mut self, shard: usize, feature: &[u8]) {
-        let Some(values) = SortValues::of(feature, &self.keys, &self.descending, shard) else {
+        let Some(values) = SortValues::from_feature(feature, &self.keys, &self.descending, shard)
+        else {
             return;
         };
         self.shards[shard].record(&values);
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -61,7 +61,7 @@
         request: ItemsRequest,
         shards: Vec<ShardSource>,
     ) -> Result<Reaction, ApiError> {
-        let resume_point = ResumePoint::of(&state, &request, &shards)?;
+        let resume_point = ResumePoint::from_request(&state, &request, &shards)?;
         let admitted = match AdmittedQuery::admit(&state, &client, &request, shards.len()) {
             Ok(admitted) => admitted,
             Err(error) => {
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -29,7 +29,7 @@
     /// # Errors
     ///
     /// Returns an error if the cursor cannot be used, or if its shard or server was removed.
-    pub fn of(
+    pub fn from_request(
         state: &FrontState,
         request: &ItemsRequest,
         shards: &[ShardSource],
