--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -89,7 +89,7 @@
     accepted_at: Instant,
     /// The rest of the reply, once there is one.
     reply: Option<Body>,
-    /// Whether the caller has closed its sending side, or the connection is broken.
+    /// Whether the caller has closed its sending side, or the connection has failed.
     input_ended: bool,
 }
 
@@ -110,7 +110,7 @@
     }
 
     /// Writes the rest of the reply until the socket would block, and shuts down the sending side
-    /// of the connection after it. If the connection is broken, the reply is dropped.
+    /// of the connection after it. If the connection has failed, the reply is dropped.
     fn write_reply(&mut self) {
         let Some(reply) = self.reply.as_mut().filter(|reply| !reply.is_empty()) else {
             return;
@@ -119,7 +119,7 @@
             match try_write(&self.stream, reply.front()) {
                 IoOutcome::Transferred(bytes) => reply.advance(bytes),
                 IoOutcome::WouldBlock => return,
-                IoOutcome::EndOfStream | IoOutcome::Broken => *reply = Body::default(),
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => *reply = Body::default(),
             }
         }
         let _ = self.stream.shutdown(Shutdown::Write);
@@ -219,7 +219,7 @@
             false
         }
         IoOutcome::WouldBlock => false,
-        IoOutcome::EndOfStream | IoOutcome::Broken => true,
+        IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => true,
     }
 }
 
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -220,7 +220,7 @@
     }
 
     /// Writes output until none is left or the socket would block. Returns false if the connection
-    /// is broken.
+    /// has failed.
     pub(super) fn write_output(&mut self, socket: &TcpStream, clock: &Clock) -> bool {
         while !self.http.output().is_empty() {
             match try_write(socket, self.http.output()) {
@@ -230,7 +230,7 @@
                     self.last_write_at = self.last_activity_at;
                 }
                 IoOutcome::WouldBlock => return true,
-                IoOutcome::EndOfStream | IoOutcome::Broken => return false,
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => return false,
             }
         }
         true
@@ -271,7 +271,7 @@
                     }
                 }
                 IoOutcome::WouldBlock => break true,
-                IoOutcome::EndOfStream | IoOutcome::Broken => break false,
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => break false,
             }
         };
         self.linger = Some(linger);
--- a/src/net/clients/requests.rs
+++ b/src/net/clients/requests.rs
@@ -79,10 +79,12 @@
                     state.ignore_empty_lines();
                 }
                 IoOutcome::WouldBlock => return true,
-                IoOutcome::EndOfStream | IoOutcome::Broken if state.http.awaits_response() => {
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed
+                    if state.http.awaits_response() =>
+                {
                     return false
                 }
-                IoOutcome::EndOfStream | IoOutcome::Broken => {
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => {
                     state.http.on_end_of_stream();
                     self.handle_requests(connection, state);
                     return true;
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -267,7 +267,7 @@
                 }
                 IoOutcome::WouldBlock => return Progress::Pending,
                 IoOutcome::EndOfStream => return self.request.fetch.on_end_of_stream(),
-                IoOutcome::Broken => return self.request.fetch.on_connection_failed(),
+                IoOutcome::ConnectionFailed => return self.request.fetch.on_connection_failed(),
             }
         }
     }
@@ -282,7 +282,7 @@
             match try_write(stream, self.request.fetch.output()) {
                 IoOutcome::Transferred(bytes) => self.record_written(bytes),
                 IoOutcome::WouldBlock => break,
-                IoOutcome::EndOfStream | IoOutcome::Broken => {
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => {
                     return self.request.fetch.on_connection_failed()
                 }
             }
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -162,7 +162,7 @@
                     }
                 }
                 IoOutcome::WouldBlock => return true,
-                IoOutcome::EndOfStream | IoOutcome::Broken => return false,
+                IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => return false,
             }
         }
     }
@@ -222,7 +222,7 @@
         match try_write(stream, state.protocol.output()) {
             IoOutcome::Transferred(bytes) => state.protocol.record_written(bytes, events),
             IoOutcome::WouldBlock => break,
-            IoOutcome::EndOfStream | IoOutcome::Broken => return false,
+            IoOutcome::EndOfStream | IoOutcome::ConnectionFailed => return false,
         }
     }
     true
--- a/src/net/nonblocking.rs
+++ b/src/net/nonblocking.rs
@@ -12,7 +12,7 @@
     /// The peer closed its sending side in an orderly way.
     EndOfStream,
     /// The connection failed, so received data may be truncated.
-    Broken,
+    ConnectionFailed,
 }
 
 /// Reads into `buffer` with one system call.
@@ -31,7 +31,7 @@
         Ok(n) => IoOutcome::Transferred(n),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => IoOutcome::WouldBlock,
         Err(e) if e.kind() == io::ErrorKind::Interrupted => IoOutcome::Transferred(0),
-        Err(_) => IoOutcome::Broken,
+        Err(_) => IoOutcome::ConnectionFailed,
     }
 }
 
--- a/src/net/nonblocking/tests.rs
+++ b/src/net/nonblocking/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_reset_connection_reads_as_broken_and_not_as_end_of_stream() {
+fn reading_from_a_reset_connection_fails_and_is_not_end_of_stream() {
     for reset in [false, true] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("the listener binds to a free port");
         let stream =
@@ -19,7 +19,7 @@
         drop(peer);
         match try_read(&stream, &mut [0]) {
             IoOutcome::EndOfStream => assert!(!reset),
-            IoOutcome::Broken => assert!(reset),
+            IoOutcome::ConnectionFailed => assert!(reset),
             IoOutcome::Transferred(_) | IoOutcome::WouldBlock => {
                 panic!("the peer has closed the connection")
             }
