--- a/src/front/ogc/admission.rs
+++ b/src/front/ogc/admission.rs
@@ -106,7 +106,7 @@
         page_size: edge.page_size,
         shards,
         parallel_shards: edge.max_initial_shards,
-        filter_weight: params.filter.as_ref().map_or(0, Filter::evaluation_cost),
+        filter_cost: params.filter.as_ref().map_or(0, Filter::evaluation_cost),
         max_sorted_pages: (!params.sortby.is_empty()).then_some(edge.max_pages),
     })
 }
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -32,8 +32,8 @@
 const MAX_RETRY_AFTER: Micros = Micros::from_secs(30);
 /// The cost of the lookup at each shard but the first that is queried at the same time, in pages.
 const LOOKUP_PAGES: f64 = 0.25;
-/// The weight at which a filter that the coordinator evaluates doubles the cost of the pages.
-const DOUBLING_FILTER_WEIGHT: f64 = 50.0;
+/// The cost at which a filter that the coordinator evaluates doubles the cost of the pages.
+const DOUBLING_FILTER_COST: f64 = 50.0;
 
 /// The cost of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -55,8 +55,8 @@
     pub shards: usize,
     /// The number of shards that are queried at the same time in the first round.
     pub parallel_shards: usize,
-    /// The weight of the filter if the coordinator evaluates it, else 0.
-    pub filter_weight: usize,
+    /// The cost of evaluating the filter if the coordinator evaluates it, else 0.
+    pub filter_cost: usize,
     /// The maximum number of pages to read if the coordinator sorts the features, which needs all
     /// pages; `None` for other queries.
     pub max_sorted_pages: Option<usize>,
@@ -75,7 +75,7 @@
             }
             None => buffered_pages + query.lookup_pages(),
         };
-        let filter_factor = 1.0 + query.filter_weight as f64 / DOUBLING_FILTER_WEIGHT;
+        let filter_factor = 1.0 + query.filter_cost as f64 / DOUBLING_FILTER_COST;
         QueryCost {
             pages: pages * filter_factor,
             buffered_pages,
--- a/src/limits/admission/tests.rs
+++ b/src/limits/admission/tests.rs
@@ -19,7 +19,7 @@
         page_size: 500,
         shards,
         parallel_shards: 8,
-        filter_weight: 0,
+        filter_cost: 0,
         max_sorted_pages: None,
     }
 }
@@ -54,7 +54,7 @@
 #[test]
 fn queries_are_admitted_with_unknown_throughput_or_little_in_flight() {
     let shape = QueryShape {
-        filter_weight: 1_000,
+        filter_cost: 1_000,
         max_sorted_pages: Some(200),
         ..shape(1_000_000, 50)
     };
