--- a/src/coordinator/mod.rs
+++ b/src/coordinator/mod.rs
@@ -213,13 +213,13 @@
                 part,
                 replica,
                 timeout,
-                not_after,
+                write_by,
             } => {
                 let order = DispatchOrder {
                     part,
                     replica,
                     timeout: Micros::from_nanos(timeout),
-                    write_by: Micros::from_nanos(not_after),
+                    write_by: Micros::from_nanos(write_by),
                 };
                 self.queries.dispatch(&order, &self.settings, turn);
             }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -15,7 +15,7 @@
         timeout: Nanos,
         /// Time after which writing the attempt must not start, since the replica might no longer
         /// recognize it as a repeat.
-        not_after: Nanos,
+        write_by: Nanos,
     },
     /// Cancel an attempt.
     Cancel {
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -110,7 +110,7 @@
         let target = target_of(query, planned.part_index);
         let replica = planned.replica;
         let part = &mut query.parts[planned.part_index];
-        let not_after = latest_send(part, class, settings);
+        let write_by = latest_send(part, class, settings);
         if !part.attempts.is_empty() {
             self.retries.record_retry(now);
         }
@@ -123,7 +123,7 @@
             part: key.part,
             replica,
             timeout: planned.timeout,
-            not_after,
+            write_by,
         });
         actions
     }
