--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -30,8 +30,8 @@
 pub struct ReplicaKey {
     /// The server's address.
     pub address: Arc<str>,
-    /// The server's own name for the shard.
-    pub source: Arc<str>,
+    /// The name of the collection at the server.
+    pub server_collection: Arc<str>,
 }
 
 /// Capabilities and the time of their discovery.
@@ -155,7 +155,7 @@
     ///
     /// Entries that were discovered together are therefore not all discovered again together.
     fn staleness_jitter(&self, key: &ReplicaKey) -> Micros {
-        let hash = stable_hash(&[key.address.as_bytes(), key.source.as_bytes()]);
+        let hash = stable_hash(&[key.address.as_bytes(), key.server_collection.as_bytes()]);
         Micros(self.max_age.0 / 4 * (hash % 256) / 256)
     }
 
--- a/src/front/ogc/capabilities/tests.rs
+++ b/src/front/ogc/capabilities/tests.rs
@@ -7,7 +7,7 @@
 fn replica(n: usize) -> ReplicaKey {
     ReplicaKey {
         address: format!("s{n}").into(),
-        source: "north".into(),
+        server_collection: "north".into(),
     }
 }
 
--- a/src/front/ogc/capability_discovery.rs
+++ b/src/front/ogc/capability_discovery.rs
@@ -7,7 +7,7 @@
 use super::cql2::Queryables;
 use super::page_request::{PageRequest, RequestKind};
 use super::round::{coordinator_request, ShardRequest};
-use super::shards::{replicas, ShardSource};
+use super::shards::{replicas, NamedShard};
 use super::state::FrontState;
 use crate::front::Reaction;
 use crate::interface::ShardId;
@@ -34,7 +34,8 @@
     fn new(shard: ShardId, key: ReplicaKey) -> Self {
         let document_request =
             |path: String| Arc::new(PageRequest::new(RequestKind::Document, path));
-        let queryables = document_request(format!("/collections/{}/queryables", key.source));
+        let queryables =
+            document_request(format!("/collections/{}/queryables", key.server_collection));
         CapabilityDiscovery {
             shard,
             key,
@@ -74,7 +75,7 @@
 pub(super) fn queryables(
     state: &FrontState,
     collection: &str,
-    shards: &[ShardSource],
+    shards: &[NamedShard],
 ) -> Queryables {
     if let Some(declared) = state.declared_queryables(collection) {
         return declared;
@@ -92,7 +93,7 @@
 pub(super) fn discover_capabilities(
     state: Arc<FrontState>,
     client: &ClientContext,
-    shards: &[ShardSource],
+    shards: &[NamedShard],
     on_discovered: impl FnOnce(Arc<FrontState>) -> Reaction + Send + 'static,
 ) -> Reaction {
     let discoveries = due_discoveries(&state, shards, client.sent_at);
@@ -123,7 +124,7 @@
 /// the cache as in flight.
 fn due_discoveries(
     state: &FrontState,
-    shards: &[ShardSource],
+    shards: &[NamedShard],
     now: Micros,
 ) -> Vec<CapabilityDiscovery> {
     let mut discoveries = Vec::new();
--- a/src/front/ogc/catalog.rs
+++ b/src/front/ogc/catalog.rs
@@ -308,12 +308,12 @@
         found.map(|(address, _)| address.clone())
     }
 
-    /// Returns the name that the servers use for a shard, or `None` if `shard` is not the
+    /// Returns the name of a shard's collection at its servers, or `None` if `shard` is not the
     /// identifier of a shard at any of its servers.
     #[must_use]
-    pub fn source_name(&self, shard: ShardId) -> Option<&str> {
+    pub fn server_collection(&self, shard: ShardId) -> Option<&str> {
         let shard = self.shards_by_id.get(&shard)?;
-        Some(shard.source.as_str())
+        Some(shard.server_collection.as_str())
     }
 }
 
--- a/src/front/ogc/catalog/tests.rs
+++ b/src/front/ogc/catalog/tests.rs
@@ -10,7 +10,7 @@
         state: EndpointState::Ready,
         shards: vec![CollectionShard {
             collection: "devices".to_owned(),
-            source: "north".to_owned(),
+            server_collection: "north".to_owned(),
         }],
     }
 }
@@ -33,7 +33,7 @@
             "an identifier was reused"
         );
         let shard = catalog.shards("devices").expect("the collection exists")[0];
-        assert_eq!(catalog.source_name(shard), Some("north"));
+        assert_eq!(catalog.server_collection(shard), Some("north"));
     }
     let entry_count = catalog.shards_by_id.len()
         + catalog.shard_ids.len()
--- a/src/front/ogc/cursor.rs
+++ b/src/front/ogc/cursor.rs
@@ -30,7 +30,7 @@
     /// counted.
     #[serde(rename = "a")]
     pub issued_at_s: u64,
-    /// The name that the servers use for the shard.
+    /// The name of the shard's collection at its servers.
     #[serde(rename = "s")]
     pub shard: String,
     /// The number of features of the page to skip because earlier responses returned them.
--- a/src/front/ogc/handlers/feature.rs
+++ b/src/front/ogc/handlers/feature.rs
@@ -7,7 +7,7 @@
 use crate::front::ogc::page_request::{PageRequest, RequestKind};
 use crate::front::ogc::response::feature::{feature as feature_response, FeatureRequest};
 use crate::front::ogc::round::{coordinator_request, count_response, ShardRequest};
-use crate::front::ogc::shards::{shards_of, ShardSource};
+use crate::front::ogc::shards::{shards_of, NamedShard};
 use crate::front::Reaction;
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use std::sync::Arc;
@@ -58,13 +58,16 @@
     }
 }
 
-fn shard_requests(shards: &[ShardSource], feature_id: &str) -> Vec<ShardRequest> {
+fn shard_requests(shards: &[NamedShard], feature_id: &str) -> Vec<ShardRequest> {
     let escaped_id = utf8_percent_encode(feature_id, NON_ALPHANUMERIC);
-    let shard_request = |source: &ShardSource| {
-        let target = format!("/collections/{}/items/{escaped_id}", source.name);
+    let shard_request = |shard: &NamedShard| {
+        let target = format!(
+            "/collections/{}/items/{escaped_id}",
+            shard.server_collection
+        );
         let page_request = Arc::new(PageRequest::new(RequestKind::Feature, target));
         ShardRequest {
-            shard: source.shard,
+            shard: shard.shard,
             page_request,
         }
     };
--- a/src/front/ogc/handlers/mod.rs
+++ b/src/front/ogc/handlers/mod.rs
@@ -11,7 +11,7 @@
 use super::params::{decode_query, negotiate_format, QueryParameter};
 use super::response::documents::DocumentContext;
 use super::response::problem::error_response;
-use super::shards::ShardSource;
+use super::shards::NamedShard;
 use super::state::FrontState;
 use crate::coordinator::{Token, COUNTERS};
 use crate::front::Reaction;
@@ -124,7 +124,7 @@
     fn start_after_discovery(
         &self,
         client: &ClientContext,
-        shards: &[ShardSource],
+        shards: &[NamedShard],
         start: impl FnOnce(Arc<FrontState>) -> Result<Reaction, ApiError> + Send + 'static,
     ) -> Reaction {
         discover_capabilities(self.state.clone(), client, shards, |state| {
--- a/src/front/ogc/inventory/entry.rs
+++ b/src/front/ogc/inventory/entry.rs
@@ -158,13 +158,13 @@
         .ok_or(InventoryErrorKind::MissingField)?;
     let mut shards = Vec::new();
     for word in text.split([';', ',', ' ']).filter(|word| !word.is_empty()) {
-        let (collection, source) = word.split_once('/').unwrap_or((word, word));
-        if !is_valid_name(collection) || !is_valid_name(source) {
+        let (collection, server_collection) = word.split_once('/').unwrap_or((word, word));
+        if !is_valid_name(collection) || !is_valid_name(server_collection) {
             return Err(InventoryErrorKind::InvalidShard(word.to_owned()));
         }
         let shard = CollectionShard {
             collection: collection.to_owned(),
-            source: source.to_owned(),
+            server_collection: server_collection.to_owned(),
         };
         if !shards.contains(&shard) {
             shards.push(shard);
--- a/src/front/ogc/inventory/mod.rs
+++ b/src/front/ogc/inventory/mod.rs
@@ -18,14 +18,14 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Shard of a collection, identified by the collection's name and the name that servers use for the
-/// shard.
+/// Shard of a collection, identified by the collection's name and by the name of the shard's
+/// collection at its servers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CollectionShard {
     /// Name of the collection as clients see it.
     pub collection: String,
     /// Name of the collection at the servers that have the shard.
-    pub source: String,
+    pub server_collection: String,
 }
 
 /// A feature server.
--- a/src/front/ogc/query/mod.rs
+++ b/src/front/ogc/query/mod.rs
@@ -14,7 +14,7 @@
 use super::response::problem::error_response;
 use super::round::{coordinator_request, count_response, ShardRequest};
 use super::shard_plan::ShardPlan;
-use super::shards::ShardSource;
+use super::shards::NamedShard;
 use super::state::FrontState;
 use crate::coordinator::{Answer, ServedPart};
 use crate::front::{Reaction, Render};
@@ -31,7 +31,7 @@
     client: ClientContext,
     request: ItemsRequest,
     /// The shards of the collection, in order.
-    shards: Vec<ShardSource>,
+    shards: Vec<NamedShard>,
     /// The plan for each of the shards.
     plans: Vec<ShardPlan>,
     /// The merge of the pages received so far.
@@ -59,7 +59,7 @@
         state: Arc<FrontState>,
         client: ClientContext,
         request: ItemsRequest,
-        shards: Vec<ShardSource>,
+        shards: Vec<NamedShard>,
     ) -> Result<Reaction, ApiError> {
         let resume_point = ResumePoint::from_request(&state, &request, &shards)?;
         let admitted = match AdmittedQuery::admit(&state, &client, &request, shards.len()) {
@@ -123,7 +123,7 @@
         };
         let target = match &fetch.location {
             PageLocation::ShardStart => {
-                let name = &self.shards[fetch.shard].name;
+                let name = &self.shards[fetch.shard].server_collection;
                 plan.target(name, &self.request.params, fetch.page_size)
             }
             PageLocation::NextLink { target, .. } => target.to_string(),
@@ -236,7 +236,7 @@
     /// Returns the result from which the response is rendered.
     fn result(&self, next_cursor: Option<String>) -> ItemsResult<'_> {
         let merged = self.merge.result();
-        let name = |shard: usize| self.shards[shard].name.as_str();
+        let name = |shard: usize| self.shards[shard].server_collection.as_str();
         ItemsResult {
             request: &self.request,
             memory: self.admitted.memory.clone(),
@@ -255,7 +255,7 @@
 fn plans(
     state: &FrontState,
     request: &ItemsRequest,
-    shards: &[ShardSource],
+    shards: &[NamedShard],
     resume_point: &ResumePoint,
 ) -> Vec<ShardPlan> {
     let params = &request.params;
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -8,7 +8,7 @@
 use crate::front::ogc::error::ApiError;
 use crate::front::ogc::paging::{PageLocation, ResumePosition};
 use crate::front::ogc::shard_plan::ResumedShard;
-use crate::front::ogc::shards::ShardSource;
+use crate::front::ogc::shards::NamedShard;
 use crate::front::ogc::stable_hash::stable_hash;
 use crate::front::ogc::state::FrontState;
 use crate::sync::lock;
@@ -32,7 +32,7 @@
     pub fn from_request(
         state: &FrontState,
         request: &ItemsRequest,
-        shards: &[ShardSource],
+        shards: &[NamedShard],
     ) -> Result<Self, ApiError> {
         let Some(token) = &request.params.cursor else {
             return Ok(ResumePoint {
@@ -91,7 +91,7 @@
 
     /// Sets the shard, the page and the number of features to skip of a cursor.
     fn set_position(&self, cursor: &mut Cursor, position: &ResumePosition) {
-        cursor.shard = self.shards[position.shard].name.clone();
+        cursor.shard = self.shards[position.shard].server_collection.clone();
         cursor.skip = position.skip;
         if let PageLocation::NextLink {
             server,
@@ -136,9 +136,11 @@
     state: &FrontState,
     collection: &str,
     cursor: &Cursor,
-    shards: &[ShardSource],
+    shards: &[NamedShard],
 ) -> Result<ResumePosition, ApiError> {
-    let shard = shards.iter().position(|source| source.name == cursor.shard);
+    let shard = shards
+        .iter()
+        .position(|shard| shard.server_collection == cursor.shard);
     let shard = shard.ok_or(ApiError::ShardRemoved)?;
     let location = match &cursor.link {
         None => PageLocation::ShardStart,
@@ -162,13 +164,13 @@
     state: &FrontState,
     collection: &str,
     link: &CursorLink,
-    source: &ShardSource,
+    shard: &NamedShard,
 ) -> Result<PageLocation, ApiError> {
     let catalog = lock(&state.catalog);
     let address = catalog.server_address(&link.server);
     let serves_shard = address
         .as_deref()
-        .is_some_and(|address| catalog.sticky_shard(source.shard, address).is_some());
+        .is_some_and(|address| catalog.sticky_shard(shard.shard, address).is_some());
     if !serves_shard && !state.has_same_order(collection) {
         if catalog.is_draining(&link.server) {
             return Err(ApiError::ServerDraining);
--- a/src/front/ogc/shard_plan.rs
+++ b/src/front/ogc/shard_plan.rs
@@ -7,7 +7,7 @@
 use super::page_request::FeaturePredicate;
 use super::paging::SortKey;
 use super::params::Params;
-use super::shards::{replicas, ShardReplica, ShardSource};
+use super::shards::{replicas, NamedShard, ShardReplica};
 use super::state::FrontState;
 use serde_json::Value as Json;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     pub fn for_shards(
         state: &FrontState,
         params: &Params,
-        shards: &[ShardSource],
+        shards: &[NamedShard],
         after_values: Option<&[Json]>,
         resumed: Option<ResumedShard>,
     ) -> Vec<ShardPlan> {
@@ -107,9 +107,9 @@
         plan
     }
 
-    /// Returns the path and query of the request for the first page of a shard. `source` is the
-    /// name that the servers use for the shard.
-    pub fn target(&self, source: &str, params: &Params, page_size: usize) -> String {
+    /// Returns the path and query of the request for the first page of a shard. `server_collection`
+    /// is the name of the shard's collection at its servers.
+    pub fn target(&self, server_collection: &str, params: &Params, page_size: usize) -> String {
         let mut query = url::form_urlencoded::Serializer::new(String::new());
         let envelope = || {
             self.envelope
@@ -130,7 +130,7 @@
             query.append_pair("sortby", &sortby(&params.sortby));
         }
         query.append_pair("limit", &page_size.to_string());
-        format!("/collections/{source}/items?{}", query.finish())
+        format!("/collections/{server_collection}/items?{}", query.finish())
     }
 }
 
--- a/src/front/ogc/shards.rs
+++ b/src/front/ogc/shards.rs
@@ -8,13 +8,13 @@
 use crate::sync::lock;
 use std::sync::Arc;
 
-/// A shard of a collection.
+/// A shard of a collection, with its name at the servers.
 #[derive(Debug, Clone)]
-pub(super) struct ShardSource {
+pub(super) struct NamedShard {
     /// The identifier of the shard at any of its servers.
     pub shard: ShardId,
-    /// The name that the servers use for the shard.
-    pub name: String,
+    /// The name of the shard's collection at its servers.
+    pub server_collection: String,
 }
 
 /// A replica of a shard at a server that accepts new work.
@@ -30,33 +30,33 @@
 /// # Errors
 ///
 /// Returns [`ApiError::NoSuchCollection`] if there is no such collection.
-pub(super) fn shards_of(
-    state: &FrontState,
-    collection: &str,
-) -> Result<Vec<ShardSource>, ApiError> {
+pub(super) fn shards_of(state: &FrontState, collection: &str) -> Result<Vec<NamedShard>, ApiError> {
     let catalog = lock(&state.catalog);
     let shards = catalog.shards(collection);
     let shards = shards.ok_or_else(|| ApiError::NoSuchCollection(collection.to_owned()))?;
-    let source = |shard: &ShardId| ShardSource {
+    let named_shard = |shard: &ShardId| NamedShard {
         shard: *shard,
-        name: catalog.source_name(*shard).unwrap_or_default().to_owned(),
+        server_collection: catalog
+            .server_collection(*shard)
+            .unwrap_or_default()
+            .to_owned(),
     };
-    Ok(shards.iter().map(source).collect())
+    Ok(shards.iter().map(named_shard).collect())
 }
 
 /// Returns the replicas of each shard, in the order of `shards`, at servers that accept new work.
-pub(super) fn replicas(state: &FrontState, shards: &[ShardSource]) -> Vec<Vec<ShardReplica>> {
+pub(super) fn replicas(state: &FrontState, shards: &[NamedShard]) -> Vec<Vec<ShardReplica>> {
     let catalog = lock(&state.catalog);
-    let replicas_of = |source: &ShardSource| {
+    let replicas_of = |shard: &NamedShard| {
         let replica = |ready: ReadyReplica<'_>| ShardReplica {
             sticky_shard: ready.sticky_shard,
             key: ReplicaKey {
                 address: Arc::from(ready.address),
-                source: Arc::from(source.name.as_str()),
+                server_collection: Arc::from(shard.server_collection.as_str()),
             },
         };
         catalog
-            .ready_replicas(source.shard)
+            .ready_replicas(shard.shard)
             .into_iter()
             .map(replica)
             .collect()
--- a/src/proto/discovery.rs
+++ b/src/proto/discovery.rs
@@ -115,7 +115,7 @@
     let endpoints = list
         .endpoints
         .into_iter()
-        .map(|e| to_node_endpoint(e, read_at))
+        .map(|e| to_server_endpoint(e, read_at))
         .collect::<Result<_, _>>()?;
     let update = EndpointUpdate {
         kind,
@@ -125,7 +125,7 @@
     Ok(EndpointListUpdate { revision, update })
 }
 
-fn to_node_endpoint(
+fn to_server_endpoint(
     endpoint: EndpointMessage,
     read_at: ReadTime,
 ) -> Result<ServerEndpoint, EndpointListError> {
