--- a/src/degradation/controller.rs
+++ b/src/degradation/controller.rs
@@ -47,8 +47,8 @@
 #[derive(Debug, Clone)]
 pub struct DegradationController {
     table: DegradationTable,
-    /// The factor by which this instance scales all durations of the table, 0.8 to 1.2, so that
-    /// many instances do not change levels at the same time.
+    /// The factor by which this coordinator scales all durations of the table, 0.8 to 1.2, so that
+    /// many coordinators do not change levels at the same time.
     jitter_factor: f64,
     /// The current level: 0 for full service, n for the table's level at index n - 1.
     level: usize,
@@ -66,8 +66,8 @@
 }
 
 impl DegradationController {
-    /// Creates a controller in full service. `jitter`, from 0 to 1, is specific to this instance:
-    /// it spreads the durations of many instances.
+    /// Creates a controller in full service. `jitter`, from 0 to 1, is specific to this
+    /// coordinator: it spreads the durations of many coordinators.
     #[must_use]
     pub fn new(table: DegradationTable, jitter: f64, now: Micros) -> Self {
         let entry_histories = vec![EntryHistory::default(); table.levels.len()];
@@ -223,7 +223,7 @@
         self.history.back()
     }
 
-    /// Scales a duration of the table, in milliseconds, by the jitter of this instance.
+    /// Scales a duration of the table, in milliseconds, by the jitter of this coordinator.
     fn with_jitter(&self, ms: u64) -> Micros {
         Micros((ms as f64 * 1e3 * self.jitter_factor) as u64)
     }
--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -81,7 +81,7 @@
         let transitions = run(&mut controller, 10, 600, |now, readings| {
             let overloaded = (now.0 / 1_000_000) % period < period / 2;
             readings.record(
-                Signal::EjectedNodes,
+                Signal::EjectedServers,
                 if overloaded { 0.4 } else { 0.0 },
                 now,
             );
@@ -97,7 +97,7 @@
 fn levels_are_left_when_their_signal_has_no_recent_value() {
     let mut controller = built_in_controller(0.5);
     run(&mut controller, 10, 20, |now, readings| {
-        readings.record(Signal::EjectedNodes, 0.9, now)
+        readings.record(Signal::EjectedServers, 0.9, now)
     });
     assert_eq!((controller.level(), controller.name()), (2, "essential"));
     // The signal has no further readings.
@@ -114,12 +114,12 @@
             .next()
             .map(|transition| transition.causes.clone()),
         Some(vec![SignalValue {
-            signal: Signal::EjectedNodes,
+            signal: Signal::EjectedServers,
             value: 0.9
         }])
     );
     run(&mut controller, 200, 30, |now, readings| {
-        readings.record(Signal::EjectedNodes, f64::NAN, now)
+        readings.record(Signal::EjectedServers, f64::NAN, now)
     });
     assert_eq!(
         controller.level(),
@@ -157,11 +157,11 @@
         (2, Some(true))
     );
     run(&mut controller, 11, 80, |now, readings| {
-        readings.record(Signal::EjectedNodes, 0.0, now)
+        readings.record(Signal::EjectedServers, 0.0, now)
     });
     assert_eq!(controller.level(), 2);
     run(&mut controller, 100, 120, |now, readings| {
-        readings.record(Signal::EjectedNodes, 0.0, now)
+        readings.record(Signal::EjectedServers, 0.0, now)
     });
     assert_eq!(controller.level(), 0);
     controller.pin(9, secs(400), secs(300));
@@ -178,7 +178,7 @@
     for n in 0..100 {
         let mut controller = built_in_controller(f64::from(n) / 99.0);
         run(&mut controller, 10, 10, |now, readings| {
-            readings.record(Signal::EjectedNodes, 0.3, now)
+            readings.record(Signal::EjectedServers, 0.3, now)
         });
         times.push(
             controller
@@ -196,7 +196,7 @@
         .unwrap_or(0);
     assert!(
         max_at_once <= 50,
-        "{max_at_once} of 100 instances move at the same time"
+        "{max_at_once} of 100 controllers change their level at the same time"
     );
 }
 
@@ -215,7 +215,7 @@
         let mut readings = self.readings.clone();
         let now = secs(2 + self.depth);
         if let Some(ejected) = ejected {
-            readings.record(Signal::EjectedNodes, ejected, now);
+            readings.record(Signal::EjectedServers, ejected, now);
         }
         if let Some(retries) = retries {
             readings.record(Signal::RetryRate, retries, now);
@@ -245,7 +245,7 @@
     fn check_recovery(mut self) {
         for evaluation in 0..400 {
             let now = secs(100 + 2 * evaluation);
-            self.readings.record(Signal::EjectedNodes, 0.0, now);
+            self.readings.record(Signal::EjectedServers, 0.0, now);
             self.readings.record(Signal::RetryRate, 0.0, now);
             self.controller.evaluate(&self.readings, now);
         }
@@ -264,7 +264,7 @@
     let level = |name: &str, enter| Level {
         name: name.to_owned(),
         conditions: vec![
-            condition(Signal::EjectedNodes, enter),
+            condition(Signal::EjectedServers, enter),
             condition(Signal::RetryRate, enter),
         ],
         enter_after_ms: 1_000,
--- a/src/degradation/signal.rs
+++ b/src/degradation/signal.rs
@@ -7,9 +7,9 @@
 /// A measure of overload or degradation. Each is a share or a ratio, and a larger value is worse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 pub enum Signal {
-    /// Share of nodes that are ejected as outliers.
+    /// Share of servers that are ejected as outliers.
     #[serde(rename = "avoided")]
-    EjectedNodes,
+    EjectedServers,
     /// Share of shards with exactly one healthy replica.
     #[serde(rename = "one_holder")]
     SingleReplicaShards,
@@ -23,7 +23,7 @@
     /// Duration of one turn of the event loop, relative to the target for a turn.
     #[serde(rename = "turn_delay")]
     LoopDelay,
-    /// Parts in flight, relative to the number that all nodes together have sustained.
+    /// Parts in flight, relative to the number that all servers together have sustained.
     #[serde(rename = "out")]
     InFlightLoad,
     /// Attempts per part, minus 1.
@@ -46,7 +46,7 @@
 impl Signal {
     /// All signals, in the order of their declaration.
     pub const ALL: [Signal; SIGNAL_COUNT] = [
-        Signal::EjectedNodes,
+        Signal::EjectedServers,
         Signal::SingleReplicaShards,
         Signal::UnavailableShards,
         Signal::QualityLoss,
@@ -63,7 +63,7 @@
     /// Writes the name by which messages to operators refer to the signal.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Signal::EjectedNodes => "Avoided",
+            Signal::EjectedServers => "Avoided",
             Signal::SingleReplicaShards => "OneHolder",
             Signal::UnavailableShards => "NoHolder",
             Signal::QualityLoss => "Lacking",
--- a/src/degradation/table.rs
+++ b/src/degradation/table.rs
@@ -56,8 +56,8 @@
 
 impl DegradationTable {
     /// Returns the default table. Service is reduced when, among other conditions, a fifth of the
-    /// nodes is ejected or many attempts are retries, and limited to the essential when half of the
-    /// nodes is ejected.
+    /// servers is ejected or many attempts are retries, and limited to the essential when half of
+    /// the servers is ejected.
     #[must_use]
     pub fn built_in() -> Self {
         DegradationTable {
@@ -71,7 +71,7 @@
     Level {
         name: "reduced".to_owned(),
         conditions: vec![
-            ungrouped(Signal::EjectedNodes, 0.2, 0.1),
+            ungrouped(Signal::EjectedServers, 0.2, 0.1),
             ungrouped(Signal::RetryRate, 1.0, 0.6),
             grouped(Signal::QualityLoss, 0.2, 0.1),
             grouped(Signal::InFlightLoad, 1.5, 1.1),
@@ -93,7 +93,7 @@
     Level {
         name: "essential".to_owned(),
         conditions: vec![
-            ungrouped(Signal::EjectedNodes, 0.5, 0.35),
+            ungrouped(Signal::EjectedServers, 0.5, 0.35),
             ungrouped(Signal::RetryRate, 2.5, 1.5),
             ungrouped(Signal::LoopDelay, 8.0, 3.0),
         ],
--- a/src/degradation/table/tests.rs
+++ b/src/degradation/table/tests.rs
@@ -18,7 +18,10 @@
         ),
         (1_000, 2_000, 3_000)
     );
-    assert_eq!(level.conditions, [grouped(Signal::EjectedNodes, 0.3, 0.1)]);
+    assert_eq!(
+        level.conditions,
+        [grouped(Signal::EjectedServers, 0.3, 0.1)]
+    );
     assert_eq!(level.effects.admitted_shares["lookup"], 0.5);
     assert_eq!(
         (level.effects.max_attempts, level.effects.skip_late_samples),
--- a/src/degradation/validate/tests.rs
+++ b/src/degradation/validate/tests.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn each_fault_is_reported_with_its_level() {
-    let signal = Signal::EjectedNodes;
+    let signal = Signal::EjectedServers;
     assert_eq!(
         faulty_table().validate(4),
         [
@@ -84,7 +84,7 @@
 
 #[test]
 fn faults_of_a_condition_are_described_by_the_keys_of_the_operators_file() {
-    let signal = Signal::EjectedNodes;
+    let signal = Signal::EjectedServers;
     assert_texts([
         (
             LevelFault::InvalidBounds { signal },
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings that the platform gives a new instance: their conversion from JSON to typed values,
+//! The settings that the platform gives a new coordinator: their conversion from JSON to typed values,
 //! and their validation.
 //!
 //! All times are nanoseconds, as on the wire. The configuration file of a process and the edge file
