--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -83,8 +83,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// Returns the replicas that are ready and hold this shard.
-    pub fn holders<'a>(
+    /// Returns the ready replicas of a shard.
+    pub fn ready_replicas<'a>(
         &'a self,
         shard: ShardId,
         settings: &'a Settings,
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -35,9 +35,9 @@
     )
 }
 
-fn holders(membership: &Membership, shard: u32, settings: &Settings) -> Vec<u8> {
+fn ready_replicas(membership: &Membership, shard: u32, settings: &Settings) -> Vec<u8> {
     membership
-        .holders(ShardId(shard), settings)
+        .ready_replicas(ShardId(shard), settings)
         .map(|id| id.0[3])
         .collect()
 }
@@ -46,7 +46,7 @@
 fn shard_is_held_by_consecutive_cells_starting_with_its_own() {
     let (membership, settings) = three_ready_replicas();
     assert_eq!(
-        [0, 1, 2, 3].map(|shard| holders(&membership, shard, &settings)),
+        [0, 1, 2, 3].map(|shard| ready_replicas(&membership, shard, &settings)),
         [[0, 1], [1, 2], [0, 2], [0, 1]]
     );
 }
@@ -63,7 +63,7 @@
         (2, 0)
     );
     assert_eq!(
-        [0, 1, 2].map(|shard| holders(&membership, shard, &settings)),
+        [0, 1, 2].map(|shard| ready_replicas(&membership, shard, &settings)),
         [vec![1], vec![0, 1, 2], vec![2]]
     );
 }
@@ -76,7 +76,7 @@
         &[endpoint(0, EndpointState::Draining)],
         200,
     );
-    assert_eq!(holders(&membership, 0, &settings), [1]);
+    assert_eq!(ready_replicas(&membership, 0, &settings), [1]);
     assert!(!membership.is_ready(replica(0)) && membership.contains(replica(0)));
     membership.apply(
         EndpointListKind::Full,
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -1,5 +1,5 @@
 //! Choice of replicas: keeps the state of all replicas of the endpoint list, and chooses the one
-//! that an attempt is sent to among those that hold the shard, its holders.
+//! that an attempt is sent to among those of the shard.
 
 mod outlier;
 mod replica;
@@ -19,8 +19,8 @@
 use rotation::Rotation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A holder is skipped if its cost exceeds this multiple of the lowest cost among the shard's
-/// holders by more than a margin.
+/// A replica is skipped if its cost exceeds this multiple of the lowest cost among the shard's
+/// replicas by more than a margin.
 const SKIP_RATIO: f64 = 1.4;
 /// Margin above the lowest cost times `SKIP_RATIO`, in mean response times over all replicas.
 const SKIP_MARGIN_RESPONSE_TIMES: f64 = 0.5;
@@ -108,8 +108,8 @@
 
     fn assign_shards(&mut self, settings: &Settings, now: Nanos) {
         for shard in self.rotation.shards() {
-            let holders = self.membership.holders(shard, settings);
-            self.rotation.set_holders(shard, holders);
+            let replicas = self.membership.ready_replicas(shard, settings);
+            self.rotation.set_replicas(shard, replicas);
         }
         self.balance(settings, now);
     }
@@ -172,11 +172,11 @@
         candidates.into_iter().next()
     }
 
-    /// Returns the holders of a shard that a part may be sent to, in the order of the rotation.
+    /// Returns the replicas of a shard that a part may be sent to, in the order of the rotation.
     ///
-    /// Holders that are warming up are left out if slow start does not admit the part now. Holders
+    /// Replicas that are warming up are left out if slow start does not admit the part now. Replicas
     /// that cost far more than the cheapest one are left out too; an overdue attempt in flight
-    /// raises the cost. If all holders are slow, none is left out for its cost.
+    /// raises the cost. If all replicas are slow, none is left out for its cost.
     fn candidates(
         &self,
         target: Target,
--- a/src/policy/replicas/rotation.rs
+++ b/src/policy/replicas/rotation.rs
@@ -1,4 +1,4 @@
-//! Rotation: weighted round robin over the holders of each shard, with weights that balance the
+//! Rotation: weighted round robin over the replicas of each shard, with weights that balance the
 //! load of the replicas.
 
 use crate::interface::{ReplicaId, ShardId};
@@ -9,38 +9,38 @@
 /// which it has a shard in common.
 const BALANCE_ROUNDS: usize = 8;
 /// Distance by which each step of the position exceeds an even step, so that over time the position
-/// falls on all of each holder's share.
+/// falls on all of each replica's share.
 const POSITION_DRIFT: f64 = 0.01;
 
-/// Rotation over the holders of one shard.
+/// Rotation over the replicas of one shard.
 #[derive(Debug)]
 struct ShardRotation {
-    /// Replicas that hold the shard, with their shares of its parts.
-    holders: Vec<Share<ReplicaId>>,
-    /// Position, 0 to 1, in the sequence of the holders' shares.
+    /// Ready replicas of the shard, with their shares of its parts.
+    replicas: Vec<Share<ReplicaId>>,
+    /// Position, 0 to 1, in the sequence of the replicas' shares.
     position: f64,
 }
 
 impl ShardRotation {
     fn new(position: f64) -> Self {
         ShardRotation {
-            holders: Vec::new(),
+            replicas: Vec::new(),
             position,
         }
     }
 
-    /// Returns the index of the holder whose share contains the position.
-    fn first_holder(&self) -> usize {
+    /// Returns the index of the replica whose share contains the position.
+    fn first_replica(&self) -> usize {
         let end_of_share =
-            |index: usize| -> f64 { self.holders[..=index].iter().map(|h| h.share).sum() };
-        (0..self.holders.len())
+            |index: usize| -> f64 { self.replicas[..=index].iter().map(|r| r.share).sum() };
+        (0..self.replicas.len())
             .find(|index| self.position < end_of_share(*index))
             .unwrap_or(0)
     }
 
     /// Advances the position by one even step and the drift.
     fn advance(&mut self) {
-        let even_step = 1.0 / self.holders.len() as f64;
+        let even_step = 1.0 / self.replicas.len() as f64;
         self.position = (self.position + even_step + POSITION_DRIFT).fract();
     }
 }
@@ -65,47 +65,47 @@
         (0..self.shards.len() as u32).map(ShardId)
     }
 
-    /// Sets the holders of a shard, with equal shares.
-    pub fn set_holders(&mut self, shard: ShardId, replicas: impl Iterator<Item = ReplicaId>) {
-        let holders = replicas.map(|member| Share { member, share: 1.0 });
-        self.shards[shard.0 as usize].holders = holders.collect();
+    /// Sets the ready replicas of a shard, with equal shares.
+    pub fn set_replicas(&mut self, shard: ShardId, replicas: impl Iterator<Item = ReplicaId>) {
+        let equal_shares = replicas.map(|member| Share { member, share: 1.0 });
+        self.shards[shard.0 as usize].replicas = equal_shares.collect();
     }
 
     /// Returns whether a replica holds a shard.
     pub fn holds(&self, shard: ShardId, replica: ReplicaId) -> bool {
         self.get(shard)
-            .is_some_and(|shard| shard.holders.iter().any(|holder| holder.member == replica))
+            .is_some_and(|shard| shard.replicas.iter().any(|share| share.member == replica))
     }
 
-    /// Returns the holders of a shard in the order of the rotation, starting with the one whose
+    /// Returns the ready replicas of a shard in the order of the rotation, starting with the one whose
     /// share contains the position.
     pub fn in_rotation(&self, shard: ShardId) -> impl Iterator<Item = ReplicaId> + '_ {
         let rotation = self.get(shard);
-        let holders = rotation.map_or(&[][..], |shard| &shard.holders);
-        let first = rotation.map_or(0, ShardRotation::first_holder);
-        let (before, from_first) = holders.split_at(first);
-        from_first.iter().chain(before).map(|holder| holder.member)
+        let shares = rotation.map_or(&[][..], |shard| &shard.replicas);
+        let first = rotation.map_or(0, ShardRotation::first_replica);
+        let (before, from_first) = shares.split_at(first);
+        from_first.iter().chain(before).map(|share| share.member)
     }
 
-    /// Advances the rotation of a shard after a part was sent to one of its holders.
+    /// Advances the rotation of a shard after a part was sent to one of its replicas.
     pub fn advance(&mut self, shard: ShardId) {
         self.shards[shard.0 as usize].advance();
     }
 
     /// Balances the shares so that load is proportional to capacity.
     ///
-    /// While a replica drains or warms up, the other holders of its shards receive its parts too,
-    /// and so parts of their other shards shift to the other holders of those. Computed from the
+    /// While a replica drains or warms up, the other replicas of its shards receive its parts too,
+    /// and so parts of their other shards shift to the other replicas of those. Computed from the
     /// endpoint list, this takes effect at once in all coordinators; from answers alone it would
     /// take long.
     ///
     /// # Panics
-    /// If a holder has no entry in `capacities`.
+    /// If a replica has no entry in `capacities`.
     pub fn balance(&mut self, capacities: &BTreeMap<ReplicaId, f64>) {
         let mut groups: Vec<&mut [Share<ReplicaId>]> = self
             .shards
             .iter_mut()
-            .map(|shard| shard.holders.as_mut_slice())
+            .map(|shard| shard.replicas.as_mut_slice())
             .collect();
         balance_shares(&mut groups, capacities, BALANCE_ROUNDS);
     }
