--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -20,13 +20,13 @@
 #[test]
 fn connections_in_the_backlog_at_sigterm_are_answered() {
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
     let (mut process, _watch) =
-        deployment.start_controlled("queue", &agent, &nodes.each_ref().map(|n| n.address));
+        deployment.start_controlled("queue", &discovery, &nodes.each_ref().map(|n| n.address));
     let mut persistent = send_request(&process, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
 
@@ -121,10 +121,10 @@
     // 3.7 s until the kill.
     let hanging = DataNode::hanging();
     let unreachable = UnreachableNode::new();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (mut process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "hung",
-        &agent,
+        &discovery,
         &[hanging.address, unreachable.address()],
     );
     let pending = send_pending_queries(&process);
@@ -160,13 +160,16 @@
 fn an_answered_client_that_never_closes_does_not_delay_the_exit_until_the_kill() {
     let hanging = DataNode::hanging();
     let other = DataNode::hanging();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
-    let (mut process, _watch) =
-        deployment.start_controlled("never-closes", &agent, &[hanging.address, other.address]);
+    let (mut process, _watch) = deployment.start_controlled(
+        "never-closes",
+        &discovery,
+        &[hanging.address, other.address],
+    );
     let request = QueryRequest::new("q", Class("once"), Shards(&[0])).to_http();
     let mut client = BufReader::new(send_request(&process, &request));
     process.wait_for_counter("queries_accepted", 1);
@@ -201,11 +204,11 @@
 
 #[test]
 fn a_retry_that_becomes_due_after_sigterm_is_sent() {
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
     let (mut process, _watch) =
-        Deployment::ALL_EFFECTS.start_controlled("retry-end", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("retry-end", &discovery, &addresses);
     let client = send_request(
         &process,
         &QueryRequest::new("q", Class("once"), Shards(&[0])).to_http(),
@@ -232,10 +235,10 @@
 #[test]
 fn a_response_that_closes_its_connection_is_followed_by_no_reset() {
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "linger-end",
-        &agent,
+        &discovery,
         &nodes.each_ref().map(|n| n.address),
     );
     let mut client = send_request(
@@ -263,7 +266,8 @@
     let nodes = [DataNode::serving(), DataNode::serving()];
     let addresses = nodes.each_ref().map(|n| n.address);
     let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
-    let first = Deployment::ALL_EFFECTS.start_with_discovery("broken-off", discovery, &addresses);
+    let first =
+        Deployment::ALL_EFFECTS.start_with_discovery("killed-successor", discovery, &addresses);
     let temporary = std::env::temp_dir().join(format!("quinceflow-off-{}", std::process::id()));
     std::fs::create_dir_all(&temporary).expect("a folder");
     let mut predecessor = first.start_successor(&temporary);
@@ -302,12 +306,13 @@
 #[test]
 fn a_request_that_arrives_slowly_does_not_delay_the_exit_past_the_kill() {
     let node = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         latency_objective_ms: 500,
         ..Deployment::ALL_EFFECTS
     };
-    let (mut process, _watch) = deployment.start_controlled("trickles", &agent, &[node.address]);
+    let (mut process, _watch) =
+        deployment.start_controlled("trickles", &discovery, &[node.address]);
     let request = QueryRequest::new("q", Class("look"), Shards(&[0])).to_http();
     process.signal("TERM");
     let signalled_at = std::time::Instant::now();
--- a/tests/races/attempts.rs
+++ b/tests/races/attempts.rs
@@ -13,12 +13,12 @@
 fn a_late_answer_during_the_second_attempt_causes_no_third() {
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment {
         latency_objective_ms: 8_000,
         ..Deployment::ALL_EFFECTS
     }
-    .start_controlled("late", &agent, &addresses);
+    .start_controlled("late", &discovery, &addresses);
     let request = QueryRequest::new("late", Class("look"), Shards(&[0])).close_connection();
     let client = send_request(&process, &request.to_http());
     let recorder = FrameRecorder::start(nodes);
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_answer_after_its_query_completed_is_dropped_and_its_part_not_retried() {
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let healthy = DataNode::serving();
     let listener = bind_loopback();
     let addresses = [healthy.address, listener.local_addr().expect("bound")];
@@ -59,7 +59,7 @@
         latency_objective_ms: 600,
         ..Deployment::ALL_EFFECTS
     }
-    .start_controlled("after", &agent, &addresses);
+    .start_controlled("after", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(0, addresses[0])]));
     process.wait_for_counter("endpoint_updates", 3);
     let request = QueryRequest::new("q", Class("some"), Shards(&[0, 1])).close_connection();
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -57,14 +57,14 @@
 fn count_late_parts(cancellation: bool, max_batch: u32) -> DisconnectRun {
     let nodes = [UnreachableNode::new(), UnreachableNode::new()];
     let addresses = [nodes[0].address(), nodes[1].address()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         cancellation,
         max_batch,
         ..Deployment::ALL_EFFECTS
     };
     let test = format!("left-{cancellation}-{max_batch}");
-    let (process, _watch) = deployment.start_controlled(&test, &agent, &addresses);
+    let (process, _watch) = deployment.start_controlled(&test, &discovery, &addresses);
 
     let clients = send_queries_with_trailing_bytes(&process);
     let count = clients.len();
@@ -114,14 +114,14 @@
 
 #[test]
 fn a_part_that_waits_for_a_retry_is_not_sent_again_after_its_client_disconnects() {
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes
         .each_ref()
         .map(|node| node.local_addr().expect("bound"));
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("left-retry", &agent, &addresses);
-    let request = QueryRequest::new("left", Class("look"), Shards(&[0]));
+        Deployment::ALL_EFFECTS.start_controlled("disconnect-retry", &discovery, &addresses);
+    let request = QueryRequest::new("disconnected", Class("look"), Shards(&[0]));
     let client = send_request(&process, &request.to_http());
     let recorder = FrameRecorder::start(nodes);
 
@@ -159,10 +159,10 @@
     // The process is stopped until each of these clients has connected, sent its request and
     // disconnected: when it continues, all of that is in the backlog.
     let nodes = [DataNode::serving(), DataNode::serving()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment::ALL_EFFECTS.start_controlled(
         "unread",
-        &agent,
+        &discovery,
         &nodes.each_ref().map(|n| n.address),
     );
     process.signal("STOP");
@@ -196,10 +196,10 @@
 #[test]
 fn the_disconnect_of_a_client_with_many_unread_bytes_is_detected() {
     let nodes = [DataNode::hanging(), DataNode::hanging()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let addresses = nodes.each_ref().map(|node| node.address);
     let (process, _watch) =
-        Deployment::ALL_EFFECTS.start_controlled("unread-behind", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("unread-bytes", &discovery, &addresses);
     for (abandoned, bytes) in [(1, 1_500_000), (2, 3_000_000), (3, 60_000_000)] {
         let id = format!("left{abandoned}");
         let request = QueryRequest::new(&id, Class("look"), Shards(&[0]));
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -13,14 +13,14 @@
 fn a_connection_established_after_its_dial_timed_out_carries_no_parts() {
     let unreachable = UnreachableNode::new();
     let healthy = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         connect_timeout_ms: Some(150),
         ..Deployment::ALL_EFFECTS
     };
     let (process, _watch) = deployment.start_controlled(
         "late-dial",
-        &agent,
+        &discovery,
         &[unreachable.address(), healthy.address],
     );
     let clients = send_non_idempotent_queries(&process);
@@ -47,9 +47,9 @@
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
     let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("window", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     process.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
@@ -83,12 +83,12 @@
 #[test]
 fn an_idle_server_connection_is_closed_before_its_node_may_close_it() {
     let (nodes, addresses) = two_serving_nodes();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         idle_timeout_ms: Some(600),
         ..Deployment::ALL_EFFECTS
     };
-    let (process, _watch) = deployment.start_controlled("idle", &agent, &addresses);
+    let (process, _watch) = deployment.start_controlled("idle", &discovery, &addresses);
     assert_eq!(
         query(&process, "q0", Class("once"), Shards(&[0])).status,
         200
@@ -135,10 +135,10 @@
     };
     let node = DataNode::start(first_connection_hangs);
     let other = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("restarted", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
     process.wait_for_counter("endpoint_updates", 3);
     assert_eq!(
@@ -171,10 +171,10 @@
 fn an_idle_connection_to_an_earlier_incarnation_is_not_used_again() {
     let node = DataNode::serving();
     let other = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("reborn-idle", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("restarted-idle", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
     process.wait_for_counter("endpoint_updates", 3);
     for (revision, connections) in [(3, 2), (4, 3)] {
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -15,13 +15,13 @@
     for max_batch in [1, 4] {
         let nodes = [UnreachableNode::new(), UnreachableNode::new()];
         let addresses = [nodes[0].address(), nodes[1].address()];
-        let agent = ControlledDiscovery::new();
+        let discovery = ControlledDiscovery::new();
         let deployment = Deployment {
             max_batch,
             ..Deployment::ALL_EFFECTS
         };
         let (process, mut watch) =
-            deployment.start_controlled(&format!("drain-dial-{max_batch}"), &agent, &addresses);
+            deployment.start_controlled(&format!("drain-dial-{max_batch}"), &discovery, &addresses);
         let clients = send_non_idempotent_queries(&process);
         process.wait_for_counter("dials", 2);
         process.wait_for_counter("queries_accepted", 4);
@@ -49,10 +49,10 @@
 fn a_silent_or_reset_watch_is_reopened_and_its_missed_events_are_applied() {
     let (nodes, addresses) = two_serving_nodes();
     for silent in [true, false] {
-        let agent = ControlledDiscovery::new();
+        let discovery = ControlledDiscovery::new();
         let (process, first) = Deployment::ALL_EFFECTS.start_controlled(
             &format!("watch-{silent}"),
-            &agent,
+            &discovery,
             &addresses,
         );
         let started_at = std::time::Instant::now();
@@ -69,7 +69,7 @@
             &[terminating(0, addresses[0])],
         ))
         .expect("a list");
-        let second = agent.answer_watch(&event);
+        let second = discovery.answer_watch(&event);
         let elapsed_ms = started_at.elapsed().as_millis();
         assert!(
             elapsed_ms < if silent { 5_000 } else { 1_000 },
@@ -86,17 +86,17 @@
 #[test]
 fn a_silent_discovery_agent_is_polled_again_and_its_recovery_is_detected() {
     let (nodes, addresses) = two_serving_nodes();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let process =
-        Deployment::ALL_EFFECTS.start_with_discovery("agent", agent.address(), &addresses);
+        Deployment::ALL_EFFECTS.start_with_discovery("agent", discovery.address(), &addresses);
     let started_at = std::time::Instant::now();
-    // The agent is down: it never answers these polls.
-    let unanswered = [agent.accept_watch(), agent.accept_watch()];
+    // The discovery agent is down: it never answers these polls.
+    let unanswered = [discovery.accept_watch(), discovery.accept_watch()];
     assert!(
         started_at.elapsed().as_millis() < 2_500,
-        "the poll that the agent answers after its recovery comes soon"
+        "the poll that the discovery agent answers after its recovery comes soon"
     );
-    let _watch = agent.answer_watch(&complete_list(
+    let _watch = discovery.answer_watch(&complete_list(
         5,
         &[terminating(0, addresses[0]), in_service(1, addresses[1])],
     ));
@@ -108,8 +108,9 @@
 #[test]
 fn an_older_endpoint_list_does_not_undo_a_drain() {
     let (nodes, addresses) = two_serving_nodes();
-    let agent = ControlledDiscovery::new();
-    let (process, mut watch) = Deployment::ALL_EFFECTS.start_controlled("back", &agent, &addresses);
+    let discovery = ControlledDiscovery::new();
+    let (process, mut watch) =
+        Deployment::ALL_EFFECTS.start_controlled("older-list", &discovery, &addresses);
     watch.send(&changed_endpoints(7, &[terminating(0, addresses[0])]));
     watch.send(&complete_list(6, &all_in_service(&addresses)));
     process.wait_for_log(
@@ -120,7 +121,7 @@
     assert_draining(&process, &nodes[0], &[0, 1, 2, 3], 0);
     watch.reset();
     assert!(
-        agent.accept_watch().request.contains("since=7"),
+        discovery.accept_watch().request.contains("since=7"),
         "events since the newest version are requested"
     );
 }
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -22,12 +22,12 @@
         .iter()
         .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("the buffer size is set"));
     let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment {
         latency_objective_ms: 400,
         ..Deployment::ALL_EFFECTS
     }
-    .start_controlled("begun", &agent, &addresses);
+    .start_controlled("partly-written", &discovery, &addresses);
     let body = json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)})
         .to_string();
     let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\n\
@@ -106,9 +106,9 @@
     set_socket_recv_buffer_size(&stalled, 2_048).expect("the buffer size is set");
     let healthy = UnreachableNode::new();
     let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("half-frames", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     process.wait_for_counter("endpoint_updates", 3);
     let clients = send_long_queries(&process);
