--- a/src/coordinator/reporting.rs
+++ b/src/coordinator/reporting.rs
@@ -60,7 +60,7 @@
         if now.since(self.last_server_count) >= SERVER_COUNT_INTERVAL {
             self.last_server_count = now;
             values.pool_size = count_listed();
-            values.pool_ejected = self.count_ejected(now, policy.ejected());
+            values.pool_ejected = self.count_ejected(now, policy.avoided_replicas());
         }
         self.publish(values);
     }
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers: decides when a query is answered or given up, and whether its answer is complete.
+//! Answers: decides when a query is answered, rejected or failed, and whether its answer is complete.
 
 mod completeness;
 mod resolution;
@@ -15,7 +15,7 @@
 /// Share of the longest `Retry-After` over which the waits of rejected clients are spread.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// Answers a query or gives it up, and returns the actions that do so. Returns no actions if the
+/// Answers, rejects or fails a query, and returns the actions that do so. Returns no actions if the
 /// query is closed, or if an answer is not allowed yet.
 ///
 /// Queries are answered, rejected and failed only here, which enforces the rule "one final answer".
@@ -31,7 +31,7 @@
     }
     match resolution {
         Resolution::Answer => answer(query, settings, now),
-        Resolution::GiveUp => give_up(query, settings, rng),
+        Resolution::RejectOrFail => reject_or_fail(query, settings, rng),
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Rejects a query if the client may safely retry it, and fails it otherwise.
-fn give_up(query: &mut Query, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<Action> {
+fn reject_or_fail(query: &mut Query, settings: &Settings, rng: &mut fastrand::Rng) -> Vec<Action> {
     let final_action = if may_have_had_effect(query, settings) {
         Action::Fail(query.id)
     } else {
--- a/src/policy/answers/resolution.rs
+++ b/src/policy/answers/resolution.rs
@@ -1,4 +1,4 @@
-//! Decides whether it is time to answer a query or to give it up.
+//! Decides whether it is time to answer a query, or to reject or fail it.
 
 use crate::interface::{Class, Nanos, Settings};
 use crate::policy::attempts::may_attempt_again;
@@ -10,16 +10,16 @@
     /// The query is answered.
     Answer,
     /// The query is rejected if the client may safely retry it, and fails otherwise.
-    GiveUp,
+    RejectOrFail,
 }
 
-/// Returns how a query is resolved now; `None` if neither an answer nor giving up is due.
+/// Returns how a query is resolved now; `None` if the query remains open.
 pub fn due_resolution(query: &Query, settings: &Settings, now: Nanos) -> Option<Resolution> {
     let class = settings.class(query.class);
     if is_answer_due(query, class, settings, now) {
         Some(Resolution::Answer)
-    } else if is_give_up_due(query, class, now) {
-        Some(Resolution::GiveUp)
+    } else if is_rejection_or_failure_due(query, class, now) {
+        Some(Resolution::RejectOrFail)
     } else {
         None
     }
@@ -50,9 +50,9 @@
     query.received_at + (settings.reduction.answer_after * time) as Nanos
 }
 
-/// Returns whether the query is to be given up, since an answer is no longer possible or would have
-/// no weight.
-fn is_give_up_due(query: &Query, class: &Class, now: Nanos) -> bool {
+/// Returns whether the query is to be rejected or failed, since an answer is no longer possible or
+/// would have no weight.
+fn is_rejection_or_failure_due(query: &Query, class: &Class, now: Nanos) -> bool {
     let is_past_deadline = now >= query.deadline;
     let is_late_without_weight = class.late_weight <= 0.0 && now >= query.respond_by;
     is_past_deadline || is_late_without_weight || is_unanswerable(query, class)
--- a/src/policy/answers/tests.rs
+++ b/src/policy/answers/tests.rs
@@ -90,19 +90,19 @@
 }
 
 #[test]
-fn a_query_is_given_up_at_its_deadline_or_when_a_late_answer_has_no_weight() {
+fn a_query_is_rejected_or_fails_at_its_deadline_or_when_a_late_answer_has_no_weight() {
     let mut settings = settings(test_fixtures::class("lookup"));
     let query = query(&[0.5, 0.5], 1);
     assert_eq!(
         due_resolution(&query, &settings, RESPOND_BY),
-        Some(Resolution::GiveUp),
+        Some(Resolution::RejectOrFail),
         "a late answer has no weight"
     );
     settings.classes[0].late_weight = 0.5;
     assert_eq!(due_resolution(&query, &settings, RESPOND_BY), None);
     assert_eq!(
         due_resolution(&query, &settings, DEADLINE),
-        Some(Resolution::GiveUp)
+        Some(Resolution::RejectOrFail)
     );
 }
 
@@ -118,11 +118,11 @@
     };
     assert_eq!(resolve(Resolution::Answer), [answer]);
     assert_eq!(resolve(Resolution::Answer), []);
-    assert_eq!(resolve(Resolution::GiveUp), []);
+    assert_eq!(resolve(Resolution::RejectOrFail), []);
 }
 
 #[test]
-fn a_query_given_up_fails_if_it_may_have_had_an_effect_and_is_rejected_otherwise() {
+fn a_query_without_an_answer_fails_if_it_may_have_had_an_effect_and_is_rejected_otherwise() {
     let class = Class {
         effect: Effect::NonIdempotent,
         ..test_fixtures::class("send")
@@ -134,10 +134,22 @@
         query: QueryId(1),
         retry_after: None,
     };
-    let actions = resolve(&mut unsent, Resolution::GiveUp, &settings, &mut rng, NOW);
+    let actions = resolve(
+        &mut unsent,
+        Resolution::RejectOrFail,
+        &settings,
+        &mut rng,
+        NOW,
+    );
     assert_eq!(actions, [rejection]);
     let mut sent = query(&[1.0], 0);
     sent.parts[0].add_attempt(ReplicaId([10, 0, 0, 1, 0, 80]), NOW);
-    let actions = resolve(&mut sent, Resolution::GiveUp, &settings, &mut rng, NOW);
+    let actions = resolve(
+        &mut sent,
+        Resolution::RejectOrFail,
+        &settings,
+        &mut rng,
+        NOW,
+    );
     assert_eq!(actions, [Action::Fail(QueryId(1))]);
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,12 @@
 //! Decision policy of the coordinator; its settings, events and actions are in `src/interface/`.
 //!
 //! [`DecisionPolicy::handle`] applies a batch of events, then advances every open query in order of
-//! arrival: it admits or rejects the query, sends and retries its parts, and answers the query or
-//! gives it up. Each submodule makes one kind of decision and owns the state for it:
+//! arrival: it admits or rejects the query, sends and retries its parts, and answers, rejects or fails
+//! the query. Each submodule makes one kind of decision and owns the state for it:
 //!
 //! * `admission`: which queries are admitted, and which parts of an admitted query are omitted;
 //! * `attempts`: which attempts are sent; `replicas`: which replica an attempt is sent to;
-//! * `answers`: when a query is answered or given up, and whether its answer is complete;
+//! * `answers`: when a query is answered, rejected or failed, and whether its answer is complete;
 //! * `quality`: sampling and measurement of answer quality, the admission controller's input;
 //! * `polling`: when to poll for the endpoint list; `fleet`: statistics over all replicas;
 //! * `margins`: time reserved before latency objectives and deadlines.
@@ -108,8 +108,8 @@
     /// Returns the ready replicas that hold shards, but that no part of the first active class
     /// would be sent to now.
     #[must_use]
-    pub fn ejected(&self) -> Vec<ReplicaId> {
-        self.replicas.ejected(&self.settings, self.now)
+    pub fn avoided_replicas(&self) -> Vec<ReplicaId> {
+        self.replicas.avoided(&self.settings, self.now)
     }
 
     fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
@@ -236,11 +236,11 @@
         self.queries.insert(query);
     }
 
-    /// Advances an open query: admits or rejects it, sends its parts, and answers it or gives it up
-    /// when that is due.
+    /// Advances an open query: admits or rejects it, sends its parts, and answers, rejects
+    /// or fails it when that is due.
     fn advance(&mut self, number: QueryNo, actions: &mut Vec<Action>) {
         if !self.admit(number) {
-            self.resolve(number, Resolution::GiveUp, actions);
+            self.resolve(number, Resolution::RejectOrFail, actions);
             return;
         }
         self.send_parts(number, actions);
@@ -286,7 +286,7 @@
         actions.extend(sent);
     }
 
-    /// Answers an open query or gives it up.
+    /// Answers, rejects or fails an open query.
     fn resolve(&mut self, number: QueryNo, resolution: Resolution, actions: &mut Vec<Action>) {
         if let Some(query) = self.queries.get_open_mut(number) {
             let rng = &mut self.rng;
--- a/src/policy/quality/mod.rs
+++ b/src/policy/quality/mod.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Returns whether the quality of a query's answer is determined: the query was answered or given
-/// up, or should have been answered by now.
+/// Returns whether the quality of a query's answer is determined: the query was answered,
+/// rejected or failed, or should have been answered by now.
 fn is_settled(query: &Query, now: Nanos) -> bool {
     query.first_answer.is_some() || !query.is_open() || now >= query.respond_by
 }
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -138,7 +138,7 @@
 
     /// Returns the ready replicas that hold shards, but that no part of the first active class
     /// would be sent to now.
-    pub fn ejected(&self, settings: &Settings, now: Nanos) -> Vec<ReplicaId> {
+    pub fn avoided(&self, settings: &Settings, now: Nanos) -> Vec<ReplicaId> {
         let Some(index) = settings.classes.iter().position(|class| class.active) else {
             return Vec::new();
         };
