--- a/src/coordinator/active_settings.rs
+++ b/src/coordinator/active_settings.rs
@@ -1,4 +1,4 @@
-//! The active settings, and the settings that the policy gets in their place.
+//! The active settings, and the settings for the policy that are derived from them.
 //!
 //! The times in the settings are nanoseconds, as in the policy; the coordinator's own times are
 //! [`Micros`].
@@ -9,7 +9,7 @@
 
 /// The time from the policy's decision to answer until the client has the last byte of the answer:
 /// the coordinator ends its turn, encodes some hundred values and sends them. The policy's own
-/// margin is a few of its ticks, which are too short for that at some sites.
+/// margin is a few of its ticks, which are too short for that in some deployments.
 const RESPONSE_MARGIN: Micros = Micros::from_millis(10);
 /// The number of processes that share the limits of one during a hand-over.
 const PROCESSES_IN_HAND_OVER: u32 = 2;
--- a/src/coordinator/messages.rs
+++ b/src/coordinator/messages.rs
@@ -164,8 +164,8 @@
     },
     /// A rejection: nothing of the request ran, so a retry is safe.
     Rejected {
-        /// The time that the client should wait before a retry; `None` if it is not notified of
-        /// one.
+        /// The time that the client should wait before a retry; `None` if the response has no
+        /// `Retry-After`.
         retry_after: Option<Micros>,
         /// Whether the request ran out of time: its latency objective or deadline was too near or
         /// had passed.
--- a/src/degradation/effects.rs
+++ b/src/degradation/effects.rs
@@ -16,7 +16,7 @@
     #[serde(rename = "most_attempts")]
     pub max_attempts: Option<u32>,
     /// Whether parts that are too late for the answer are all cancelled. Otherwise a sample of them
-    /// runs on to measure latency.
+    /// is not cancelled, to measure latency.
     #[serde(rename = "quiet")]
     pub skip_late_samples: bool,
     /// The share of the latency objective, 0 to 1, after which a class that allows partial answers
--- a/src/front/ogc/crs.rs
+++ b/src/front/ogc/crs.rs
@@ -1,7 +1,7 @@
 //! Coordinate reference systems by reference (OGC API - Features, Part 2).
 //!
 //! Requests to feature servers and their responses are in CRS84: longitude, latitude. Coordinates
-//! that a client sends in another system are transformed to CRS84, and those of the answer are
+//! that a client sends in another system are transformed to CRS84, and those of the response are
 //! transformed from CRS84. Each system has its own order of axes: EPSG:4326 has latitude first.
 
 use super::cql2::{Filter, Value};
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -9,7 +9,7 @@
     Ready,
     /// The replica completes the work that it has and accepts none.
     Draining,
-    /// The replica has left the fleet.
+    /// The replica was removed.
     Removed,
 }
 
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -19,11 +19,11 @@
 const DISCARD_PAUSE: Duration = Duration::from_millis(10);
 
 impl ClientConnections {
-    /// Accepts connections for as long as the process runs. While `predecessor_lives` returns true,
-    /// the predecessor accepts at the same address, and this process does not accept before its
-    /// startup has ended.
-    pub fn accept(self: &Arc<Self>, predecessor_lives: impl Fn() -> bool) {
-        while predecessor_lives() && !self.lifecycle.endpoints_known() {
+    /// Accepts connections for as long as the process runs. While `is_predecessor_running` returns
+    /// true, the predecessor accepts at the same address, and this process does not accept before
+    /// its startup has ended.
+    pub fn accept(self: &Arc<Self>, is_predecessor_running: impl Fn() -> bool) {
+        while is_predecessor_running() && !self.lifecycle.endpoints_known() {
             coroutine::sleep(ACCEPT_RETRY_INTERVAL);
         }
         loop {
--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -43,7 +43,7 @@
     end: AttemptEnd,
     /// The outcome that is reported to the server's concurrency limit.
     limit_outcome: RequestOutcome,
-    /// The pause that the server requested in `Retry-After`.
+    /// The backoff that the server requested in `Retry-After`.
     retry_after: Option<Micros>,
 }
 
@@ -153,8 +153,8 @@
         server
             .limiter
             .record(now, result.limit_outcome, now.since(started_at), in_flight);
-        if let Some(pause) = result.retry_after {
-            server.limiter.back_off(now, pause);
+        if let Some(backoff) = result.retry_after {
+            server.limiter.back_off(now, backoff);
         }
         self.context
             .capacity
@@ -309,8 +309,8 @@
     }
 }
 
-/// Returns the pause that an overloaded server requested. Returns `None` if the header is missing
-/// or does not give the pause in seconds.
+/// Returns the backoff that an overloaded server requested. Returns `None` if the header is missing
+/// or does not give the backoff in seconds.
 fn retry_after(response: &FetchedResponse) -> Option<Micros> {
     let seconds = response.headers.get("Retry-After")?.trim().parse().ok()?;
     Some(Micros::from_secs(seconds))
--- a/src/net/feature_client/mod.rs
+++ b/src/net/feature_client/mod.rs
@@ -195,7 +195,7 @@
                 .server_connections_idle_closed
                 .add(state.close_expired(now, self.context.idle_timeout));
             state.remove_cancelled();
-            // If a pause that the server requested is over, queued attempts may start.
+            // If a backoff that the server requested is over, queued attempts may start.
             let startable = state.take_startable(now);
             drop(state);
             for request in startable {
--- a/src/net/feature_client/server.rs
+++ b/src/net/feature_client/server.rs
@@ -60,7 +60,7 @@
         self.limiter.throughput().filter(|_| self.ready)
     }
 
-    /// Returns whether the server requested a pause, or its queue is full.
+    /// Returns whether the server has requested a backoff that is not over, or its queue is full.
     pub(super) fn is_overloaded(&self, now: Micros) -> bool {
         self.limiter.is_backing_off(now)
             || self.queue.len() >= MAX_QUEUED_RATIO * self.limiter.limit()
--- a/src/net/node_client/connection.rs
+++ b/src/net/node_client/connection.rs
@@ -20,7 +20,7 @@
 }
 
 impl NodeConnection {
-    /// Creates a connection that is dialled at the time `now`.
+    /// Creates a connection that is dialed at the time `now`.
     pub(super) fn opened_at(now: Micros) -> Self {
         let silence = SilenceDetector::opened_at(now);
         NodeConnection {
@@ -60,7 +60,7 @@
     partial_frame_since: Option<Micros>,
     /// Whether a complete frame was received since the connection was established.
     pub(super) frame_received: bool,
-    /// Whether the endpoint list shows that the node's process at the other end is gone.
+    /// Whether the endpoint list shows that the node's process at the other end has ended.
     pub(super) superseded: bool,
     /// The time of the first dial.
     opened_at: Micros,
@@ -88,8 +88,8 @@
     }
 
     /// Returns whether these attempts may be sent on this connection, which carries at most
-    /// `max_attempts` at a time. An attempt may not be sent if the response to an earlier attempt
-    /// at its part may still arrive here: that response would be taken for the one to the new
+    /// `max_attempts` at a time. An attempt may not be sent if the answer to an earlier attempt
+    /// at its part may still arrive here: that answer would be mistaken for the one to the new
     /// attempt.
     pub(super) fn accepts(&self, requests: &[AttemptRequest], max_attempts: usize) -> bool {
         !self.closing
@@ -143,7 +143,7 @@
         events
     }
 
-    /// Ends the connection since the process at its other end is gone. Returns the ends of the
+    /// Ends the connection since the process at its other end has ended. Returns the ends of the
     /// attempts of which nothing was written. The driver ends the others after it has read the
     /// bytes that were already received.
     pub(super) fn supersede(&mut self) -> Vec<AttemptEvent> {
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -97,10 +97,10 @@
         self.context.forward(events);
     }
 
-    /// Establishes a connection and drives it to its end. Returns whether the node may be dialled
+    /// Establishes a connection and drives it to its end. Returns whether the node may be dialed
     /// again at once. It may not if the connection could not be established, or ended before a
     /// complete frame was received: the next connection would probably end in the same way, and a
-    /// node that sends only invalid bytes would be dialled without a pause.
+    /// node that sends only invalid bytes would be dialed without a pause.
     fn connect_and_drive(&self, target: DialTarget) -> bool {
         let Ok(stream) = TcpStream::connect_timeout(&target.address, target.timeout.to_duration())
         else {
@@ -135,7 +135,7 @@
 
     /// Reads, then writes. Returns whether the connection stays open. Reading comes first and shows
     /// whether the node has closed the connection: no frame may be sent on a closed connection, nor
-    /// to a process that is gone.
+    /// to a process that has ended.
     fn exchange(
         &self,
         state: &mut ConnectionState,
--- a/src/net/node_client/driver/tests.rs
+++ b/src/net/node_client/driver/tests.rs
@@ -65,7 +65,7 @@
 
 #[test]
 fn only_a_valid_frame_counts_as_received() {
-    // If a connection has received only invalid bytes, the node must not be dialled again for the
+    // If a connection has received only invalid bytes, the node must not be dialed again for the
     // attempts that wait.
     for (bytes, received) in [(&b"\0\0\0\x06zwhat"[..], false), (b"\0\0\0\x02l-", true)] {
         let stream = closed_by_node_after(bytes);
--- a/src/net/node_client/silence.rs
+++ b/src/net/node_client/silence.rs
@@ -15,7 +15,7 @@
 /// the baseline. It equals the bound in the policy: if it were larger, the policy would cancel
 /// attempts before their connection counts as silent.
 const MAX_OUTLIER_RATIO: u64 = 2;
-/// The baseline before the first response.
+/// The baseline before the first answer.
 const INITIAL_BASELINE: Micros = Micros::from_millis(60);
 /// The inverse weight of one response time in the baseline.
 const BASELINE_SMOOTHING: u64 = 32;
@@ -113,7 +113,7 @@
     ///
     /// A machine that fails leaves its connections open and silent, and resets them when it is up
     /// again, so everything that was sent on them is lost. A dial of the failed machine times out
-    /// instead, which proves that the attempt for which it was dialled never ran.
+    /// instead, which proves that the attempt for which it was dialed never ran.
     pub(super) fn record_cancelled(
         &mut self,
         key: AttemptKey,
--- a/src/net/server/generations.rs
+++ b/src/net/server/generations.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns whether the predecessor has not exited yet.
-    pub(super) fn predecessor_lives(&self) -> bool {
+    pub(super) fn is_predecessor_running(&self) -> bool {
         self.predecessor.as_ref().is_some_and(PeerProcess::is_alive)
     }
 
@@ -48,7 +48,7 @@
         {
             return Some(ProcessGeneration::Predecessor);
         }
-        self.predecessor_lives()
+        self.is_predecessor_running()
             .then_some(ProcessGeneration::Successor)
     }
 }
--- a/src/net/server/listeners.rs
+++ b/src/net/server/listeners.rs
@@ -74,7 +74,7 @@
         return Ok(());
     }
     let offer_later = move || {
-        while generations.predecessor_lives() {
+        while generations.is_predecessor_running() {
             coroutine::sleep(PREDECESSOR_CHECK_INTERVAL);
         }
         offer(&path, sockets, generations);
--- a/src/net/server/service.rs
+++ b/src/net/server/service.rs
@@ -129,7 +129,7 @@
     clients: Arc<ClientConnections>,
     generations: Arc<ProcessGenerations>,
 ) -> Result<(), ServerError> {
-    let accept = move || clients.accept(|| generations.predecessor_lives());
+    let accept = move || clients.accept(|| generations.is_predecessor_running());
     spawn(LARGE_STACK_WORDS, accept)
         .map(drop)
         .map_err(ServerError::Coroutine)
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -7,7 +7,7 @@
 
 /// Simulates a shared discovery service for 30 s, and returns how many coordinators it serves with
 /// an endpoint list. It handles 12 polls a second one after another, including those that the
-/// coordinator has given up after 2 s, and rejects a poll if its queue is full.
+/// coordinator has abandoned after 2 s, and rejects a poll if its queue is full.
 fn coordinators_served(max_poll_interval: Option<Nanos>) -> usize {
     const COORDINATORS: usize = 100;
     const POLL_TIMEOUT_MS: u64 = 2_000;
@@ -37,7 +37,7 @@
 
 #[test]
 fn load_on_a_shared_discovery_falls_until_all_coordinators_are_served() {
-    // With short delays, discovery is busy with polls that coordinators have already given up.
+    // With short delays, discovery is busy with polls that coordinators have already abandoned.
     let served_with_short_delays = coordinators_served(None);
     assert!(
         served_with_short_delays < 60,
--- a/src/proto/frames/attempts.rs
+++ b/src/proto/frames/attempts.rs
@@ -4,7 +4,7 @@
 use crate::coordinator::AttemptKey;
 use std::collections::{HashMap, VecDeque};
 
-/// The maximum number of ids of ended attempts that are kept, to recognise late and duplicate
+/// The maximum number of ids of ended attempts that are kept, to recognize late and duplicate
 /// answers.
 const MAX_RETIRED_IDS: usize = 256;
 
--- a/src/settings/object.rs
+++ b/src/settings/object.rs
@@ -43,7 +43,7 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct BootClass", rename_all = "kebab-case")]
 pub struct ClassObject {
-    /// The time within which an answer earns the full weight, in nanoseconds.
+    /// The time within which an answer has its full weight, in nanoseconds.
     #[serde(rename = "aim")]
     pub latency_objective: Nanos,
     /// The multiple of a query's expected work by which its latency objective is extended.
@@ -59,7 +59,7 @@
     /// The weight of a complete answer, relative to those of other classes.
     #[serde(default = "one", rename = "points")]
     pub priority_weight: f64,
-    /// The share of the weight that an answer after the latency objective still earns, 0 to 1.
+    /// The share of the weight that an answer still has after the latency objective, 0 to 1.
     #[serde(default, rename = "late-worth")]
     pub late_weight: f64,
     /// The name of the class.
