--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -75,12 +75,12 @@
 }
 
 /// Returns the path of the Unix socket at which the process that listens at `address` waits for its
-/// successor. Returns `None` if `$TMPDIR` is not set, since a folder that all users share would not
-/// be safe.
+/// successor. Returns `None` if `$TMPDIR` is not set, since a directory that all users share would
+/// not be safe.
 #[must_use]
 pub fn socket_path(address: SocketAddr) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
-    Some(PathBuf::from(folder).join(format!(
+    let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
+    Some(PathBuf::from(directory).join(format!(
         "quinceflow-{}-{}.sock",
         address.ip(),
         address.port()
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -105,7 +105,7 @@
 /// The result of requesting the listening sockets of a predecessor.
 struct InheritedSockets {
     /// The path of the Unix socket at which this process waits for its own successor; `None` if
-    /// there is no safe folder for it.
+    /// there is no safe directory for it.
     path: Option<PathBuf>,
     /// The listening sockets received from the predecessor.
     sockets: Vec<ListeningSocket<TcpListener>>,
--- a/tests/deploy_file.rs
+++ b/tests/deploy_file.rs
@@ -24,10 +24,10 @@
         .collect()
 }
 
-/// Returns the Rust files below a folder, without unit tests.
-fn source_files(folder: &Path) -> Vec<PathBuf> {
+/// Returns the Rust files below a directory, without unit tests.
+fn source_files(directory: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).expect("a folder") {
+    for entry in std::fs::read_dir(directory).expect("a directory") {
         let path = entry.expect("a readable entry").path();
         if path.is_dir() {
             files.extend(source_files(&path));
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -269,7 +269,7 @@
     let first =
         Deployment::ALL_EFFECTS.start_with_discovery("killed-successor", discovery, &addresses);
     let temporary = std::env::temp_dir().join(format!("quinceflow-off-{}", std::process::id()));
-    std::fs::create_dir_all(&temporary).expect("a folder");
+    std::fs::create_dir_all(&temporary).expect("a directory");
     let mut predecessor = first.start_successor(&temporary);
     predecessor.wait_until_ready();
     // An open connection keeps the predecessor from exiting at SIGTERM.
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -6,7 +6,7 @@
 
 /// The list of the tests that are known to fail.
 const LIST: &str = "KNOWN-RED.txt";
-/// The folders with sources.
+/// The directories with sources.
 const SOURCE_FOLDERS: [&str; 3] = ["src", "tests", "testkit"];
 /// The beginning of the reason of an ignored test that is known to fail.
 const KNOWN_RED: &str = "known red";
@@ -80,13 +80,15 @@
     problems
 }
 
-/// Returns the Rust files below a folder.
-fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder");
+/// Returns the Rust files below a directory.
+fn rust_files(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(directory).expect("a directory");
     let paths = entries.map(|entry| entry.expect("an entry").path());
-    let (folders, files): (Vec<_>, Vec<_>) = paths.partition(|path| path.is_dir());
+    let (directories, files): (Vec<_>, Vec<_>) = paths.partition(|path| path.is_dir());
     let is_rust = |path: &PathBuf| path.extension().is_some_and(|extension| extension == "rs");
-    let below = folders.iter().flat_map(|folder| rust_files(folder));
+    let below = directories
+        .iter()
+        .flat_map(|directory| rust_files(directory));
     files.into_iter().filter(is_rust).chain(below).collect()
 }
 
@@ -95,7 +97,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let files = SOURCE_FOLDERS
         .iter()
-        .flat_map(|folder| rust_files(&root.join(folder)));
+        .flat_map(|directory| rust_files(&root.join(directory)));
     let own = Path::new(file!()).file_name();
     let read = |path: PathBuf| {
         let source = fs::read_to_string(&path).expect("text");
--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -7,7 +7,7 @@
 use crate::standin::http::accept_on_thread;
 use crate::standin::threads::OwnedThreadGroup;
 use crate::support::{
-    create_folder, platform_command, refusing_address, with_descriptors, LoggingProcess,
+    create_directory, platform_command, refusing_address, with_descriptors, LoggingProcess,
 };
 use serde_json::json;
 use std::io::Write;
@@ -59,10 +59,10 @@
 fn a_client_connection_that_cannot_be_accepted_is_logged_with_its_error() {
     let nodes = [DataNode::serving()];
     let configuration = Deployment::BASIC.configuration(refusing_address(), &addresses_of(&nodes));
-    let folder = create_folder("descriptors");
-    let mut command = with_descriptors(32, &platform_command(&folder, &configuration));
+    let directory = create_directory("descriptors");
+    let mut command = with_descriptors(32, &platform_command(&directory, &configuration));
     command.env_remove("TMPDIR");
-    let process = LoggingProcess::spawn(command, folder);
+    let process = LoggingProcess::spawn(command, directory);
     let mut listening = process.wait_for("listening for client connections");
     let address: SocketAddr = listening.take_field("address").parse().expect("an address");
     let _clients: Vec<_> = (0..64)
--- a/tests/log_events/discovery.rs
+++ b/tests/log_events/discovery.rs
@@ -30,7 +30,7 @@
         .wait_for("configuration reloaded")
         .assert("INFO", classes);
     std::fs::write(
-        process.folder.join("config.json"),
+        process.directory.join("config.json"),
         "{\"discovery\":\"nowhere\"}",
     )
     .expect("written");
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -18,14 +18,14 @@
     admin.assert("INFO", json!({}));
     let second = FeatureServer::healthy(0..6, 2);
     write_inventory(
-        &process.folder,
+        &process.directory,
         &(row + &inventory_row("b", &second, "devices")),
     );
     process.signal("HUP");
     process
         .wait_for("inventory reloaded")
         .assert("INFO", json!({"servers": 2}));
-    write_inventory(&process.folder, "a,nowhere,devices,\n");
+    write_inventory(&process.directory, "a,nowhere,devices,\n");
     process.signal("HUP");
     let mut rejected = process.wait_for("inventory reload rejected");
     rejected.take_field_containing("error", "i.csv:2: address: ");
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -5,7 +5,7 @@
 use crate::standin::discovery::{all_in_service, complete_list, serve_constant_list};
 use crate::standin::http::bind_loopback;
 use crate::support::{
-    create_folder, create_short_folder, platform_command, refusing_address, write_edge_file,
+    create_directory, create_short_directory, platform_command, refusing_address, write_edge_file,
     write_inventory, LoggingProcess,
 };
 use serde_json::json;
@@ -18,7 +18,7 @@
     let addresses = addresses_of(&nodes);
     let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
-    let temporary = create_short_folder("both");
+    let temporary = create_short_directory("both");
     let predecessor =
         LoggingProcess::start_with_hand_over("predecessor", &configuration, &temporary);
     predecessor.wait_for("listening for client connections");
@@ -38,19 +38,19 @@
     let addresses = addresses_of(&nodes);
     let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
-    let temporary = create_short_folder("one-of-two");
+    let temporary = create_short_directory("one-of-two");
     let predecessor = LoggingProcess::start_with_hand_over("one-front", &configuration, &temporary);
     predecessor.wait_for("listening for client connections");
     // The successor has a second front, for feature queries.
-    let folder = create_folder("two-fronts");
-    write_edge_file(&folder, "");
-    write_inventory(&folder, "a,127.0.0.1:9,devices,\n");
-    let mut command = platform_command(&folder, &configuration);
+    let directory = create_directory("two-fronts");
+    write_edge_file(&directory, "");
+    write_inventory(&directory, "a,127.0.0.1:9,devices,\n");
+    let mut command = platform_command(&directory, &configuration);
     command
         .env("TMPDIR", &temporary)
         .arg("--edge")
-        .arg(folder.join("edge.toml"));
-    let successor = LoggingProcess::spawn(command, folder);
+        .arg(directory.join("edge.toml"));
+    let successor = LoggingProcess::spawn(command, directory);
     let events = successor.collect_until("listening for client connections", 2);
     let received: Vec<_> = events
         .iter()
@@ -67,7 +67,7 @@
     let addresses = addresses_of(&nodes);
     let discovery = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
-    let temporary = create_short_folder("failed");
+    let temporary = create_short_directory("failed");
     let path = temporary.join("quinceflow-127.0.0.1-0.sock");
     let other_program = UnixListener::bind(&path).expect("bound");
     std::thread::spawn(move || {
@@ -104,8 +104,8 @@
     let in_use = bind_loopback();
     let admin_address = in_use.local_addr().expect("bound").to_string();
     configuration["mgmt"] = json!(admin_address);
-    let temporary = create_short_folder("long").join("long-name-".repeat(12));
-    std::fs::create_dir_all(&temporary).expect("a folder");
+    let temporary = create_short_directory("long").join("long-name-".repeat(12));
+    std::fs::create_dir_all(&temporary).expect("a directory");
     let process = LoggingProcess::start_with_hand_over("faults", &configuration, &temporary);
     let mut not_offered = process.wait_for("listening sockets cannot be offered to a successor");
     not_offered.take_field_containing("path", "quinceflow-127.0.0.1-0.sock");
@@ -114,7 +114,7 @@
     let mut not_started = process.wait_for("admin endpoint not started");
     not_started.take_field_containing("error", &format!("cannot listen on {admin_address}: "));
     not_started.assert("WARN", json!({}));
-    let _ = std::fs::remove_dir_all(temporary.parent().expect("a parent folder"));
+    let _ = std::fs::remove_dir_all(temporary.parent().expect("a parent directory"));
     let unusable = LoggingProcess::start_platform_front("unusable", &json!({"listen": "nowhere"}));
     let mut error = unusable.wait_for("exiting with an error");
     error.take_field_containing("error", "config.json: ");
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -14,11 +14,11 @@
 /// The time in which a process must log an event that a test waits for.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that logs JSON. Dropping it kills the process and removes its folder.
+/// A process that logs JSON. Dropping it kills the process and removes its directory.
 pub struct LoggingProcess {
     pub child: Child,
     pub events: Receiver<Value>,
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// The thread that reads the log to its end.
     reader: Option<JoinHandle<()>>,
 }
@@ -26,24 +26,24 @@
 impl LoggingProcess {
     /// Starts the feature front with an admin endpoint and these rows of an inventory.
     pub fn start_feature_front(test: &str, rows: &str) -> LoggingProcess {
-        let folder = create_folder(test);
-        write_edge_file(&folder, "mgmt = \"127.0.0.1:0\"");
-        write_inventory(&folder, rows);
+        let directory = create_directory(test);
+        write_edge_file(&directory, "mgmt = \"127.0.0.1:0\"");
+        write_inventory(&directory, rows);
         let mut command = json_logging_command();
         command
             .arg("--edge")
-            .arg(folder.join("edge.toml"))
+            .arg(directory.join("edge.toml"))
             .env_remove("NODE_CONFIG")
             .env_remove("TMPDIR");
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
-    /// Starts the platform front with this configuration and without a folder for hand-overs.
+    /// Starts the platform front with this configuration and without a directory for hand-overs.
     pub fn start_platform_front(test: &str, configuration: &Value) -> LoggingProcess {
-        let folder = create_folder(test);
-        let mut command = platform_command(&folder, configuration);
+        let directory = create_directory(test);
+        let mut command = platform_command(&directory, configuration);
         command.env_remove("TMPDIR");
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
     /// Starts the platform front; it hands over and receives listening sockets in `temporary`.
@@ -52,15 +52,15 @@
         configuration: &Value,
         temporary: &Path,
     ) -> LoggingProcess {
-        let folder = create_folder(test);
-        let mut command = platform_command(&folder, configuration);
+        let directory = create_directory(test);
+        let mut command = platform_command(&directory, configuration);
         command.env("TMPDIR", temporary);
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
-    /// Starts a command that logs JSON, and reads its log on a thread; `folder` is removed at the
+    /// Starts a command that logs JSON, and reads its log on a thread; `directory` is removed at the
     /// end.
-    pub fn spawn(mut command: Command, folder: PathBuf) -> LoggingProcess {
+    pub fn spawn(mut command: Command, directory: PathBuf) -> LoggingProcess {
         let mut child = command
             .stderr(Stdio::piped())
             .spawn()
@@ -76,7 +76,7 @@
         LoggingProcess {
             child,
             events,
-            folder,
+            directory,
             reader: Some(reader),
         }
     }
@@ -122,7 +122,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         let reader = self.reader.take().map(JoinHandle::join);
         if !std::thread::panicking() {
             assert!(
@@ -179,8 +179,8 @@
 }
 
 /// Writes a configuration and returns a command that starts the platform front with it.
-pub fn platform_command(folder: &Path, configuration: &Value) -> Command {
-    let file = folder.join("config.json");
+pub fn platform_command(directory: &Path, configuration: &Value) -> Command {
+    let file = directory.join("config.json");
     std::fs::write(&file, configuration.to_string()).expect("a configuration");
     let mut command = json_logging_command();
     for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_MGMT"] {
@@ -190,32 +190,33 @@
     command
 }
 
-/// Creates a folder for a test.
-pub fn create_folder(test: &str) -> PathBuf {
+/// Creates a directory for a test.
+pub fn create_directory(test: &str) -> PathBuf {
     let name = format!("log-events-{test}-{}", std::process::id());
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
-/// Creates a folder with a short path, since the path of a Unix socket has at most 107 bytes.
-pub fn create_short_folder(test: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+/// Creates a directory with a short path, since the path of a Unix socket has at most 107 bytes.
+pub fn create_short_directory(test: &str) -> PathBuf {
+    let directory =
+        std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
+    directory
 }
 
 /// Writes the settings of the feature front.
-pub fn write_edge_file(folder: &Path, settings: &str) {
+pub fn write_edge_file(directory: &Path, settings: &str) {
     let text =
         format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}");
-    std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
+    std::fs::write(directory.join("edge.toml"), text).expect("an edge file");
 }
 
 /// Writes an inventory with these rows.
-pub fn write_inventory(folder: &Path, rows: &str) {
+pub fn write_inventory(directory: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
-    std::fs::write(folder.join("i.csv"), text).expect("an inventory");
+    std::fs::write(directory.join("i.csv"), text).expect("an inventory");
 }
 
 /// Returns a command that runs `command` with at most this many file descriptors.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -281,14 +281,14 @@
     assert_eq!(connection, expected, "{head}");
 }
 
-/// Creates a folder for hand-overs, with the stale socket of a process that was killed.
-fn create_folder_with_stale_socket() -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("quinceflow-upgrade-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+/// Creates a directory for hand-overs, with the stale socket of a process that was killed.
+fn create_directory_with_stale_socket() -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("quinceflow-upgrade-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
     drop(UnixListener::bind(
-        folder.join("quinceflow-127.0.0.1-0.sock"),
+        directory.join("quinceflow-127.0.0.1-0.sock"),
     ));
-    folder
+    directory
 }
 
 #[test]
@@ -298,7 +298,7 @@
     let addresses = addresses_of(&nodes);
     let address = serve_constant_list(complete_list(1, &all_in_service(&addresses)));
     let first = Deployment::BASIC.start_with_discovery("upgrade", address, &addresses);
-    let temporary = create_folder_with_stale_socket();
+    let temporary = create_directory_with_stale_socket();
     let mut predecessor = first.start_successor(&temporary);
     assert_ne!(
         predecessor.address, first.address,
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -40,11 +40,11 @@
     rng: fastrand::Rng,
     start: Instant,
     backend: Backend,
-    /// The folder for the sockets of hand-overs.
-    temporary_folder: PathBuf,
+    /// The directory for the sockets of hand-overs.
+    temporary_directory: PathBuf,
     clients: Arc<ClientContext>,
     meter: DelayMeter,
-    /// The processes that have exited. They are kept since successors use their folders.
+    /// The processes that have exited. They are kept since successors use their directories.
     ended: Mutex<Vec<Process>>,
     drains: Vec<DrainRecord>,
     /// The revision of the last endpoint list.
@@ -68,8 +68,8 @@
         seed: script.seed,
     };
     let backend = start_backend(script, &servers);
-    let temporary_folder = std::env::temp_dir().join(format!("qf-soak-{}", std::process::id()));
-    std::fs::create_dir_all(&temporary_folder).expect("the folder is created");
+    let temporary_directory = std::env::temp_dir().join(format!("qf-soak-{}", std::process::id()));
+    std::fs::create_dir_all(&temporary_directory).expect("the directory is created");
     let clients = Arc::new(ClientContext {
         front: script.front,
         start,
@@ -85,7 +85,7 @@
         rng: fastrand::Rng::with_seed(script.seed ^ 0x50a4),
         start,
         backend,
-        temporary_folder,
+        temporary_directory,
         clients,
         meter,
         ended: Mutex::default(),
@@ -97,10 +97,10 @@
         clients,
         meter,
         drains,
-        temporary_folder,
+        temporary_directory,
         ..
     } = run;
-    let _ = std::fs::remove_dir_all(&temporary_folder);
+    let _ = std::fs::remove_dir_all(&temporary_directory);
     let requests =
         std::mem::take(&mut *clients.requests.lock().expect("the mutex is not poisoned"));
     let refused_connects = std::mem::take(
@@ -394,12 +394,12 @@
                 let mut configuration = deployment.configuration(discovery.address, &addresses);
                 // All generations have the same address, also a process without a hand-over.
                 configuration["listen"] = unused_address().to_string().into();
-                let temporary_folder = Some(self.temporary_folder.as_path());
+                let temporary_directory = Some(self.temporary_directory.as_path());
                 Process::start_platform_front_in(
                     &test_name,
                     &configuration,
                     descriptor_limit,
-                    temporary_folder,
+                    temporary_directory,
                 )
             }
             Backend::Features(servers) => {
@@ -417,7 +417,7 @@
         RecordedProcess {
             process: predecessor
                 .process
-                .start_successor(Path::new(&self.temporary_folder)),
+                .start_successor(Path::new(&self.temporary_directory)),
             record: ProcessRecord::default(),
         }
     }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -49,13 +49,13 @@
 effect = "unsafe"
 "#;
 
-/// A process under test. Dropping it kills the process and removes its folder.
+/// A process under test. Dropping it kills the process and removes its directory.
 pub struct Process {
     child: Child,
     /// The address at which the process listens for clients.
     pub address: SocketAddr,
-    /// The folder of the process's files. A successor has one inside that of its predecessor.
-    folder: PathBuf,
+    /// The directory of the process's files. A successor has one inside that of its predecessor.
+    directory: PathBuf,
     /// The lines of the log that were not yet read by [`Process::wait_for_log`].
     log: Mutex<Receiver<String>>,
     /// The lines of the log that were read by [`Process::wait_for_log`].
@@ -69,19 +69,19 @@
 impl Process {
     /// Starts the feature front with additional settings and the rows of an inventory.
     pub fn start_feature_front(test_name: &str, settings: &str, rows: &str) -> Process {
-        let folder = create_folder(test_name);
+        let directory = create_directory(test_name);
         let text = format!(
             "listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}"
         );
-        std::fs::write(folder.join("edge.toml"), text).expect("the settings are written");
-        write_inventory(&folder, rows);
+        std::fs::write(directory.join("edge.toml"), text).expect("the settings are written");
+        write_inventory(&directory, rows);
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
         command
             .arg("--edge")
-            .arg(folder.join("edge.toml"))
+            .arg(directory.join("edge.toml"))
             .env_remove("NODE_CONFIG")
             .env_remove("TMPDIR");
-        Process::spawn(command, folder)
+        Process::spawn(command, directory)
     }
 
     /// Starts the platform front with this configuration and limit of open file descriptors.
@@ -93,16 +93,16 @@
         Process::start_platform_front_in(test_name, configuration, descriptor_limit, None)
     }
 
-    /// Starts the platform front. `temporary_folder`, if given, has the socket for a hand-over.
+    /// Starts the platform front. `temporary_directory`, if given, has the socket for a hand-over.
     pub fn start_platform_front_in(
         test_name: &str,
         configuration: &Value,
         descriptor_limit: usize,
-        temporary_folder: Option<&Path>,
+        temporary_directory: Option<&Path>,
     ) -> Process {
-        let folder = create_folder(test_name);
+        let directory = create_directory(test_name);
         for file in [CONFIGURATION_FILE, INITIAL_CONFIGURATION_FILE] {
-            std::fs::write(folder.join(file), configuration.to_string())
+            std::fs::write(directory.join(file), configuration.to_string())
                 .expect("the configuration is written");
         }
         let mut command = Command::new("sh");
@@ -119,30 +119,30 @@
         ] {
             command.env_remove(name);
         }
-        command.env("NODE_CONFIG", folder.join(CONFIGURATION_FILE));
-        if let Some(temporary_folder) = temporary_folder {
-            command.env("TMPDIR", temporary_folder);
+        command.env("NODE_CONFIG", directory.join(CONFIGURATION_FILE));
+        if let Some(temporary_directory) = temporary_directory {
+            command.env("TMPDIR", temporary_directory);
         }
-        Process::spawn(command, folder)
+        Process::spawn(command, directory)
     }
 
-    /// Starts a successor of this process with the same configuration. `temporary_folder` must be
+    /// Starts a successor of this process with the same configuration. `temporary_directory` must be
     /// that of this process.
-    pub fn start_successor(&self, temporary_folder: &Path) -> Process {
+    pub fn start_successor(&self, temporary_directory: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
-        let first_folder = self
-            .folder
+        let first_directory = self
+            .directory
             .ancestors()
-            .find(|folder| folder.join(CONFIGURATION_FILE).exists())
-            .expect("the folder of the first process has the configuration");
+            .find(|directory| directory.join(CONFIGURATION_FILE).exists())
+            .expect("the directory of the first process has the configuration");
         command
-            .env("NODE_CONFIG", first_folder.join(CONFIGURATION_FILE))
-            .env("TMPDIR", temporary_folder);
-        Process::spawn(command, self.folder.join("next"))
+            .env("NODE_CONFIG", first_directory.join(CONFIGURATION_FILE))
+            .env("TMPDIR", temporary_directory);
+        Process::spawn(command, self.directory.join("next"))
     }
 
     /// Starts the process and waits until it listens for clients.
-    fn spawn(mut command: Command, folder: PathBuf) -> Process {
+    fn spawn(mut command: Command, directory: PathBuf) -> Process {
         let mut child = command
             .stderr(Stdio::piped())
             .spawn()
@@ -160,7 +160,7 @@
         let mut process = Process {
             child,
             address,
-            folder,
+            directory,
             log: Mutex::new(log),
             read_lines: Mutex::default(),
             log_reader: Some(log_reader),
@@ -239,7 +239,7 @@
 
     /// Returns the configuration of the start with the value at this JSON pointer replaced.
     pub fn configuration_with(&self, pointer: &str, value: Value) -> String {
-        let text = std::fs::read(self.folder.join(INITIAL_CONFIGURATION_FILE))
+        let text = std::fs::read(self.directory.join(INITIAL_CONFIGURATION_FILE))
             .expect("the configuration is read");
         let mut configuration: Value =
             serde_json::from_slice(&text).expect("the configuration is JSON");
@@ -251,13 +251,13 @@
 
     /// Replaces the configuration. The process reloads it at SIGHUP.
     pub fn write_configuration(&self, text: &str) {
-        std::fs::write(self.folder.join(CONFIGURATION_FILE), text)
+        std::fs::write(self.directory.join(CONFIGURATION_FILE), text)
             .expect("the configuration is written");
     }
 
     /// Replaces the inventory. The process reloads it at SIGHUP.
     pub fn write_inventory(&self, rows: &str) {
-        write_inventory(&self.folder, rows);
+        write_inventory(&self.directory, rows);
     }
 
     /// Replaces the inventory, sends SIGHUP and waits until the process has applied it.
@@ -358,7 +358,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         let log_reader = self.log_reader.take().map(JoinHandle::join);
         if !std::thread::panicking() {
             assert!(
@@ -369,15 +369,15 @@
     }
 }
 
-/// Creates a folder for a process. Each folder has another name, even if two tests have the same
-/// name.
-fn create_folder(test_name: &str) -> PathBuf {
-    static FOLDERS: AtomicUsize = AtomicUsize::new(0);
-    let number = FOLDERS.fetch_add(1, Relaxed);
+/// Creates a directory for a process. The names of directories are unique, even if two tests have
+/// the same name.
+fn create_directory(test_name: &str) -> PathBuf {
+    static DIRECTORIES: AtomicUsize = AtomicUsize::new(0);
+    let number = DIRECTORIES.fetch_add(1, Relaxed);
     let name = format!("{test_name}-{}-{number}", std::process::id());
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&folder).expect("the folder is created");
-    folder
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    directory
 }
 
 /// Returns the address in the last field of a log line, `address`.
@@ -388,8 +388,8 @@
         .expect("the line has an address")
 }
 
-/// Writes the inventory with these rows to the folder of a process.
-fn write_inventory(folder: &Path, rows: &str) {
+/// Writes the inventory with these rows to the directory of a process.
+fn write_inventory(directory: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
-    std::fs::write(folder.join("i.csv"), text).expect("the inventory is written");
+    std::fs::write(directory.join("i.csv"), text).expect("the inventory is written");
 }
