--- a/fuzz/fuzz_targets/cursor.rs
+++ b/fuzz/fuzz_targets/cursor.rs
@@ -6,5 +6,5 @@
 
 fuzz_target!(|text: &str| {
     let key = CursorKey::new(b"the key of this run");
-    assert_eq!(key.open(text, 1, 1, 1), Err(CursorError::NotAuthentic));
+    assert_eq!(key.verify(text, 1, 1, 1), Err(CursorError::NotAuthentic));
 });
--- a/src/front/ogc/cursor.rs
+++ b/src/front/ogc/cursor.rs
@@ -96,7 +96,7 @@
 /// The reason why a cursor cannot be used. The messages are sent to clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CursorError {
-    /// The token was not sealed with this key or was altered.
+    /// The token was not signed with this key or was altered.
     #[error("cursor: it was not made by this service, or was altered")]
     NotAuthentic,
     /// The cursor belongs to another query.
@@ -131,7 +131,7 @@
 
     /// Returns the token of a cursor.
     #[must_use]
-    pub fn seal(&self, cursor: &Cursor) -> String {
+    pub fn sign(&self, cursor: &Cursor) -> String {
         let mut bytes = vec![VERSION];
         bytes.extend(serde_json::to_vec(cursor).unwrap_or_default());
         let code = self.authentication_code(&bytes);
@@ -145,9 +145,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the token was not sealed with this key, belongs to another query, or is
+    /// Returns an error if the token was not signed with this key, belongs to another query, or is
     /// too old.
-    pub fn open(
+    pub fn verify(
         &self,
         token: &str,
         query_hash: u64,
--- a/src/front/ogc/cursor/tests.rs
+++ b/src/front/ogc/cursor/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns tokens that an earlier release sealed with the key of these tests, and their cursors.
+/// Returns tokens that an earlier release signed with the key of these tests, and their cursors.
 fn earlier_tokens() -> [(&'static str, Cursor); 2] {
     let full = Cursor {
         query_hash: 7,
@@ -62,11 +62,11 @@
 }
 
 #[test]
-fn tokens_of_an_earlier_release_are_accepted_and_sealed_to_the_same_text() {
+fn tokens_of_an_earlier_release_are_accepted_and_signed_to_the_same_text() {
     let key = CursorKey::new(b"some key");
     for (token, cursor) in earlier_tokens() {
-        assert_eq!(key.open(token, 7, 1_000, 60), Ok(cursor.clone()));
-        assert_eq!(key.seal(&cursor), token);
+        assert_eq!(key.verify(token, 7, 1_000, 60), Ok(cursor.clone()));
+        assert_eq!(key.sign(&cursor), token);
     }
 }
 
@@ -83,12 +83,15 @@
 #[test]
 fn altered_foreign_and_expired_tokens_are_rejected() {
     let key = CursorKey::new(b"some key");
-    let token = key.seal(&cursor("/x?offset=50"));
-    assert_eq!(key.open(&token, 7, 1_010, 60), Ok(cursor("/x?offset=50")));
-    assert_eq!(key.open(&token, 8, 1_010, 60), Err(CursorError::WrongQuery));
-    assert_eq!(key.open(&token, 7, 1_061, 60), Err(CursorError::Expired));
+    let token = key.sign(&cursor("/x?offset=50"));
+    assert_eq!(key.verify(&token, 7, 1_010, 60), Ok(cursor("/x?offset=50")));
     assert_eq!(
-        CursorKey::new(b"another").open(&token, 7, 1_010, 60),
+        key.verify(&token, 8, 1_010, 60),
+        Err(CursorError::WrongQuery)
+    );
+    assert_eq!(key.verify(&token, 7, 1_061, 60), Err(CursorError::Expired));
+    assert_eq!(
+        CursorKey::new(b"another").verify(&token, 7, 1_010, 60),
         Err(CursorError::NotAuthentic)
     );
     for n in 0..token.len() {
@@ -96,14 +99,17 @@
         altered[n] = if altered[n] == b'A' { b'B' } else { b'A' };
         let altered = String::from_utf8(altered).expect("a token is ASCII");
         // The last character has unused bits, so another text may stand for the same bytes.
-        let result = key.open(&altered, 7, 1_010, 60);
+        let result = key.verify(&altered, 7, 1_010, 60);
         assert!(
             result == Err(CursorError::NotAuthentic) || result == Ok(cursor("/x?offset=50")),
             "character {n}: {result:?}"
         );
     }
     for text in ["", "A", "no token!", &"A".repeat(100), &"A".repeat(10_000)] {
-        assert_eq!(key.open(text, 7, 1_010, 60), Err(CursorError::NotAuthentic));
+        assert_eq!(
+            key.verify(text, 7, 1_010, 60),
+            Err(CursorError::NotAuthentic)
+        );
     }
 }
 
--- a/src/front/ogc/query/resume.rs
+++ b/src/front/ogc/query/resume.rs
@@ -40,7 +40,7 @@
                 start: ResponseStart::Position(ResumePosition::START),
             });
         };
-        let cursor = state.cursor_key.open(
+        let cursor = state.cursor_key.verify(
             token,
             query_hash(request),
             unix_seconds(),
@@ -86,7 +86,7 @@
             Some(ResponseStart::AfterValues(values)) => cursor.after_values = Some(values),
         }
         let cursor = cursor.advanced_from(self.resume_point.cursor.as_ref())?;
-        Ok(Some(self.state.cursor_key.seal(&cursor)))
+        Ok(Some(self.state.cursor_key.sign(&cursor)))
     }
 
     /// Sets the shard, the page and the number of features to skip of a cursor.
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -32,7 +32,7 @@
     /// The inventory of feature servers cannot be loaded.
     #[error(transparent)]
     Inventory(#[from] ReloadError),
-    /// The key that seals cursors cannot be read.
+    /// The key that signs cursors cannot be read.
     #[error(transparent)]
     CursorKey(#[from] CursorKeyError),
     /// The coroutine of a coordinator panicked.
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -7,7 +7,7 @@
 /// The list of the tests that are known to fail.
 const LIST: &str = "KNOWN-RED.txt";
 /// The directories with sources.
-const SOURCE_FOLDERS: [&str; 3] = ["src", "tests", "testkit"];
+const SOURCE_DIRECTORIES: [&str; 3] = ["src", "tests", "testkit"];
 /// The beginning of the reason of an ignored test that is known to fail.
 const KNOWN_RED: &str = "known red";
 /// The beginning of the reason of an ignored test that takes too long for CI.
@@ -95,7 +95,7 @@
 #[test]
 fn the_known_red_tests_are_the_entries_of_the_list() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let files = SOURCE_FOLDERS
+    let files = SOURCE_DIRECTORIES
         .iter()
         .flat_map(|directory| rust_files(&root.join(directory)));
     let own = Path::new(file!()).file_name();
