--- a/src/front/ogc/config/tests.rs
+++ b/src/front/ogc/config/tests.rs
@@ -74,5 +74,5 @@
 "#;
 
 fn parse(text: &str) -> EdgeConfig {
-    toml::from_str(text).expect("a valid edge file")
+    toml::from_str(text).expect("the edge file is valid")
 }
--- a/src/front/ogc/config/tests/keys.rs
+++ b/src/front/ogc/config/tests/keys.rs
@@ -24,7 +24,7 @@
     );
     assert_eq!(edge.max_initial_shards, 9);
     assert_eq!(
-        edge.cursor_key().expect("a key"),
+        edge.cursor_key().expect("the key is valid"),
         (0..16).collect::<Vec<u8>>()
     );
     assert_eq!(
@@ -62,7 +62,10 @@
 #[test]
 fn slow_start_of_earlier_versions_is_read() {
     let edge = parse(EVERY_KEY);
-    let slow_start = edge.slow_start.as_ref().expect("a slow start");
+    let slow_start = edge
+        .slow_start
+        .as_ref()
+        .expect("the settings have a slow start");
     assert_eq!(
         (slow_start.initial_capacity, slow_start.warm_up_ms),
         (0.2, 17_000)
@@ -109,7 +112,14 @@
         Some("Devices that can be sent alerts")
     );
     assert_eq!(collection.bbox, Some([-121.0, 37.0, -119.0, 39.0]));
-    assert_eq!(collection.queryables().expect("queryables").named.len(), 7);
+    assert_eq!(
+        collection
+            .queryables()
+            .expect("the file declares queryables")
+            .named
+            .len(),
+        7
+    );
 }
 
 #[test]
@@ -127,7 +137,7 @@
         (100, 5000, 500)
     );
     assert_eq!(edge.max_initial_shards, 8);
-    assert_eq!(edge.cursor_key().expect("a generated key").len(), 32);
+    assert_eq!(edge.cursor_key().expect("a key is generated").len(), 32);
     assert_eq!(
         (edge.cursor_max_age_s, edge.capability_max_age_s),
         (3600, 600)
--- a/src/front/ogc/config/tests/settings.rs
+++ b/src/front/ogc/config/tests/settings.rs
@@ -27,12 +27,14 @@
         (2, 5_000_000, 0)
     );
     assert_eq!(settings.max_retry_after, Some(2_001_000_000));
-    let budget = settings.retry_budget.expect("a retry budget");
+    let budget = settings
+        .retry_budget
+        .expect("the settings have a retry budget");
     assert_eq!(
         (budget.ratio, budget.free, budget.window),
         (0.5, 10.0, 10_000_000_000)
     );
-    let slow_start = settings.slow_start.expect("a slow start");
+    let slow_start = settings.slow_start.expect("the settings have a slow start");
     assert_eq!(
         (slow_start.initial_capacity, slow_start.warm_up),
         (0.2, 17_000_000_000)
--- a/src/front/ogc/delivery/tests.rs
+++ b/src/front/ogc/delivery/tests.rs
@@ -42,7 +42,9 @@
 #[test]
 fn unchanged_bodies_are_not_sent_and_large_bodies_are_compressed() {
     let plain = delivered("", 200);
-    let tag = plain.header("ETag").expect("an entity tag");
+    let tag = plain
+        .header("ETag")
+        .expect("the response has an entity tag");
     assert_eq!(plain.body.len(), text().len());
     assert_eq!(plain.header("Content-Encoding"), None);
 
@@ -98,7 +100,7 @@
     let response = || Response::new(200, "text/plain", text().as_str());
     let tag = delivered("", 200)
         .header("ETag")
-        .expect("an entity tag")
+        .expect("the response has an entity tag")
         .to_owned();
     let status = |method| {
         let options = options_of(method, &format!("If-None-Match: {tag}\r\n"));
--- a/src/front/ogc/inventory/tests.rs
+++ b/src/front/ogc/inventory/tests.rs
@@ -35,8 +35,8 @@
           collections: devices/south
           state: draining
 ";
-    let from_csv = read_csv("i.csv", csv).expect("valid CSV");
-    let from_yaml = read_yaml("i.yaml", yaml).expect("valid YAML");
+    let from_csv = read_csv("i.csv", csv).expect("the CSV is valid");
+    let from_yaml = read_yaml("i.yaml", yaml).expect("the YAML is valid");
     assert_eq!(from_csv, from_yaml);
     assert_eq!(from_csv[0].shards.len(), 2);
     assert_eq!(from_csv[1].state, EndpointState::Draining);
--- a/src/front/ogc/paging/concat_merge/tests.rs
+++ b/src/front/ogc/paging/concat_merge/tests.rs
@@ -328,7 +328,10 @@
         ..limits(200)
     };
     let first = servers.response(limits, ResumePosition::START);
-    let resume = first.resume_position().expect("a next response").clone();
+    let resume = first
+        .resume_position()
+        .expect("there is a next response")
+        .clone();
 
     let larger_limits = PagingLimits {
         limit: 400,
@@ -341,7 +344,10 @@
     assert_eq!(progress, MergeProgress::Finished);
     assert_eq!((second.count(), second.is_complete()), (200, true));
 
-    let resume = second.resume_position().expect("a next response").clone();
+    let resume = second
+        .resume_position()
+        .expect("there is a next response")
+        .clone();
     let mut third = ConcatMerge::new(limits, resume, 2);
     while servers.round(&mut third, |fetch| fetch.shard != 0) == MergeProgress::NeedsPages {}
     assert_eq!((third.count(), third.is_complete()), (10, false));
--- a/src/front/ogc/params/tests.rs
+++ b/src/front/ogc/params/tests.rs
@@ -28,7 +28,7 @@
         "live": {"type": "boolean"},
         "geometry": {"format": "geometry-point"},
     }});
-    Queryables::from_schema(&schema).expect("a valid schema")
+    Queryables::from_schema(&schema).expect("the schema is valid")
 }
 
 /// Query strings that are malformed whatever the queryables.
@@ -59,7 +59,7 @@
 #[test]
 fn well_formed_parameters_are_parsed() {
     let query = "bbox=-10,-5.5,10,5&limit=99999&datetime=2026-01-01T00:00:00Z%2F..&f=json";
-    let params = parse(query, &Queryables::unknown()).expect("well formed");
+    let params = parse(query, &Queryables::unknown()).expect("the parameters are well formed");
     assert_eq!(
         params.limit, 50,
         "a limit above the maximum is reduced, not rejected"
@@ -77,12 +77,12 @@
 fn coordinates_of_other_reference_systems_are_transformed() {
     let queryables = Queryables::unknown();
     let query = "bbox=38,-120,39,-119&bbox-crs=http://www.opengis.net/def/crs/EPSG/0/4326";
-    let params = parse(query, &queryables).expect("well formed");
+    let params = parse(query, &queryables).expect("the parameters are well formed");
     assert_eq!(params.bbox, Some(vec![-120.0, 38.0, -119.0, 39.0]));
 
     let query = "filter=S_INTERSECTS(geometry,POINT(38%20-120))&filter-crs=EPSG:4326";
-    let params = parse(query, &queryables).expect("well formed");
-    let filter = params.filter.expect("a filter").to_string();
+    let params = parse(query, &queryables).expect("the parameters are well formed");
+    let filter = params.filter.expect("the query has a filter").to_string();
     assert_eq!(filter, "S_INTERSECTS(\"geometry\",POINT(-120 38))");
 }
 
@@ -100,7 +100,7 @@
         "name=a%27b&volts=24&live=true&sortby=-volts,%2Bname,id",
         &closed_queryables,
     )
-    .expect("well formed");
+    .expect("the parameters are well formed");
     assert_eq!(
         params.filter.map(|f| f.to_string()).as_deref(),
         Some("\"name\" = 'a''b' AND \"volts\" = 24 AND \"live\" = TRUE")
@@ -132,12 +132,12 @@
     let body = r#"{"collections":["devices"],"limit":5,"bbox":[0,0,9,9],"filter-lang":"cql2-json",
         "filter":{"op":">","args":[{"property":"volts"},1]},
         "sortby":[{"field":"properties.volts","direction":"desc"}]}"#;
-    let search = parse_body(body).expect("well formed");
+    let search = parse_body(body).expect("the parameters are well formed");
     let expected = parse(
         "limit=5&bbox=0,0,9,9&filter=volts%3E1&sortby=-volts",
         &closed_queryables(),
     )
-    .expect("well formed");
+    .expect("the parameters are well formed");
     assert_eq!(
         (search.collection.as_str(), search.params),
         ("devices", expected)
@@ -353,7 +353,7 @@
 fn the_cursor_binding_is_the_same_as_in_earlier_versions() {
     let query = "bbox=-10,-5.5,10,5&datetime=2026-01-01&filter=volts%3E1&crs=EPSG:32633\
         &sortby=-volts&properties=name";
-    let params = parse(query, &closed_queryables()).expect("well formed");
+    let params = parse(query, &closed_queryables()).expect("the parameters are well formed");
     assert_eq!(
         params.cursor_binding(),
         "Some([-10.0, -5.5, 10.0, 5.0]) Some(\"2026-01-01\") Some(\"\\\"volts\\\" > 1\") \
@@ -364,7 +364,8 @@
         ("EPSG:4326", "Wgs84"),
         ("EPSG:3857", "Mercator"),
     ] {
-        let params = parse(&format!("crs={crs}"), &closed_queryables()).expect("well formed");
+        let params = parse(&format!("crs={crs}"), &closed_queryables())
+            .expect("the parameters are well formed");
         assert_eq!(
             params.cursor_binding(),
             format!("None None None {name} [] None")
--- a/src/front/ogc/response/html/tests.rs
+++ b/src/front/ogc/response/html/tests.rs
@@ -7,7 +7,7 @@
 fn values_from_servers_are_escaped() {
     let json = json!({"id": "<script>", "geometry": {"type": "Point", "coordinates": [1, 2]},
         "properties": {"<b>": "\"><img onerror=x>", "n": 7}});
-    let text = String::from_utf8(feature(&json).body.to_vec()).expect("text");
+    let text = String::from_utf8(feature(&json).body.to_vec()).expect("the page is text");
     assert!(
         !text.contains("<script") && !text.contains("<img") && !text.contains("<b>"),
         "{text}"
--- a/src/front/ogc/tests.rs
+++ b/src/front/ogc/tests.rs
@@ -14,9 +14,9 @@
 
 fn front() -> OgcFront {
     let edge =
-        EdgeConfig::load(std::path::Path::new("deploy/edge.toml")).expect("a valid edge file");
+        EdgeConfig::load(std::path::Path::new("deploy/edge.toml")).expect("the edge file is valid");
     let catalog = SharedCatalog::default();
-    let servers = edge.load_inventory().expect("a valid inventory");
+    let servers = edge.load_inventory().expect("the inventory is valid");
     lock(&catalog).load(&servers, Micros::ZERO);
     OgcFront::new(FrontDependencies {
         edge,
@@ -304,8 +304,8 @@
     );
     let request = server
         .next_request()
-        .expect("a complete request")
-        .expect("a well-formed request");
+        .expect("the request is complete")
+        .expect("the request is well formed");
     let mut reaction = front.handle(request, Token(1), Micros::ZERO, true);
     loop {
         match reaction {
@@ -356,7 +356,7 @@
 /// Returns the header `Allow` of the response to a request line.
 fn allowed_methods(front: &OgcFront, request_line: &str) -> Option<String> {
     let bytes = format!("{request_line} HTTP/1.1\r\nHost: x\r\n\r\n");
-    let response = response_to(front, bytes.as_bytes()).expect("an immediate response");
+    let response = response_to(front, bytes.as_bytes()).expect("the response is immediate");
     assert!(
         matches!(response.status, 404 | 405),
         "{request_line}: {}",
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -54,7 +54,7 @@
     table.insert(query(2, 7, 0));
     table.insert(query(3, 8, 0));
     table.add_part(GroupId(7), part(10, 1.0));
-    table.abandon(QueryId(2)).expect("open");
+    table.abandon(QueryId(2)).expect("the query is open");
     table.add_part(GroupId(7), part(11, 1.0));
     table.add_part(GroupId(9), part(12, 1.0));
     let parts = |id| {
@@ -75,7 +75,7 @@
     table.add_part(GroupId(7), part(10, 0.75));
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 5);
     let number = number(&table, 1);
-    let first = table.get_open_mut(number).expect("open");
+    let first = table.get_open_mut(number).expect("the query is open");
     assert!(first.all_answered());
     assert_eq!(first.answered_weight(), 0.75);
     first.stage = Stage::FollowUp;
@@ -84,7 +84,7 @@
         "no part of this step was received yet"
     );
     table.add_part(GroupId(7), part(11, 0.5));
-    let query = table.get(number).expect("kept");
+    let query = table.get(number).expect("the table has kept the query");
     assert_eq!(
         query.step_parts().map(|part| part.id).collect::<Vec<_>>(),
         [PartId(11)]
@@ -113,12 +113,15 @@
         query: number(&table, 1),
         index: 0,
     };
-    table.part_mut(position).expect("kept").attempts = vec![attempt(None), attempt(None)];
+    table
+        .part_mut(position)
+        .expect("the table has kept the part")
+        .attempts = vec![attempt(None), attempt(None)];
     table.complete_attempt(PartId(10), AttemptNo(1), Outcome::Ok, 50);
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 60);
     table.complete_attempt(PartId(10), AttemptNo(9), Outcome::Error, 70);
     table.complete_attempt(PartId(99), AttemptNo(0), Outcome::Ok, 80);
-    let part = table.part(position).expect("kept");
+    let part = table.part(position).expect("the table has kept the part");
     assert_eq!(part.answered_at, Some(50));
     assert_eq!(
         part.attempts,
@@ -169,7 +172,11 @@
     table.add_part(GroupId(7), part(10, 0.1));
     table.add_part(GroupId(7), part(11, 0.9));
     let number = number(&table, 1);
-    table.get_mut(number).expect("kept").parts.reverse();
+    table
+        .get_mut(number)
+        .expect("the table has kept the query")
+        .parts
+        .reverse();
     table.reindex(number);
     table.complete_attempt(PartId(10), AttemptNo(0), Outcome::Ok, 5);
     let answered = |index| {
@@ -199,7 +206,7 @@
         table.add_part(GroupId(id as u32), part(10 * id, 1.0));
     }
     for id in [1, 2, 3] {
-        table.abandon(QueryId(id)).expect("open");
+        table.abandon(QueryId(id)).expect("the query is open");
     }
     table.remove_closed(50);
     let remaining: Vec<u64> = table
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -89,7 +89,7 @@
             connection.input().extend(&rest[..n]);
             rest = &rest[n..];
             if let Some(request) = connection.next_request() {
-                received.push(request.expect("well formed").body);
+                received.push(request.expect("the request is well formed").body);
                 prop_assert!(connection.next_request().is_none(), "the next request is not parsed before the response");
                 prop_assert!(connection.awaits_response() && !connection.is_idle() && !connection.is_finished());
                 connection.respond(Response::new(200, "text/plain", received.len().to_string()), received.len() == bodies.len());
@@ -103,7 +103,7 @@
         }
         let sent: Vec<_> = bodies.into_iter().map(|(body, _)| body).collect();
         prop_assert_eq!(&received, &sent);
-        let output = String::from_utf8(output).expect("text");
+        let output = String::from_utf8(output).expect("the output is text");
         prop_assert_eq!(output.matches("HTTP/1.1 200 OK").count(), sent.len());
         prop_assert_eq!(output.matches("Connection: close").count(), 1);
     }
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -35,7 +35,11 @@
             now = now + Micros::from_millis(5);
             coordinator.turn(now, inputs.drain(..), &mut commands);
         }
-        match commands.iter().find_map(answer).expect("an answer") {
+        match commands
+            .iter()
+            .find_map(answer)
+            .expect("there is an answer")
+        {
             Answer::Rejected { late, .. } => assert!(*late && !write_started),
             Answer::Failed { late } => assert!(*late && write_started),
             other => panic!("neither rejected nor failed: {other:?}"),
@@ -55,7 +59,7 @@
         let first = commands
             .drain(..)
             .find_map(|command| dispatched(&command))
-            .expect("dispatched");
+            .expect("an attempt is dispatched");
         now = now + Micros::from_millis(20);
         coordinator.turn(
             now,
@@ -65,7 +69,7 @@
         let retry = commands
             .drain(..)
             .find_map(|command| dispatched(&command))
-            .expect("a retry within the window");
+            .expect("there is a retry within the window");
         if write_started {
             coordinator.turn(now, [Input::WriteStarted(retry)], &mut commands);
         }
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -142,7 +142,9 @@
 
     /// Checks that an attempt is allowed, and records that the part may run.
     fn check_attempt(&mut self, attempt: &AttemptRequest) {
-        let token: u64 = attempt.request_id[1..].parse().expect("a token");
+        let token: u64 = attempt.request_id[1..]
+            .parse()
+            .expect("the request id ends with a token");
         assert!(
             !self.answered.contains(&token),
             "no attempt after the answer"
--- a/tests/degradation.rs
+++ b/tests/degradation.rs
@@ -210,7 +210,10 @@
         harness.answer(parts[0]);
         let actions = harness.run_for(S);
         let is_answer = |action: &Action| matches!(action, Action::Answer { .. });
-        let answered = actions.iter().position(is_answer).expect("an answer");
+        let answered = actions
+            .iter()
+            .position(is_answer)
+            .expect("there is an answer");
         let cancels =
             |action: &Action| matches!(action, Action::Cancel { part, .. } if *part == parts[1]);
         let cancelled = actions[answered..].iter().any(cancels);
@@ -243,8 +246,8 @@
             ref other => panic!("{other:?}"),
         };
         let waits: Vec<Nanos> = (0..200).map(retry_after).collect();
-        let low = *waits.iter().min().expect("at least one wait");
-        let high = *waits.iter().max().expect("at least one wait");
+        let low = *waits.iter().min().expect("there is at least one wait");
+        let high = *waits.iter().max().expect("there is at least one wait");
         assert!(
             low >= min && high <= S,
             "{retry_after_factor}: {low} to {high}"
--- a/tests/deploy_file.rs
+++ b/tests/deploy_file.rs
@@ -15,20 +15,20 @@
 /// Returns the paths that a key of the deploy file lists.
 fn listed_paths(key: &str) -> Vec<String> {
     let text = std::fs::read_to_string(repository().join("deploy/balancer.toml"))
-        .expect("the deploy file");
-    let table: toml::Table = text.parse().expect("valid TOML");
-    let paths = table[key].as_array().expect("a list of paths");
+        .expect("the deploy file is readable");
+    let table: toml::Table = text.parse().expect("the deploy file is TOML");
+    let paths = table[key].as_array().expect("the key has a list");
     paths
         .iter()
-        .map(|path| path.as_str().expect("a path").to_owned())
+        .map(|path| path.as_str().expect("the path is a string").to_owned())
         .collect()
 }
 
 /// Returns the Rust files below a directory, without unit tests.
 fn source_files(directory: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in std::fs::read_dir(directory).expect("a directory") {
-        let path = entry.expect("a readable entry").path();
+    for entry in std::fs::read_dir(directory).expect("the directory is readable") {
+        let path = entry.expect("the entry is readable").path();
         if path.is_dir() {
             files.extend(source_files(&path));
         } else if !path.ends_with("tests.rs") {
@@ -60,7 +60,7 @@
 #[test]
 fn policy_files_are_short_and_name_their_interface() {
     for path in source_files(&repository().join("src/policy")) {
-        let text = std::fs::read_to_string(&path).expect("text");
+        let text = std::fs::read_to_string(&path).expect("the file is text");
         let longest = text
             .lines()
             .map(|line| line.chars().count())
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -328,7 +328,7 @@
         let record = self
             .queries
             .get_mut(&(instance, query))
-            .expect("a query that was submitted");
+            .expect("the query was submitted");
         record.final_answers += 1;
         record.served = served;
     }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -28,7 +28,12 @@
     let (mut process, _watch) =
         deployment.start_controlled("queue", &discovery, &nodes.each_ref().map(|n| n.address));
     let mut persistent = send_request(&process, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
+    assert!(
+        persistent
+            .read(&mut [0; 512])
+            .expect("a response is received")
+            > 0
+    );
 
     // The process is stopped, so that the kernel has all of these bytes and the signal when it
     // continues.
@@ -36,7 +41,7 @@
     let last_request = QueryRequest::new("kept", Class("look"), Shards(&[0])).close_connection();
     persistent
         .write_all(last_request.to_http().as_bytes())
-        .expect("written");
+        .expect("the bytes are written");
     let send_query = |number| {
         let id = format!("q{number}");
         let request = QueryRequest::new(&id, Class("once"), Shards(&[0, 1])).close_connection();
@@ -49,7 +54,7 @@
     process.wait_for_log("graceful shutdown started");
     half_request
         .write_all(b"st: x\r\nConnection: close\r\n\r\n")
-        .expect("written");
+        .expect("the bytes are written");
     let readiness = read_until_close(half_request);
     assert!(readiness.starts_with("HTTP/1.1 503"), "{readiness}");
     for client in queued.into_iter().chain([persistent]) {
@@ -183,11 +188,13 @@
         closes_connection: false,
     };
     assert_eq!(read_response(&mut client), Some(timed_out));
-    let read = client.read(&mut [0]).expect("closed without a reset");
+    let read = client
+        .read(&mut [0])
+        .expect("the connection is closed without a reset");
     assert_eq!(read, 0, "closed shortly before the last response");
     let last_request = QueryRequest::new("last", Class("once"), Shards(&[1])).to_http();
     let mut last = BufReader::new(send_request(&process, &last_request));
-    let answer = read_response(&mut last).expect("a response, and no reset");
+    let answer = read_response(&mut last).expect("a response is received and no reset");
     // Measured from here and not from the signal, since the machine may be busy.
     let started_at = std::time::Instant::now();
     assert!(
@@ -206,7 +213,9 @@
 fn a_retry_that_becomes_due_after_sigterm_is_sent() {
     let discovery = ControlledDiscovery::new();
     let nodes = [0, 1].map(|_| bind_loopback());
-    let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
+    let addresses = nodes
+        .each_ref()
+        .map(|n| n.local_addr().expect("the listener is bound"));
     let (mut process, _watch) =
         Deployment::ALL_EFFECTS.start_controlled("retry-end", &discovery, &addresses);
     let client = send_request(
@@ -217,17 +226,20 @@
     for listener in nodes {
         let sender = sender.clone();
         std::thread::spawn(move || {
-            let (mut stream, _) = listener.accept().expect("a connection");
-            let ids = read_part_ids(&mut stream).expect("a part");
-            sender.send((ids, stream)).expect("received");
+            let (mut stream, _) = listener.accept().expect("a connection is accepted");
+            let ids = read_part_ids(&mut stream).expect("a part is received");
+            sender
+                .send((ids, stream))
+                .expect("the test receives the attempt");
         });
     }
-    let (ids, mut first) = attempts.recv().expect("the first attempt");
+    let (ids, mut first) = attempts.recv().expect("the first attempt is received");
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
-    write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("written");
-    let (ids, mut second) = attempts.recv().expect("the retry");
-    write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0])).expect("written");
+    write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("the bytes are written");
+    let (ids, mut second) = attempts.recv().expect("the retry is received");
+    write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0]))
+        .expect("the bytes are written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     assert!(process.wait_for_exit(), "the process exits without a kill");
 }
@@ -250,12 +262,14 @@
     let mut text = String::new();
     client
         .read_to_string(&mut text)
-        .expect("readable to its end");
+        .expect("the response is read to its end");
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     // If the process closed its socket, bytes in transit would cause a reset, which could overtake
     // the response.
     for _ in 0..50 {
-        client.write_all(&[b'x'; 1_000]).expect("not reset");
+        client
+            .write_all(&[b'x'; 1_000])
+            .expect("the connection is not reset");
     }
 }
 
@@ -269,12 +283,17 @@
     let first =
         Deployment::ALL_EFFECTS.start_with_discovery("killed-successor", discovery, &addresses);
     let temporary = std::env::temp_dir().join(format!("quinceflow-off-{}", std::process::id()));
-    std::fs::create_dir_all(&temporary).expect("a directory");
+    std::fs::create_dir_all(&temporary).expect("the directory is created");
     let mut predecessor = first.start_successor(&temporary);
     predecessor.wait_until_ready();
     // An open connection keeps the predecessor from exiting at SIGTERM.
     let mut persistent = send_request(&predecessor, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert!(persistent.read(&mut [0; 512]).expect("a response") > 0);
+    assert!(
+        persistent
+            .read(&mut [0; 512])
+            .expect("a response is received")
+            > 0
+    );
     let successor = predecessor.start_successor(&temporary);
     while call_admin_endpoint(successor.admin_address(), "HEALTH\n") != "YES\n" {}
     let predecessor_admin = predecessor.admin_address();
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -82,8 +82,8 @@
 
 /// Returns the Rust files below a directory.
 fn rust_files(directory: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(directory).expect("a directory");
-    let paths = entries.map(|entry| entry.expect("an entry").path());
+    let entries = fs::read_dir(directory).expect("the directory is readable");
+    let paths = entries.map(|entry| entry.expect("the entry is readable").path());
     let (directories, files): (Vec<_>, Vec<_>) = paths.partition(|path| path.is_dir());
     let is_rust = |path: &PathBuf| path.extension().is_some_and(|extension| extension == "rs");
     let below = directories
@@ -100,9 +100,9 @@
         .flat_map(|directory| rust_files(&root.join(directory)));
     let own = Path::new(file!()).file_name();
     let read = |path: PathBuf| {
-        let source = fs::read_to_string(&path).expect("text");
-        let relative = path.strip_prefix(root).expect("below the root");
-        ignored_tests(relative.to_str().expect("a name in UTF-8"), &source)
+        let source = fs::read_to_string(&path).expect("the file is text");
+        let relative = path.strip_prefix(root).expect("the path is below the root");
+        ignored_tests(relative.to_str().expect("the path is UTF-8"), &source)
     };
     let ignored: Vec<_> = files
         .filter(|path| path.file_name() != own)
--- a/tests/log_events/connections.rs
+++ b/tests/log_events/connections.rs
@@ -40,7 +40,10 @@
         let configuration = Deployment::BASIC.configuration(discovery, &nodes);
         let process = LoggingProcess::start_platform_front(test, &configuration);
         let mut listening = process.wait_for("listening for client connections");
-        let address: SocketAddr = listening.take_field("address").parse().expect("an address");
+        let address: SocketAddr = listening
+            .take_field("address")
+            .parse()
+            .expect("the field is an address");
         let mut client = TcpStream::connect(address).expect("the process listens");
         let request = QueryRequest::new("q0", Class("lookup"), Shards(&[0])).to_http();
         client
@@ -64,9 +67,12 @@
     command.env_remove("TMPDIR");
     let process = LoggingProcess::spawn(command, directory);
     let mut listening = process.wait_for("listening for client connections");
-    let address: SocketAddr = listening.take_field("address").parse().expect("an address");
+    let address: SocketAddr = listening
+        .take_field("address")
+        .parse()
+        .expect("the field is an address");
     let _clients: Vec<_> = (0..64)
-        .map(|_| TcpStream::connect(address).expect("in the backlog"))
+        .map(|_| TcpStream::connect(address).expect("the connection is in the backlog"))
         .collect();
     let mut failed = process.wait_for("accepting a client connection failed");
     failed.take_field_containing("error", "Too many open files");
--- a/tests/log_events/discovery.rs
+++ b/tests/log_events/discovery.rs
@@ -33,7 +33,7 @@
         process.directory.join("config.json"),
         "{\"discovery\":\"nowhere\"}",
     )
-    .expect("written");
+    .expect("the configuration is written");
     process.signal("HUP");
     let mut rejected = process.wait_for("configuration reload rejected");
     rejected.take_field_containing("error", "config.json: ");
@@ -52,7 +52,10 @@
     process
         .wait_for("stale endpoint list: only its drains, removals and restarts are applied")
         .assert("WARN", json!({"version": 6, "current_version": 7}));
-    watch.stream.shutdown(Shutdown::Write).expect("open");
+    watch
+        .stream
+        .shutdown(Shutdown::Write)
+        .expect("the watch is open");
     process
         .wait_for("discovery watch closed by the server")
         .assert("INFO", json!({"revision": 7}));
--- a/tests/log_events/feature_front.rs
+++ b/tests/log_events/feature_front.rs
@@ -46,13 +46,13 @@
 /// rejected.
 fn assert_counters(counters: &LogEvent) {
     assert_eq!(counters.level, "INFO");
-    let fields = counters.fields.as_object().expect("fields");
+    let fields = counters.fields.as_object().expect("the event has fields");
     let numbers = fields.iter().filter(|(name, _)| *name != "message");
     assert!(
         numbers.clone().all(|(_, value)| value.is_u64()),
         "{fields:?}"
     );
-    let value_of = |name: &str| fields[name].as_u64().expect("a number");
+    let value_of = |name: &str| fields[name].as_u64().expect("the field is a number");
     assert_eq!(
         (
             value_of("reloads"),
--- a/tests/log_events/start.rs
+++ b/tests/log_events/start.rs
@@ -69,7 +69,7 @@
     let configuration = Deployment::BASIC.configuration(discovery, &addresses);
     let temporary = create_short_directory("failed");
     let path = temporary.join("quinceflow-127.0.0.1-0.sock");
-    let other_program = UnixListener::bind(&path).expect("bound");
+    let other_program = UnixListener::bind(&path).expect("the listener is bound");
     std::thread::spawn(move || {
         // The connections are kept open: closing one with unread input would reset it, and the
         // process might not read the version.
@@ -102,10 +102,13 @@
     let mut configuration =
         Deployment::BASIC.configuration(refusing_address(), &addresses_of(&nodes));
     let in_use = bind_loopback();
-    let admin_address = in_use.local_addr().expect("bound").to_string();
+    let admin_address = in_use
+        .local_addr()
+        .expect("the listener is bound")
+        .to_string();
     configuration["mgmt"] = json!(admin_address);
     let temporary = create_short_directory("long").join("long-name-".repeat(12));
-    std::fs::create_dir_all(&temporary).expect("a directory");
+    std::fs::create_dir_all(&temporary).expect("the directory is created");
     let process = LoggingProcess::start_with_hand_over("faults", &configuration, &temporary);
     let mut not_offered = process.wait_for("listening sockets cannot be offered to a successor");
     not_offered.take_field_containing("path", "quinceflow-127.0.0.1-0.sock");
@@ -114,7 +117,7 @@
     let mut not_started = process.wait_for("admin endpoint not started");
     not_started.take_field_containing("error", &format!("cannot listen on {admin_address}: "));
     not_started.assert("WARN", json!({}));
-    let _ = std::fs::remove_dir_all(temporary.parent().expect("a parent directory"));
+    let _ = std::fs::remove_dir_all(temporary.parent().expect("the directory has a parent"));
     let unusable = LoggingProcess::start_platform_front("unusable", &json!({"listen": "nowhere"}));
     let mut error = unusable.wait_for("exiting with an error");
     error.take_field_containing("error", "config.json: ");
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -65,7 +65,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let stderr = child.stderr.take().expect("piped");
+        let stderr = child.stderr.take().expect("the standard error is piped");
         let (sender, events) = channel();
         let reader = std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -87,7 +87,10 @@
             let event = self.events.recv_timeout(EVENT_TIMEOUT);
             let event = event.unwrap_or_else(|e| panic!("no event {message:?}: {e}"));
             if event["fields"]["message"] == message {
-                let level = event["level"].as_str().expect("a level").to_owned();
+                let level = event["level"]
+                    .as_str()
+                    .expect("the level is a string")
+                    .to_owned();
                 return LogEvent {
                     level,
                     fields: event["fields"].clone(),
@@ -150,7 +153,11 @@
 
     /// Removes a field whose value differs from run to run and returns it.
     pub fn take_field(&mut self, name: &str) -> String {
-        let value = self.fields.as_object_mut().expect("fields").remove(name);
+        let value = self
+            .fields
+            .as_object_mut()
+            .expect("the event has fields")
+            .remove(name);
         let value = value.unwrap_or_else(|| panic!("no field {name}: {:?}", self.fields));
         value
             .as_str()
@@ -160,7 +167,10 @@
 
     /// Asserts that the field is the address of a listening socket, and removes it.
     pub fn take_bound_address(&mut self, name: &str) {
-        let address: SocketAddr = self.take_field(name).parse().expect("an address");
+        let address: SocketAddr = self
+            .take_field(name)
+            .parse()
+            .expect("the field is an address");
         assert_ne!(address.port(), 0);
     }
 
@@ -181,7 +191,7 @@
 /// Writes a configuration and returns a command that starts the platform front with it.
 pub fn platform_command(directory: &Path, configuration: &Value) -> Command {
     let file = directory.join("config.json");
-    std::fs::write(&file, configuration.to_string()).expect("a configuration");
+    std::fs::write(&file, configuration.to_string()).expect("the configuration is written");
     let mut command = json_logging_command();
     for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_MGMT"] {
         command.env_remove(name);
@@ -194,7 +204,7 @@
 pub fn create_directory(test: &str) -> PathBuf {
     let name = format!("log-events-{test}-{}", std::process::id());
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     directory
 }
 
@@ -202,7 +212,7 @@
 pub fn create_short_directory(test: &str) -> PathBuf {
     let directory =
         std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     directory
 }
 
@@ -210,13 +220,13 @@
 pub fn write_edge_file(directory: &Path, settings: &str) {
     let text =
         format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}");
-    std::fs::write(directory.join("edge.toml"), text).expect("an edge file");
+    std::fs::write(directory.join("edge.toml"), text).expect("the edge file is written");
 }
 
 /// Writes an inventory with these rows.
 pub fn write_inventory(directory: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
-    std::fs::write(directory.join("i.csv"), text).expect("an inventory");
+    std::fs::write(directory.join("i.csv"), text).expect("the inventory is written");
 }
 
 /// Returns a command that runs `command` with at most this many file descriptors.
@@ -237,5 +247,5 @@
 
 /// Returns an address that refuses connections.
 pub fn refusing_address() -> SocketAddr {
-    bind_loopback().local_addr().expect("bound")
+    bind_loopback().local_addr().expect("the listener is bound")
 }
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -37,7 +37,7 @@
         process.reload_inventory(&rows_with_drain);
         wait_for_drain_grace(&process);
         draining.open();
-        let response = client.join().expect("a response");
+        let response = client.join().expect("the thread does not panic");
         assert_eq!((response.status, response.ids()), (200, feature_ids(0..6)));
     });
 
@@ -64,7 +64,7 @@
         let clients: Vec<_> = (0..12).map(|_| scope.spawn(send)).collect();
         clients
             .into_iter()
-            .map(|a| a.join().expect("a response"))
+            .map(|a| a.join().expect("the thread does not panic"))
             .collect::<Vec<_>>()
     });
     let rejected: Vec<_> = statuses.iter().filter(|a| a.status == 503).collect();
@@ -93,7 +93,10 @@
         process.wait_for_log("graceful shutdown started");
         gated.open();
         // The connection is persistent: it ends when the process exits.
-        assert_eq!(client.join().expect("a response").status, 200);
+        assert_eq!(
+            client.join().expect("the thread does not panic").status,
+            200
+        );
     });
     assert!(process.wait_for_exit());
 }
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -132,7 +132,7 @@
     let process =
         Process::start_feature_front("drained-link", "", &inventory_row("a", &server, "devices"));
     let first = process.get(&format!("{ITEMS}?limit=2"));
-    let next = first.link("next").expect("more features");
+    let next = first.link("next").expect("the response has a next link");
 
     process.reload_inventory(&rows_with("draining"));
     let draining = process.get(&next);
@@ -163,7 +163,7 @@
     while servers[0].count_requests(|_| true) == 0 {
         next = process.get(&format!("{ITEMS}?limit=2")).link("next");
     }
-    let next = next.expect("more features");
+    let next = next.expect("the response has a next link");
     process.reload_inventory(&rows("devices/m"));
     let requests = servers[0].count_requests(|_| true);
     for _ in 0..4 {
--- a/tests/ogc/support.rs
+++ b/tests/ogc/support.rs
@@ -28,7 +28,7 @@
         let server = FeatureServer::start(move |target| {
             if query_parameter(target, "offset").is_none() {
                 gate.lock()
-                    .expect("gate")
+                    .expect("the mutex is not poisoned")
                     .recv()
                     .expect("the test opens the gate");
             }
--- a/tests/ogc_run/faults.rs
+++ b/tests/ogc_run/faults.rs
@@ -27,9 +27,12 @@
         "no query of the non-idempotent class was started"
     );
     assert!(starts.iter().all(|count| *count <= 1));
-    let drained_requests = run.drained_requests.lock().expect("drains");
+    let drained_requests = run
+        .drained_requests
+        .lock()
+        .expect("the mutex is not poisoned");
     assert!(drained_requests.iter().all(|count| *count == 0));
-    let tally = run.tally.lock().expect("tally");
+    let tally = run.tally.lock().expect("the mutex is not poisoned");
     assert!(
         tally.slowest_ms < MAX_RESPONSE_MS,
         "a response came after its client's timeout"
--- a/tests/ogc_run/run.rs
+++ b/tests/ogc_run/run.rs
@@ -112,7 +112,7 @@
             });
             self.tally
                 .lock()
-                .expect("tally")
+                .expect("the mutex is not poisoned")
                 .record_traversal(&traversal);
         }
     }
@@ -159,7 +159,7 @@
         }
         self.tally
             .lock()
-            .expect("tally")
+            .expect("the mutex is not poisoned")
             .record_response(elapsed_ms);
         response
     }
@@ -170,7 +170,10 @@
             .starts(|started| started == query)
             .remove(&query)
             .unwrap_or_default();
-        let mut recorded = self.starts_before_pages.lock().expect("starts");
+        let mut recorded = self
+            .starts_before_pages
+            .lock()
+            .expect("the mutex is not poisoned");
         recorded.entry(query).or_default().push(starts);
     }
 
@@ -203,7 +206,7 @@
         let after = self.servers[server].count_requests(|_| true);
         self.drained_requests
             .lock()
-            .expect("drains")
+            .expect("the mutex is not poisoned")
             .push(after - before);
         self.reload_inventory(None);
     }
@@ -223,7 +226,11 @@
             let Some(query) = QueryId::started_by(&target).filter(|query| matches(*query)) else {
                 continue;
             };
-            let path = target.split('?').next().expect("a path").to_owned();
+            let path = target
+                .split('?')
+                .next()
+                .expect("the target has a path")
+                .to_owned();
             *starts.entry(query).or_default().entry(path).or_default() += 1;
         }
         starts
@@ -233,7 +240,11 @@
     /// number of these starts. A query's first request may start each shard once, and so may its
     /// request for each later page.
     pub fn non_idempotent_starts_per_page(&self) -> Vec<usize> {
-        let mut recorded = self.starts_before_pages.lock().expect("starts").clone();
+        let mut recorded = self
+            .starts_before_pages
+            .lock()
+            .expect("the mutex is not poisoned")
+            .clone();
         let mut per_page = Vec::new();
         for (query, total) in self.starts(|query| query.class() == NON_IDEMPOTENT) {
             let mut before = Starts::new();
@@ -257,7 +268,7 @@
 
     /// Prints the responses, the queries by class and kind, and the requests that break a rule.
     pub fn print_results(&self, minutes: f64) {
-        let tally = self.tally.lock().expect("tally");
+        let tally = self.tally.lock().expect("the mutex is not poisoned");
         let responses = tally.responses;
         let slowest_ms = tally.slowest_ms;
         println!("{minutes} minutes; {responses} responses, slowest {slowest_ms} ms");
@@ -265,13 +276,20 @@
         for ((class, kind), count) in &tally.traversals {
             println!("  {class:6} {kind:19} {count}");
         }
-        let drained_requests = self.drained_requests.lock().expect("drains");
+        let drained_requests = self
+            .drained_requests
+            .lock()
+            .expect("the mutex is not poisoned");
         println!("requests to servers that drained, from 300 ms on: {drained_requests:?}");
         let starts = self.non_idempotent_starts_per_page();
         let started = starts.len();
         let repeated = starts.iter().filter(|count| **count > 1).count();
         println!("non-idempotent parts: started {started}, more than once {repeated}");
-        let continued = self.starts_before_pages.lock().expect("starts").len();
+        let continued = self
+            .starts_before_pages
+            .lock()
+            .expect("the mutex is not poisoned")
+            .len();
         println!("non-idempotent queries with more than one page: {continued}");
     }
 }
--- a/tests/ogc_run/servers.rs
+++ b/tests/ogc_run/servers.rs
@@ -34,7 +34,7 @@
         let shard = shards
             .into_iter()
             .find(|s| target.contains(&format!("/{}/", SHARDS[*s])))
-            .expect("a shard of this server");
+            .expect("the path has a shard of this server");
         let response = healthy_response(target, feature_numbers(shard), 10);
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
--- a/tests/ogc_run/traversal.rs
+++ b/tests/ogc_run/traversal.rs
@@ -40,13 +40,16 @@
         if query_parameter(target, "offset").is_some() {
             return None;
         }
-        let parameters = target.split_once('?').expect("a query").1;
+        let parameters = target
+            .split_once('?')
+            .expect("the target has a query string")
+            .1;
         let bbox = parameters
             .split('&')
             .find_map(|parameter| parameter.strip_prefix("bbox="))?;
         let numbers: Vec<f64> = bbox
             .split("%2C")
-            .map(|n| n.parse().expect("a number"))
+            .map(|n| n.parse().expect("the coordinate is a number"))
             .collect();
         Some(QueryId {
             client: numbers[2] as usize,
@@ -121,7 +124,7 @@
     let names = json["missing"].as_array().into_iter().flatten();
     let index = |name: &serde_json::Value| SHARDS.iter().position(|shard| name == shard);
     names
-        .map(|name| index(name).expect("a shard's name"))
+        .map(|name| index(name).expect("the name is that of a shard"))
         .collect()
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -91,10 +91,10 @@
     let address = process.admin_address();
     // More callers than the endpoint accepts at a time, each with half a command.
     let mut idle: Vec<TcpStream> = (0..80)
-        .map(|_| TcpStream::connect(address).expect("accepted"))
+        .map(|_| TcpStream::connect(address).expect("the connection is accepted"))
         .collect();
     for caller in &mut idle {
-        caller.write_all(b"HEAL").expect("written");
+        caller.write_all(b"HEAL").expect("the bytes are written");
     }
     while !call_admin_endpoint(address, "HEALTH\n").starts_with("YES") {}
     assert!(call_admin_endpoint(address, "health me\r\n").starts_with("NO "));
@@ -134,14 +134,18 @@
     let addresses = addresses_of(&nodes);
     let process = Deployment::BASIC.start_with_discovery(
         "news",
-        silent_discovery.local_addr().expect("bound"),
+        silent_discovery
+            .local_addr()
+            .expect("the listener is bound"),
         &addresses,
     );
     assert_eq!(
         call_admin_endpoint(process.admin_address(), "HEALTH\n"),
         "NO the servers are not known yet\n"
     );
-    let (mut watch, _) = silent_discovery.accept().expect("a watch");
+    let (mut watch, _) = silent_discovery
+        .accept()
+        .expect("the process opens a watch");
     let first_list = complete_list(1, &all_in_service(&addresses));
     write_chunked_head(&mut watch).expect("the process reads");
     write_line_chunk(&mut watch, &first_list).expect("the process reads");
@@ -150,7 +154,8 @@
 
 /// Returns the configuration without one of its keys.
 fn without_key(configuration: &str, pointer: &str, key: &str) -> String {
-    let mut json: serde_json::Value = serde_json::from_str(configuration).expect("a configuration");
+    let mut json: serde_json::Value =
+        serde_json::from_str(configuration).expect("the configuration is JSON");
     let object = json
         .pointer_mut(pointer)
         .and_then(serde_json::Value::as_object_mut);
@@ -188,7 +193,8 @@
 /// Returns the configuration with fewer attempts for all classes, one class replaced by a new one,
 /// one that is no longer idempotent, and one that now is.
 fn changed_configuration(complete: &str) -> String {
-    let mut json: serde_json::Value = serde_json::from_str(complete).expect("a configuration");
+    let mut json: serde_json::Value =
+        serde_json::from_str(complete).expect("the configuration is JSON");
     json["settings"]["limits"]["max-attempts"] = json!(2);
     json["settings"]["classes"][0]["effect"] = json!("non_idempotent");
     json["settings"]["classes"][1]["name"] = json!("later");
@@ -254,7 +260,7 @@
         "{head}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
-    .expect("written");
+    .expect("the bytes are written");
     let lines = BufReader::new(persistent).lines().map_while(Result::ok);
     lines
         .take_while(|line| !line.is_empty())
@@ -284,7 +290,7 @@
 /// Creates a directory for hand-overs, with the stale socket of a process that was killed.
 fn create_directory_with_stale_socket() -> PathBuf {
     let directory = std::env::temp_dir().join(format!("quinceflow-upgrade-{}", std::process::id()));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("the directory is created");
     drop(UnixListener::bind(
         directory.join("quinceflow-127.0.0.1-0.sock"),
     ));
@@ -350,7 +356,8 @@
             "quinceflow-refused-{}-{key}.json",
             std::process::id()
         ));
-        std::fs::write(&path, process.configuration_with(pointer, value)).expect("written");
+        std::fs::write(&path, process.configuration_with(pointer, value))
+            .expect("the configuration is written");
         let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_quinceflow"))
             .env("NODE_CONFIG", &path)
             .stderr(std::process::Stdio::piped())
@@ -359,12 +366,12 @@
         // The first line is the error, or the event that the process listens. The process is killed
         // in either case.
         let mut line = String::new();
-        BufReader::new(child.stderr.take().expect("piped"))
+        BufReader::new(child.stderr.take().expect("the standard error is piped"))
             .read_line(&mut line)
-            .expect("a log line");
+            .expect("a line is logged");
         let _ = child.kill();
         assert!(
-            !child.wait().expect("ended").success() && line.contains(key),
+            !child.wait().expect("the process has exited").success() && line.contains(key),
             "{line}"
         );
         let _ = std::fs::remove_file(&path);
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -174,7 +174,7 @@
     let next = process
         .get(&format!("{ITEMS}?limit=10&bbox=0,0,9,9"))
         .link("next")
-        .expect("a next link");
+        .expect("the response has a next link");
     assert_eq!(process.get(&next).status, 200);
     let foreign = next.replace("bbox=0%2C0%2C9%2C9", "bbox=0%2C0%2C9%2C8");
     assert_problem(&process, &foreign, 400, "another query");
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -82,16 +82,16 @@
     }
     .start("silent", &nodes);
     process.wait_until_ready();
-    let connect = || TcpStream::connect(process.address).expect("the kernel accepts");
+    let connect = || TcpStream::connect(process.address).expect("the connection is established");
     let mut half = connect();
     write!(
         half,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{{"
     )
-    .expect("written");
+    .expect("the bytes are written");
     let mut text = String::new();
     half.read_to_string(&mut text)
-        .expect("an answer and an end");
+        .expect("the response is read to its end");
     assert!(
         text.starts_with("HTTP/1.1 408 ") && text.contains("Connection: close"),
         "{text}"
@@ -117,15 +117,17 @@
         client,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n"
     )
-    .expect("written");
-    let mut lines = BufReader::new(client.try_clone().expect("a handle")).lines();
+    .expect("the bytes are written");
+    let mut lines = BufReader::new(client.try_clone().expect("the socket is duplicated")).lines();
     assert_eq!(
         lines.next().and_then(Result::ok).as_deref(),
         Some("HTTP/1.1 413 Content Too Large")
     );
     // The response has arrived, and the process still reads the bytes that are sent after it.
     for _ in 0..50 {
-        client.write_all(&[b'x'; 1_000]).expect("not reset");
+        client
+            .write_all(&[b'x'; 1_000])
+            .expect("the connection is not reset");
     }
     assert!(lines
         .by_ref()
@@ -133,7 +135,7 @@
         .any(|l| l == "Connection: close"));
     client
         .shutdown(std::net::Shutdown::Write)
-        .expect("half closed");
+        .expect("the sending side is shut down");
     assert!(
         lines.all(|l| l.is_ok()),
         "the connection closes without a reset"
@@ -154,7 +156,7 @@
         200
     );
     let idle_clients: Vec<TcpStream> = (0..100)
-        .map(|_| TcpStream::connect(process.address).expect("the kernel accepts"))
+        .map(|_| TcpStream::connect(process.address).expect("the connection is established"))
         .collect();
     for n in 1..10 {
         assert_eq!(
@@ -177,11 +179,11 @@
     process.wait_until_ready();
     let mut persistent = TcpStream::connect(process.address).expect("the process listens");
     // A connection with half a request is not idle.
-    write!(persistent, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("written");
+    write!(persistent, "GET /up HTTP/1.1\r\nHost: x\r\n").expect("the bytes are written");
     process.signal("HUP");
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
-    write!(persistent, "\r\n").expect("written");
+    write!(persistent, "\r\n").expect("the bytes are written");
     let body = "{\"tablets\":[{\"tablet\":0,\"fraction\":1}],\"statement\":\"c41e77d0\"}";
     write!(
         persistent,
@@ -189,13 +191,15 @@
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
-    .expect("written");
+    .expect("the bytes are written");
     assert_eq!(
         query(&process, "q2", Class("lookup"), Shards(&[0, 1])).status,
         200
     );
     let mut text = String::new();
-    persistent.read_to_string(&mut text).expect("read");
+    persistent
+        .read_to_string(&mut text)
+        .expect("the response is read");
     assert!(
         text.starts_with("HTTP/1.1 503 ") && text.contains("HTTP/1.1 200 "),
         "{text}"
--- a/tests/platform/queries.rs
+++ b/tests/platform/queries.rs
@@ -54,7 +54,10 @@
         let has_failed = Arc::new(Mutex::new(false));
         let fail_first = |has_failed: Arc<Mutex<bool>>| {
             move |_| {
-                if std::mem::replace(&mut *has_failed.lock().expect("flag"), true) {
+                if std::mem::replace(
+                    &mut *has_failed.lock().expect("the mutex is not poisoned"),
+                    true,
+                ) {
                     NodeBehaviour::Serve
                 } else {
                     fault
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -117,12 +117,14 @@
         truncated,
         "POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{{"
     )
-    .expect("written");
+    .expect("the bytes are written");
     truncated
         .shutdown(std::net::Shutdown::Write)
-        .expect("half closed");
+        .expect("the sending side is shut down");
     let mut text = String::new();
-    truncated.read_to_string(&mut text).expect("read");
+    truncated
+        .read_to_string(&mut text)
+        .expect("the response is read");
     assert_eq!(
         text.matches("HTTP/1.1 400 ").count(),
         1,
@@ -135,7 +137,7 @@
     // Data nodes identify parts by the id of their request, so the second request would receive the
     // answers to the first one.
     let gate = Arc::new(Mutex::new(()));
-    let closed_gate = gate.lock().expect("gate");
+    let closed_gate = gate.lock().expect("the mutex is not poisoned");
     let wait_for_gate = |gate: Arc<Mutex<()>>| {
         move |_| {
             drop(gate.lock());
@@ -158,7 +160,7 @@
             409
         );
         drop(closed_gate);
-        assert_eq!(first.join().expect("answered"), 200);
+        assert_eq!(first.join().expect("the thread does not panic"), 200);
         assert_eq!(
             query(&process, "q1", Class("lookup"), Shards(&[0])).status,
             200,
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -118,7 +118,7 @@
     let nodes = [0, 1].map(|_| bind_loopback());
     let addresses = nodes
         .each_ref()
-        .map(|node| node.local_addr().expect("bound"));
+        .map(|node| node.local_addr().expect("the listener is bound"));
     let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("disconnect-retry", &discovery, &addresses);
     let request = QueryRequest::new("disconnected", Class("look"), Shards(&[0]));
@@ -132,7 +132,7 @@
     watch.send(&changed_endpoints(2, &draining));
     process.wait_for_counter("endpoint_updates", 3);
     let rejection = format!("{} skipped 0 -\n", rejected.part_ids()[0]);
-    write_answer(&mut rejected.stream, &rejection).expect("written");
+    write_answer(&mut rejected.stream, &rejection).expect("the bytes are written");
     process.wait_for_counter("attempts_rejected", 1);
     drop(client);
     process.wait_for_counter("queries_abandoned", 1);
@@ -145,10 +145,12 @@
     let mut served = recorder.wait_for_call();
     assert_eq!(served.part_ids(), ["stays.0"]);
     assert_ne!(served.node, rejected.node, "one call on each connection");
-    write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("written");
+    write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("the bytes are written");
     let mut first = String::new();
     let mut response = BufReader::new(other);
-    response.read_line(&mut first).expect("a response");
+    response
+        .read_line(&mut first)
+        .expect("a response is received");
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
     process.wait_for_counter("attempts_dispatched", 2);
     recorder.assert_no_further_call(process);
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -46,7 +46,10 @@
     // The deduplication window is checked when the connection is established, not only at dispatch.
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
-    let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
+    let addresses = [
+        listener.local_addr().expect("the listener is bound"),
+        unreachable.address(),
+    ];
     let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("window", &discovery, &addresses);
@@ -58,9 +61,9 @@
             .close_connection()
             .to_http(),
     );
-    let (mut first, _) = listener.accept().expect("a connection");
+    let (mut first, _) = listener.accept().expect("a connection is accepted");
     assert_eq!(
-        read_part_ids(&mut first).expect("the first attempt"),
+        read_part_ids(&mut first).expect("the first attempt is received"),
         ["key.0"]
     );
     watch.send(&changed_endpoints(
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -68,7 +68,7 @@
             ListKind::Change,
             &[terminating(0, addresses[0])],
         ))
-        .expect("a list");
+        .expect("the list is formatted");
         let second = discovery.answer_watch(&event);
         let elapsed_ms = started_at.elapsed().as_millis();
         assert!(
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -21,7 +21,9 @@
     nodes
         .iter()
         .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("the buffer size is set"));
-    let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
+    let addresses = nodes
+        .each_ref()
+        .map(|n| n.local_addr().expect("the listener is bound"));
     let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment {
         latency_objective_ms: 400,
@@ -105,7 +107,10 @@
     let stalled = bind_loopback();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("the buffer size is set");
     let healthy = UnreachableNode::new();
-    let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
+    let addresses = [
+        stalled.local_addr().expect("the listener is bound"),
+        healthy.address(),
+    ];
     let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
         Deployment::ALL_EFFECTS.start_controlled("half-frames", &discovery, &addresses);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -17,7 +17,11 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may exit before it has read everything; the assertions check its output.
-    let _ = child.stdin.take().expect("piped").write_all(input);
+    let _ = child
+        .stdin
+        .take()
+        .expect("the standard input is piped")
+        .write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -91,7 +95,7 @@
 
 /// Returns the replies in the output of the adapter.
 fn replies(mut bytes: &[u8]) -> Vec<Reply> {
-    let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("four bytes"));
+    let word = |b: &[u8]| u32::from_le_bytes(b[..4].try_into().expect("the word has four bytes"));
     let mut all = Vec::new();
     while !bytes.is_empty() {
         let length = word(bytes) as usize;
