--- a/src/degradation/controller/tests.rs
+++ b/src/degradation/controller/tests.rs
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn many_instances_do_not_move_at_the_same_time() {
+fn many_coordinators_do_not_change_levels_at_the_same_time() {
     let mut times = Vec::new();
     for n in 0..100 {
         let mut controller = built_in_controller(f64::from(n) / 99.0);
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -15,7 +15,7 @@
 /// the query needs another round.
 pub type Render = Box<dyn FnOnce(Answer) -> Reaction + Send>;
 
-/// What is to be done about a client's request.
+/// The result of handling a client's request.
 pub enum Reaction {
     /// This response is sent to the client.
     Respond(Response),
--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -118,7 +118,7 @@
 
     /// Returns the capabilities of a server for a shard, or whether the caller must discover them.
     pub fn lookup(&mut self, key: &ReplicaKey, now: Micros) -> CapabilityLookup {
-        self.make_room_for(key);
+        self.evict_if_full(key);
         let max_age = self.max_age - self.staleness_jitter(key);
         let entry = self.entries.entry(key.clone()).or_default();
         entry.last_used = now;
@@ -140,7 +140,7 @@
     }
 
     /// Evicts the least recently used entry if the cache is full and has no entry for `key`.
-    fn make_room_for(&mut self, key: &ReplicaKey) {
+    fn evict_if_full(&mut self, key: &ReplicaKey) {
         if self.entries.contains_key(key) || self.entries.len() < MAX_ENTRIES {
             return;
         }
--- a/src/front/ogc/capabilities/tests.rs
+++ b/src/front/ogc/capabilities/tests.rs
@@ -82,7 +82,10 @@
             .into_iter()
             .for_each(|n| cache.record(&replica(n), capabilities(), secs(second)));
     }
-    assert!(max_at_once < 40, "{max_at_once} at once");
+    assert!(
+        max_at_once < 40,
+        "{max_at_once} discoveries at the same time"
+    );
     for n in 0..10_000 {
         cache.lookup(&replica(n), secs(200 + n as u64));
     }
--- a/src/front/ogc/client_request.rs
+++ b/src/front/ogc/client_request.rs
@@ -1,4 +1,4 @@
-//! What a client's request determines for a query: the class, the timeout and the parameters. The
+//! The properties of a query that the client's request sets: class, timeout and parameters. The
 //! parameters are parsed by [`params`](super::params).
 
 use super::config::EdgeConfig;
--- a/src/front/ogc/config/error.rs
+++ b/src/front/ogc/config/error.rs
@@ -29,7 +29,7 @@
     Value {
         /// The edge file.
         file: PathBuf,
-        /// The value and what is wrong with it.
+        /// The error in the value.
         source: ValueError,
     },
     /// The inventory can't be used.
@@ -48,7 +48,7 @@
     Class {
         /// Name of the class.
         name: String,
-        /// What is wrong with the class.
+        /// The error in the class.
         source: ClassError,
     },
     /// The type of a queryable is unknown.
--- a/src/front/ogc/config/tests/keys.rs
+++ b/src/front/ogc/config/tests/keys.rs
@@ -62,10 +62,7 @@
 #[test]
 fn slow_start_of_earlier_versions_is_read() {
     let edge = parse(EVERY_KEY);
-    let slow_start = edge
-        .slow_start
-        .as_ref()
-        .expect("the settings have a slow start");
+    let slow_start = edge.slow_start.as_ref().expect("the file has a slow start");
     assert_eq!(
         (slow_start.initial_capacity, slow_start.warm_up_ms),
         (0.2, 17_000)
--- a/src/front/ogc/config/validation.rs
+++ b/src/front/ogc/config/validation.rs
@@ -12,7 +12,7 @@
 pub struct ValueIssue {
     /// Text by which the line of the value can be found.
     pub anchor: String,
-    /// What is wrong with the value.
+    /// The error in the value.
     pub error: ValueError,
 }
 
--- a/src/policy/answers/mod.rs
+++ b/src/policy/answers/mod.rs
@@ -1,4 +1,5 @@
-//! Answers: decides when a query is answered, rejected or failed, and whether its answer is complete.
+//! Answers: decides when a query is answered, rejected or failed, and whether its answer is
+//! complete.
 
 mod completeness;
 mod resolution;
@@ -15,8 +16,8 @@
 /// Share of the longest `Retry-After` over which the waits of rejected clients are spread.
 const RETRY_AFTER_JITTER: f64 = 0.5;
 
-/// Answers, rejects or fails a query, and returns the actions that do so. Returns no actions if the
-/// query is closed, or if an answer is not allowed yet.
+/// Answers, rejects or fails a query, and returns the actions that do so. Returns no actions if
+/// the query is closed, or if an answer is not allowed yet.
 ///
 /// Queries are answered, rejected and failed only here, which enforces the rule "one final answer".
 pub fn resolve(
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -15,7 +15,7 @@
 use crate::queries::{Part, Query};
 use next_step::{next_step, NextStep};
 use retry_limiter::RetryLimiter;
-use rules::latest_send;
+use rules::write_by;
 
 /// Maximum number of attempts at a part in flight at once, where hedging is allowed.
 const MAX_HEDGED_ATTEMPTS: usize = 2;
@@ -110,7 +110,7 @@
         let target = target_of(query, planned.part_index);
         let replica = planned.replica;
         let part = &mut query.parts[planned.part_index];
-        let write_by = latest_send(part, class, settings);
+        let write_by = write_by(part, class, settings);
         if !part.attempts.is_empty() {
             self.retries.record_retry(now);
         }
@@ -142,7 +142,7 @@
         let target = target_of(query, planned.part_index);
         let is_retry = !part.attempts.is_empty();
         let is_wanted = query.is_open() && query.is_in_step(part) && !part.is_answered();
-        let in_time = now < query.deadline && now < latest_send(part, class, settings);
+        let in_time = now < query.deadline && now < write_by(part, class, settings);
         is_wanted
             && in_time
             && may_attempt_again(part, class)
--- a/src/policy/attempts/rules.rs
+++ b/src/policy/attempts/rules.rs
@@ -15,7 +15,7 @@
 /// Returns the time after which writing another attempt at a part must not start, by the rule "no
 /// part repeated beyond its class's effect". For a deduplicated part this is shortly before the end
 /// of its deduplication window.
-pub fn latest_send(part: &Part, class: &Class, settings: &Settings) -> Nanos {
+pub fn write_by(part: &Part, class: &Class, settings: &Settings) -> Nanos {
     let mut attempts = part.attempts.iter();
     let Some(first) = attempts.find(|attempt| attempt.may_have_run()) else {
         return Nanos::MAX;
--- a/src/policy/fleet/tests.rs
+++ b/src/policy/fleet/tests.rs
@@ -84,11 +84,11 @@
     };
     assert!(
         !idle_are_dropped_after_losses(&mut connections, true, 9),
-        "a loss of 0.24"
+        "a difference of 0.24 in losses is below the threshold"
     );
     assert!(
         idle_are_dropped_after_losses(&mut connections, true, 1),
-        "a loss of 0.26"
+        "a difference of 0.26 in losses is above the threshold"
     );
     assert!(
         !idle_are_dropped_after_losses(&mut connections, false, 1),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
 //! Decision policy of the coordinator; its settings, events and actions are in `src/interface/`.
 //!
 //! [`DecisionPolicy::handle`] applies a batch of events, then advances every open query in order of
-//! arrival: it admits or rejects the query, sends and retries its parts, and answers, rejects or fails
-//! the query. Each submodule makes one kind of decision and owns the state for it:
+//! arrival: it admits or rejects the query, sends and retries its parts, and answers, rejects or
+//! fails the query. Each submodule makes one kind of decision and owns the state for it:
 //!
 //! * `admission`: which queries are admitted, and which parts of an admitted query are omitted;
 //! * `attempts`: which attempts are sent; `replicas`: which replica an attempt is sent to;
--- a/src/policy/replicas/mod.rs
+++ b/src/policy/replicas/mod.rs
@@ -174,9 +174,9 @@
 
     /// Returns the replicas of a shard that a part may be sent to, in the order of the rotation.
     ///
-    /// Replicas that are warming up are left out if slow start does not admit the part now. Replicas
-    /// that cost far more than the cheapest one are left out too; an overdue attempt in flight
-    /// raises the cost. If all replicas are slow, none is left out for its cost.
+    /// Replicas that are warming up are left out if slow start does not admit the part now.
+    /// Replicas that cost far more than the cheapest one are left out too; an overdue attempt in
+    /// flight raises the cost. If all replicas are slow, none is left out for its cost.
     fn candidates(
         &self,
         target: Target,
--- a/src/policy/replicas/rotation.rs
+++ b/src/policy/replicas/rotation.rs
@@ -77,8 +77,8 @@
             .is_some_and(|shard| shard.replicas.iter().any(|share| share.member == replica))
     }
 
-    /// Returns the ready replicas of a shard in the order of the rotation, starting with the one whose
-    /// share contains the position.
+    /// Returns the ready replicas of a shard in the order of the rotation, starting with the one
+    /// whose share contains the position.
     pub fn in_rotation(&self, shard: ShardId) -> impl Iterator<Item = ReplicaId> + '_ {
         let rotation = self.get(shard);
         let shares = rotation.map_or(&[][..], |shard| &shard.replicas);
--- a/src/queries/tests.rs
+++ b/src/queries/tests.rs
@@ -155,7 +155,10 @@
     ] {
         assert!(attempt(Some(outcome)).may_have_run(), "{outcome:?}");
     }
-    assert!(attempt(None).may_have_run(), "in flight");
+    assert!(
+        attempt(None).may_have_run(),
+        "an attempt in flight may have run"
+    );
 }
 
 #[test]
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings that the platform gives a new coordinator: their conversion from JSON to typed values,
-//! and their validation.
+//! The settings that the platform gives a new coordinator: their conversion from JSON to typed
+//! values, and their validation.
 //!
 //! All times are nanoseconds, as on the wire. The configuration file of a process and the edge file
 //! are read elsewhere: see [`net::config`](crate::net::config) and
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -41,7 +41,7 @@
     assert_eq!(
         average.value_at(SECOND, 1.0, 0.0),
         70.0,
-        "the average of 40 (half of 80) and 100"
+        "the result is the average of 40 (half of 80) and 100"
     );
 }
 
@@ -84,7 +84,11 @@
     let available = |budget: &RatioBudget, second, margin| {
         budget.available(second * SECOND, 1.0, 0.5, 10 * SECOND, margin * SECOND)
     };
-    assert_eq!(available(&budget, 0, 0), 1.0, "the free budget");
+    assert_eq!(
+        available(&budget, 0, 0),
+        1.0,
+        "the free budget is available"
+    );
     budget.earn(10 * SECOND);
     budget.earn(10 * SECOND);
     budget.spend(10 * SECOND);
@@ -138,7 +142,11 @@
 #[test]
 fn a_new_value_is_ranked_among_the_recent_ones() {
     let mut recent = RecentValues::default();
-    assert_eq!(recent.rank(5.0, 0.5), 0.5, "the only value");
+    assert_eq!(
+        recent.rank(5.0, 0.5),
+        0.5,
+        "the only value has the tie break as its rank"
+    );
     for value in [1.0, 2.0, 2.0] {
         recent.push(value, 3);
     }
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(
         monotonic_start(1, 1_000_000, now),
         None,
-        "before the origin of the monotonic clock"
+        "the start is before the origin of the monotonic clock"
     );
 }
 
--- a/tests/coordinator/attempts.rs
+++ b/tests/coordinator/attempts.rs
@@ -42,7 +42,7 @@
         {
             Answer::Rejected { late, .. } => assert!(*late && !write_started),
             Answer::Failed { late } => assert!(*late && write_started),
-            other => panic!("neither rejected nor failed: {other:?}"),
+            other => panic!("the request was neither rejected nor failed: {other:?}"),
         }
     }
 }
@@ -84,7 +84,7 @@
             .any(|key| key == retry);
         assert_eq!(
             is_cancelled, !write_started,
-            "at the end of the deduplication window"
+            "the attempt is cancelled if its write has not started at the end of the window"
         );
         assert_eq!(coordinator.is_in_flight(retry), write_started);
     }
--- a/tests/coordinator/endpoints.rs
+++ b/tests/coordinator/endpoints.rs
@@ -34,8 +34,8 @@
     let mut now = START;
     let mut coordinator = coordinator();
     let mut commands = Vec::new();
-    let mut seen = BTreeSet::new();
-    let mut open: BTreeSet<ReplicaId> = BTreeSet::new();
+    let mut assigned_ids = BTreeSet::new();
+    let mut present_ids: BTreeSet<ReplicaId> = BTreeSet::new();
     for number in 0..400 {
         now = now + Micros::from_secs(1);
         let servers = [
@@ -54,16 +54,19 @@
                     ready: true,
                     ..
                 } => {
-                    assert!(seen.insert(replica) && open.insert(replica));
+                    assert!(assigned_ids.insert(replica) && present_ids.insert(replica));
                 }
                 Command::RemoveServer(replica) => {
-                    open.remove(&replica);
+                    present_ids.remove(&replica);
                 }
                 _ => {}
             }
         }
         let kept = coordinator.known_endpoints();
-        assert!(kept <= 35 && open.len() <= 35, "{kept} endpoints kept");
+        assert!(
+            kept <= 35 && present_ids.len() <= 35,
+            "{kept} endpoints are kept"
+        );
     }
 }
 
@@ -239,14 +242,18 @@
         });
         ended.map(|opened_before| opened_before.since(START).0 / 1_000)
     };
-    assert_eq!(ended_at(None), None, "the first list");
+    assert_eq!(ended_at(None), None, "the first list ends no connection");
     assert_eq!(ended_at(Some(5_000)), Some(4_500));
     assert_eq!(ended_at(Some(5_000)), None);
     assert_eq!(
         ended_at(Some(5_400)),
         None,
-        "the same start as another clock measures it"
+        "the same start, as another clock measures it, ends no connection"
+    );
+    assert_eq!(
+        ended_at(None),
+        None,
+        "an entry without a start ends no connection"
     );
-    assert_eq!(ended_at(None), None, "an entry without a start");
     assert_eq!(ended_at(Some(9_000)), Some(8_500));
 }
--- a/tests/coordinator/random_inputs.rs
+++ b/tests/coordinator/random_inputs.rs
@@ -118,7 +118,7 @@
             Command::Dispatch { replica, attempts } => {
                 assert!(
                     !self.draining.contains(&replica),
-                    "no new attempt to a draining server"
+                    "no new attempt is sent to a draining server"
                 );
                 attempts
                     .iter()
@@ -147,13 +147,16 @@
             .expect("the request id ends with a token");
         assert!(
             !self.answered.contains(&token),
-            "no attempt after the answer"
+            "no attempt is sent after the answer"
         );
         let part_in_flight = self
             .in_flight
             .keys()
             .any(|key| key.part == attempt.key.part);
-        assert!(!part_in_flight, "one attempt at a part at a time");
+        assert!(
+            !part_in_flight,
+            "one attempt at a part is in flight at a time"
+        );
         let part = RequestPart {
             token,
             shard: attempt.shard.0,
@@ -177,7 +180,7 @@
 
     /// Checks that an answer is the only one, and partial only where the class allows it.
     fn check_answer(&mut self, token: Token, answer: &Answer) {
-        assert!(self.answered.insert(token.0), "one answer to a request");
+        assert!(self.answered.insert(token.0), "a request has one answer");
         if let Answer::Served { complete, parts } = answer {
             assert!(!parts.is_empty());
             assert!(
@@ -330,7 +333,7 @@
         prop_assert_eq!(run.coordinator.attempts_in_flight(), 0, "every attempt has had its outcome");
         for token in 1..=run.tokens {
             let ended = run.checker.answered.contains(&token) || run.disconnected.contains(&token);
-            prop_assert!(ended, "no answer to {}", token);
+            prop_assert!(ended, "there is no answer to {}", token);
         }
     }
 }
--- a/tests/coordinator/settings.rs
+++ b/tests/coordinator/settings.rs
@@ -67,23 +67,23 @@
     let reload = reload_with_swapped_classes();
     coordinator.turn(now, [reload, submit(2, IDEMPOTENT, 1, now)], &mut commands);
 
-    let mut seen = Outcomes::default();
-    while seen.answers.len() < 2 {
-        let inputs = seen.record_and_fail_attempts(commands.drain(..));
+    let mut outcomes = Outcomes::default();
+    while outcomes.answers.len() < 2 {
+        let inputs = outcomes.record_and_fail_attempts(commands.drain(..));
         now = now + Micros::from_millis(5);
         coordinator.turn(now, inputs, &mut commands);
     }
 
     assert_eq!(
-        seen.attempts_by_request,
+        outcomes.attempts_by_request,
         BTreeMap::from([("q1".to_owned(), 3), ("q2".to_owned(), 1)])
     );
     assert!(
-        matches!(seen.answers[&Token(1)], Answer::Rejected { .. }),
-        "idempotent when the query was submitted"
+        matches!(outcomes.answers[&Token(1)], Answer::Rejected { .. }),
+        "the class was idempotent when the query was submitted"
     );
     assert!(
-        matches!(seen.answers[&Token(2)], Answer::Failed { .. }),
-        "not idempotent since the reload"
+        matches!(outcomes.answers[&Token(2)], Answer::Failed { .. }),
+        "the class is not idempotent since the reload"
     );
 }
--- a/tests/coordinator/shutdown.rs
+++ b/tests/coordinator/shutdown.rs
@@ -23,7 +23,11 @@
         [submit(2, IDEMPOTENT, 1, final_deadline)],
         &mut commands,
     );
-    assert_eq!(coordinator.pending_queries(), 0, "too late to be accepted");
+    assert_eq!(
+        coordinator.pending_queries(),
+        0,
+        "the query is too late to be accepted"
+    );
 }
 
 #[test]
--- a/tests/degradation.rs
+++ b/tests/degradation.rs
@@ -74,7 +74,7 @@
         let admitted = count_admitted(&mut harness, index);
         assert!(
             (150..=250).contains(&admitted),
-            "{admitted} of 400 of class {index}"
+            "{admitted} of 400 queries of class {index} are admitted"
         );
         let mut harness = Harness::new(settings.clone());
         enter_level(&mut harness, &settings, &share(0.0));
@@ -118,7 +118,10 @@
                 .len();
             sent += sent_attempts(&harness.run_for(100 * MS)).len();
         }
-        assert_eq!(sent, allowed, "with {max_of_settings} and {max_of_level:?}");
+        assert_eq!(
+            sent, allowed,
+            "maximum of the settings {max_of_settings}, of the level {max_of_level:?}"
+        );
     }
 }
 
@@ -149,7 +152,11 @@
         }
         let time_left = 500 * MS - received as u64 * 100 * MS - 25 * MS;
         let before = final_actions(&harness.run_for(time_left));
-        assert_eq!(before, [], "not before half of the latency objective");
+        assert_eq!(
+            before,
+            [],
+            "no answer is given before half of the latency objective"
+        );
         Self {
             harness,
             parts,
@@ -173,20 +180,24 @@
     assert_eq!(
         query.final_actions_within(100),
         expected,
-        "2 of 3 are received"
+        "2 of 3 parts are received"
     );
 }
 
 #[test]
 fn a_level_never_answers_below_the_minimum_share() {
     let mut query = PartialQuery::run_until_half_of_the_objective(1);
-    assert_eq!(query.final_actions_within(100), [], "1 of 3 is received");
+    assert_eq!(
+        query.final_actions_within(100),
+        [],
+        "1 of 3 parts is received"
+    );
     // Later parts are still waited for, up to the latency objective.
     assert_eq!(query.final_actions_within(200), []);
     assert_eq!(
         final_actions(&query.harness.answer(query.parts[1])),
         [query.partial_answer],
-        "as soon as the minimum share is reached"
+        "an answer is given as soon as the minimum share is reached"
     );
 }
 
@@ -250,11 +261,11 @@
         let high = *waits.iter().max().expect("there is at least one wait");
         assert!(
             low >= min && high <= S,
-            "{retry_after_factor}: {low} to {high}"
+            "factor {retry_after_factor}: Retry-After is {low} to {high}"
         );
         assert!(
             high - low > (S - min) * 9 / 10,
-            "{retry_after_factor}: spread from {low} to {high}"
+            "factor {retry_after_factor}: Retry-After is spread from {low} to {high}"
         );
     }
 }
--- a/tests/fleet/draining.rs
+++ b/tests/fleet/draining.rs
@@ -6,8 +6,8 @@
 #[test]
 fn the_load_of_a_draining_node_spreads_beyond_its_neighbours() {
     // Two shards have only a neighbour of the draining node left, and each neighbour shares another
-    // shard with the next node. Unless the load spreads over more nodes, the neighbours get half as
-    // much load again, which each instance encounters too rarely to detect.
+    // shard with the next node. Unless the load spreads over more nodes, the load of the neighbours
+    // increases by half, and each instance sends them too few parts to detect that.
     let mut fleet = Fleet::new(&fleet_settings());
     let drain_start = START + 2 * S;
     for n in 0..INSTANCES {
@@ -28,7 +28,7 @@
     for node in [9, 11] {
         assert!(
             load(node) < 1.2 * mean,
-            "node {node}: {:.2} of the mean",
+            "node {node} has {:.2} of the mean load",
             load(node) / mean
         );
     }
--- a/tests/fleet/recovery.rs
+++ b/tests/fleet/recovery.rs
@@ -37,10 +37,13 @@
     for class in [SEND, LOOKUP, REPORT] {
         assert!(
             fleet.served(class, START, from - S) > 0.99,
-            "class {class} before the outage"
+            "queries of class {class} are served before the outage"
         );
         let after = fleet.served(class, recovered_at + 8 * S, end - S);
-        assert!(after > 0.95, "class {class} after the outage: {after}");
+        assert!(
+            after > 0.95,
+            "class {class}: a share of {after} is served after the outage"
+        );
     }
     assert!(
         fleet.served(REPORT, from, recovered_at) > 0.9,
--- a/tests/fleet/slow_start.rs
+++ b/tests/fleet/slow_start.rs
@@ -57,11 +57,11 @@
     let started = START + 5 * S;
     let fleet = fleet_with_starting(&[3], started);
     let sent = assert_parts_within_capacity(&fleet, 3, started);
-    assert!(sent > 100, "{sent} parts during the warm-up");
+    assert!(sent > 100, "{sent} parts are sent during the warm-up");
     for class in [SEND, LOOKUP, REPORT] {
         assert!(
             fleet.served(class, started, started + 18 * S) > 0.99,
-            "class {class}"
+            "queries of class {class} are served"
         );
     }
 }
@@ -73,7 +73,7 @@
     let sent = [3, 4].map(|node| assert_parts_within_capacity(&fleet, node, started));
     assert!(
         sent.iter().all(|n| *n > 100),
-        "{sent:?} parts during the warm-up"
+        "{sent:?} parts are sent during the warm-up"
     );
     fleet.assert_one_final_answer_each(started + 20 * S);
     // Reports may lack one of twenty parts, so they are served during the start.
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -350,7 +350,7 @@
         let mut queries = self.queries.values();
         assert!(
             queries.all(|query| query.final_answers == 1 || is_open(query)),
-            "one final answer each"
+            "each query has one final answer"
         );
     }
 }
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -191,7 +191,10 @@
     let read = client
         .read(&mut [0])
         .expect("the connection is closed without a reset");
-    assert_eq!(read, 0, "closed shortly before the last response");
+    assert_eq!(
+        read, 0,
+        "the connection is closed shortly before the last response"
+    );
     let last_request = QueryRequest::new("last", Class("once"), Shards(&[1])).to_http();
     let mut last = BufReader::new(send_request(&process, &last_request));
     let answer = read_response(&mut last).expect("a response is received and no reset");
@@ -227,18 +230,19 @@
         let sender = sender.clone();
         std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection is accepted");
-            let ids = read_part_ids(&mut stream).expect("a part is received");
+            let part_ids = read_part_ids(&mut stream).expect("a part is received");
             sender
-                .send((ids, stream))
+                .send((part_ids, stream))
                 .expect("the test receives the attempt");
         });
     }
-    let (ids, mut first) = attempts.recv().expect("the first attempt is received");
+    let (part_ids, mut first) = attempts.recv().expect("the first attempt is received");
     process.signal("TERM");
     process.wait_for_log("graceful shutdown started");
-    write_answer(&mut first, &format!("{} skipped 0 -\n", ids[0])).expect("the bytes are written");
-    let (ids, mut second) = attempts.recv().expect("the retry is received");
-    write_answer(&mut second, &format!("{} served 1 -\ncell", ids[0]))
+    write_answer(&mut first, &format!("{} skipped 0 -\n", part_ids[0]))
+        .expect("the bytes are written");
+    let (part_ids, mut second) = attempts.recv().expect("the retry is received");
+    write_answer(&mut second, &format!("{} served 1 -\ncell", part_ids[0]))
         .expect("the bytes are written");
     assert!(read_until_close(client).starts_with("HTTP/1.1 200"));
     assert!(process.wait_for_exit(), "the process exits without a kill");
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -210,7 +210,11 @@
     }
     sent.sort();
     assert_within_capacity(&sent);
-    assert!(sent.len() > 20, "{} parts during the warm-up", sent.len());
+    assert!(
+        sent.len() > 20,
+        "{} parts are sent during the warm-up",
+        sent.len()
+    );
 }
 
 #[test]
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -58,8 +58,8 @@
         LoggingProcess::spawn(command, directory)
     }
 
-    /// Starts a command that logs JSON, and reads its log on a thread; `directory` is removed at the
-    /// end.
+    /// Starts a command that logs JSON, and reads its log on a thread; `directory` is removed at
+    /// the end.
     pub fn spawn(mut command: Command, directory: PathBuf) -> LoggingProcess {
         let mut child = command
             .stderr(Stdio::piped())
--- a/tests/ogc/faults.rs
+++ b/tests/ogc/faults.rs
@@ -98,10 +98,10 @@
         None => healthy_response(target, 100..106, 2),
     };
     let healthy = FeatureServer::healthy(0..3, 10);
-    let broken = [0, 1].map(|_| FeatureServer::start(first_page_only));
+    let failing = [0, 1].map(|_| FeatureServer::start(first_page_only));
     let rows = inventory_row("a", &healthy, "devices/n")
-        + &inventory_row("b", &broken[0], "devices/s")
-        + &inventory_row("c", &broken[1], "devices/s");
+        + &inventory_row("b", &failing[0], "devices/s")
+        + &inventory_row("c", &failing[1], "devices/s");
     let process = Process::start_feature_front("missing", "", &rows);
 
     let partial = process.get_with_headers(ITEMS, "X-Qos: part\r\n");
--- a/tests/ogc/operation.rs
+++ b/tests/ogc/operation.rs
@@ -127,7 +127,7 @@
     ] {
         assert!(
             text.contains(&format!("\nnode.responses.{metric}\n")),
-            "{metric} in {text}"
+            "{metric} is not in {text}"
         );
     }
     assert!(
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         north.count_requests(|t| t.starts_with("/collections/n/items")),
         3,
-        "each page once"
+        "each page is requested once"
     );
     let mut returned = Vec::new();
     let mut next = Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9"));
@@ -35,7 +35,7 @@
     }
     assert_eq!(
         returned, all,
-        "no duplicates and no gaps over the next links"
+        "the responses of the next links have no duplicates and no gaps"
     );
     assert!(
         north.count_requests(|t| t.contains("bbox=0%2C0%2C9%2C9")) > 0,
--- a/tests/ogc/resources.rs
+++ b/tests/ogc/resources.rs
@@ -44,7 +44,9 @@
 fn assert_resources_are_served(process: &Process) {
     let landing = process.get("/");
     for rel in ["self", "service-desc", "conformance", "data"] {
-        let target = landing.link(rel).unwrap_or_else(|| panic!("no {rel}"));
+        let target = landing
+            .link(rel)
+            .unwrap_or_else(|| panic!("there is no link with the relation {rel}"));
         assert_eq!(process.get(&target).status, 200, "{rel}");
     }
     assert_eq!(process.get("/up").status, 200);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -314,7 +314,10 @@
     let mut persistent = TcpStream::connect(predecessor.address).expect("the process listens");
     predecessor.wait_until_ready();
     let successor = predecessor.start_successor(&temporary);
-    assert_eq!(successor.address, predecessor.address, "the same socket");
+    assert_eq!(
+        successor.address, predecessor.address,
+        "both processes use the same socket"
+    );
     let successor_admin = successor.admin_address();
     while call_admin_endpoint(successor_admin, "HEALTH\n") != "YES\n" {}
     assert_eq!(call_admin_endpoint(predecessor_admin, "HEALTH\n"), "YES\n");
--- a/tests/ordinary_path/admission.rs
+++ b/tests/ordinary_path/admission.rs
@@ -28,7 +28,7 @@
         assert_eq!(
             (sent_attempts(&actions).len(), is_rejected(&actions)),
             (1, false),
-            "query {n}"
+            "query {n} is admitted"
         );
         harness.now += 20 * MS;
         let _ = harness.complete(PartId(id + 1), 0, Outcome::Ok, 20 * MS);
--- a/tests/ordinary_path/answers.rs
+++ b/tests/ordinary_path/answers.rs
@@ -26,7 +26,7 @@
     all.extend(harness.run_for(850 * MS));
     assert!(
         final_actions(&all).is_empty(),
-        "not before: the second part may still be answered"
+        "no answer is given before, since the second part may still be answered"
     );
     assert_eq!(
         final_actions(&harness.run_for(45 * MS)),
--- a/tests/paging.rs
+++ b/tests/paging.rs
@@ -88,7 +88,7 @@
     assert_eq!(
         (returned, ids.len()),
         (all, all),
-        "each feature exactly once"
+        "each feature is returned exactly once"
     );
 }
 
--- a/tests/platform/connections.rs
+++ b/tests/platform/connections.rs
@@ -26,7 +26,7 @@
             assert_eq!(
                 query(&process, &format!("q{n}"), Class("lookup"), Shards(&[0, 1])).status,
                 200,
-                "query {n}"
+                "query {n} is answered"
             );
             if nodes.iter().all(|node| part_count(node) > 120) {
                 break;
@@ -58,7 +58,7 @@
         assert_eq!(
             query(&process, &format!("q{n}"), Class("send"), Shards(&[0])).status,
             200,
-            "query {n}"
+            "query {n} is answered"
         );
         while nodes
             .iter()
--- a/tests/platform/requests.rs
+++ b/tests/platform/requests.rs
@@ -128,7 +128,7 @@
     assert_eq!(
         text.matches("HTTP/1.1 400 ").count(),
         1,
-        "one error response to a truncated request"
+        "a truncated request gets one error response"
     );
 }
 
--- a/tests/races/clients.rs
+++ b/tests/races/clients.rs
@@ -144,7 +144,10 @@
     let other = send_request(&process, &request.to_http());
     let mut served = recorder.wait_for_call();
     assert_eq!(served.part_ids(), ["stays.0"]);
-    assert_ne!(served.node, rejected.node, "one call on each connection");
+    assert_ne!(
+        served.node, rejected.node,
+        "each connection carries one call"
+    );
     write_answer(&mut served.stream, "stays.0 served 1 -\ncell").expect("the bytes are written");
     let mut first = String::new();
     let mut response = BufReader::new(other);
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -37,7 +37,7 @@
     let mut received = healthy.received_part_ids();
     received.sort();
     received.dedup();
-    assert_eq!(received.len(), 16, "each part once");
+    assert_eq!(received.len(), 16, "each part is received once");
     assert_eq!(healthy.received_part_ids().len(), 16);
 }
 
--- a/tests/races/discovery.rs
+++ b/tests/races/discovery.rs
@@ -32,7 +32,7 @@
         for client in clients {
             assert!(
                 read_until_close(client).starts_with("HTTP/1.1 200"),
-                "the other node serves it"
+                "the other node serves the part"
             );
         }
         drop(process);
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -132,7 +132,10 @@
     let served = served_parts(&answers);
     assert_eq!(retried, served, "each part is retried once");
     let count = served.len();
-    assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
+    assert!(
+        (1..QUERIES).contains(&count),
+        "{count} of {QUERIES} queries"
+    );
     assert!(answers.iter().all(|answer| {
         answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 502")
     }));
--- a/tests/replica_choice.rs
+++ b/tests/replica_choice.rs
@@ -51,7 +51,7 @@
     assert_eq!(
         sent_attempts(&actions).len() + final_actions(&actions).len(),
         1,
-        "sent, or rejected as too late: {actions:?}"
+        "the part is sent, or the query rejected as too late: {actions:?}"
     );
 }
 
@@ -89,7 +89,7 @@
         harness.run_for(60 * S);
         sent += usize::from(!sent_attempts(&harness.submit_as(1, 0, &[0]).2).is_empty());
     }
-    assert!(sent >= 8, "{sent} of 20");
+    assert!(sent >= 8, "{sent} of 20 queries are sent");
 }
 
 #[test]
@@ -196,7 +196,7 @@
     assert_eq!(
         sent_attempts(&harness.run_for(1100 * MS)).len(),
         1,
-        "retried after the latency objective"
+        "the part is retried after the latency objective"
     );
 }
 
--- a/tests/soak/checker_tests.rs
+++ b/tests/soak/checker_tests.rs
@@ -259,6 +259,12 @@
         let found = violations(&history);
         found.iter().any(|violation| violation.rule == Rule::Close)
     };
-    assert!(has_violation(5_600), "request sent 0.6 s after SIGTERM");
-    assert!(!has_violation(5_800), "request sent 0.8 s after SIGTERM");
+    assert!(
+        has_violation(5_600),
+        "a request sent 0.6 s after SIGTERM may not be lost"
+    );
+    assert!(
+        !has_violation(5_800),
+        "a request sent 0.8 s after SIGTERM may be lost"
+    );
 }
--- a/tests/standin/process.rs
+++ b/tests/standin/process.rs
@@ -126,8 +126,8 @@
         Process::spawn(command, directory)
     }
 
-    /// Starts a successor of this process with the same configuration. `temporary_directory` must be
-    /// that of this process.
+    /// Starts a successor of this process with the same configuration. `temporary_directory` must
+    /// be that of this process.
     pub fn start_successor(&self, temporary_directory: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quinceflow"));
         let first_directory = self
