--- a/testkit/src/conformance/schemas.rs
+++ b/testkit/src/conformance/schemas.rs
@@ -1,6 +1,6 @@
 //! Part 5: schemas and sortables; and sorting and selection of properties.
 
-use super::check::{all_unique, require, Check, Stop, Verdict};
+use super::check::{all_unique, require, Check, EarlyExit, Verdict};
 use super::samples::{number_of, QueryableKind};
 use super::Suite;
 use crate::client::feature_id;
@@ -9,8 +9,8 @@
 const SCHEMAS: &str = "ogcapi-features-5/1.0/conf/schemas";
 const SORTABLES: &str = "ogcapi-features-5/1.0/conf/sortables";
 const SORTING: &str = "ogcapi-features-8/1.0/conf/sorting";
-/// Class of the checks that always apply.
-const ANY: &str = "";
+/// Class suffix of the checks that apply to every service.
+const NO_CLASS: &str = "";
 
 /// Checks of this module, in the order in which they run.
 pub(super) const CHECKS: &[Check] = &[
@@ -64,14 +64,14 @@
     }),
     Check::new("/conf/sorting/sortby-unknown", SORTING, |suite| {
         if suite.queryables.is_empty() {
-            return Err(Stop::not_applicable("no sortables are declared"));
+            return Err(EarlyExit::not_applicable("no sortables are declared"));
         }
         let response = suite.get(&format!("{}?sortby=no-such-property", suite.items_path()))?;
         require(response.status == 400, || {
             format!("status {}", response.status)
         })
     }),
-    Check::new("/conf/property-selection/properties", ANY, |suite| {
+    Check::new("/conf/property-selection/properties", NO_CLASS, |suite| {
         let name = suite.queryable(QueryableKind::Number)?;
         let json = suite.get_items(&format!("limit=5&properties={name}"))?;
         let has_only_this = |feature: &Json| {
@@ -97,6 +97,7 @@
 }
 
 impl Direction {
+    /// Returns the value of the `sortby` parameter for a property.
     fn sort_key(self, name: &str) -> String {
         match self {
             Direction::Ascending => name.to_owned(),
@@ -112,7 +113,7 @@
     }
 }
 
-/// Requires all features, sorted by a number in this direction.
+/// Requires a query sorted by a numeric property to return all features in this direction.
 fn require_sorted(suite: &mut Suite, name: &str, direction: Direction) -> Verdict {
     let key = direction.sort_key(name);
     let sorted = suite.get_all(&format!("{}?limit=300&sortby={key}", suite.items_path()))?;
--- a/testkit/src/fault_injection.rs
+++ b/testkit/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Fault-injecting proxy: alters requests or responses of a correct service, so that each check of
-//! the conformance suite can be shown to fail.
+//! Fault-injecting proxy: alters requests to a correct service or its responses, to show that the
+//! checks of the conformance suite detect faults.
 
 mod alteration;
 mod edits;
@@ -16,10 +16,10 @@
 use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
-/// Headers that the proxy sets itself.
-const OWN_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
+/// Response headers that the proxy sets itself, by their lower-case names.
+const PROXY_HEADERS: [&str; 3] = ["content-length", "connection", "transfer-encoding"];
 
-/// Request before it is forwarded.
+/// Request that the proxy received and forwards, possibly altered.
 #[derive(Debug, Clone)]
 pub struct ForwardedRequest {
     method: String,
@@ -54,7 +54,7 @@
 /// Fault that can be injected.
 pub struct InjectedFault {
     /// Identifier of the check that must detect the fault.
-    pub found_by: &'static str,
+    pub detected_by: &'static str,
     /// Description of the incorrect behaviour.
     pub description: &'static str,
     scope: Scope,
@@ -75,13 +75,14 @@
     }
 }
 
-/// Running proxy.
+/// Running proxy, which injects at most one fault at a time.
 pub struct FaultInjector {
     /// Listening address.
     pub address: SocketAddr,
-    active: Arc<ActiveFault>,
+    active_fault: Arc<ActiveFault>,
 }
 
+/// Fault that is injected at present, if any.
 type ActiveFault = Mutex<Option<&'static InjectedFault>>;
 
 /// Reason why a connection of the proxy failed.
@@ -94,27 +95,30 @@
 }
 
 impl FaultInjector {
-    /// Starts the proxy of a service on a free loopback port, without a fault.
+    /// Starts a proxy for the service at this address on a free loopback port, without a fault.
     ///
     /// # Errors
     /// Returns an error if no port is free.
     pub fn start(service: SocketAddr) -> io::Result<FaultInjector> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let active: Arc<ActiveFault> = Arc::default();
-        let shared = active.clone();
+        let active_fault: Arc<ActiveFault> = Arc::default();
+        let shared_fault = active_fault.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let active = shared.clone();
-                std::thread::spawn(move || forward_connection(stream, service, &active));
+                let active_fault = shared_fault.clone();
+                std::thread::spawn(move || forward_connection(stream, service, &active_fault));
             }
         });
-        Ok(FaultInjector { address, active })
+        Ok(FaultInjector {
+            address,
+            active_fault,
+        })
     }
 
     /// Sets the fault to inject; `None` restores correct behaviour.
     pub fn inject(&self, fault: Option<&'static InjectedFault>) {
-        *lock(&self.active) = fault;
+        *lock(&self.active_fault) = fault;
     }
 }
 
@@ -122,22 +126,22 @@
 fn forward_connection(
     mut stream: TcpStream,
     service: SocketAddr,
-    active: &ActiveFault,
+    active_fault: &ActiveFault,
 ) -> Result<(), ForwardError> {
     stream.set_nodelay(true)?;
-    let own_address = stream.local_addr()?;
+    let proxy_address = stream.local_addr()?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut client = Client::new(service);
     while let Some(mut request) = read_request(&mut reader)? {
-        let fault = *lock(active);
+        let fault = *lock(active_fault);
         if let Some(fault) = fault {
             fault.alter_request(&mut request);
         }
         let mut response = forward(&mut client, &request)?;
-        // Links must lead back to the proxy.
+        // Makes the links point to the proxy, so that the client's next requests are altered too.
         let text = response
             .text()
-            .replace(&service.to_string(), &own_address.to_string());
+            .replace(&service.to_string(), &proxy_address.to_string());
         response.body = text.into_bytes();
         if let Some(fault) = fault {
             fault.alter_response(&request, &mut response);
@@ -147,7 +151,7 @@
     Ok(())
 }
 
-/// Reads a request and returns it, or `None` at the end of the connection.
+/// Reads the next request; returns `None` at the end of the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> io::Result<Option<ForwardedRequest>> {
     let mut request_line = String::new();
     if reader.read_line(&mut request_line)? == 0 {
@@ -166,7 +170,7 @@
         };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => body_length = value.parse().unwrap_or(0),
-            // The client sets its own.
+            // The client sets these headers itself.
             "host" | "connection" => {}
             _ => headers.push(OwnedHeader {
                 name: name.to_owned(),
@@ -201,18 +205,18 @@
     request: &ForwardedRequest,
     response: &Response,
 ) -> io::Result<()> {
-    let compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
-    let body = if compressed {
+    let is_compressed = request.accepts_encoding() && response.header("content-encoding") == "gzip";
+    let body = if is_compressed {
         compress(&response.body)?
     } else {
         response.body.clone()
     };
     let mut bytes = format!("HTTP/1.1 {} X\r\n", response.status);
-    let passed_on = response
+    let forwarded_headers = response
         .headers
         .iter()
-        .filter(|header| !OWN_HEADERS.contains(&header.name));
-    for Header { name, value } in passed_on {
+        .filter(|header| !PROXY_HEADERS.contains(&header.name));
+    for Header { name, value } in forwarded_headers {
         bytes.push_str(&format!("{name}: {value}\r\n"));
     }
     bytes.push_str(&format!("content-length: {}\r\n\r\n", body.len()));
--- a/testkit/src/main.rs
+++ b/testkit/src/main.rs
@@ -103,7 +103,7 @@
     json: Option<PathBuf>,
 }
 
-/// Planted fault as an argument of the command line.
+/// Planted fault as a command-line argument.
 #[derive(Clone, Copy)]
 struct PlantArgument(PlantedFault);
 
@@ -206,7 +206,7 @@
         report.server_requests,
         report.non_idempotent_parts,
         report.drains,
-        report.slowest.as_millis()
+        report.max_latency.as_millis()
     );
     println!("{}", report.counters);
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
@@ -216,14 +216,14 @@
 }
 
 fn run_measure(arguments: MeasureArguments) -> Result<bool, CommandError> {
-    let this = Version {
+    let this_version = Version {
         name: THIS_VERSION.to_owned(),
         program: arguments.program.path()?,
     };
     let name = arguments.baseline_name;
     let baseline = arguments.baseline.map(|program| Version { name, program });
     let plan = Plan {
-        versions: baseline.into_iter().chain([this]).collect(),
+        versions: baseline.into_iter().chain([this_version]).collect(),
         load_duration: Duration::from_secs(arguments.seconds),
         features_per_shard: arguments.features_per_shard,
     };
--- a/testkit/src/measure/overload.rs
+++ b/testkit/src/measure/overload.rs
@@ -5,12 +5,12 @@
 use crate::error::RunError;
 use crate::feature_server::Capacity;
 use crate::load::{LoadResult, OpenLoop};
-use crate::process::{Configuration, EdgeProcess};
+use crate::process::{Configuration, FeatureFrontProcess};
 use std::fmt::Write as _;
 use std::time::Duration;
 
 /// Settings of a class with a short deadline.
-const SHORT_CLASSES: &str = "
+const SHORT_DEADLINE_CLASS: &str = "
 [[class]]
 name = \"map\"
 aim_ms = 1000
@@ -33,24 +33,29 @@
         settings: "[limits]\nmode = \"fixed\"\nadmission = false\n",
     },
 ];
-/// Limits of an earlier version, which may not support the setting.
+/// Default limits of an earlier version, which may not support the setting.
 const EARLIER_VERSION_LIMITS: &[Limits] = &[Limits {
     name: "",
     settings: "",
 }];
 
+/// Number of requests that a server processes concurrently.
 const SERVER_SLOTS: usize = 4;
+/// Service time of a page at a server.
 const PAGE_TIME: Duration = Duration::from_millis(20);
 /// Capacity of one server in pages per second: `SERVER_SLOTS / PAGE_TIME`.
 const PAGES_PER_SECOND: f64 = 200.0;
 /// Mean number of pages per query: two for a small answer, and twenty for one query in ten.
 const PAGES_PER_QUERY: f64 = 3.8;
+/// Timeout of a query, from the time at which it is due.
 const OVERLOAD_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Loads as multiples of the capacity of the servers.
 const LOAD_FACTORS: [f64; 3] = [0.5, 2.0, 4.0];
-/// Interval between queries that request a large answer, in queries.
-const QUERIES_PER_LARGE: u64 = 10;
+/// One in this many queries requests a large answer.
+const QUERIES_PER_LARGE_ANSWER: u64 = 10;
+/// `limit` of a query that requests a large answer.
 const LARGE_LIMIT: usize = 5_000;
+/// `limit` of all other queries.
 const SMALL_LIMIT: usize = 10;
 
 /// Columns of the overload table.
@@ -102,10 +107,10 @@
     Ok(())
 }
 
-fn write_introduction(text: &mut String, total_pages: f64) {
+fn write_introduction(text: &mut String, pages_per_second: f64) {
     let _ = writeln!(
         text,
-        "Servers with 4 slots and 20 ms of work a page (together {total_pages:.0} pages a second); \
+        "Servers with 4 slots and 20 ms of work a page (together {pages_per_second:.0} pages a second); \
          clients request pages of 10 features (2 pages of servers, as both shards are queried) at \
          a constant rate with a timeout of 1 s; one query in ten requests 5,000 features. In time: \
          queries answered within 1 s of their arrival.\n"
@@ -131,13 +136,13 @@
 impl OverloadCase<'_> {
     fn run(&self, plan: &Plan, bed: &TestBed) -> Result<LoadResult, RunError> {
         let rows = bed.inventory();
-        let tables = format!("{SHORT_CLASSES}{}", self.limits.settings);
+        let tables = format!("{SHORT_DEADLINE_CLASS}{}", self.limits.settings);
         let configuration = Configuration {
             settings: SETTINGS,
             inventory_rows: &rows,
             tables: &tables,
         };
-        let process = EdgeProcess::start(&self.version.program, &configuration)?;
+        let process = FeatureFrontProcess::start(&self.version.program, &configuration)?;
         let open_loop = OpenLoop {
             address: process.address,
             rate: total_pages_per_second(bed) * self.factor / PAGES_PER_QUERY,
@@ -145,7 +150,7 @@
             timeout: OVERLOAD_TIMEOUT,
         };
         let load = open_loop.run(|number| {
-            let limit = if number % QUERIES_PER_LARGE == 0 {
+            let limit = if number % QUERIES_PER_LARGE_ANSWER == 0 {
                 LARGE_LIMIT
             } else {
                 SMALL_LIMIT
