--- a/src/front/ogc/capabilities.rs
+++ b/src/front/ogc/capabilities.rs
@@ -30,8 +30,8 @@
 pub struct ReplicaKey {
     /// The server's address.
     pub address: Arc<str>,
-    /// The server's own name for the shard.
-    pub source: Arc<str>,
+    /// The name of the collection at the server.
+    pub server_collection: Arc<str>,
 }
 
 /// Capabilities and the time of their discovery.
@@ -118,7 +118,7 @@
 
     /// Returns the capabilities of a server for a shard, or whether the caller must discover them.
     pub fn lookup(&mut self, key: &ReplicaKey, now: Micros) -> CapabilityLookup {
-        self.make_room_for(key);
+        self.evict_if_full(key);
         let max_age = self.max_age - self.staleness_jitter(key);
         let entry = self.entries.entry(key.clone()).or_default();
         entry.last_used = now;
@@ -140,7 +140,7 @@
     }
 
     /// Evicts the least recently used entry if the cache is full and has no entry for `key`.
-    fn make_room_for(&mut self, key: &ReplicaKey) {
+    fn evict_if_full(&mut self, key: &ReplicaKey) {
         if self.entries.contains_key(key) || self.entries.len() < MAX_ENTRIES {
             return;
         }
@@ -155,7 +155,7 @@
     ///
     /// Entries that were discovered together are therefore not all discovered again together.
     fn staleness_jitter(&self, key: &ReplicaKey) -> Micros {
-        let hash = stable_hash(&[key.address.as_bytes(), key.source.as_bytes()]);
+        let hash = stable_hash(&[key.address.as_bytes(), key.server_collection.as_bytes()]);
         Micros(self.max_age.0 / 4 * (hash % 256) / 256)
     }
 
--- a/tests/fleet/support.rs
+++ b/tests/fleet/support.rs
@@ -328,7 +328,7 @@
         let record = self
             .queries
             .get_mut(&(instance, query))
-            .expect("a query that was submitted");
+            .expect("the query was submitted");
         record.final_answers += 1;
         record.served = served;
     }
@@ -350,7 +350,7 @@
         let mut queries = self.queries.values();
         assert!(
             queries.all(|query| query.final_answers == 1 || is_open(query)),
-            "one final answer each"
+            "each query has one final answer"
         );
     }
 }
--- a/tests/log_events/support.rs
+++ b/tests/log_events/support.rs
@@ -14,11 +14,11 @@
 /// The time in which a process must log an event that a test waits for.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that logs JSON. Dropping it kills the process and removes its folder.
+/// A process that logs JSON. Dropping it kills the process and removes its directory.
 pub struct LoggingProcess {
     pub child: Child,
     pub events: Receiver<Value>,
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// The thread that reads the log to its end.
     reader: Option<JoinHandle<()>>,
 }
@@ -26,24 +26,24 @@
 impl LoggingProcess {
     /// Starts the feature front with an admin endpoint and these rows of an inventory.
     pub fn start_feature_front(test: &str, rows: &str) -> LoggingProcess {
-        let folder = create_folder(test);
-        write_edge_file(&folder, "mgmt = \"127.0.0.1:0\"");
-        write_inventory(&folder, rows);
+        let directory = create_directory(test);
+        write_edge_file(&directory, "mgmt = \"127.0.0.1:0\"");
+        write_inventory(&directory, rows);
         let mut command = json_logging_command();
         command
             .arg("--edge")
-            .arg(folder.join("edge.toml"))
+            .arg(directory.join("edge.toml"))
             .env_remove("NODE_CONFIG")
             .env_remove("TMPDIR");
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
-    /// Starts the platform front with this configuration and without a folder for hand-overs.
+    /// Starts the platform front with this configuration and without a directory for hand-overs.
     pub fn start_platform_front(test: &str, configuration: &Value) -> LoggingProcess {
-        let folder = create_folder(test);
-        let mut command = platform_command(&folder, configuration);
+        let directory = create_directory(test);
+        let mut command = platform_command(&directory, configuration);
         command.env_remove("TMPDIR");
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
     /// Starts the platform front; it hands over and receives listening sockets in `temporary`.
@@ -52,20 +52,20 @@
         configuration: &Value,
         temporary: &Path,
     ) -> LoggingProcess {
-        let folder = create_folder(test);
-        let mut command = platform_command(&folder, configuration);
+        let directory = create_directory(test);
+        let mut command = platform_command(&directory, configuration);
         command.env("TMPDIR", temporary);
-        LoggingProcess::spawn(command, folder)
+        LoggingProcess::spawn(command, directory)
     }
 
-    /// Starts a command that logs JSON, and reads its log on a thread; `folder` is removed at the
-    /// end.
-    pub fn spawn(mut command: Command, folder: PathBuf) -> LoggingProcess {
+    /// Starts a command that logs JSON, and reads its log on a thread; `directory` is removed at
+    /// the end.
+    pub fn spawn(mut command: Command, directory: PathBuf) -> LoggingProcess {
         let mut child = command
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let stderr = child.stderr.take().expect("piped");
+        let stderr = child.stderr.take().expect("the standard error is piped");
         let (sender, events) = channel();
         let reader = std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -76,7 +76,7 @@
         LoggingProcess {
             child,
             events,
-            folder,
+            directory,
             reader: Some(reader),
         }
     }
@@ -87,7 +87,10 @@
             let event = self.events.recv_timeout(EVENT_TIMEOUT);
             let event = event.unwrap_or_else(|e| panic!("no event {message:?}: {e}"));
             if event["fields"]["message"] == message {
-                let level = event["level"].as_str().expect("a level").to_owned();
+                let level = event["level"]
+                    .as_str()
+                    .expect("the level is a string")
+                    .to_owned();
                 return LogEvent {
                     level,
                     fields: event["fields"].clone(),
@@ -122,7 +125,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         let reader = self.reader.take().map(JoinHandle::join);
         if !std::thread::panicking() {
             assert!(
@@ -150,7 +153,11 @@
 
     /// Removes a field whose value differs from run to run and returns it.
     pub fn take_field(&mut self, name: &str) -> String {
-        let value = self.fields.as_object_mut().expect("fields").remove(name);
+        let value = self
+            .fields
+            .as_object_mut()
+            .expect("the event has fields")
+            .remove(name);
         let value = value.unwrap_or_else(|| panic!("no field {name}: {:?}", self.fields));
         value
             .as_str()
@@ -160,7 +167,10 @@
 
     /// Asserts that the field is the address of a listening socket, and removes it.
     pub fn take_bound_address(&mut self, name: &str) {
-        let address: SocketAddr = self.take_field(name).parse().expect("an address");
+        let address: SocketAddr = self
+            .take_field(name)
+            .parse()
+            .expect("the field is an address");
         assert_ne!(address.port(), 0);
     }
 
@@ -179,9 +189,9 @@
 }
 
 /// Writes a configuration and returns a command that starts the platform front with it.
-pub fn platform_command(folder: &Path, configuration: &Value) -> Command {
-    let file = folder.join("config.json");
-    std::fs::write(&file, configuration.to_string()).expect("a configuration");
+pub fn platform_command(directory: &Path, configuration: &Value) -> Command {
+    let file = directory.join("config.json");
+    std::fs::write(&file, configuration.to_string()).expect("the configuration is written");
     let mut command = json_logging_command();
     for name in ["NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_MGMT"] {
         command.env_remove(name);
@@ -190,32 +200,33 @@
     command
 }
 
-/// Creates a folder for a test.
-pub fn create_folder(test: &str) -> PathBuf {
+/// Creates a directory for a test.
+pub fn create_directory(test: &str) -> PathBuf {
     let name = format!("log-events-{test}-{}", std::process::id());
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    directory
 }
 
-/// Creates a folder with a short path, since the path of a Unix socket has at most 107 bytes.
-pub fn create_short_folder(test: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    folder
+/// Creates a directory with a short path, since the path of a Unix socket has at most 107 bytes.
+pub fn create_short_directory(test: &str) -> PathBuf {
+    let directory =
+        std::env::temp_dir().join(format!("quinceflow-log-{test}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    directory
 }
 
 /// Writes the settings of the feature front.
-pub fn write_edge_file(folder: &Path, settings: &str) {
+pub fn write_edge_file(directory: &Path, settings: &str) {
     let text =
         format!("listen = \"127.0.0.1:0\"\ninventory = \"i.csv\"\n{settings}\n{FEATURE_CLASSES}");
-    std::fs::write(folder.join("edge.toml"), text).expect("an edge file");
+    std::fs::write(directory.join("edge.toml"), text).expect("the edge file is written");
 }
 
 /// Writes an inventory with these rows.
-pub fn write_inventory(folder: &Path, rows: &str) {
+pub fn write_inventory(directory: &Path, rows: &str) {
     let text = format!("name,address,collections,state\n{rows}");
-    std::fs::write(folder.join("i.csv"), text).expect("an inventory");
+    std::fs::write(directory.join("i.csv"), text).expect("the inventory is written");
 }
 
 /// Returns a command that runs `command` with at most this many file descriptors.
@@ -236,5 +247,5 @@
 
 /// Returns an address that refuses connections.
 pub fn refusing_address() -> SocketAddr {
-    bind_loopback().local_addr().expect("bound")
+    bind_loopback().local_addr().expect("the listener is bound")
 }
--- a/tests/ogc/pages.rs
+++ b/tests/ogc/pages.rs
@@ -23,7 +23,7 @@
     assert_eq!(
         north.count_requests(|t| t.starts_with("/collections/n/items")),
         3,
-        "each page once"
+        "each page is requested once"
     );
     let mut returned = Vec::new();
     let mut next = Some(format!("{ITEMS}?limit=4&bbox=0,0,9,9"));
@@ -35,7 +35,7 @@
     }
     assert_eq!(
         returned, all,
-        "no duplicates and no gaps over the next links"
+        "the responses of the next links have no duplicates and no gaps"
     );
     assert!(
         north.count_requests(|t| t.contains("bbox=0%2C0%2C9%2C9")) > 0,
@@ -132,7 +132,7 @@
     let process =
         Process::start_feature_front("drained-link", "", &inventory_row("a", &server, "devices"));
     let first = process.get(&format!("{ITEMS}?limit=2"));
-    let next = first.link("next").expect("more features");
+    let next = first.link("next").expect("the response has a next link");
 
     process.reload_inventory(&rows_with("draining"));
     let draining = process.get(&next);
@@ -163,7 +163,7 @@
     while servers[0].count_requests(|_| true) == 0 {
         next = process.get(&format!("{ITEMS}?limit=2")).link("next");
     }
-    let next = next.expect("more features");
+    let next = next.expect("the response has a next link");
     process.reload_inventory(&rows("devices/m"));
     let requests = servers[0].count_requests(|_| true);
     for _ in 0..4 {
--- a/tests/races/connections.rs
+++ b/tests/races/connections.rs
@@ -13,14 +13,14 @@
 fn a_connection_established_after_its_dial_timed_out_carries_no_parts() {
     let unreachable = UnreachableNode::new();
     let healthy = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         connect_timeout_ms: Some(150),
         ..Deployment::ALL_EFFECTS
     };
     let (process, _watch) = deployment.start_controlled(
         "late-dial",
-        &agent,
+        &discovery,
         &[unreachable.address(), healthy.address],
     );
     let clients = send_non_idempotent_queries(&process);
@@ -37,7 +37,7 @@
     let mut received = healthy.received_part_ids();
     received.sort();
     received.dedup();
-    assert_eq!(received.len(), 16, "each part once");
+    assert_eq!(received.len(), 16, "each part is received once");
     assert_eq!(healthy.received_part_ids().len(), 16);
 }
 
@@ -46,10 +46,13 @@
     // The deduplication window is checked when the connection is established, not only at dispatch.
     let listener = bind_loopback();
     let unreachable = UnreachableNode::new();
-    let addresses = [listener.local_addr().expect("bound"), unreachable.address()];
-    let agent = ControlledDiscovery::new();
+    let addresses = [
+        listener.local_addr().expect("the listener is bound"),
+        unreachable.address(),
+    ];
+    let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("window", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("window", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     process.wait_for_counter("endpoint_updates", 3);
     let client = send_request(
@@ -58,9 +61,9 @@
             .close_connection()
             .to_http(),
     );
-    let (mut first, _) = listener.accept().expect("a connection");
+    let (mut first, _) = listener.accept().expect("a connection is accepted");
     assert_eq!(
-        read_part_ids(&mut first).expect("the first attempt"),
+        read_part_ids(&mut first).expect("the first attempt is received"),
         ["key.0"]
     );
     watch.send(&changed_endpoints(
@@ -83,12 +86,12 @@
 #[test]
 fn an_idle_server_connection_is_closed_before_its_node_may_close_it() {
     let (nodes, addresses) = two_serving_nodes();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let deployment = Deployment {
         idle_timeout_ms: Some(600),
         ..Deployment::ALL_EFFECTS
     };
-    let (process, _watch) = deployment.start_controlled("idle", &agent, &addresses);
+    let (process, _watch) = deployment.start_controlled("idle", &discovery, &addresses);
     assert_eq!(
         query(&process, "q0", Class("once"), Shards(&[0])).status,
         200
@@ -135,10 +138,10 @@
     };
     let node = DataNode::start(first_connection_hangs);
     let other = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("reborn", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("restarted", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
     process.wait_for_counter("endpoint_updates", 3);
     assert_eq!(
@@ -171,10 +174,10 @@
 fn an_idle_connection_to_an_earlier_incarnation_is_not_used_again() {
     let node = DataNode::serving();
     let other = DataNode::serving();
-    let agent = ControlledDiscovery::new();
+    let discovery = ControlledDiscovery::new();
     let addresses = [node.address, other.address];
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("reborn-idle", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("restarted-idle", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, other.address)]));
     process.wait_for_counter("endpoint_updates", 3);
     for (revision, connections) in [(3, 2), (4, 3)] {
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -21,13 +21,15 @@
     nodes
         .iter()
         .for_each(|n| set_socket_recv_buffer_size(n, 2_048).expect("the buffer size is set"));
-    let addresses = nodes.each_ref().map(|n| n.local_addr().expect("bound"));
-    let agent = ControlledDiscovery::new();
+    let addresses = nodes
+        .each_ref()
+        .map(|n| n.local_addr().expect("the listener is bound"));
+    let discovery = ControlledDiscovery::new();
     let (process, _watch) = Deployment {
         latency_objective_ms: 400,
         ..Deployment::ALL_EFFECTS
     }
-    .start_controlled("begun", &agent, &addresses);
+    .start_controlled("partly-written", &discovery, &addresses);
     let body = json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)})
         .to_string();
     let head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: long\r\nX-Qos: once\r\n\
@@ -105,10 +107,13 @@
     let stalled = bind_loopback();
     set_socket_recv_buffer_size(&stalled, 2_048).expect("the buffer size is set");
     let healthy = UnreachableNode::new();
-    let addresses = [stalled.local_addr().expect("bound"), healthy.address()];
-    let agent = ControlledDiscovery::new();
+    let addresses = [
+        stalled.local_addr().expect("the listener is bound"),
+        healthy.address(),
+    ];
+    let discovery = ControlledDiscovery::new();
     let (process, mut watch) =
-        Deployment::ALL_EFFECTS.start_controlled("half-frames", &agent, &addresses);
+        Deployment::ALL_EFFECTS.start_controlled("half-frames", &discovery, &addresses);
     watch.send(&changed_endpoints(2, &[terminating(1, addresses[1])]));
     process.wait_for_counter("endpoint_updates", 3);
     let clients = send_long_queries(&process);
@@ -127,7 +132,10 @@
     let served = served_parts(&answers);
     assert_eq!(retried, served, "each part is retried once");
     let count = served.len();
-    assert!((1..QUERIES).contains(&count), "{count} of {QUERIES}");
+    assert!(
+        (1..QUERIES).contains(&count),
+        "{count} of {QUERIES} queries"
+    );
     assert!(answers.iter().all(|answer| {
         answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 502")
     }));
