--- a/src/net/feature_client/driver.rs
+++ b/src/net/feature_client/driver.rs
@@ -68,7 +68,7 @@
 }
 
 impl FetchDriver {
-    /// Starts the driver on a coroutine of its own. Reports the attempt as not sent if that fails.
+    /// Starts the driver on its own coroutine. Reports the attempt as not sent if that fails.
     pub(super) fn start(self) {
         self.start_with(|driver| spawn(LARGE_STACK_WORDS, move || driver.run()).map(drop));
     }
--- a/src/net/node_client/driver.rs
+++ b/src/net/node_client/driver.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Starts the driver on a coroutine of its own.
+    /// Starts the driver on its own coroutine.
     pub(super) fn start(self, target: DialTarget) -> io::Result<()> {
         spawn(SMALL_STACK_WORDS, move || self.run(target)).map(drop)
     }
--- a/src/net/watch/backoff.rs
+++ b/src/net/watch/backoff.rs
@@ -13,8 +13,8 @@
 }
 
 /// The delays if a local discovery agent serves the endpoint lists. They are short: requests to the
-/// agent are cheap, and the coordinator counts as notified of every change that the agent has
-/// received, even right after the agent was silent.
+/// agent are cheap, and discovery counts a coordinator as notified of every change that the agent
+/// has received, even right after the agent was silent.
 const AGENT_DELAY: DelayRange = DelayRange {
     min_ms: 25,
     max_ms: 250,
@@ -65,7 +65,8 @@
     /// list was received on that watch, and doubles the delay otherwise.
     ///
     /// `max_poll_interval`, in nanoseconds, is set if lists are polled from a shared discovery
-    /// service: a coordinator that does not poll for this long counts as notified of every change.
+    /// service, which counts a coordinator that does not poll for this long as notified of every
+    /// change.
     pub(super) fn next_delay(
         &mut self,
         list_received: bool,
--- a/src/net/watch/backoff/tests.rs
+++ b/src/net/watch/backoff/tests.rs
@@ -77,8 +77,8 @@
 
 #[test]
 fn timeout_and_delay_for_a_silent_agent_grow_within_bounds() {
-    // The watch must be opened again before the coordinator counts as notified of a change that the
-    // silent agent did not send.
+    // The watch must be opened again before discovery counts the coordinator as notified of a
+    // change that the silent agent did not send.
     let mut agent = Backoff::new(1);
     let mut gap = agent.first_message_timeout(None);
     assert!(
--- a/src/net/watch/mod.rs
+++ b/src/net/watch/mod.rs
@@ -23,8 +23,8 @@
 use std::time::Duration;
 
 /// The time without a message after which a watch counts as dead; discovery sends a message every 2
-/// s. A coordinator counts as notified of a change 6 s after the last message that it received, so
-/// half of that time is left to open the watch again.
+/// s. It counts a coordinator as notified of a change 6 s after the last message that the
+/// coordinator received, so half of that time is left to open the watch again.
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(3);
 /// The interval at which a watcher that waits, for a message or before the next watch, checks
 /// whether the address of discovery has changed.
--- a/src/net/watch/source.rs
+++ b/src/net/watch/source.rs
@@ -18,8 +18,8 @@
 
 impl DiscoverySource {
     /// Creates the source at this address. `max_poll_interval`, in nanoseconds, is set if lists are
-    /// polled from a shared discovery service: a coordinator that does not poll for this long
-    /// counts as notified of every change.
+    /// polled from a shared discovery service, which counts a coordinator that does not poll for
+    /// this long as notified of every change.
     #[must_use]
     pub fn new(address: SocketAddr, max_poll_interval: Option<Nanos>) -> Self {
         DiscoverySource(Arc::new(Mutex::new(SourceSettings {
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether the controller rejects a share of the low-priority queries.
-    pub fn is_shedding(&self) -> bool {
+    pub fn is_rejecting(&self) -> bool {
         self.controller.admitted_share() < 1.0
     }
 
--- a/src/policy/attempts/mod.rs
+++ b/src/policy/attempts/mod.rs
@@ -34,10 +34,15 @@
 /// The timeout lasts until the query's deadline if the query is late already, or if a late answer
 /// is of use: in sampled queries, and where late answers have weight, unless low-priority queries
 /// are being rejected. Otherwise it lasts until the query must be answered.
-pub fn attempt_timeout(query: &Query, is_shedding: bool, settings: &Settings, now: Nanos) -> Nanos {
+pub fn attempt_timeout(
+    query: &Query,
+    is_rejecting: bool,
+    settings: &Settings,
+    now: Nanos,
+) -> Nanos {
     let is_measured = query.sampled && !settings.reduction.skip_late_samples;
     let late_answer_counts = settings.class(query.class).late_weight > 0.0;
-    let awaits_late_answer = is_measured || (late_answer_counts && !is_shedding);
+    let awaits_late_answer = is_measured || (late_answer_counts && !is_rejecting);
     let end = if awaits_late_answer || now >= query.respond_by {
         query.deadline
     } else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -276,8 +276,8 @@
             return;
         };
         let settings = &self.settings;
-        let is_shedding = self.admission.is_shedding();
-        let timeout = attempt_timeout(query, is_shedding, settings, self.now);
+        let is_rejecting = self.admission.is_rejecting();
+        let timeout = attempt_timeout(query, is_rejecting, settings, self.now);
         let replicas = &mut self.replicas;
         let rng = &mut self.rng;
         let sent = self
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -63,7 +63,7 @@
     assert!(process.wait_for_exit(), "the process exits without a kill");
 }
 
-/// Sends four queries of each of three classes, each on a connection of its own.
+/// Sends four queries of each of three classes, each on its own connection.
 fn send_pending_queries(process: &Process) -> Vec<TcpStream> {
     let mut clients = Vec::new();
     for class in ["look", "once", "some"] {
--- a/tests/races/frames.rs
+++ b/tests/races/frames.rs
@@ -64,7 +64,7 @@
 /// The number of long queries: more than fit into the socket buffers to a node that reads nothing.
 const QUERIES: usize = 90;
 
-/// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on a connection of its own.
+/// Sends [`QUERIES`] non-idempotent queries of 60 KB, each on its own connection.
 fn send_long_queries(process: &Process) -> Vec<TcpStream> {
     let body = json!({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x".repeat(60_000)})
         .to_string();
--- a/tests/races/support.rs
+++ b/tests/races/support.rs
@@ -12,7 +12,7 @@
     (nodes, addresses)
 }
 
-/// Sends four queries whose parts must not run twice, each on a connection of its own.
+/// Sends four queries whose parts must not run twice, each on its own connection.
 pub fn send_non_idempotent_queries(process: &Process) -> Vec<TcpStream> {
     let send = |number| {
         let id = format!("q{number}");
