--- a/testkit/src/client/connection.rs
+++ b/testkit/src/client/connection.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of bytes of one read from the socket.
-const READ_SIZE: usize = 16 * 1024;
+const MAX_READ_BYTES: usize = 16 * 1024;
 /// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 64;
 /// Line end of HTTP/1.1.
@@ -25,7 +25,7 @@
 pub(super) struct ReadResponse {
     pub(super) response: Response,
     /// Whether the server closes the connection after this response.
-    pub(super) closes: bool,
+    pub(super) closes_connection: bool,
 }
 
 struct Head {
@@ -51,13 +51,14 @@
         self.stream.write_all(request)
     }
 
-    /// Reads the next response; `head_only` marks the response to a HEAD request.
+    /// Reads the next response; `head_only` is set for the response to a HEAD request, which has no
+    /// body.
     pub(super) fn read_response(&mut self, head_only: bool) -> Result<ReadResponse, ClientError> {
         let head = self.read_head()?;
-        let mut closes = head
+        let mut closes_connection = head
             .headers
             .get("connection")
-            .is_some_and(|c| c.eq_ignore_ascii_case("close"));
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"));
         let mut body = if head_only || matches!(head.status, 204 | 304) {
             Vec::new()
         } else if head.headers.get("transfer-encoding").is_some() {
@@ -65,7 +66,7 @@
         } else if let Some(length) = head.headers.get("content-length") {
             self.read_exact(length.parse().map_err(|_| ClientError::ContentLength)?)?
         } else {
-            closes = true;
+            closes_connection = true;
             self.read_to_end()?
         };
         let encoded_length = body.len();
@@ -78,7 +79,10 @@
             body,
             encoded_length,
         };
-        Ok(ReadResponse { response, closes })
+        Ok(ReadResponse {
+            response,
+            closes_connection,
+        })
     }
 
     fn read_head(&mut self) -> Result<Head, ClientError> {
@@ -111,7 +115,8 @@
         }
     }
 
-    /// Reads the line before a chunk. Extensions behind the size are ignored.
+    /// Reads the line before a chunk and returns the size of the chunk in bytes. Extensions after
+    /// the size are ignored.
     fn read_chunk_size(&mut self) -> Result<usize, ClientError> {
         let line = self.read_line()?;
         let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
@@ -119,7 +124,7 @@
         usize::from_str_radix(text.trim(), 16).map_err(|_| ClientError::ChunkSize)
     }
 
-    /// Reads a line and returns it without its end.
+    /// Reads a line and returns it without its line end.
     fn read_line(&mut self) -> io::Result<Vec<u8>> {
         let end = loop {
             match self
@@ -143,13 +148,14 @@
         Ok(self.buffer.drain(..length).collect())
     }
 
-    /// Reads a body that ends with its connection. A reset or a timeout is no end.
+    /// Reads a body that ends with its connection. A reset or a timeout is an error, not the end of
+    /// the body.
     fn read_to_end(&mut self) -> io::Result<Vec<u8>> {
         while self.read_some()? > 0 {}
         Ok(std::mem::take(&mut self.buffer))
     }
 
-    /// Reads at least one byte into the buffer.
+    /// Reads at least one byte into the buffer; the end of the connection is an error.
     fn fill(&mut self) -> io::Result<()> {
         match self.read_some()? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
@@ -158,14 +164,14 @@
     }
 
     /// Reads into the buffer and returns the number of bytes, which is 0 at the end of the
-    /// connection. Fails after the deadline of the response.
+    /// connection. Returns an error after the deadline of the response.
     fn read_some(&mut self) -> io::Result<usize> {
         let time_left = self.deadline.saturating_duration_since(Instant::now());
         if time_left.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
         self.stream.set_read_timeout(Some(time_left))?;
-        let mut bytes = [0; READ_SIZE];
+        let mut bytes = [0; MAX_READ_BYTES];
         let count = self.stream.read(&mut bytes)?;
         self.buffer.extend_from_slice(&bytes[..count]);
         Ok(count)
@@ -182,7 +188,7 @@
 }
 
 fn decompress(body: &[u8]) -> io::Result<Vec<u8>> {
-    let mut plain = Vec::new();
-    GzDecoder::new(body).read_to_end(&mut plain)?;
-    Ok(plain)
+    let mut decompressed = Vec::new();
+    GzDecoder::new(body).read_to_end(&mut decompressed)?;
+    Ok(decompressed)
 }
--- a/testkit/src/conformance/check.rs
+++ b/testkit/src/conformance/check.rs
@@ -1,4 +1,4 @@
-//! Checks, their outcomes and the assertions that they share.
+//! Checks, their outcomes and the assertions that checks share.
 
 use super::Suite;
 use crate::client::ClientError;
@@ -34,6 +34,7 @@
     /// Suffix of the conformance class that a service must claim for the check to apply; empty if
     /// it always applies.
     pub(super) class: &'static str,
+    /// Body of the check.
     pub(super) run: fn(&mut Suite) -> Verdict,
 }
 
@@ -49,61 +50,62 @@
 }
 
 /// Result of the body of a check.
-pub(super) type Verdict = Result<(), Stop>;
+pub(super) type Verdict = Result<(), EarlyExit>;
 
-/// Reason why a check stops early.
+/// Reason why a check ends before its last assertion has passed.
 #[derive(Debug)]
-pub(super) enum Stop {
+pub(super) enum EarlyExit {
     /// Requirement that does not hold.
     Failed(String),
     /// Requirement that does not apply.
     NotApplicable(String),
 }
 
-impl Stop {
-    /// Creates the reason of a check that does not apply.
-    pub(super) fn not_applicable(reason: impl Into<String>) -> Stop {
-        Stop::NotApplicable(reason.into())
+impl EarlyExit {
+    /// Creates the reason for a check that does not apply.
+    pub(super) fn not_applicable(reason: impl Into<String>) -> EarlyExit {
+        EarlyExit::NotApplicable(reason.into())
     }
 }
 
-impl From<&str> for Stop {
+impl From<&str> for EarlyExit {
     fn from(reason: &str) -> Self {
-        Stop::Failed(reason.to_owned())
+        EarlyExit::Failed(reason.to_owned())
     }
 }
 
-impl From<ClientError> for Stop {
+impl From<ClientError> for EarlyExit {
     fn from(error: ClientError) -> Self {
-        Stop::Failed(error.to_string())
+        EarlyExit::Failed(error.to_string())
     }
 }
 
-impl From<Stop> for Outcome {
-    fn from(stop: Stop) -> Self {
-        match stop {
-            Stop::Failed(reason) => Outcome::Fail(reason),
-            Stop::NotApplicable(reason) => Outcome::NotApplicable(reason),
+impl From<EarlyExit> for Outcome {
+    fn from(exit: EarlyExit) -> Self {
+        match exit {
+            EarlyExit::Failed(reason) => Outcome::Fail(reason),
+            EarlyExit::NotApplicable(reason) => Outcome::NotApplicable(reason),
         }
     }
 }
 
-/// Fails with this reason unless the condition holds.
+/// Returns [`EarlyExit::Failed`] with this reason unless the condition holds.
 pub(super) fn require(condition: bool, reason: impl FnOnce() -> String) -> Verdict {
     if condition {
         Ok(())
     } else {
-        Err(Stop::Failed(reason()))
+        Err(EarlyExit::Failed(reason()))
     }
 }
 
-/// Requires the same ids; the reason counts the missing and the excess ones.
-pub(super) fn require_same(what: &str, found: &[String], expected: &[String]) -> Verdict {
+/// Requires both lists to contain the same ids in the same order. The reason of a failure counts the
+/// missing and the unexpected ids.
+pub(super) fn require_same_ids(subject: &str, found: &[String], expected: &[String]) -> Verdict {
     require(found == expected, || {
         let missing = expected.iter().filter(|id| !found.contains(id)).count();
         let extra = found.iter().filter(|id| !expected.contains(id)).count();
         format!(
-            "{what}: {} features in place of {}, {missing} missing, {extra} unexpected",
+            "{subject}: {} features in place of {}, {missing} missing, {extra} unexpected",
             found.len(),
             expected.len()
         )
--- a/testkit/src/fault_scenario.rs
+++ b/testkit/src/fault_scenario.rs
@@ -1,6 +1,7 @@
-//! Fault scenario: runs feature queries under injected faults and checks every rule from the wire.
+//! Fault scenario: runs feature queries under injected faults and checks the answers and the
+//! requests that the servers receive.
 //!
-//! Each query carries a unique mark, the last digits of a bounding box that contains every feature.
+//! Each query carries a unique id, the last digits of a bounding box that contains every feature.
 //! The program forwards the box to the servers, so their logs show which query a request belongs
 //! to.
 
@@ -15,7 +16,7 @@
 use crate::error::RunError;
 use crate::fault_injection::{injected_faults, FaultInjector};
 use crate::feature_server::ALL_FAULTS;
-use crate::process::{Configuration, EdgeProcess, CLASSES};
+use crate::process::{Configuration, FeatureFrontProcess, CLASSES};
 use crate::sync::into_inner;
 use client::{ScenarioClient, SharedState};
 use fleet::Fleet;
@@ -28,24 +29,25 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 6;
-/// Duration of a fault or a drain.
+/// Duration of each fault and each drain.
 const FAULT_DURATION: Duration = Duration::from_millis(1_500);
-/// Time between two faults.
+/// Time between the end of a fault or drain and the start of the next one.
 const PAUSE: Duration = Duration::from_millis(500);
-/// Number of drains among the equally likely choices of the next event; the others are faults.
+/// Weight of a drain in the random choice of the next event; each fault has the weight 1.
 const DRAIN_CHOICES: usize = 2;
-/// Number of marks reserved for each seed.
-const MARKS_PER_SEED: u64 = 1_000_000;
+/// Number of query ids reserved for each seed, so that runs with different seeds share no id.
+const QUERY_IDS_PER_SEED: u64 = 1_000_000;
+/// Settings of the program.
 const SETTINGS: &str = "retry_after_ms = 300\nlearned_age_s = 5";
-/// Identifier of the check that detects a page with more features than its limit.
+/// Identifier of the conformance check that detects a page with more features than its limit.
 const LIMIT_CHECK: &str = "/conf/core/fc-limit-response";
 
 /// Fault that is planted to prove that the observer detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// Requests that are logged twice by the servers.
+    /// The servers log each request twice.
     DuplicateRequests,
-    /// Answers with one feature more than their limit.
+    /// Each answer has one feature more than it should, and so can exceed its limit.
     ExcessFeatures,
 }
 
@@ -54,8 +56,8 @@
 pub struct ScenarioOptions {
     /// Duration of the fault injection.
     pub duration: Duration,
-    /// Seed of the random faults and queries. Faults start by the clock, so runs with one seed
-    /// differ.
+    /// Seed of the random faults and queries. The clock determines when faults start, so two runs
+    /// with the same seed differ.
     pub seed: u64,
     /// Planted fault, if any.
     pub planted: Option<PlantedFault>,
@@ -73,11 +75,11 @@
         inventory_rows: &rows,
         tables: CLASSES,
     };
-    let process = EdgeProcess::start(program, &configuration)?;
+    let process = FeatureFrontProcess::start(program, &configuration)?;
     let injector = FaultInjector::start(process.address)?;
     let address = match options.planted {
         Some(PlantedFault::ExcessFeatures) => {
-            injector.inject(injected_faults().find(|fault| fault.found_by == LIMIT_CHECK));
+            injector.inject(injected_faults().find(|fault| fault.detected_by == LIMIT_CHECK));
             injector.address
         }
         Some(PlantedFault::DuplicateRequests) => {
@@ -100,7 +102,7 @@
     Ok(report)
 }
 
-/// Runs the clients until `inject` returns, and returns its result.
+/// Runs the clients until `inject` returns, and returns the result of `inject`.
 fn run_clients<T>(
     address: SocketAddr,
     options: &ScenarioOptions,
@@ -109,9 +111,9 @@
     inject: impl FnOnce() -> T,
 ) -> T {
     let stopped = AtomicBool::new(false);
-    let next_mark = AtomicU64::new(options.seed * MARKS_PER_SEED + 1);
+    let next_query_id = AtomicU64::new(options.seed * QUERY_IDS_PER_SEED + 1);
     let shared = SharedState {
-        next_mark: &next_mark,
+        next_query_id: &next_query_id,
         queries,
         report,
     };
@@ -132,17 +134,17 @@
     })
 }
 
-/// Injects faults and drains one after another for the duration of the scenario. Returns the
-/// drains.
+/// Injects random faults and drains one after another for the duration of the scenario. Returns
+/// the drains.
 fn inject_faults(
     fleet: &Fleet,
-    process: &EdgeProcess,
+    process: &FeatureFrontProcess,
     options: &ScenarioOptions,
 ) -> Result<Vec<Drain>, RunError> {
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let mut drains = Vec::new();
-    let started = Instant::now();
-    while started.elapsed() < options.duration {
+    let started_at = Instant::now();
+    while started_at.elapsed() < options.duration {
         let machine = rng.usize(..fleet.machines.len());
         let choice = rng.usize(..ALL_FAULTS.len() + DRAIN_CHOICES);
         match ALL_FAULTS.get(choice) {
@@ -158,8 +160,9 @@
     Ok(drains)
 }
 
-/// Drains a server for [`FAULT_DURATION`] by two reloads of the inventory.
-fn drain(fleet: &Fleet, process: &EdgeProcess, server: usize) -> Result<Drain, RunError> {
+/// Drains a server for [`FAULT_DURATION`]: reloads the inventory with the server draining, and
+/// later in service.
+fn drain(fleet: &Fleet, process: &FeatureFrontProcess, server: usize) -> Result<Drain, RunError> {
     process.reload_inventory(&fleet.inventory(Some(server)))?;
     let started_at = Instant::now();
     std::thread::sleep(FAULT_DURATION);
--- a/testkit/src/fault_scenario/client.rs
+++ b/testkit/src/fault_scenario/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a fault scenario: send queries, follow links and check the answers.
+//! Clients of a fault scenario, which send queries, follow `next` links and check the answers.
 
 use super::fleet::{shard_of_feature, FEATURES_PER_SHARD, SHARDS};
 use super::query::{Class, Query, QueryLog};
@@ -11,17 +11,19 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Deadline that clients announce in a header, in seconds.
+/// Time from a request to its deadline, which clients send in `X-Expires-In`, in seconds.
 const TIMEOUT_SECONDS: f64 = 2.0;
-/// Lateness after which an answer counts as late: allowance for the network and a busy machine.
+/// Time by which an answer may exceed its deadline, because of the network and a busy machine.
 const NETWORK_MARGIN: Duration = Duration::from_millis(250);
-/// Number of network margins beyond its deadline that a client waits for a response.
+/// Number of network margins that a client waits for a response after the deadline.
 const MARGINS_WAITED: u32 = 4;
+/// Time to wait before a page request is retried.
 const RETRY_BACKOFF: Duration = Duration::from_millis(100);
+/// Values of `limit`, of which each query takes one at random.
 const LIMITS: [usize; 4] = [10, 100, 500, 5_000];
-/// Interval between queries that follow their links to the end, in queries.
-const QUERIES_PER_FOLLOWED: u8 = 4;
-/// Minimum share of the shards in an answer.
+/// One in this many queries, on average, follows its `next` links to the end.
+const QUERIES_PER_TRAVERSAL: u8 = 4;
+/// Minimum share of the shards that an answer must contain.
 const MIN_SHARE: f64 = 0.4;
 /// Tolerance of the comparison of shares.
 const SHARE_TOLERANCE: f64 = 1e-9;
@@ -29,11 +31,11 @@
 /// State that the clients of a scenario share.
 #[derive(Clone, Copy)]
 pub(super) struct SharedState<'a> {
-    /// Mark of the next query.
-    pub(super) next_mark: &'a AtomicU64,
-    /// Record of all queries.
+    /// Id of the next query.
+    pub(super) next_query_id: &'a AtomicU64,
+    /// Log of all queries.
     pub(super) queries: &'a QueryLog,
-    /// Report of answers and violations.
+    /// Report to which answers and violations are added.
     pub(super) report: &'a Mutex<Report>,
 }
 
@@ -58,11 +60,12 @@
     missing: BTreeSet<String>,
     violations: Vec<AnswerViolation>,
     /// Whether the last page had no `next` link.
-    at_end: bool,
+    reached_end: bool,
 }
 
 impl<'a> ScenarioClient<'a> {
-    /// Creates a client that announces [`TIMEOUT_SECONDS`] and waits a few margins longer.
+    /// Creates a client that waits for a response until [`MARGINS_WAITED`] network margins after the
+    /// deadline.
     pub(super) fn new(address: SocketAddr, seed: u64, shared: SharedState<'a>) -> Self {
         let mut client = Client::new(address);
         client.timeout = Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN * MARGINS_WAITED;
@@ -73,31 +76,32 @@
         }
     }
 
-    /// Sends a random query, follows its links if it is to, and reports the violations.
+    /// Sends a random query, follows its links if the query requires it, and reports the violations.
     pub(super) fn run_query(&mut self) {
         let query = Query {
             class: Class::ALL[self.rng.usize(..Class::ALL.len())],
-            mark: self.shared.next_mark.fetch_add(1, Relaxed),
-            follows_links: self.rng.u8(..QUERIES_PER_FOLLOWED) == 0,
+            id: self.shared.next_query_id.fetch_add(1, Relaxed),
+            follows_links: self.rng.u8(..QUERIES_PER_TRAVERSAL) == 0,
             limit: LIMITS[self.rng.usize(..LIMITS.len())],
         };
         self.shared.queries.record_query(&query);
         let answers = self.request_pages(&query);
-        let mark = query.mark;
+        let query_id = query.id;
         let class = query.class.name();
         let violations = answers.into_violations().into_iter();
         let violations = violations.map(|violation| Violation::Answer {
-            mark,
+            query_id,
             class,
             violation,
         });
         lock(self.shared.report).violations.extend(violations);
     }
 
+    /// Requests the pages of a query and retries pages that were rejected or failed.
     fn request_pages(&mut self, query: &Query) -> Answers {
         let mut answers = Answers::default();
         let mut next = Some(query.first_target());
-        let mut pages = 0;
+        let mut page_requests = 0;
         while let Some(target) = next.take() {
             let PageAnswer { response, kind } = self.request_page(query, &target, &mut answers);
             let Some(response) = response else {
@@ -108,14 +112,14 @@
                 AnswerKind::Complete | AnswerKind::Partial => {
                     answers.add_page(query, &response, kind);
                     let link = response.link("next");
-                    answers.at_end = link.is_none();
+                    answers.reached_end = link.is_none();
                     next = link.filter(|_| query.follows_links);
                 }
                 AnswerKind::Rejected if response.headers.get("retry-after").is_none() => {
                     answers.violations.push(AnswerViolation::NoRetryAfter);
                 }
                 AnswerKind::Rejected | AnswerKind::Failed | AnswerKind::DeadlineExceeded => {
-                    if query.retries_page(pages) {
+                    if query.retries_page(page_requests) {
                         std::thread::sleep(RETRY_BACKOFF);
                         next = Some(target);
                     }
@@ -126,22 +130,22 @@
                 }),
                 AnswerKind::StaleCursor | AnswerKind::Lost => {}
             }
-            pages += 1;
+            page_requests += 1;
         }
         answers
     }
 
     /// Requests one page and records its latency and kind.
     fn request_page(&mut self, query: &Query, target: &str, answers: &mut Answers) -> PageAnswer {
-        let started = Instant::now();
-        self.shared.queries.record_page(query.mark, started);
+        let started_at = Instant::now();
+        self.shared.queries.record_page(query.id, started_at);
         let timeout = TIMEOUT_SECONDS.to_string();
         let headers = [
             Header::new("X-Qos", query.class.name()),
             Header::new("X-Expires-In", &timeout),
         ];
         let response = self.client.get_with(target, &headers).ok();
-        let latency = started.elapsed();
+        let latency = started_at.elapsed();
         let kind = response.as_ref().map_or(AnswerKind::Lost, kind_of);
         lock(self.shared.report).record_answer(query.class.name(), kind, latency);
         if latency > Duration::from_secs_f64(TIMEOUT_SECONDS) + NETWORK_MARGIN {
@@ -151,6 +155,7 @@
     }
 }
 
+/// Returns the kind of an answer by its status and headers.
 fn kind_of(response: &Response) -> AnswerKind {
     match response.status {
         200 if response.header("x-answer-whole") == "true" => AnswerKind::Complete,
@@ -164,7 +169,7 @@
 }
 
 impl Answers {
-    /// Checks a single page and adds its features.
+    /// Checks a page and adds its features and missing shards.
     fn add_page(&mut self, query: &Query, response: &Response, kind: AnswerKind) {
         let json = response.json();
         let missing: BTreeSet<String> = json["missing"]
@@ -178,7 +183,7 @@
             self.violations
                 .push(AnswerViolation::WrongCompleteness { kind, missing });
         }
-        if query.class != Class::Part && kind == AnswerKind::Partial {
+        if query.class != Class::Partial && kind == AnswerKind::Partial {
             self.violations.push(AnswerViolation::PartialNotAllowed);
         }
         self.missing.extend(missing);
@@ -203,7 +208,8 @@
     /// Checks all pages together and returns all violations.
     fn into_violations(mut self) -> Vec<AnswerViolation> {
         let unique: BTreeSet<&String> = self.ids.iter().collect();
-        // A feature that a server repeats on another page is detected only within one answer.
+        // The program detects a feature that a server repeats on another page only within one answer,
+        // not across the answers that are linked by `next`.
         if unique.len() != self.ids.len() {
             self.violations.push(AnswerViolation::DuplicateFeatures(
                 self.ids.len() - unique.len(),
@@ -212,13 +218,13 @@
         if self.ids.iter().any(|id| shard_of_feature(id).is_none()) {
             self.violations.push(AnswerViolation::UnknownFeature);
         }
-        if self.at_end && !self.ids.is_empty() {
+        if self.reached_end && !self.ids.is_empty() {
             self.check_shards();
         }
         self.violations
     }
 
-    /// Requires every shard that is not reported missing to be complete.
+    /// Adds a violation for each incomplete shard that no page reported missing.
     fn check_shards(&mut self) {
         for (index, shard) in SHARDS.into_iter().enumerate() {
             let received = self
--- a/testkit/src/fault_scenario/fleet.rs
+++ b/testkit/src/fault_scenario/fleet.rs
@@ -1,4 +1,5 @@
-//! Servers of a fault scenario: six machines of two servers each, which hold three shards.
+//! Servers of a fault scenario: six machines with two servers each, which together have three
+//! shards.
 
 use crate::feature_server::{
     devices, Capabilities, Fault, FeatureServer, InventoryEntry, InventoryState, ALL_FAULTS,
@@ -10,12 +11,13 @@
 
 const MACHINES: usize = 6;
 const SERVERS_PER_MACHINE: usize = 2;
-/// Number of features of each shard, more than a page.
+/// Number of features of each shard; more than a server returns in one page.
 pub(super) const FEATURES_PER_SHARD: usize = 900;
 /// Number of device numbers reserved for each shard.
-const NUMBERS_PER_SHARD: usize = 10_000;
+const DEVICE_NUMBERS_PER_SHARD: usize = 10_000;
 /// Names of the shards.
 pub(super) const SHARDS: [&str; 3] = ["east", "north", "south"];
+/// Capabilities that the servers of a machine have in turn.
 const CAPABILITIES: [Capabilities; 3] = [
     Capabilities::FiltersAndSorting,
     Capabilities::SimpleFilters,
@@ -36,8 +38,8 @@
             .store(index.map_or(0, |index| index + 1), Relaxed);
     }
 
-    /// Returns the fault of a request by its number: hangs and delays affect every request, other
-    /// faults every second one.
+    /// Returns the fault of the request with this number: hangs and delays affect every request,
+    /// other faults every second one.
     fn fault_of_request(&self, number: u64) -> Fault {
         let Some(index) = self.fault.load(Relaxed).checked_sub(1) else {
             return Fault::None;
@@ -63,9 +65,11 @@
         let machines: [Machine; MACHINES] = Default::default();
         let mut servers = Vec::new();
         for (machine_number, machine) in machines.iter().enumerate() {
-            for place in 0..SERVERS_PER_MACHINE {
-                let shard = shard_of_server(SERVERS_PER_MACHINE * machine_number + place);
-                let capabilities = CAPABILITIES[(machine_number + place) % CAPABILITIES.len()];
+            for server_in_machine in 0..SERVERS_PER_MACHINE {
+                let shard =
+                    shard_of_server(SERVERS_PER_MACHINE * machine_number + server_in_machine);
+                let capabilities =
+                    CAPABILITIES[(machine_number + server_in_machine) % CAPABILITIES.len()];
                 let server = FeatureServer::start(devices(device_numbers(shard)), capabilities)?;
                 let machine = machine.clone();
                 server.set_fault_script(move |request| machine.fault_of_request(request.number));
@@ -75,7 +79,8 @@
         Ok(Fleet { machines, servers })
     }
 
-    /// Returns the rows of the inventory, with one server draining or none.
+    /// Returns the rows of the inventory, in which the server with the index `draining`, if any, is
+    /// draining and all others are in service.
     pub(super) fn inventory(&self, draining: Option<usize>) -> String {
         let row = |(index, server): (usize, &FeatureServer)| {
             let is_draining = draining == Some(index);
@@ -97,16 +102,17 @@
     }
 }
 
-/// Returns the shard of a server; each is held by four servers on four machines.
+/// Returns the shard of a server. Each shard has four replicas on four different machines.
 fn shard_of_server(server: usize) -> usize {
     (server / 4 + server % 2) % SHARDS.len()
 }
 
+/// Returns the numbers of the devices that are the features of a shard.
 fn device_numbers(shard: usize) -> Range<usize> {
-    shard * NUMBERS_PER_SHARD..shard * NUMBERS_PER_SHARD + FEATURES_PER_SHARD
+    shard * DEVICE_NUMBERS_PER_SHARD..shard * DEVICE_NUMBERS_PER_SHARD + FEATURES_PER_SHARD
 }
 
-/// Returns the shard of a feature, or `None` if no server holds it.
+/// Returns the shard of a feature, or `None` if no server has the feature.
 pub(super) fn shard_of_feature(id: &str) -> Option<usize> {
     let number: usize = id.strip_prefix('d')?.parse().ok()?;
     (0..SHARDS.len()).find(|shard| device_numbers(*shard).contains(&number))
--- a/testkit/src/feature_server/capacity.rs
+++ b/testkit/src/feature_server/capacity.rs
@@ -1,4 +1,4 @@
-//! Bound on the concurrent work of a feature server, with simulated service times.
+//! Concurrency limit of a feature server, with simulated service times.
 
 use crate::sync::lock;
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -9,17 +9,17 @@
 pub struct Capacity {
     /// Number of requests processed concurrently; others wait.
     pub slots: usize,
-    /// Service time of a request without its features.
+    /// Service time of a request, in addition to that of its features.
     pub base: Duration,
     /// Additional service time of each feature in the response.
     pub per_feature: Duration,
 }
 
-/// Worker slots of a server. Without a capacity, requests take no service time.
+/// Slots of a server, each for one request. Without a capacity, requests take no service time.
 #[derive(Default)]
 pub(super) struct WorkerSlots {
     capacity: Mutex<Option<Capacity>>,
-    busy: Mutex<usize>,
+    busy_slots: Mutex<usize>,
     slot_freed: Condvar,
 }
 
@@ -30,21 +30,21 @@
     }
 
     /// Waits for a slot and holds it for the service time of a response with this many features.
-    pub(super) fn work(&self, features: usize) {
+    pub(super) fn simulate_work(&self, feature_count: usize) {
         let Some(capacity) = *lock(&self.capacity) else {
             return;
         };
-        let mut busy = lock(&self.busy);
-        while *busy >= capacity.slots {
-            busy = self
+        let mut busy_slots = lock(&self.busy_slots);
+        while *busy_slots >= capacity.slots {
+            busy_slots = self
                 .slot_freed
-                .wait(busy)
+                .wait(busy_slots)
                 .unwrap_or_else(PoisonError::into_inner);
         }
-        *busy += 1;
-        drop(busy);
-        std::thread::sleep(capacity.base + capacity.per_feature * features as u32);
-        *lock(&self.busy) -= 1;
+        *busy_slots += 1;
+        drop(busy_slots);
+        std::thread::sleep(capacity.base + capacity.per_feature * feature_count as u32);
+        *lock(&self.busy_slots) -= 1;
         self.slot_freed.notify_one();
     }
 }
--- a/testkit/src/measure/tables.rs
+++ b/testkit/src/measure/tables.rs
@@ -5,24 +5,29 @@
 use crate::client::Client;
 use crate::error::RunError;
 use crate::load::{ClosedLoop, LoadResult};
-use crate::process::EdgeProcess;
+use crate::process::FeatureFrontProcess;
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
 
+/// Number of bytes per KiB, and of KiB per MiB.
 const KIB: u64 = 1024;
+/// Target of a page at the feature front.
 const PAGE_TARGET: &str = "/collections/devices/items?limit=100";
-/// Target of the same page at a server.
+/// Target of a page of the same size at a server.
 const SERVER_PAGE_TARGET: &str = "/collections/north/items?limit=100";
 const LARGE_PAGE_TARGET: &str = "/collections/devices/items?limit=5000";
 /// Target of the query that opens the connections before the measurement.
 const WARM_UP_TARGET: &str = "/collections/devices/items/d00001";
-const CLIENTS: [usize; 3] = [1, 8, 32];
+/// Numbers of concurrent clients in the measurement of latencies.
+const CLIENT_COUNTS: [usize; 3] = [1, 8, 32];
+/// Number of concurrent clients in the measurement of memory.
 const MEMORY_CLIENTS: usize = 100;
-const SHARE_CLIENTS: usize = 8;
-/// Maximum number of pages that are followed by `next`.
-const MAX_FOLLOWED_PAGES: usize = 200;
-/// Maximum duration of a traversal by `next`.
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of concurrent clients in the measurement of throughput.
+const THROUGHPUT_CLIENTS: usize = 8;
+/// Maximum number of pages of a traversal of `next` links.
+const MAX_TRAVERSED_PAGES: usize = 200;
+/// Maximum duration of a traversal of `next` links, and timeout of each of its pages.
+const TRAVERSAL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Name of the peak resident memory in `/proc/PID/status`.
 const PEAK_MEMORY: &str = "VmHWM";
@@ -76,7 +81,7 @@
 ];
 
 /// Columns of the table of latencies.
-const LOAD_COLUMNS: [&str; 8] = [
+const LATENCY_COLUMNS: [&str; 8] = [
     "program",
     "clients",
     "answers a second",
@@ -98,7 +103,7 @@
 ];
 
 /// Columns of the table of throughput.
-const SHARE_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
+const THROUGHPUT_COLUMNS: [&str; 3] = ["program", "answers a second", "share"];
 
 /// Row of the table of single answers.
 struct AnswerRow<'a> {
@@ -107,6 +112,7 @@
     status: u16,
     features: usize,
     work: ServerWork,
+    /// Growth of the peak memory; for a traversal, the peak memory.
     memory_kib: u64,
     /// Elapsed time in milliseconds, formatted.
     elapsed: String,
@@ -133,7 +139,7 @@
     }
 }
 
-/// Measures single answers, and the traversal of all pages over `next`.
+/// Measures single answers, and traversals of all pages by their `next` links.
 pub(super) fn measure_answers(
     plan: &Plan,
     bed: &TestBed,
@@ -161,7 +167,7 @@
     Ok(())
 }
 
-/// Measures a query in a process of its own, so that the memory peak belongs to this answer.
+/// Measures a query in a separate process, so that the peak memory is that of this answer.
 fn measure_single_query(
     version: &Version,
     query: &SingleQuery,
@@ -192,18 +198,18 @@
 /// Traversal of `next` links to the last page.
 struct Traversal<'a> {
     version: &'a Version,
-    process: &'a EdgeProcess,
+    process: &'a FeatureFrontProcess,
     bed: &'a TestBed,
-    /// Limit of the first page.
+    /// `limit` of the first request.
     limit: usize,
 }
 
 impl<'a> Traversal<'a> {
-    /// Follows the links and returns the row of the table.
+    /// Follows the links and returns a row of the table.
     fn measure(&self) -> Result<AnswerRow<'a>, RunError> {
         let limit = self.limit;
         let mut client = Client::new(self.process.address);
-        client.timeout = FOLLOW_TIMEOUT;
+        client.timeout = TRAVERSAL_TIMEOUT;
         let work_before = self.bed.work();
         let started = Instant::now();
         let mut next = Some(format!("/collections/devices/items?limit={limit}"));
@@ -213,8 +219,9 @@
             let response = client.get(&target)?;
             features += response.ids().len();
             pages += 1;
-            let goes_on = pages < MAX_FOLLOWED_PAGES && started.elapsed() < FOLLOW_TIMEOUT;
-            next = response.link("next").filter(|_| goes_on);
+            let is_within_limits =
+                pages < MAX_TRAVERSED_PAGES && started.elapsed() < TRAVERSAL_TIMEOUT;
+            next = response.link("next").filter(|_| is_within_limits);
         }
         let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
         Ok(AnswerRow {
@@ -229,7 +236,7 @@
     }
 }
 
-fn memory_kib(process: &EdgeProcess, name: &str) -> u64 {
+fn memory_kib(process: &FeatureFrontProcess, name: &str) -> u64 {
     process.memory_kib(name).unwrap_or(0)
 }
 
@@ -243,14 +250,18 @@
 }
 
 /// Measures latencies at three closed-loop loads.
-pub(super) fn measure_loads(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
+pub(super) fn measure_latencies(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
     let seconds = plan.load_duration.as_secs();
     let _ = writeln!(
         text,
         "`limit=100` by several numbers of concurrent clients, {seconds} s each:\n"
     );
-    write_header(text, &LOAD_COLUMNS);
-    for clients in CLIENTS {
+    write_header(text, &LATENCY_COLUMNS);
+    for clients in CLIENT_COUNTS {
         for Version { name, program } in &plan.versions {
             let process = bed.start_version(program)?;
             let closed_loop = ClosedLoop {
@@ -273,7 +284,7 @@
     Ok(())
 }
 
-/// Measures memory with a hundred clients that request large pages.
+/// Measures memory with [`MEMORY_CLIENTS`] clients that request large pages.
 pub(super) fn measure_memory(
     plan: &Plan,
     bed: &TestBed,
@@ -308,21 +319,25 @@
     Ok(())
 }
 
-/// Measures throughput as a share of that of one server without the program.
-pub(super) fn measure_share(plan: &Plan, bed: &TestBed, text: &mut String) -> Result<(), RunError> {
+/// Measures throughput as a share of the throughput of one server that is queried directly.
+pub(super) fn measure_throughput(
+    plan: &Plan,
+    bed: &TestBed,
+    text: &mut String,
+) -> Result<(), RunError> {
     let direct_loop = ClosedLoop {
         address: bed.servers[0].address,
-        clients: SHARE_CLIENTS,
+        clients: THROUGHPUT_CLIENTS,
         duration: plan.load_duration,
     };
     let direct = direct_loop.run(SERVER_PAGE_TARGET);
     let _ = writeln!(
         text,
-        "`limit=100` by {SHARE_CLIENTS} clients, compared with one stand-in server queried \
+        "`limit=100` by {THROUGHPUT_CLIENTS} clients, compared with one stand-in server queried \
          directly ({:.0} answers a second):\n",
         direct.served_per_second()
     );
-    write_header(text, &SHARE_COLUMNS);
+    write_header(text, &THROUGHPUT_COLUMNS);
     for Version { name, program } in &plan.versions {
         let process = bed.start_version(program)?;
         let load = ClosedLoop {
--- a/testkit/src/process.rs
+++ b/testkit/src/process.rs
@@ -15,10 +15,10 @@
 /// File name of the edge file in the folder of a process.
 const EDGE_FILE: &str = "edge.toml";
 /// File name of the inventory in the folder of a process.
-const INVENTORY: &str = "i.csv";
+const INVENTORY_FILE: &str = "i.csv";
 
 /// Settings of three classes: `map` with a long deadline, `part` with partial answers, and `once`
-/// without retries.
+/// for queries that are not idempotent, whose parts are not retried if they may have run.
 pub const CLASSES: &str = "
 [[class]]
 name = \"map\"
@@ -59,9 +59,9 @@
     },
 }
 
-/// Running program with an edge file of its own. Dropping this kills the process and removes its
-/// folder.
-pub struct EdgeProcess {
+/// Running program that serves the feature front with its own edge file. Dropping this kills the
+/// process and removes its folder.
+pub struct FeatureFrontProcess {
     child: Child,
     /// Address that clients connect to.
     pub address: SocketAddr,
@@ -72,7 +72,8 @@
 /// Configuration of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct Configuration<'a> {
-    /// Top-level settings of the edge file, as TOML; the listening address is set by the process.
+    /// Top-level settings of the edge file, as TOML, except the listening address and the path of
+    /// the inventory, which [`FeatureFrontProcess::start`] sets.
     pub settings: &'a str,
     /// Rows of the inventory, as CSV without the header.
     pub inventory_rows: &'a str,
@@ -88,20 +89,22 @@
             inventory_rows,
             tables,
         } = self;
-        let own_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY}\"");
-        let text = format!("{own_settings}\n{settings}\n{tables}");
+        let fixed_settings = format!("listen = \"127.0.0.1:0\"\ninventory = \"{INVENTORY_FILE}\"");
+        let text = format!("{fixed_settings}\n{settings}\n{tables}");
         std::fs::write(folder.join(EDGE_FILE), text)?;
         write_inventory(folder, inventory_rows)
     }
 }
 
-/// Finds the program beside the current executable, or in the parent folder.
+/// Returns the path of the program, which is in the folder of the current executable or in the
+/// parent of that folder.
 ///
 /// # Errors
-/// Returns an error if the program is not there or the path of the current executable is unknown.
+/// Returns an error if the program is in neither folder, or if the path of the current executable
+/// cannot be determined.
 pub fn find_program() -> Result<PathBuf, ProcessError> {
-    let own = std::env::current_exe()?;
-    let candidates = own
+    let executable = std::env::current_exe()?;
+    let candidates = executable
         .ancestors()
         .skip(1)
         .take(2)
@@ -112,7 +115,7 @@
         .ok_or(ProcessError::NotBuilt)
 }
 
-impl EdgeProcess {
+impl FeatureFrontProcess {
     /// Starts `program` with this configuration and waits until it listens.
     ///
     /// # Errors
@@ -129,7 +132,7 @@
             .spawn()?;
         let log = read_log(&mut child);
         let address = ([127, 0, 0, 1], 0).into();
-        let mut process = EdgeProcess {
+        let mut process = FeatureFrontProcess {
             child,
             address,
             folder,
@@ -204,7 +207,7 @@
     }
 }
 
-impl Drop for EdgeProcess {
+impl Drop for FeatureFrontProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -212,10 +215,10 @@
     }
 }
 
-/// Creates a folder for a process; each call returns another one.
+/// Creates a folder for a process; each call creates a different one.
 fn create_folder() -> io::Result<PathBuf> {
-    static STARTED: AtomicUsize = AtomicUsize::new(0);
-    let number = STARTED.fetch_add(1, Relaxed);
+    static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Relaxed);
     let folder = std::env::temp_dir().join(format!(
         "quinceflow-testkit-{}-{number}",
         std::process::id()
@@ -224,13 +227,14 @@
     Ok(folder)
 }
 
-/// Reads the log of a process from its standard error, line by line.
+/// Starts a thread that reads the log of a process from its standard error, and returns the
+/// receiver of the log lines.
 fn read_log(child: &mut Child) -> Receiver<String> {
-    let (lines, log) = channel();
-    if let Some(errors) = child.stderr.take() {
+    let (line_sender, log) = channel();
+    if let Some(stderr) = child.stderr.take() {
         std::thread::spawn(move || {
-            let read = BufReader::new(errors).lines().map_while(Result::ok);
-            read.for_each(|line| drop(lines.send(line)));
+            let lines = BufReader::new(stderr).lines().map_while(Result::ok);
+            lines.for_each(|line| drop(line_sender.send(line)));
         });
     }
     log
@@ -238,7 +242,7 @@
 
 fn write_inventory(folder: &Path, rows: &str) -> io::Result<()> {
     std::fs::write(
-        folder.join(INVENTORY),
+        folder.join(INVENTORY_FILE),
         format!("name,address,collections,state\n{rows}"),
     )
 }
